--- a/crates/core/src/direct/engine/lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     direct::{
-        engine::{EngineOrder, EngineState, HeldModel, ResidentState, SentCall, shared_parts},
-        planner::{CallKey, PlacementAsk, split_subject},
+        engine::{CopyState, EngineOrder, EngineState, LoadedModel, SentCall, shared_segments},
+        planner::{CallKey, PlacementRequest, split_subject},
         versions::{MemoryMark, MemoryVersions, VersionMatch, VersionSight, VersionTeller},
     },
     ids::{AdapterName, Instant},
@@ -17,7 +17,7 @@
 
 /// Memory of a prompt that an engine can lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LendableMemory {
+pub struct LendableCache {
     /// What made it.
     pub mark: MemoryMark,
     /// Its tokens.
@@ -35,31 +35,31 @@
     #[must_use]
     pub fn memory_versions(&self, subject: &AdapterName) -> MemoryVersions {
         MemoryVersions {
-            base: self.base(subject).and_then(|held| held.sight),
-            adapter: self.copies.get(subject).and_then(|copy| copy.sight),
+            base: self.base(subject).and_then(|held| held.known_version),
+            adapter: self.copies.get(subject).and_then(|copy| copy.known_version),
         }
     }
 
-    fn base(&self, subject: &AdapterName) -> Option<&HeldModel> {
+    fn base(&self, subject: &AdapterName) -> Option<&LoadedModel> {
         self.held(split_subject(subject).0)
     }
 
-    fn held(&self, model: &str) -> Option<&HeldModel> {
+    fn held(&self, model: &str) -> Option<&LoadedModel> {
         self.models.iter().find(|held| held.name.as_str() == model)
     }
 
     /// The version of the base model by the engine's own word; its entry in the list may be from before it started again.
     fn own_base(&self, subject: &AdapterName) -> Option<u64> {
-        let sight = self.base(subject)?.sight?;
-        (sight.teller != VersionTeller::List).then_some(sight.version)
+        let known_version = self.base(subject)?.known_version?;
+        (known_version.teller != VersionTeller::List).then_some(known_version.version)
     }
 
     /// The version that a call has to ask for so that it runs under no other than the one that is known here. A copy that is
     /// replaced unseen, by a late order of an earlier holder, would else make memory that is taken for the known version's.
     #[must_use]
-    pub fn told_version(&self, subject: &AdapterName) -> Option<u64> {
+    pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
-            Some(_) => Some(self.copies.get(subject)?.sight?.version),
+            Some(_) => Some(self.copies.get(subject)?.known_version?.version),
             None => self.own_base(subject),
         }
     }
@@ -77,33 +77,33 @@
     pub(super) fn take_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
-            let sight = VersionSight::told(*version, VersionTeller::Report, now);
+            let known_version = VersionSight::told(*version, VersionTeller::Report, now);
             match old.iter().find(|held| held.name == *name) {
                 Some(known) => self.models.push(known.clone()),
                 None => {
-                    self.models.push(HeldModel {
+                    self.models.push(LoadedModel {
                         name: name.clone(),
-                        sight: None,
+                        known_version: None,
                         generation: 0,
                     });
                     self.outdate_memory(name.as_str());
                 }
             }
-            self.see_base(name.as_str(), sight);
+            self.see_base(name.as_str(), known_version);
         }
     }
 
     /// Takes over what told the version of a base model.
-    fn see_base(&mut self, model: &str, sight: Option<VersionSight>) {
-        let known = self.held(model).and_then(|held| held.sight);
-        if VersionMatch::of(known, sight) == VersionMatch::Unlike {
+    fn see_base(&mut self, model: &str, known_version: Option<VersionSight>) {
+        let known = self.held(model).and_then(|held| held.known_version);
+        if VersionMatch::of(known, known_version) == VersionMatch::Unlike {
             self.outdate_memory(model);
         }
         let mut models = self.models.iter_mut();
         if let Some(held) = models.find(|held| held.name.as_str() == model)
-            && sight.is_some()
+            && known_version.is_some()
         {
-            held.sight = sight;
+            held.known_version = known_version;
         }
     }
 
@@ -114,7 +114,7 @@
         for held in &mut self.models {
             if held.name.as_str() == model {
                 held.generation = generation;
-                held.sight = None;
+                held.known_version = None;
             }
         }
         for (subject, copy) in &mut self.copies {
@@ -125,10 +125,10 @@
     }
 
     /// An adapter is loaded, or replaced: until that has ended nobody knows what is there.
-    pub fn outdate_copy(&mut self, subject: &AdapterName) {
+    pub fn invalidate_copy(&mut self, subject: &AdapterName) {
         let generation = self.next_generation();
         if let Some(copy) = self.copies.get_mut(subject) {
-            copy.sight = None;
+            copy.known_version = None;
             copy.generation = generation;
             copy.was_unlisted = false;
         }
@@ -137,7 +137,7 @@
 
     /// It has taken an order. One that expects none before it is taken as well by an engine that has started again
     /// unseen, with other weights: its next answer or report tells.
-    pub fn note_taken(&mut self, order: &EngineOrder) {
+    pub fn record_accepted_order(&mut self, order: &EngineOrder) {
         if order.expected == 0 {
             let models: Vec<_> = self.models.iter().map(|held| held.name.clone()).collect();
             for model in models {
@@ -149,16 +149,16 @@
     /// Takes over versions from the list for copies of which nothing else told them. An entry may be seconds old, so it
     /// speaks of a copy only if the list has been seen without it since it was loaded.
     pub(super) fn take_listed_versions(&mut self, now: Instant) {
-        if !self.is_known || self.pending.is_some() || self.entry_is_old {
+        if !self.is_inventory_known || self.pending.is_some() || self.entry_is_old {
             return;
         }
         for resident in &self.entry.adapters {
             if let Some(copy) = self.copies.get_mut(&resident.adapter)
                 && copy.was_unlisted
-                && copy.sight.is_none()
-                && copy.state == ResidentState::Here
+                && copy.known_version.is_none()
+                && copy.state == CopyState::Loaded
             {
-                copy.sight = VersionSight::told(resident.version, VersionTeller::List, now);
+                copy.known_version = VersionSight::told(resident.version, VersionTeller::List, now);
             }
         }
     }
@@ -177,17 +177,17 @@
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
             let listed = VersionSight::told(*version, VersionTeller::List, now);
-            let known = self.held(model).and_then(|held| held.sight);
+            let known = self.held(model).and_then(|held| held.known_version);
             if VersionMatch::of(known, listed) == VersionMatch::Unlike {
                 self.outdate_memory(model);
-                self.report_at = Some(now);
+                self.report_due_at = Some(now);
             }
         }
     }
 
     /// Notes that a call's prompt has been read by this version of the base model. What comes from before its adapter
     /// or its base model was loaded anew says nothing.
-    pub fn note_read(&mut self, key: &CallKey, version: u64, now: Instant) {
+    pub fn record_prompt_read(&mut self, key: &CallKey, version: u64, now: Instant) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
@@ -199,21 +199,21 @@
         if self.generation(&subject) != Some(generation) {
             return;
         }
-        let sight = VersionSight::told(version, VersionTeller::Answer, now);
-        self.see_base(split_subject(&subject).0, sight);
+        let known_version = VersionSight::told(version, VersionTeller::Answer, now);
+        self.see_base(split_subject(&subject).0, known_version);
         self.read_parts.note(&subject, generation, &shared);
     }
 
     /// A call that is sent to it now.
-    pub fn sent_call(&mut self, ask: &PlacementAsk) -> SentCall {
-        let shared = shared_parts(&ask.prefix);
+    pub fn sent_call(&mut self, ask: &PlacementRequest) -> SentCall {
+        let shared = shared_segments(&ask.prefix);
         let generation = self.generation(&ask.subject);
         if let Some(generation) = generation {
             self.sent_parts.note(&ask.subject, generation, &shared);
         }
         SentCall {
             subject: ask.subject.clone(),
-            tokens: ask.most_tokens(),
+            tokens: ask.max_kv_tokens(),
             shared,
             generation,
             fingerprint: Some(ask.fingerprint),
@@ -222,7 +222,7 @@
 
     /// Tokens at the start of a prompt that it has likely kept.
     #[must_use]
-    pub fn kept_tokens(&self, ask: &PlacementAsk) -> u32 {
+    pub fn cached_tokens(&self, ask: &PlacementRequest) -> u32 {
         let generation = self.generation(&ask.subject);
         generation.map_or(0, |generation| {
             let sent = &self.sent_parts;
@@ -232,52 +232,60 @@
 
     /// Memory of a prompt that it has read, of which it is known what made it.
     #[must_use]
-    pub fn lendable(&self, ask: &PlacementAsk) -> Option<LendableMemory> {
+    pub fn lendable_cache(&self, ask: &PlacementRequest) -> Option<LendableCache> {
         let subject = &ask.subject;
         let generation = self.generation(subject)?;
         let tokens = self.read_parts.tokens(subject, generation, &ask.prefix);
-        if tokens == 0 || !self.is_known {
+        if tokens == 0 || !self.is_inventory_known {
             return None;
         }
         let base = self.own_base(subject)?;
         let adapter = match split_subject(subject).1 {
             Some(_) => {
                 let copy = self.copies.get(subject)?;
-                let is_here = copy.state == ResidentState::Here;
-                Some(copy.sight.filter(|_| is_here)?.version)
+                let is_here = copy.state == CopyState::Loaded;
+                Some(copy.known_version.filter(|_| is_here)?.version)
             }
             None => None,
         };
         let mark = MemoryMark { base, adapter };
-        Some(LendableMemory { mark, tokens })
+        Some(LendableCache { mark, tokens })
     }
 
     /// Whether a call may use memory with this mark here. Where nobody knows the version of the adapter here, the call has to
     /// name the one that it expects: the engine turns it away if it has another, and then its report comes first.
     #[must_use]
-    pub fn may_use(&self, mark: MemoryMark, subject: &AdapterName, named: Option<u64>) -> bool {
-        let own = self.copies.get(subject).and_then(|copy| copy.sight);
-        let is_fit = match (mark.adapter, named.or(own.map(|sight| sight.version))) {
+    pub fn can_use_cache(
+        &self,
+        mark: MemoryMark,
+        subject: &AdapterName,
+        named: Option<u64>,
+    ) -> bool {
+        let own = self.copies.get(subject).and_then(|copy| copy.known_version);
+        let is_fit = match (
+            mark.adapter,
+            named.or(own.map(|known_version| known_version.version)),
+        ) {
             (None, _) => true,
-            (Some(_), None) => self.report_at.is_none() && !self.is_reporting,
+            (Some(_), None) => self.report_due_at.is_none() && !self.is_reporting,
             (made_by, known) => made_by == known,
         };
-        self.is_known && is_fit && self.own_base(subject) == Some(mark.base)
+        self.is_inventory_known && is_fit && self.own_base(subject) == Some(mark.base)
     }
 
     /// Holds a copy as it is until a call elsewhere has its memory.
-    pub fn lend(&mut self, subject: &AdapterName, key: &CallKey) {
+    pub fn lend_cache(&mut self, subject: &AdapterName, key: &CallKey) {
         if let Some(copy) = self.copies.get_mut(subject) {
-            copy.lent_to.push(key.clone());
+            copy.borrowers.push(key.clone());
         }
     }
 
     /// A call elsewhere has the memory, or does not need it any more. One whose gateway can't be reached may yet take
     /// it until a time.
-    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, held_until: Instant) {
+    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, pinned_until: Instant) {
         if let Some(copy) = self.copies.get_mut(subject) {
-            copy.lent_to.retain(|borrower| borrower != key);
-            copy.lent_until = copy.lent_until.max(held_until);
+            copy.borrowers.retain(|borrower| borrower != key);
+            copy.lent_until = copy.lent_until.max(pinned_until);
         }
     }
 }
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -2,9 +2,9 @@
 
 use crate::{
     direct::{
-        engine::ADOPTED_WITHIN,
+        engine::CALL_ADOPTION_TIMEOUT,
         loading::StoreLoad,
-        planner::{CallKey, PlacementAsk},
+        planner::{CallKey, PlacementRequest},
         suspects::RequestFingerprint,
         versions::VersionSight,
     },
@@ -13,17 +13,17 @@
 
 /// State of one adapter at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ResidentState {
+pub enum CopyState {
     /// Its load waits for its turn.
-    Wanted,
+    Queued,
     /// It is there in an old version, and the load of the new one waits for its turn.
-    Outdated,
+    ReloadQueued,
     /// It is on its way, and there at this time.
-    Coming(Instant),
+    Loading(Instant),
     /// It is there.
-    Here,
+    Loaded,
     /// It goes once its runs have ended.
-    Leaving,
+    Unloading,
 }
 
 /// A call that waits for a load to be accepted.
@@ -32,55 +32,55 @@
     /// The call.
     pub key: CallKey,
     /// What it asks for.
-    pub ask: PlacementAsk,
+    pub ask: PlacementRequest,
     /// When it is given up, as its load takes longer than it can bear.
     pub until: Instant,
 }
 
 /// One adapter at an engine.
 #[derive(Clone, Debug)]
-pub struct ResidentCopy {
+pub struct AdapterCopy {
     /// Its state.
-    pub state: ResidentState,
+    pub state: CopyState,
     /// Its version, if anything told it.
-    pub sight: Option<VersionSight>,
+    pub known_version: Option<VersionSight>,
     /// Which copy this is: another one after each load, so that no memory outlives what made it.
     pub generation: u64,
     /// Calls sent to it that have not ended.
-    pub users: u32,
+    pub active_calls: u32,
     /// Calls that wait for its load to be accepted.
     pub waiters: Vec<WaitingCall>,
     /// When it was last asked for.
-    pub used_at: Instant,
+    pub last_used_at: Instant,
     /// Until when calls that nobody counts any more may still run on it.
-    pub held_until: Instant,
+    pub pinned_until: Instant,
     /// Whether the list was seen without it since it was last loaded, so that what the list says of it now is of this loading.
     pub was_unlisted: bool,
     /// Calls elsewhere whose engines take memory that it made: until they have begun it is neither replaced nor unloaded.
-    pub lent_to: Vec<CallKey>,
+    pub borrowers: Vec<CallKey>,
     /// Until when calls elsewhere that nobody counts may still take its memory.
     pub lent_until: Instant,
     /// The load that brought it here from the weight store.
     pub load: Option<StoreLoad>,
 }
 
-impl ResidentCopy {
+impl AdapterCopy {
     pub(super) fn new(
-        state: ResidentState,
-        sight: Option<VersionSight>,
+        state: CopyState,
+        known_version: Option<VersionSight>,
         generation: u64,
         now: Instant,
     ) -> Self {
         Self {
             state,
-            sight,
+            known_version,
             generation,
-            users: 0,
+            active_calls: 0,
             waiters: Vec::new(),
-            used_at: now,
-            held_until: Instant::default(),
+            last_used_at: now,
+            pinned_until: Instant::default(),
             was_unlisted: false,
-            lent_to: Vec::new(),
+            borrowers: Vec::new(),
             lent_until: Instant::default(),
             load: None,
         }
@@ -88,40 +88,41 @@
 
     /// Holds it as it is while gateways tell of calls that they had open before.
     pub(super) fn hold_for_unknown(&mut self, now: Instant) {
-        self.held_until = now.after(ADOPTED_WITHIN);
-        self.lent_until = now.after(ADOPTED_WITHIN);
+        self.pinned_until = now.after(CALL_ADOPTION_TIMEOUT);
+        self.lent_until = now.after(CALL_ADOPTION_TIMEOUT);
     }
 
     /// Whether nothing runs on it, waits for it or takes its memory.
     #[must_use]
-    pub fn is_free(&self, now: Instant) -> bool {
-        self.users == 0
+    pub fn is_unused(&self, now: Instant) -> bool {
+        self.active_calls == 0
             && self.waiters.is_empty()
-            && self.lent_to.is_empty()
-            && now >= self.held_until
+            && self.borrowers.is_empty()
+            && now >= self.pinned_until
     }
 
     /// Whether it may be replaced: what another engine takes of it would be the new version's. One that is unloaded
     /// lends nothing.
     #[must_use]
     pub fn is_replaceable(&self, now: Instant) -> bool {
-        self.is_free(now) && now >= self.lent_until
+        self.is_unused(now) && now >= self.lent_until
     }
 
     /// Whether it has to be replaced now that a version is named: it is older, or nobody knows what it is.
     #[must_use]
-    pub fn is_behind(&self, named: u64) -> bool {
-        self.sight.is_none_or(|sight| sight.version < named)
+    pub fn is_stale_for(&self, named: u64) -> bool {
+        self.known_version
+            .is_none_or(|known_version| known_version.version < named)
     }
 }
 
 /// A base model that an engine holds.
 #[derive(Clone, Debug)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// Its name.
     pub name: AdapterName,
     /// Its version, if anything told it.
-    pub sight: Option<VersionSight>,
+    pub known_version: Option<VersionSight>,
     /// Which loading of it this is, as for a copy.
     pub generation: u64,
 }
--- a/crates/core/src/direct/engine/orders.rs
+++ b/crates/core/src/direct/engine/orders.rs
@@ -53,9 +53,9 @@
     /// Adapters that it holds, with their versions.
     pub adapters: Vec<(AdapterName, u64)>,
     /// Adapters on their way.
-    pub coming: Vec<(AdapterName, u64)>,
+    pub loading: Vec<(AdapterName, u64)>,
     /// Base models that it loads from a copy of its own, without the weight store.
-    pub own_copies: Vec<AdapterName>,
+    pub local_models: Vec<AdapterName>,
     /// Requests that run or wait.
     pub requests: u32,
     /// Whether an order on a whole model is under way.
--- a/crates/core/src/direct/engine/parts.rs
+++ b/crates/core/src/direct/engine/prefix_cache.rs
@@ -60,7 +60,7 @@
 
 /// The parts of a prompt that other calls may share: all but the last, which is the call's own.
 #[must_use]
-pub fn shared_parts(prefix: &[(u64, u32)]) -> Vec<u64> {
+pub fn shared_segments(prefix: &[(u64, u32)]) -> Vec<u64> {
     let shared = prefix.len().saturating_sub(1);
     prefix[..shared].iter().map(|(part, _)| *part).collect()
 }
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -51,7 +51,7 @@
 
 /// What a gateway wants for a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlainAsk {
+pub struct PlainRequest {
     /// The service.
     pub service: ServiceName,
     /// Rank of the call; 0 is the most urgent.
@@ -70,7 +70,7 @@
     pub charge: Option<QuotaCharge>,
 }
 
-impl PlainAsk {
+impl PlainRequest {
     /// Longest time until its answer for which it is placed.
     fn bound(&self) -> Duration {
         let rank = usize::from(self.rank).min(EXPECTED_PARTS.len() - 1);
@@ -80,7 +80,7 @@
 
 /// Zones in the order in which their holders are asked to place calls of a service.
 #[must_use]
-pub fn placing_zones(service: &ServiceName, zones: &[AvailabilityZone]) -> Vec<AvailabilityZone> {
+pub fn placement_zones(service: &ServiceName, zones: &[AvailabilityZone]) -> Vec<AvailabilityZone> {
     zones_ranked_by(service.as_str(), zones)
 }
 
@@ -130,7 +130,7 @@
     pub fn place(
         &mut self,
         key: CallKey,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         targets: &[Arc<TargetEntry>],
         now: Instant,
     ) -> PlacementAnswer {
@@ -181,7 +181,7 @@
 
     fn best<'a>(
         &self,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         targets: &'a [Arc<TargetEntry>],
         now: Instant,
     ) -> Option<&'a Arc<TargetEntry>> {
@@ -202,12 +202,12 @@
 
     /// Whether a call was placed here and has not ended.
     #[must_use]
-    pub fn knows(&self, key: &CallKey) -> bool {
+    pub fn has_call(&self, key: &CallKey) -> bool {
         self.calls.contains_key(key)
     }
 
     /// A call ended, or its gateway gave it up.
-    pub fn ended(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) {
+    pub fn call_ended(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) {
         let Some(call) = self.calls.remove(key) else {
             return;
         };
@@ -234,12 +234,12 @@
             .cloned()
             .collect();
         for key in keys {
-            self.ended(&key, None, now);
+            self.call_ended(&key, None, now);
         }
     }
 
     /// An answer told of a target's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
+    pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
         self.rates.note(named, now);
     }
 
@@ -256,7 +256,7 @@
 
 /// Picks a target for a gateway that no holder answers, by the calls that it has under way itself.
 #[must_use]
-pub fn pick_alone<'a>(
+pub fn pick_without_holder<'a>(
     zone: &AvailabilityZone,
     health: &HealthTable,
     in_flight: &HashMap<TargetRun, u32>,
--- a/crates/core/src/direct/planner/fetching.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -9,7 +9,7 @@
     direct::{
         catalog::TargetStage,
         engine::EngineState,
-        planner::{CallKey, PlacementAsk, PlannerAction, PromptMove, ZonePlanner},
+        planner::{CacheTransfer, CallKey, PlacementRequest, PlannerAction, ZonePlanner},
         versions::MemoryMark,
     },
     ids::{AdapterName, Instant, TargetName},
@@ -47,13 +47,13 @@
 
 impl ZonePlanner {
     /// Of the zone's engines that can lend memory of a prompt, for each mark the one with the most.
-    pub(super) fn prompt_sources(&self, ask: &PlacementAsk, now: Instant) -> Vec<PromptSource> {
+    pub(super) fn prompt_sources(&self, ask: &PlacementRequest, now: Instant) -> Vec<PromptSource> {
         let mut best: Vec<PromptSource> = Vec::new();
         if now >= self.led_until {
             return best;
         }
         for (name, engine) in &self.engines {
-            let Some(memory) = engine.lendable(ask) else {
+            let Some(memory) = engine.lendable_cache(ask) else {
                 continue;
             };
             let is_fit = engine.entry.stage == TargetStage::Ready
@@ -81,7 +81,7 @@
 
     /// Whether no order of an earlier holder is carried out at an engine any more, and what such a one did is known.
     pub(super) fn is_settled(&self, engine: &EngineState) -> bool {
-        engine.is_ours || engine.reported_at >= self.settled_from
+        engine.has_accepted_order || engine.reported_at >= self.settled_from
     }
 
     /// Whether no other engine is listed where an engine is: one that has ended may be listed still, beside the one that followed
@@ -97,12 +97,12 @@
     pub(super) fn prompt_work<'a>(
         &self,
         engine: &EngineState,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         sources: &'a [PromptSource],
         now: Instant,
     ) -> PromptWork<'a> {
         let named = self.named_version(&ask.subject);
-        let kept = engine.kept_tokens(ask);
+        let kept = engine.cached_tokens(ask);
         let tokens = ask.prompt_tokens.saturating_sub(kept);
         let time = engine.prompts.own_time(tokens, &self.pace, now);
         let alone = PromptWork {
@@ -112,7 +112,7 @@
         };
         let fitting = sources
             .iter()
-            .filter(|source| engine.may_use(source.mark, &ask.subject, named));
+            .filter(|source| engine.can_use_cache(source.mark, &ask.subject, named));
         let Some(source) = fitting.max_by_key(|source| source.tokens) else {
             return alone;
         };
@@ -120,8 +120,8 @@
             return alone;
         }
         let tokens = ask.prompt_tokens.saturating_sub(source.tokens);
-        let time = engine.prompts.own_time(tokens, &self.pace, now) + self.policy.fetch_time;
-        if time + self.policy.fetch_gain > alone.time {
+        let time = engine.prompts.own_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
+        if time + self.policy.min_fetch_saving > alone.time {
             return alone;
         }
         PromptWork {
@@ -136,7 +136,7 @@
         &mut self,
         name: &TargetName,
         key: &CallKey,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         sources: &[PromptSource],
         fetch: Option<&PromptSource>,
     ) {
@@ -144,35 +144,40 @@
             return;
         };
         let named = self.named_version(&ask.subject);
-        let kept = engine.kept_tokens(ask);
+        let kept = engine.cached_tokens(ask);
         let unfit = sources.iter().find(|source| {
-            source.tokens > kept && !engine.may_use(source.mark, &ask.subject, named)
+            source.tokens > kept && !engine.can_use_cache(source.mark, &ask.subject, named)
         });
         let Some(source) = fetch.or(unfit) else {
             return;
         };
         let lender = self.engines.get(&source.name);
         let lender = lender.map(|lender| lender.memory_versions(&ask.subject));
-        let moved = PromptMove {
+        let moved = CacheTransfer {
             key: key.clone(),
             subject: ask.subject.clone(),
             source: source.name.clone(),
             source_versions: lender.unwrap_or_default(),
             target: name.clone(),
             target_versions: engine.memory_versions(&ask.subject),
-            named,
-            is_told: fetch.is_some(),
+            named_version: named,
+            is_permitted: fetch.is_some(),
         };
         self.actions
-            .push_back(PlannerAction::Moved(Box::new(moved)));
+            .push_back(PlannerAction::RecordTransfer(Box::new(moved)));
     }
 
     /// Holds what a call takes from a source as it is.
-    pub(super) fn lend(&mut self, source: &PromptSource, ask: &PlacementAsk, key: &CallKey) {
+    pub(super) fn lend_cache(
+        &mut self,
+        source: &PromptSource,
+        ask: &PlacementRequest,
+        key: &CallKey,
+    ) {
         // A gateway that has started again counts its calls anew: one of before may have this key.
         self.end_loan(key, Instant::default());
         if let Some(engine) = self.engines.get_mut(&source.name) {
-            engine.lend(&ask.subject, key);
+            engine.lend_cache(&ask.subject, key);
             let loan = MemoryLoan {
                 source: source.name.clone(),
                 subject: ask.subject.clone(),
@@ -203,12 +208,12 @@
     }
 
     /// Lets go of the memory that a call was to take, but for one that may yet take it until a time.
-    pub(super) fn end_loan(&mut self, key: &CallKey, held_until: Instant) {
+    pub(super) fn end_loan(&mut self, key: &CallKey, pinned_until: Instant) {
         let Some(loan) = self.loans.remove(key) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&loan.source) {
-            engine.end_loan(&loan.subject, key, held_until);
+            engine.end_loan(&loan.subject, key, pinned_until);
         }
     }
 }
--- a/crates/core/src/direct/planner/ask.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -25,7 +25,7 @@
 
 /// What a gateway wants of a zone for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskTerms {
+pub enum PlacementTerms {
     /// Take it if an engine that has its adapter keeps it within the bound; otherwise say what it would cost.
     Inquire,
     /// Take it at a cost below this, in milliseconds: another zone's offer, less the price of going elsewhere.
@@ -36,7 +36,7 @@
 
 /// What the holder has to know about a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacementAsk {
+pub struct PlacementRequest {
     /// The model, with its adapter behind a slash where one is meant.
     pub subject: AdapterName,
     /// Tokens of its prompt.
@@ -56,7 +56,7 @@
     /// Whether its adapter may be loaded for it.
     pub may_load: bool,
     /// What is wanted.
-    pub terms: AskTerms,
+    pub terms: PlacementTerms,
     /// The request by what it asks.
     pub fingerprint: RequestFingerprint,
     /// Whether it is sent as a granted trial of a suspect.
@@ -65,10 +65,10 @@
     pub charge: Option<QuotaCharge>,
 }
 
-impl PlacementAsk {
+impl PlacementRequest {
     /// Tokens that it may take in memory.
     #[must_use]
-    pub fn most_tokens(&self) -> u64 {
+    pub fn max_kv_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
 }
@@ -129,7 +129,7 @@
 
 /// An engine could take parts of a prompt from another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PromptMove {
+pub struct CacheTransfer {
     /// The call.
     pub key: CallKey,
     /// Its adapter, or its base model.
@@ -143,15 +143,15 @@
     /// The versions that it will run under, as far as is known.
     pub target_versions: MemoryVersions,
     /// The version of the adapter that was named last.
-    pub named: Option<u64>,
+    pub named_version: Option<u64>,
     /// Whether it is told to; otherwise their versions do not fit.
-    pub is_told: bool,
+    pub is_permitted: bool,
 }
 
-impl PromptMove {
+impl CacheTransfer {
     /// How the versions of both stand to each other.
     #[must_use]
-    pub fn versions(&self) -> VersionMatch {
+    pub fn version_match(&self) -> VersionMatch {
         let (source, target) = (&self.source_versions, &self.target_versions);
         let base = VersionMatch::of(source.base, target.base);
         if split_subject(&self.subject).1.is_none() {
@@ -169,7 +169,7 @@
     /// Give an order to an engine.
     Order(Arc<TargetEntry>, EngineOrder),
     /// Read an engine's report.
-    Report(Arc<TargetEntry>),
+    FetchReport(Arc<TargetEntry>),
     /// Say that memory moves, or that it does not as the versions do not fit.
-    Moved(Box<PromptMove>),
+    RecordTransfer(Box<CacheTransfer>),
 }
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -8,40 +8,41 @@
 //!
 //! | module | job |
 //! |---|---|
-//! | `ask` | what gateways ask, and what the holder has to do |
-//! | `figures` | figures of engines and weight store |
-//! | `placing` | where a call goes |
-//! | `fetching` | parts of a prompt that engines take from each other |
-//! | `ordering` | what engines are ordered |
-//! | `spreading` | second copies of adapters that crowd their engines |
-//! | `filling` | which engines that hold no base model are given one |
-//! | `suspecting` | requests under which engines ended |
-
-mod ask;
-mod fetching;
-mod figures;
-mod filling;
-mod ordering;
-mod placing;
-mod spreading;
-mod suspecting;
-
-pub use ask::{
-    AskTerms, CallKey, PlacementAnswer, PlacementAsk, PlannerAction, PromptMove, RefusalCause,
+//! | `messages` | what gateways ask, and what the holder has to do |
+//! | `estimates` | figures of engines and weight store |
+//! | `placement` | where a call goes |
+//! | `cache_transfer` | parts of a prompt that engines take from each other |
+//! | `orders` | what engines are ordered |
+//! | `replication` | second copies of adapters that crowd their engines |
+//! | `model_loading` | which engines that hold no base model are given one |
+//! | `suspects` | requests under which engines ended |
+
+mod cache_transfer;
+mod estimates;
+mod messages;
+mod model_loading;
+mod orders;
+mod placement;
+mod replication;
+mod suspects;
+
+pub use estimates::EngineEstimates;
+pub use messages::{
+    CacheTransfer, CallKey, PlacementAnswer, PlacementRequest, PlacementTerms, PlannerAction,
+    RefusalCause,
 };
-pub use figures::EngineFigures;
 
 use crate::{
     direct::{
         catalog::TargetEntry,
         config::EngineLimits,
         demand::DemandTable,
-        engine::{EngineState, LATE_ORDER, ResidentState, SentCall, UNCOUNTED_RUN},
+        engine::{CopyState, EngineState, ORPHANED_CALL_TTL, SentCall, UNANSWERED_ORDER_TTL},
         health::{CallOutcome, HealthTable},
         limits::{LimitTable, NamedLimit},
         loading::LoadLimiter,
         millis,
-        planner::fetching::MemoryLoan,
+        planner::cache_transfer::MemoryLoan,
         policy::PlacementPolicy,
         reading::ReadingPace,
         suspects::SuspectTable,
@@ -68,7 +69,7 @@
 /// Plans the work of one zone's engines.
 #[derive(Debug)]
 pub struct ZonePlanner {
-    figures: EngineFigures,
+    figures: EngineEstimates,
     policy: PlacementPolicy,
     limits: EngineLimits,
     /// Limits that engines named.
@@ -99,9 +100,9 @@
 impl ZonePlanner {
     /// A planner that gives no order before `orders_from`.
     #[must_use]
-    pub fn new(figures: EngineFigures, limits: EngineLimits, orders_from: Instant) -> Self {
+    pub fn new(figures: EngineEstimates, limits: EngineLimits, orders_from: Instant) -> Self {
         // The holder before may have begun a load a moment ago: holders in series loaded twice what the store's rate allows.
-        let model_load_at = orders_from.after(figures.model_load_pause);
+        let model_load_at = orders_from.after(figures.model_load_interval);
         Self {
             figures,
             policy: PlacementPolicy::default(),
@@ -112,7 +113,7 @@
             demand: DemandTable::default(),
             health: HealthTable::default(),
             pace: ReadingPace::default(),
-            loads: LoadLimiter::starting_with(figures.start_loads),
+            loads: LoadLimiter::starting_with(figures.initial_load_limit),
             loans: HashMap::new(),
             led_until: Instant::default(),
             settled_from: Instant::default(),
@@ -138,7 +139,7 @@
 
     /// What is learned of the weight store.
     #[must_use]
-    pub fn loads(&self) -> &LoadLimiter {
+    pub fn load_limiter(&self) -> &LoadLimiter {
         &self.loads
     }
 
@@ -153,24 +154,24 @@
     }
 
     /// The zone had another holder before: an order of that one may be carried out late, and replace a copy unseen.
-    pub fn succeed(&mut self, now: Instant) {
-        self.settled_from = now.after(LATE_ORDER);
+    pub fn mark_takeover(&mut self, now: Instant) {
+        self.settled_from = now.after(UNANSWERED_ORDER_TTL);
     }
 
     /// Says whether engines refuse an order with an older fencing token than one that they have seen.
-    pub fn set_fenced(&mut self, is_fenced: bool) {
+    pub fn set_order_fencing(&mut self, is_fenced: bool) {
         self.are_orders_fenced = is_fenced;
     }
 
     /// Until then no other holder can have given orders to these engines. A holder that is cut off from the log, or
     /// stood still, may have been replaced: its callers are still served, but what copies have read since is not known.
-    pub fn lead_until(&mut self, time: Instant) {
+    pub fn set_lead_until(&mut self, time: Instant) {
         self.led_until = time;
     }
 
     /// Whether the answer to an order is awaited.
     #[must_use]
-    pub fn awaits_orders(&self) -> bool {
+    pub fn has_pending_orders(&self) -> bool {
         self.engines.values().any(|engine| engine.pending.is_some())
     }
 
@@ -204,7 +205,7 @@
                 Some(engine) if entry.life > engine.entry.life => {
                     self.replace_engine(&entry.name.clone(), entry, now);
                 }
-                Some(engine) => engine.take_entry(entry, now),
+                Some(engine) => engine.update_entry(entry, now),
                 None => {
                     let engine = EngineState::new(Arc::clone(&entry), now);
                     self.engines.insert(entry.name.clone(), engine);
@@ -218,7 +219,7 @@
     }
 
     /// An answer told of an engine's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
+    pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
         if self.engines.contains_key(&named.run.name) {
             self.rates.note(named, now);
         }
@@ -229,8 +230,8 @@
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let reborn = engine.reborn(entry, now);
-        let old = std::mem::replace(engine, reborn);
+        let restarted = engine.restarted(entry, now);
+        let old = std::mem::replace(engine, restarted);
         self.outlive_loans(name);
         self.health.forget(name);
         self.loads.forget(name);
@@ -240,7 +241,7 @@
 
     /// Whether an engine is in this life as far as is known.
     #[must_use]
-    pub fn knows_life(&self, name: &TargetName, life: TargetLife) -> bool {
+    pub fn is_current_life(&self, name: &TargetName, life: TargetLife) -> bool {
         let engine = self.engines.get(name);
         engine.is_some_and(|engine| engine.entry.life == life)
     }
@@ -264,13 +265,13 @@
     }
 
     /// A gateway tells of a call that it had open before this planner began.
-    pub fn adopt(&mut self, key: CallKey, target: &TargetName, subject: &AdapterName) {
+    pub fn adopt_call(&mut self, key: CallKey, target: &TargetName, subject: &AdapterName) {
         self.drop_call(&key);
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
         if let Some(copy) = engine.copies.get_mut(subject) {
-            copy.users += 1;
+            copy.active_calls += 1;
         }
         let call = SentCall {
             subject: subject.clone(),
@@ -284,7 +285,7 @@
 
     /// The first event of a call came from an engine: its prompt is read, by the version of the
     /// base model that the answer tells.
-    pub fn begun(
+    pub fn call_started(
         &mut self,
         key: &CallKey,
         target: &TargetName,
@@ -294,10 +295,10 @@
         self.end_loan(key, now);
         if let Some(engine) = self.engines.get_mut(target) {
             if let Some(version) = version {
-                engine.note_read(key, version, now);
+                engine.record_prompt_read(key, version, now);
             }
             engine.prompts.begun(key, &mut self.pace, now);
-            if let Some(load) = engine.judge_load(key)
+            if let Some(load) = engine.resolve_load(key)
                 && !load.is_judged
             {
                 self.loads.came_in_time(target, load, now);
@@ -306,7 +307,7 @@
     }
 
     /// A call ended, or its gateway gave it up.
-    pub fn ended(
+    pub fn call_ended(
         &mut self,
         key: &CallKey,
         target: Option<&TargetName>,
@@ -317,7 +318,7 @@
             self.health.note(target, outcome, now);
         }
         // Where the caller has left, the call may be on its way still.
-        self.end_loan(key, now.after(UNCOUNTED_RUN));
+        self.end_loan(key, now.after(ORPHANED_CALL_TTL));
         for copy in self
             .engines
             .values_mut()
@@ -339,8 +340,8 @@
             if let Some(call) = engine.remove_call(key)
                 && let Some(copy) = engine.copies.get_mut(&call.subject)
             {
-                copy.users = copy.users.saturating_sub(1);
-                if copy.users == 0 {
+                copy.active_calls = copy.active_calls.saturating_sub(1);
+                if copy.active_calls == 0 {
                     freed = Some(call.subject);
                 }
             }
@@ -349,14 +350,14 @@
     }
 
     /// A target said that it lacks what a call asked for: most likely its load takes longer than expected.
-    pub fn doubt_copy(&mut self, key: &CallKey, target: &TargetName, now: Instant) {
+    pub fn report_missing_copy(&mut self, key: &CallKey, target: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
-        engine.report_at = Some(now);
+        engine.report_due_at = Some(now);
         // What it lacks may be the version that made the memory which the call was to use.
         let takes_memory = self.loans.contains_key(key);
-        if let Some(load) = engine.judge_load(key).filter(|_| !takes_memory) {
+        if let Some(load) = engine.resolve_load(key).filter(|_| !takes_memory) {
             self.loads.came_late(target, load, now);
         }
         let Some(subject) = engine.calls.get(key).map(|call| call.subject.clone()) else {
@@ -364,12 +365,12 @@
         };
         if !self.versions.contains_key(&subject) {
             // Where none is named the call may have asked for a version that is not there.
-            engine.outdate_copy(&subject);
+            engine.invalidate_copy(&subject);
         }
         if let Some(copy) = engine.copies.get_mut(&subject)
-            && matches!(copy.state, ResidentState::Here | ResidentState::Coming(_))
+            && matches!(copy.state, CopyState::Loaded | CopyState::Loading(_))
         {
-            copy.state = ResidentState::Coming(now.after(LOAD_OVERRUN));
+            copy.state = CopyState::Loading(now.after(LOAD_OVERRUN));
         }
     }
 
@@ -394,10 +395,10 @@
                 engine.copies.get_mut(&call.subject)
             });
             for copy in subjects {
-                copy.held_until = now.after(UNCOUNTED_RUN);
+                copy.pinned_until = now.after(ORPHANED_CALL_TTL);
             }
-            self.end_loan(&key, now.after(UNCOUNTED_RUN));
-            self.ended(&key, None, None, now);
+            self.end_loan(&key, now.after(ORPHANED_CALL_TTL));
+            self.call_ended(&key, None, None, now);
         }
     }
 
@@ -420,12 +421,12 @@
         };
         let mut is_stale = Vec::new();
         for (adapter, copy) in &mut engine.copies {
-            if matches!(copy.state, ResidentState::Coming(at) if now >= at) {
-                copy.state = ResidentState::Here;
+            if matches!(copy.state, CopyState::Loading(at) if now >= at) {
+                copy.state = CopyState::Loaded;
             }
             let named = self.versions.get(adapter);
-            let is_behind = named.is_some_and(|named| copy.is_behind(*named));
-            if copy.state == ResidentState::Here && is_behind {
+            let is_stale_for = named.is_some_and(|named| copy.is_stale_for(*named));
+            if copy.state == CopyState::Loaded && is_stale_for {
                 is_stale.push(adapter.clone());
             }
         }
@@ -435,15 +436,18 @@
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        if now >= self.settled_from && !engine.is_ours && engine.reported_at < self.settled_from {
-            engine.report_at.get_or_insert(now);
+        if now >= self.settled_from
+            && !engine.has_accepted_order
+            && engine.reported_at < self.settled_from
+        {
+            engine.report_due_at.get_or_insert(now);
         }
-        let is_due = engine.report_at.is_some_and(|at| now >= at);
+        let is_due = engine.report_due_at.is_some_and(|at| now >= at);
         if is_due && !engine.is_reporting && engine.pending.is_none() {
-            engine.report_at = None;
+            engine.report_due_at = None;
             engine.is_reporting = true;
             self.actions
-                .push_back(PlannerAction::Report(Arc::clone(&engine.entry)));
+                .push_back(PlannerAction::FetchReport(Arc::clone(&engine.entry)));
         }
     }
 
--- a/crates/core/src/direct/planner/filling.rs
+++ b/crates/core/src/direct/planner/model_loading.rs
@@ -43,9 +43,9 @@
         let Some(engine) = self.engines.get(name).filter(|engine| is_idle(engine)) else {
             return;
         };
-        let is_free = engine.own_copies.contains(&model);
-        if may && (is_free || self.needs_engines(&model)) {
-            self.model_load_at = now.after(self.figures.model_load_pause);
+        let is_unused = engine.local_models.contains(&model);
+        if may && (is_unused || self.needs_engines(&model)) {
+            self.model_load_at = now.after(self.figures.model_load_interval);
             self.queue_model(name, model);
         }
     }
@@ -55,7 +55,7 @@
             .engines
             .values()
             .any(|engine| can_serve(engine) && engine.has_model(model.as_str()));
-        !has_one || self.busy >= self.policy.busy_part
+        !has_one || self.busy >= self.policy.busy_fraction
     }
 
     fn queue_model(&mut self, name: &TargetName, model: AdapterName) {
@@ -71,9 +71,9 @@
 
 /// Whether an engine is known to hold no model, and has nothing else to do.
 fn is_idle(engine: &EngineState) -> bool {
-    engine.is_known
+    engine.is_inventory_known
         && engine.models.is_empty()
-        && engine.report_at.is_none()
+        && engine.report_due_at.is_none()
         && engine.pending.is_none()
         && engine.queue.is_empty()
         && !engine.is_reporting
--- a/crates/core/src/direct/planner/ordering.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -3,8 +3,8 @@
 use crate::{
     direct::{
         engine::{
-            EngineOrder, EngineReport, EngineState, OrderKind, OrderOutcome, ResidentState,
-            UNCOUNTED_RUN, WaitingCall,
+            CopyState, EngineOrder, EngineReport, EngineState, ORPHANED_CALL_TTL, OrderKind,
+            OrderOutcome, WaitingCall,
         },
         loading::StoreLoad,
         planner::{
@@ -26,7 +26,7 @@
     /// An order was answered, or its answer is overdue.
     pub fn order_ended(&mut self, name: &TargetName, outcome: OrderOutcome, now: Instant) {
         let store_time = self.loads.expected(name);
-        let is_bound = self.store_loads(now) + self.loads_waiting() >= self.loads.limit();
+        let is_bound = self.store_loads_in_flight(now) + self.loads_waiting() >= self.loads.limit();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -38,36 +38,36 @@
         let mut failed = false;
         engine.ordered_at = now;
         if matches!(outcome, OrderOutcome::Begun | OrderOutcome::Done) {
-            engine.note_taken(&order);
+            engine.record_accepted_order(&order);
         }
         match (outcome, order.kind) {
             (OrderOutcome::Done | OrderOutcome::Begun, _) if is_model => {
                 engine.sequence += 1;
-                engine.report_at = Some(now.after(MODEL_LOAD_CHECK));
+                engine.report_due_at = Some(now.after(MODEL_LOAD_CHECK));
             }
             (OrderOutcome::Done | OrderOutcome::Begun, OrderKind::Load) => {
                 if outcome == OrderOutcome::Begun {
                     engine.sequence += 1;
-                    engine.is_ours = true;
+                    engine.has_accepted_order = true;
                 }
                 let (time, load) = match outcome {
                     OrderOutcome::Done => (Duration::ZERO, None),
-                    _ if engine.had_lately(&subject, order.version) => {
-                        (self.figures.lately_load, None)
+                    _ if engine.was_recently_loaded(&subject, order.version) => {
+                        (self.figures.reload_time, None)
                     }
                     _ => (store_time, Some(StoreLoad::begun(now, is_bound))),
                 };
-                engine.note_lately(&subject, order.version, self.policy.lately_kept);
+                engine.record_recent_load(&subject, order.version, self.policy.max_recent_adapters);
                 if let Some(copy) = engine.copies.get_mut(&subject) {
                     copy.state = if time.is_zero() {
-                        ResidentState::Here
+                        CopyState::Loaded
                     } else {
-                        ResidentState::Coming(now.after(time))
+                        CopyState::Loading(now.after(time))
                     };
                     copy.load = load;
                     // Without a named version it is the newest of when the engine began, which nobody here knows.
                     let named = order.version;
-                    copy.sight = named
+                    copy.known_version = named
                         .and_then(|version| VersionSight::told(version, VersionTeller::Order, now));
                     let waiters = std::mem::take(&mut copy.waiters);
                     self.release_waiters(name, waiters, now);
@@ -75,34 +75,34 @@
             }
             (OrderOutcome::Done, OrderKind::Unload) => {
                 engine.sequence += 1;
-                engine.is_ours = true;
+                engine.has_accepted_order = true;
                 engine.copies.remove(&subject);
             }
             (OrderOutcome::Begun, OrderKind::Unload) => {
                 // It is in use after all: the engine takes no other order until its runs have ended.
                 engine.sequence += 1;
-                engine.leaving = Some(subject);
-                engine.report_at = Some(now.after(SETTLE));
+                engine.unloading = Some(subject);
+                engine.report_due_at = Some(now.after(SETTLE));
                 self.empty_queue(name, now);
             }
             (OrderOutcome::Fenced, _) => failed = true,
             (OrderOutcome::Conflict, OrderKind::Unload) => {
                 // It may be on its way in still: it is passed over until the report shows it.
                 if let Some(copy) = engine.copies.get_mut(&subject) {
-                    copy.state = ResidentState::Here;
-                    copy.held_until = now.after(UNCOUNTED_RUN);
+                    copy.state = CopyState::Loaded;
+                    copy.pinned_until = now.after(ORPHANED_CALL_TTL);
                 }
                 failed = true;
-                engine.report_at = Some(now.after(SETTLE));
-                engine.is_known = false;
+                engine.report_due_at = Some(now.after(SETTLE));
+                engine.is_inventory_known = false;
             }
             (OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Unanswered, _) => {
                 failed = true;
                 if outcome == OrderOutcome::Unanswered {
-                    engine.note_unanswered(&order, now);
+                    engine.record_unanswered_order(&order, now);
                 }
-                engine.report_at = Some(now.after(SETTLE));
-                engine.is_known = false;
+                engine.report_due_at = Some(now.after(SETTLE));
+                engine.is_inventory_known = false;
             }
         }
         if failed {
@@ -120,10 +120,10 @@
         let mut waiters = Vec::new();
         engine.copies.retain(|_, copy| {
             waiters.append(&mut copy.waiters);
-            if copy.state == ResidentState::Outdated {
-                copy.state = ResidentState::Here;
+            if copy.state == CopyState::ReloadQueued {
+                copy.state = CopyState::Loaded;
             }
-            copy.state != ResidentState::Wanted
+            copy.state != CopyState::Queued
         });
         self.place_elsewhere(name, waiters, now);
     }
@@ -155,8 +155,8 @@
                 .get_mut(name)
                 .and_then(|engine| engine.copies.get_mut(&ask.subject))
             {
-                copy.users += 1;
-                if let ResidentState::Coming(at) = copy.state {
+                copy.active_calls += 1;
+                if let CopyState::Loading(at) = copy.state {
                     wait_ms = millis(at.since(now) + LOAD_MARGIN);
                 }
             }
@@ -165,7 +165,12 @@
     }
 
     /// An engine's report came; none if it could not be read.
-    pub fn report_came(&mut self, name: &TargetName, report: Option<&EngineReport>, now: Instant) {
+    pub fn report_received(
+        &mut self,
+        name: &TargetName,
+        report: Option<&EngineReport>,
+        now: Instant,
+    ) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
@@ -178,22 +183,22 @@
             return;
         };
         engine.is_reporting = false;
-        let report = report.filter(|report| engine.is_from_this_life(report));
+        let report = report.filter(|report| engine.is_from_current_life(report));
         match report {
-            Some(report) if engine.is_outdated(report, now) => {
-                engine.report_at = Some(now.after(SETTLE));
+            Some(report) if engine.is_report_stale(report, now) => {
+                engine.report_due_at = Some(now.after(SETTLE));
             }
             Some(report) => {
-                engine.take_report(report, now);
-                if report.is_busy || engine.leaving.is_some() || engine.holds_uncounted(now) {
-                    engine.report_at = Some(now.after(SETTLE));
+                engine.apply_report(report, now);
+                if report.is_busy || engine.unloading.is_some() || engine.has_untracked_calls(now) {
+                    engine.report_due_at = Some(now.after(SETTLE));
                 }
                 let held: Vec<_> = engine.copies.keys().cloned().collect();
                 for adapter in held {
                     self.replace_stale(&adapter, now);
                 }
             }
-            None => engine.report_at = Some(now.after(SETTLE)),
+            None => engine.report_due_at = Some(now.after(SETTLE)),
         }
         self.advance(name, now);
     }
@@ -216,8 +221,8 @@
                 return;
             };
             let is_blocked = engine.pending.is_some()
-                || engine.leaving.is_some()
-                || !engine.is_known
+                || engine.unloading.is_some()
+                || !engine.is_inventory_known
                 || engine.is_reporting;
             if is_blocked {
                 return;
@@ -229,26 +234,26 @@
             let is_held = engine
                 .copies
                 .get(&subject)
-                .is_some_and(|copy| copy.state != ResidentState::Wanted);
+                .is_some_and(|copy| copy.state != CopyState::Queued);
             if kind == OrderKind::Load && is_adapter {
                 if !engine.copies.contains_key(&subject) {
                     // It has gone since it was to be replaced.
                     self.drop_front(name, now);
                     continue;
                 }
-                if engine.coming(now) >= COMING_MOST {
+                if engine.loading_count(now) >= COMING_MOST {
                     return;
                 }
             }
             if kind == OrderKind::Load && is_adapter && !is_held {
-                let is_fast = engine.had_lately(&subject, self.named_version(&subject));
-                if !is_fast && self.store_loads(now) >= self.loads.limit() {
+                let is_fast = engine.was_recently_loaded(&subject, self.named_version(&subject));
+                if !is_fast && self.store_loads_in_flight(now) >= self.loads.limit() {
                     return;
                 }
                 if !self.loads_held(now).is_zero() {
                     return;
                 }
-                let taken = engine.places_taken() + engine.late_places(now);
+                let taken = engine.occupied_slots() + engine.late_load_slots(now);
                 if taken >= self.limits.adapter_slots as usize {
                     let Some(victim) = self.victim(engine, now) else {
                         self.drop_front(name, now);
@@ -306,10 +311,10 @@
             expected: engine.sequence,
         };
         match kind {
-            OrderKind::Load => engine.outdate_copy(subject),
+            OrderKind::Load => engine.invalidate_copy(subject),
             OrderKind::Unload => {
                 if let Some(copy) = engine.copies.get_mut(subject) {
-                    copy.state = ResidentState::Leaving;
+                    copy.state = CopyState::Unloading;
                 }
             }
         }
@@ -324,12 +329,12 @@
             .copies
             .iter()
             .filter(|(_, copy)| {
-                copy.is_free(now) && copy.state == ResidentState::Here
+                copy.is_unused(now) && copy.state == CopyState::Loaded
             })
             // Once each, and not in every comparison: a zone's engines are looked at for each of them.
             .map(|(subject, copy)| {
                 let worth = self.demand.count(subject, now) / self.copies_of(subject);
-                (worth, copy.used_at, subject)
+                (worth, copy.last_used_at, subject)
             })
             .min_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)))
             .map(|(.., subject)| subject.clone())
@@ -354,11 +359,11 @@
             let Some(copy) = engine.copies.get_mut(adapter) else {
                 continue;
             };
-            if copy.is_behind(version)
+            if copy.is_stale_for(version)
                 && copy.is_replaceable(now)
-                && copy.state == ResidentState::Here
+                && copy.state == CopyState::Loaded
             {
-                copy.state = ResidentState::Outdated;
+                copy.state = CopyState::ReloadQueued;
                 engine.queue.push_back((OrderKind::Load, adapter.clone()));
                 touched.push(name.clone());
             }
--- a/crates/core/src/direct/planner/placing.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -3,11 +3,11 @@
 use crate::{
     direct::{
         catalog::TargetStage,
-        engine::{EngineState, ResidentState, WaitingCall},
+        engine::{CopyState, EngineState, WaitingCall},
         planner::{
-            AskTerms, COME_BACK_MS, COMING_MOST, CallKey, LOAD_MARGIN, PlacementAnswer,
-            PlacementAsk, RefusalCause, ZonePlanner, fetching::PromptSource, millis, split_subject,
-            suspecting::SHARED_END_PRICE,
+            COME_BACK_MS, COMING_MOST, CallKey, LOAD_MARGIN, PlacementAnswer, PlacementRequest,
+            PlacementTerms, RefusalCause, ZonePlanner, cache_transfer::PromptSource, millis,
+            split_subject, suspects::SHARED_END_PRICE,
         },
     },
     ids::{AdapterName, Instant, TargetName},
@@ -22,19 +22,19 @@
 
 impl ZonePlanner {
     /// Places a call.
-    pub fn place(&mut self, key: CallKey, ask: PlacementAsk, now: Instant) {
-        let is_ours = !matches!(ask.terms, AskTerms::Beat(_));
-        if is_ours {
+    pub fn place(&mut self, key: CallKey, ask: PlacementRequest, now: Instant) {
+        let has_accepted_order = !matches!(ask.terms, PlacementTerms::Beat(_));
+        if has_accepted_order {
             self.demand.record(&ask.subject, now);
         }
-        let subject = (ask.may_load && is_ours).then(|| ask.subject.clone());
+        let subject = (ask.may_load && has_accepted_order).then(|| ask.subject.clone());
         self.place_known(key, ask, now);
         if let Some(subject) = subject {
             self.spread(&subject, now);
         }
     }
 
-    pub(super) fn place_known(&mut self, key: CallKey, ask: PlacementAsk, now: Instant) {
+    pub(super) fn place_known(&mut self, key: CallKey, ask: PlacementRequest, now: Instant) {
         if !ask.is_trial && self.needs_trial(ask.fingerprint, now) {
             self.refuse(key, COME_BACK_MS, RefusalCause::NeedsTrial);
             return;
@@ -45,9 +45,9 @@
         };
         let is_over = cost.wait > Duration::from_millis(u64::from(ask.bound_ms));
         let is_declined = match ask.terms {
-            AskTerms::Inquire => is_over || cost.loads,
-            AskTerms::Beat(most) => is_over || millis(cost.total) >= most,
-            AskTerms::Take => false,
+            PlacementTerms::Inquire => is_over || cost.loads,
+            PlacementTerms::Beat(most) => is_over || millis(cost.total) >= most,
+            PlacementTerms::Take => false,
         };
         if is_declined {
             let cause = RefusalCause::Offer(millis(cost.total));
@@ -67,8 +67,12 @@
         self.send_to(&name, key, ask, now);
     }
 
-    fn cheapest(&self, ask: &PlacementAsk, now: Instant) -> Option<(TargetName, PlacementCost)> {
-        let crowd = self.store_loads(now) + self.loads_waiting();
+    fn cheapest(
+        &self,
+        ask: &PlacementRequest,
+        now: Instant,
+    ) -> Option<(TargetName, PlacementCost)> {
+        let crowd = self.store_loads_in_flight(now) + self.loads_waiting();
         let sources = self.prompt_sources(ask, now);
         let shared_ends = self.shared_ends(ask.fingerprint, now);
         let all_doubted = self.engines.keys().all(|name| self.health.is_doubted(name));
@@ -83,14 +87,17 @@
             .filter_map(|(name, engine)| {
                 let mut cost = self.cost(engine, ask, &sources, crowd, now)?;
                 if self.health.is_doubted(name) && !all_doubted {
-                    cost.total += self.policy.doubt_price;
+                    cost.total += self.policy.doubt_penalty;
                 }
-                cost.total += self.policy.failing_price.mul_f64(self.health.failing(name));
+                cost.total += self
+                    .policy
+                    .failure_penalty
+                    .mul_f64(self.health.failing(name));
                 if shared_ends.contains(name) {
                     cost.total += SHARED_END_PRICE;
                 }
                 if self.health.is_shedding(name, now) {
-                    cost.total += self.policy.shed_price;
+                    cost.total += self.policy.shed_penalty;
                 }
                 Some((name.clone(), cost))
             })
@@ -100,7 +107,7 @@
     fn cost(
         &self,
         engine: &EngineState,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         sources: &[PromptSource],
         crowd: u32,
         now: Instant,
@@ -110,7 +117,7 @@
         let prompts = engine.prompts.backlog(ask.priority, &self.pace, now);
         let calls = u32::try_from(engine.calls.len()).unwrap_or(u32::MAX);
         let over = calls.saturating_sub(engine.entry.slots.saturating_sub(1));
-        let tokens = engine.tokens_sent() + ask.most_tokens();
+        let tokens = engine.tokens_sent() + ask.max_kv_tokens();
         let full = if tokens > self.limits.kv_tokens * 95 / 100 {
             Duration::from_millis(500)
         } else {
@@ -119,8 +126,8 @@
         let token_wait = self.rates.wait(&engine.entry.name, now);
         let wait = prompts.max(load.time).max(token_wait)
             + own
-            + self.figures.per_call * calls
-            + self.figures.slot_time / engine.entry.slots.max(1) * over
+            + self.figures.time_per_call * calls
+            + self.figures.slot_hold_time / engine.entry.slots.max(1) * over
             + full
             + engine.entry.cold.min(Duration::from_secs(1));
         Some(PlacementCost {
@@ -133,7 +140,7 @@
     fn load_wait(
         &self,
         engine: &EngineState,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         crowd: u32,
         now: Instant,
     ) -> Option<LoadCost> {
@@ -145,20 +152,20 @@
             return Some(LoadCost::default());
         }
         match engine.copies.get(&ask.subject) {
-            Some(copy) if copy.state != ResidentState::Leaving => {
+            Some(copy) if copy.state != CopyState::Unloading => {
                 let named = self.named_version(&ask.subject);
-                let is_stale = named.is_some_and(|named| copy.is_behind(named));
+                let is_stale = named.is_some_and(|named| copy.is_stale_for(named));
                 match copy.state {
-                    ResidentState::Here | ResidentState::Coming(_) if is_stale => None,
-                    ResidentState::Coming(at) => Some(LoadCost {
+                    CopyState::Loaded | CopyState::Loading(_) if is_stale => None,
+                    CopyState::Loading(at) => Some(LoadCost {
                         time: at.since(now),
                         ..LoadCost::default()
                     }),
-                    ResidentState::Wanted => Some(LoadCost {
+                    CopyState::Queued => Some(LoadCost {
                         time: self.loads_held(now) + self.loads.expected(&engine.entry.name),
                         ..LoadCost::default()
                     }),
-                    ResidentState::Outdated => Some(LoadCost {
+                    CopyState::ReloadQueued => Some(LoadCost {
                         time: self.loads.expected(&engine.entry.name),
                         ..LoadCost::default()
                     }),
@@ -169,23 +176,24 @@
             None => {
                 if !ask.may_load
                     || now < self.orders_from
-                    || !engine.is_known
-                    || engine.leaving.is_some()
+                    || !engine.is_inventory_known
+                    || engine.unloading.is_some()
                 {
                     return None;
                 }
-                let waiting = engine.queue.len() + engine.coming(now);
+                let waiting = engine.queue.len() + engine.loading_count(now);
                 if waiting >= 2 * COMING_MOST || !self.can_make_room(engine, now) {
                     return None;
                 }
-                let is_new = !engine.had_lately(&ask.subject, self.named_version(&ask.subject));
+                let is_new =
+                    !engine.was_recently_loaded(&ask.subject, self.named_version(&ask.subject));
                 let (time, price) = if is_new {
                     (
                         self.loads.wait_behind(&engine.entry.name, crowd),
-                        self.policy.load_price,
+                        self.policy.load_penalty,
                     )
                 } else {
-                    (self.figures.lately_load, self.policy.reload_price)
+                    (self.figures.reload_time, self.policy.reload_penalty)
                 };
                 let turn = u32::try_from(engine.queue.len()).unwrap_or(0);
                 Some(LoadCost {
@@ -203,8 +211,11 @@
     }
 
     /// Loads from the store that are on their way in this zone.
-    pub(super) fn store_loads(&self, now: Instant) -> u32 {
-        let loads = self.engines.values().map(|engine| engine.store_loads(now));
+    pub(super) fn store_loads_in_flight(&self, now: Instant) -> u32 {
+        let loads = self
+            .engines
+            .values()
+            .map(|engine| engine.store_loads_in_flight(now));
         u32::try_from(loads.sum::<usize>()).unwrap_or(u32::MAX)
     }
 
@@ -212,21 +223,21 @@
         let wanted: usize = self
             .engines
             .values()
-            .map(|engine| engine.copies.len() - engine.places_taken())
+            .map(|engine| engine.copies.len() - engine.occupied_slots())
             .sum();
         u32::try_from(wanted).unwrap_or(u32::MAX)
     }
 
     /// Orders the load of an adapter whose caller was told to come back, if that drives nothing out: under load most
     /// places are in use, and what is brought in ahead would go again before its caller is back.
-    pub(super) fn load_ahead(&mut self, name: &TargetName, ask: &PlacementAsk, now: Instant) {
+    pub(super) fn load_ahead(&mut self, name: &TargetName, ask: &PlacementRequest, now: Instant) {
         let has_adapter = split_subject(&ask.subject).1.is_some();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         let has_place = engine.copies.len() < self.limits.adapter_slots as usize;
         if has_adapter && ask.may_load && has_place && !engine.copies.contains_key(&ask.subject) {
-            engine.want(&ask.subject, now);
+            engine.queue_load(&ask.subject, now);
             self.advance(name, now);
         }
     }
@@ -235,34 +246,34 @@
         &mut self,
         name: &TargetName,
         key: CallKey,
-        mut ask: PlacementAsk,
+        mut ask: PlacementRequest,
         now: Instant,
     ) {
         // From here on it is this zone's call, also if its load comes to nothing.
-        ask.terms = AskTerms::Take;
+        ask.terms = PlacementTerms::Take;
         let (_, adapter) = split_subject(&ask.subject);
         let is_adapter = adapter.is_some();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
         if is_adapter && !engine.copies.contains_key(&ask.subject) {
-            engine.want(&ask.subject, now);
+            engine.queue_load(&ask.subject, now);
         }
         let copy = engine.copies.get_mut(&ask.subject);
         let wait_ms = match copy {
-            Some(copy) if matches!(copy.state, ResidentState::Wanted | ResidentState::Outdated) => {
+            Some(copy) if matches!(copy.state, CopyState::Queued | CopyState::ReloadQueued) => {
                 let bound = Duration::from_millis(u64::from(ask.bound_ms));
                 let until = now.after(bound + WAIT_OVERRUN);
                 copy.waiters.push(WaitingCall { key, ask, until });
-                copy.used_at = now;
+                copy.last_used_at = now;
                 self.advance(name, now);
                 return;
             }
             Some(copy) => {
-                copy.users += 1;
-                copy.used_at = now;
+                copy.active_calls += 1;
+                copy.last_used_at = now;
                 match copy.state {
-                    ResidentState::Coming(at) if at > now => millis(at.since(now) + LOAD_MARGIN),
+                    CopyState::Loading(at) if at > now => millis(at.since(now) + LOAD_MARGIN),
                     _ => 0,
                 }
             }
@@ -276,7 +287,7 @@
         &mut self,
         name: &TargetName,
         key: CallKey,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         adapter_ms: u32,
         now: Instant,
     ) {
@@ -314,7 +325,7 @@
         &mut self,
         name: &TargetName,
         key: CallKey,
-        ask: &PlacementAsk,
+        ask: &PlacementRequest,
         wait_ms: u32,
         now: Instant,
     ) -> SentHow {
@@ -327,11 +338,11 @@
         let backlog = engine.prompts.backlog(ask.priority, &self.pace, now);
         let named = self.named_version(&ask.subject);
         let moved = work.fetch.map(|source| source.mark.expected());
-        let version = named.or(moved).or(engine.told_version(&ask.subject));
+        let version = named.or(moved).or(engine.pinned_version(&ask.subject));
         self.tell_move(name, &key, ask, &sources, work.fetch);
         self.drop_call(&key);
         if let Some(source) = work.fetch {
-            self.lend(source, ask, &key);
+            self.lend_cache(source, ask, &key);
         }
         if let Some(engine) = self.engines.get_mut(name) {
             let prompts = &mut engine.prompts;
--- a/crates/core/src/direct/planner/spreading.rs
+++ b/crates/core/src/direct/planner/replication.rs
@@ -6,7 +6,7 @@
 use crate::{
     direct::{
         catalog::TargetStage,
-        engine::{EngineState, ResidentState},
+        engine::{CopyState, EngineState},
         planner::{COMING_MOST, ZonePlanner, split_subject},
     },
     ids::{AdapterName, Instant, TargetName},
@@ -18,8 +18,8 @@
         if split_subject(subject).1.is_none() || now < self.orders_from {
             return;
         }
-        let under_way = self.store_loads(now) + self.loads_waiting();
-        let spare = f64::from(self.loads.limit()) * self.policy.spare_part;
+        let under_way = self.store_loads_in_flight(now) + self.loads_waiting();
+        let spare = f64::from(self.loads.limit()) * self.policy.speculative_load_fraction;
         if f64::from(under_way) >= spare || !self.is_crowded_by(subject, now) {
             return;
         }
@@ -27,7 +27,7 @@
             return;
         };
         if let Some(engine) = self.engines.get_mut(&name) {
-            engine.want(subject, now);
+            engine.queue_load(subject, now);
             self.advance(&name, now);
         }
     }
@@ -37,14 +37,17 @@
         if split_subject(subject).1.is_none() {
             return false;
         }
-        let (mut places, mut users) = (0, 0);
+        let (mut places, mut active_calls) = (0, 0);
         for engine in self.engines.values() {
             if engine.entry.stage == TargetStage::Ready {
                 places += engine.entry.slots;
             }
-            users += engine.copies.get(subject).map_or(0, |copy| copy.users);
+            active_calls += engine
+                .copies
+                .get(subject)
+                .map_or(0, |copy| copy.active_calls);
         }
-        f64::from(users) >= f64::from(places.max(1)) * self.policy.sought_part
+        f64::from(active_calls) >= f64::from(places.max(1)) * self.policy.hot_adapter_fraction
     }
 
     /// Whether every copy is there, in use, and on an engine that it crowds.
@@ -53,14 +56,14 @@
             .engines
             .values()
             .filter_map(|engine| Some((engine, engine.copies.get(subject)?)))
-            .filter(|(_, copy)| copy.state != ResidentState::Leaving)
+            .filter(|(_, copy)| copy.state != CopyState::Unloading)
             .peekable();
         copies.peek().is_some()
             && copies.all(|(engine, copy)| {
                 let calls = engine.calls.len().max(1) as f64;
-                copy.state == ResidentState::Here
+                copy.state == CopyState::Loaded
                     && self.is_crowded(engine, now)
-                    && f64::from(copy.users) >= calls * self.policy.crowding_part
+                    && f64::from(copy.active_calls) >= calls * self.policy.crowding_call_fraction
             })
     }
 
@@ -71,11 +74,11 @@
             .iter()
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
-                    && engine.is_known
-                    && engine.leaving.is_none()
+                    && engine.is_inventory_known
+                    && engine.unloading.is_none()
                     && engine.has_model(model)
                     && !engine.copies.contains_key(subject)
-                    && engine.queue.len() + engine.coming(now) < COMING_MOST
+                    && engine.queue.len() + engine.loading_count(now) < COMING_MOST
                     && !self.is_crowded(engine, now)
                     && !self.health.is_doubted(name)
                     && !self.health.is_out(name, now)
@@ -87,7 +90,7 @@
 
     fn is_crowded(&self, engine: &EngineState, now: Instant) -> bool {
         let places = f64::from(engine.entry.slots.max(1));
-        engine.calls.len() as f64 >= places * self.policy.crowded_places
+        engine.calls.len() as f64 >= places * self.policy.crowded_slot_fraction
             || engine.prompts.backlog(u8::MAX, &self.pace, now) >= self.policy.crowded_backlog
     }
 }
--- a/crates/core/src/direct/planner/suspecting.rs
+++ b/crates/core/src/direct/planner/suspects.rs
@@ -21,7 +21,7 @@
     }
 
     /// A trial of a request was answered well.
-    pub fn pardon(&mut self, fingerprint: RequestFingerprint) {
+    pub fn clear_suspicion(&mut self, fingerprint: RequestFingerprint) {
         self.suspects.pardon(fingerprint);
     }
 
--- a/crates/core/src/direct/policy.rs
+++ b/crates/core/src/direct/policy.rs
@@ -9,64 +9,64 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
     /// Part of the time left to the objective that a call may wait in its home zone without other zones being asked.
-    pub swift_part: f64,
+    pub home_wait_fraction: f64,
     /// Wait, in objectives, beyond which a call is turned away; by rank, the most urgent first.
-    pub bearable_parts: [f64; 3],
+    pub max_wait_factors: [f64; 3],
     /// Requests a second at one VM from which an adapter is at home in every zone.
-    pub popular_per_s: f64,
+    pub popular_rate_per_s: f64,
     /// What another zone has to be better by.
-    pub away_price: Duration,
+    pub remote_zone_penalty: Duration,
     /// What a load from the store costs beside its time: what it evicts, and its price.
-    pub load_price: Duration,
+    pub load_penalty: Duration,
     /// The same for an adapter that the engine had lately.
-    pub reload_price: Duration,
+    pub reload_penalty: Duration,
     /// Time that an engine takes to get parts of a prompt from another one.
-    pub fetch_time: Duration,
+    pub cache_fetch_time: Duration,
     /// Reading time that this has to save.
-    pub fetch_gain: Duration,
+    pub min_fetch_saving: Duration,
     /// Adapters that an engine is taken to reload quickly.
-    pub lately_kept: usize,
+    pub max_recent_adapters: usize,
     /// Part of an engine's places from which it counts as crowded: what is left has to bear the arrivals of one load.
-    pub crowded_places: f64,
+    pub crowded_slot_fraction: f64,
     /// Prompts that wait from which an engine counts as crowded.
     pub crowded_backlog: Duration,
     /// Part of a crowded engine's calls that one adapter makes up if a second copy of it would help.
-    pub crowding_part: f64,
+    pub crowding_call_fraction: f64,
     /// Part of a zone's places that one adapter's calls take from which other zones should have it too.
-    pub sought_part: f64,
+    pub hot_adapter_fraction: f64,
     /// Part of the loads at full speed that may be on their way when one is begun that nobody waits for.
-    pub spare_part: f64,
+    pub speculative_load_fraction: f64,
     /// Part of the zone's engines that is busy from which it needs more of them.
-    pub busy_part: f64,
+    pub busy_fraction: f64,
     /// What a doubted engine has to be better by.
-    pub doubt_price: Duration,
+    pub doubt_penalty: Duration,
     /// What a full share of failures counts.
-    pub failing_price: Duration,
+    pub failure_penalty: Duration,
     /// What an engine counts that turned a call away a moment ago.
-    pub shed_price: Duration,
+    pub shed_penalty: Duration,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> Self {
         Self {
-            swift_part: 0.75,
-            bearable_parts: [2.0, 1.5, 0.95],
-            popular_per_s: 0.4,
-            away_price: Duration::from_millis(60),
-            load_price: Duration::from_millis(250),
-            reload_price: Duration::from_millis(250),
-            fetch_time: Duration::from_millis(30),
-            fetch_gain: Duration::from_millis(60),
-            lately_kept: 100,
-            crowded_places: 0.55,
+            home_wait_fraction: 0.75,
+            max_wait_factors: [2.0, 1.5, 0.95],
+            popular_rate_per_s: 0.4,
+            remote_zone_penalty: Duration::from_millis(60),
+            load_penalty: Duration::from_millis(250),
+            reload_penalty: Duration::from_millis(250),
+            cache_fetch_time: Duration::from_millis(30),
+            min_fetch_saving: Duration::from_millis(60),
+            max_recent_adapters: 100,
+            crowded_slot_fraction: 0.55,
             crowded_backlog: Duration::from_millis(150),
-            crowding_part: 0.3,
-            sought_part: 0.15,
-            spare_part: 0.5,
-            busy_part: 0.6,
-            doubt_price: Duration::from_secs(2),
-            failing_price: Duration::from_millis(400),
-            shed_price: Duration::from_millis(100),
+            crowding_call_fraction: 0.3,
+            hot_adapter_fraction: 0.15,
+            speculative_load_fraction: 0.5,
+            busy_fraction: 0.6,
+            doubt_penalty: Duration::from_secs(2),
+            failure_penalty: Duration::from_millis(400),
+            shed_penalty: Duration::from_millis(100),
         }
     }
 }
--- a/crates/core/src/direct/search.rs
+++ b/crates/core/src/direct/search.rs
@@ -10,7 +10,7 @@
 
 use crate::direct::{
     millis,
-    planner::{AskTerms, RefusalCause},
+    planner::{PlacementTerms, RefusalCause},
     policy::PlacementPolicy,
 };
 use std::time::Duration;
@@ -21,20 +21,20 @@
     /// Zones are compared.
     Compare,
     /// Any zone takes it within what it can bear.
-    Bearable,
+    Accept,
     /// The same after a pause.
-    Again,
+    Retry,
 }
 
 /// The next question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ZoneQuestion {
+pub struct ZoneQuery {
     /// Place of the zone in the order of zones; 0 is the home zone.
     pub zone: usize,
     /// The pass.
     pub pass: SearchPass,
     /// The terms.
-    pub terms: AskTerms,
+    pub terms: PlacementTerms,
     /// Whether the zone may load the adapter.
     pub may_load: bool,
 }
@@ -65,19 +65,19 @@
     }
 
     /// The next question; nothing once every zone has declined in every pass.
-    pub fn ask_next(&mut self) -> Option<ZoneQuestion> {
+    pub fn next_query(&mut self) -> Option<ZoneQuery> {
         let (mut pass, mut zone) = self.next;
         let skips_others = pass == SearchPass::Compare && zone > 0 && self.is_home_out;
         if zone >= self.zones || skips_others {
             pass = match pass {
-                SearchPass::Compare => SearchPass::Bearable,
-                SearchPass::Bearable => SearchPass::Again,
-                SearchPass::Again => return None,
+                SearchPass::Compare => SearchPass::Accept,
+                SearchPass::Accept => SearchPass::Retry,
+                SearchPass::Retry => return None,
             };
             zone = 0;
         }
         self.next = (pass, zone + 1);
-        Some(ZoneQuestion {
+        Some(ZoneQuery {
             zone,
             pass,
             terms: self.terms(pass, zone),
@@ -87,19 +87,19 @@
         })
     }
 
-    fn terms(&self, pass: SearchPass, zone: usize) -> AskTerms {
+    fn terms(&self, pass: SearchPass, zone: usize) -> PlacementTerms {
         match (pass, zone) {
-            (SearchPass::Compare, 0) => AskTerms::Inquire,
+            (SearchPass::Compare, 0) => PlacementTerms::Inquire,
             (SearchPass::Compare, _) => {
-                let away = millis(self.policy.away_price);
-                AskTerms::Beat(self.offer.unwrap_or(u32::MAX).saturating_sub(away))
+                let away = millis(self.policy.remote_zone_penalty);
+                PlacementTerms::Beat(self.offer.unwrap_or(u32::MAX).saturating_sub(away))
             }
-            (SearchPass::Bearable | SearchPass::Again, _) => AskTerms::Take,
+            (SearchPass::Accept | SearchPass::Retry, _) => PlacementTerms::Take,
         }
     }
 
     /// A zone declined.
-    pub fn take_refusal(&mut self, zone: usize, cause: RefusalCause, retry_after_ms: u32) {
+    pub fn record_refusal(&mut self, zone: usize, cause: RefusalCause, retry_after_ms: u32) {
         self.come_back_ms = Some(retry_after_ms);
         if let (0, RefusalCause::Offer(cost)) = (zone, cause) {
             self.offer = Some(cost);
@@ -107,20 +107,20 @@
     }
 
     /// A zone did not answer.
-    pub fn take_silence(&mut self, zone: usize) {
+    pub fn record_no_answer(&mut self, zone: usize) {
         self.is_home_out |= zone == 0;
     }
 
     /// When the caller should come back, by the last zone that declined.
     #[must_use]
-    pub fn come_back(&self) -> Option<Duration> {
+    pub fn retry_after(&self) -> Option<Duration> {
         self.come_back_ms
             .map(|span| Duration::from_millis(u64::from(span)))
     }
 
     /// Wait for its first event that a call is placed for, by the time left to its objective.
     #[must_use]
-    pub fn wait_bound(
+    pub fn max_wait(
         &self,
         pass: SearchPass,
         priority: u8,
@@ -128,9 +128,9 @@
         left: Duration,
     ) -> Duration {
         match pass {
-            SearchPass::Compare => left.mul_f64(self.policy.swift_part),
-            SearchPass::Bearable | SearchPass::Again => {
-                let parts = &self.policy.bearable_parts;
+            SearchPass::Compare => left.mul_f64(self.policy.home_wait_fraction),
+            SearchPass::Accept | SearchPass::Retry => {
+                let parts = &self.policy.max_wait_factors;
                 objective.mul_f64(parts[usize::from(priority).min(parts.len() - 1)])
             }
         }
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -437,8 +437,8 @@
                 .into_iter()
                 .collect(),
             adapters,
-            coming,
-            own_copies: vec![base_model()],
+            loading: coming,
+            local_models: vec![base_model()],
             requests: u32::try_from(self.runs.len()).expect("few"),
             is_busy: self.base_coming.is_some(),
         }
--- a/crates/core/tests/direct_memory/world.rs
+++ b/crates/core/tests/direct_memory/world.rs
@@ -14,8 +14,8 @@
         engine::{EngineOrder, EngineReport, OrderOutcome},
         health::CallOutcome,
         planner::{
-            AskTerms, CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction,
-            ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlacementTerms,
+            PlannerAction, ZonePlanner,
         },
         policy::PlacementPolicy,
     },
@@ -235,21 +235,21 @@
 /// Weights of a zone in which memory moves wherever its versions let it.
 fn free_moves() -> PlacementPolicy {
     PlacementPolicy {
-        fetch_time: Duration::ZERO,
-        fetch_gain: Duration::ZERO,
+        cache_fetch_time: Duration::ZERO,
+        min_fetch_saving: Duration::ZERO,
         ..PlacementPolicy::default()
     }
 }
 
 fn new_planner(orders_from_ms: u64, drawn: &DrawnWorld) -> ZonePlanner {
-    let figures = EngineFigures::shared_by(1, 3.0);
+    let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits(), instant(orders_from_ms));
-    planner.set_fenced(drawn.checks_fences);
+    planner.set_order_fencing(drawn.checks_fences);
     if drawn.moves_freely {
         planner.set_policy(free_moves());
     }
     // Worlds have one holder at a time.
-    planner.lead_until(Instant(u64::MAX));
+    planner.set_lead_until(Instant(u64::MAX));
     planner
 }
 
@@ -384,13 +384,13 @@
                 self.carry(&target, &order, token)?;
             }
             Due::OrderEnded(entry, outcome, token) => {
-                if token == self.token && self.planner.knows_life(&entry.name, entry.life) {
+                if token == self.token && self.planner.is_current_life(&entry.name, entry.life) {
                     self.planner.order_ended(&entry.name, outcome, now);
                 }
             }
             Due::Reported(target, report, token) => {
                 if token == self.token {
-                    self.planner.report_came(&target, report.as_ref(), now);
+                    self.planner.report_received(&target, report.as_ref(), now);
                 }
             }
             Due::Lapse(target) => {
@@ -537,7 +537,7 @@
         ));
         self.token += 1;
         self.planner = new_planner(self.now_ms + quiet_ms, &self.drawn);
-        self.planner.succeed(instant(self.now_ms));
+        self.planner.mark_takeover(instant(self.now_ms));
         self.listed_ms = 0;
         self.read_list(self.now_ms.saturating_sub(age_ms).max(BEGIN_MS));
         if knows_names {
@@ -579,10 +579,10 @@
                 continue;
             };
             let key = call_key(*number, &call.new.drawn);
-            let is_known = self.planner.knows_life(&sent.target, sent.life);
+            let is_known = self.planner.is_current_life(&sent.target, sent.life);
             if key.vm == *vm && is_known {
                 let subject = subject(call.new.drawn.subject);
-                self.planner.adopt(key, &sent.target, &subject);
+                self.planner.adopt_call(key, &sent.target, &subject);
             }
         }
     }
@@ -602,7 +602,7 @@
         let key = call_key(number, &drawn);
         let avoided = drawn.avoids.map(|at| usize::from(at) % self.engines.len());
         let avoided = avoided.map(|at| self.engines[at].name.clone());
-        let ask = PlacementAsk {
+        let ask = PlacementRequest {
             fingerprint: Default::default(),
             is_trial: false,
             charge: None,
@@ -615,7 +615,7 @@
             exclude: new.tried.iter().cloned().chain(avoided).collect(),
             resting: Vec::new(),
             may_load: true,
-            terms: AskTerms::Take,
+            terms: PlacementTerms::Take,
         };
         let call = GatewayCall {
             new,
@@ -673,8 +673,8 @@
                 match action {
                     PlannerAction::Answer(key, answer) => self.answer(key.number, answer),
                     PlannerAction::Order(entry, order) => self.order(&entry, order)?,
-                    PlannerAction::Report(entry) => self.ask_report(&entry),
-                    PlannerAction::Moved(_) => {}
+                    PlannerAction::FetchReport(entry) => self.ask_report(&entry),
+                    PlannerAction::RecordTransfer(_) => {}
                 }
             }
         }
@@ -927,7 +927,7 @@
             let now = instant(self.now_ms);
             let target = sent.target.clone();
             self.planner
-                .begun(&self.key(number), &target, Some(base), now);
+                .call_started(&self.key(number), &target, Some(base), now);
         }
     }
 
@@ -946,12 +946,13 @@
         let key = self.key(number);
         let now = instant(self.now_ms);
         if end.is_absent {
-            self.planner.doubt_copy(&key, &sent.target, now);
+            self.planner.report_missing_copy(&key, &sent.target, now);
         }
         // What an earlier life did says nothing about this one.
-        let is_known = self.planner.knows_life(&sent.target, sent.life);
+        let is_known = self.planner.is_current_life(&sent.target, sent.life);
         let outcome = end.outcome.filter(|_| is_known);
-        self.planner.ended(&key, Some(&sent.target), outcome, now);
+        self.planner
+            .call_ended(&key, Some(&sent.target), outcome, now);
     }
 
     fn order(&mut self, entry: &Arc<TargetEntry>, order: EngineOrder) -> Result<(), String> {
--- a/crates/core/tests/direct_outdated.rs
+++ b/crates/core/tests/direct_outdated.rs
@@ -6,7 +6,9 @@
         catalog::{TargetEntry, TargetStage},
         config::EngineLimits,
         engine::{EngineOrder, EngineReport, OrderKind, OrderOutcome},
-        planner::{AskTerms, CallKey, EngineFigures, PlacementAsk, PlannerAction, ZonePlanner},
+        planner::{
+            CallKey, EngineEstimates, PlacementRequest, PlacementTerms, PlannerAction, ZonePlanner,
+        },
     },
     ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
 };
@@ -57,8 +59,8 @@
     }
 }
 
-fn ask(adapter: &str) -> PlacementAsk {
-    PlacementAsk {
+fn ask(adapter: &str) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
         charge: None,
@@ -71,7 +73,7 @@
         exclude: Vec::new(),
         resting: Vec::new(),
         may_load: true,
-        terms: AskTerms::Take,
+        terms: PlacementTerms::Take,
     }
 }
 
@@ -82,7 +84,7 @@
         match action {
             PlannerAction::Order(_, order) => orders.push(order),
             PlannerAction::Answer(key, _) => answered.push(key),
-            PlannerAction::Report(_) | PlannerAction::Moved(_) => {}
+            PlannerAction::FetchReport(_) | PlannerAction::RecordTransfer(_) => {}
         }
     }
     (orders, answered)
@@ -97,11 +99,11 @@
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     };
-    let figures = EngineFigures::shared_by(1, 3.0);
+    let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, Instant(1_000_000));
     planner.set_targets(vec![entry()], SETTLED);
     planner.tick(SETTLED);
-    planner.report_came(&engine_name(), Some(&report(&[("base/a1", 1)], 0)), SETTLED);
+    planner.report_received(&engine_name(), Some(&report(&[("base/a1", 1)], 0)), SETTLED);
     let now = SETTLED.after(Duration::from_secs(3));
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
     planner.order_ended(&engine_name(), OrderOutcome::Conflict, now);
@@ -115,7 +117,7 @@
 fn a_call_behind_a_replacement_is_answered_though_the_copy_is_gone() {
     let mut planner = planner_with_an_outdated_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&report(&[], 1)), now);
+    planner.report_received(&engine_name(), Some(&report(&[], 1)), now);
     let mut answered = Vec::new();
     for _ in 0..200 {
         let (orders, calls) = wanted(&mut planner);
@@ -133,7 +135,7 @@
 fn a_replacement_whose_copy_is_gone_takes_a_place() {
     let mut planner = planner_with_an_outdated_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&report(&[], 1)), now);
+    planner.report_received(&engine_name(), Some(&report(&[], 1)), now);
     for number in 2..=4 {
         planner.place(key(number), ask(&format!("base/a{number}")), now);
     }
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -5,11 +5,11 @@
     direct::{
         catalog::{ResidentAdapter, TargetEntry, TargetStage},
         config::EngineLimits,
-        engine::{EngineOrder, EngineReport, LATE_ORDER, OrderKind, OrderOutcome},
+        engine::{EngineOrder, EngineReport, OrderKind, OrderOutcome, UNANSWERED_ORDER_TTL},
         health::{CallOutcome, HealthTable},
         planner::{
-            AskTerms, CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction,
-            RefusalCause, ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlacementTerms,
+            PlannerAction, RefusalCause, ZonePlanner,
         },
     },
     ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
@@ -59,8 +59,8 @@
     }
 }
 
-fn ask(adapter: &str) -> PlacementAsk {
-    PlacementAsk {
+fn ask(adapter: &str) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
         charge: None,
@@ -73,7 +73,7 @@
         exclude: Vec::new(),
         resting: Vec::new(),
         may_load: true,
-        terms: AskTerms::Take,
+        terms: PlacementTerms::Take,
     }
 }
 
@@ -86,8 +86,8 @@
             .iter()
             .map(|adapter| (AdapterName::new(adapter), 1))
             .collect(),
-        coming: Vec::new(),
-        own_copies: Vec::new(),
+        loading: Vec::new(),
+        local_models: Vec::new(),
         requests: 1,
         is_busy: false,
     }
@@ -95,11 +95,11 @@
 
 /// A planner over engines whose reports were read.
 fn planner(names: &[&str], now: Instant) -> ZonePlanner {
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(1, 3.0), limits(), now);
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(names.iter().map(|name| entry(name)).collect(), now);
     planner.tick(now);
     for name in names {
-        planner.report_came(&TargetName::new(name), Some(&report(&[], 0)), now);
+        planner.report_received(&TargetName::new(name), Some(&report(&[], 0)), now);
     }
     planner.take_actions();
     planner
@@ -156,7 +156,7 @@
     let name = TargetName::new("e1");
     // Four adapters that the holder believes unused: one of them has a run that nobody counts.
     let full = report(&["base/a1", "base/a2", "base/a3", "base/a4"], 4);
-    planner.report_came(&name, Some(&full), now);
+    planner.report_received(&name, Some(&full), now);
     planner.take_actions();
     let now = after(now, 4_000);
     planner.place(key(1), ask("base/a9"), now);
@@ -175,7 +175,7 @@
     ));
     let now = after(now, 400);
     planner.tick(now);
-    planner.report_came(
+    planner.report_received(
         &name,
         Some(&EngineReport {
             life: TargetLife::default(),
@@ -194,7 +194,7 @@
         .map(|(adapter, _)| adapter.as_str())
         .filter(|adapter| *adapter != given[0].1.subject.as_str())
         .collect();
-    planner.report_came(&name, Some(&report(&gone, 5)), now);
+    planner.report_received(&name, Some(&report(&gone, 5)), now);
     planner.place(key(3), ask("base/a9"), now);
     let given = orders(planner.take_actions());
     assert_eq!(given[0].1.kind, OrderKind::Load);
@@ -211,8 +211,8 @@
     planner.take_actions();
     let now = after(now, 265);
     planner.tick(now);
-    planner.doubt_copy(&key(1), &given[0].0, now);
-    planner.ended(&key(1), Some(&given[0].0), None, now);
+    planner.report_missing_copy(&key(1), &given[0].0, now);
+    planner.call_ended(&key(1), Some(&given[0].0), None, now);
     planner.place(key(2), ask("base/a1"), now);
     let actions = planner.take_actions();
     assert!(orders(actions.clone()).is_empty(), "no second load");
@@ -231,7 +231,7 @@
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
     let name = TargetName::new("e1");
-    planner.report_came(&name, Some(&report(&["base/a1"], 1)), now);
+    planner.report_received(&name, Some(&report(&["base/a1"], 1)), now);
     let now = after(now, 3_000);
     planner.place(key(1), ask("base/a1"), now);
     planner.take_actions();
@@ -244,7 +244,7 @@
             .all(|(_, answer)| !matches!(answer, PlacementAnswer::Send { .. })),
         "no call goes to the old version"
     );
-    planner.ended(&key(1), Some(&name), Some(CallOutcome::Good), now);
+    planner.call_ended(&key(1), Some(&name), Some(CallOutcome::Good), now);
     planner.tick(now);
     let given = orders(planner.take_actions());
     assert_eq!(given.len(), 1, "one replacement: {given:?}");
@@ -263,7 +263,7 @@
         adapter: AdapterName::new("base/a1"),
         version: 1,
     });
-    let mut planner = ZonePlanner::new(EngineFigures::default(), limits(), after(now, 3_000));
+    let mut planner = ZonePlanner::new(EngineEstimates::default(), limits(), after(now, 3_000));
     planner.set_targets(vec![Arc::new(listed)], now);
     planner.place(key(1), ask("base/a1"), now);
     let actions = planner.take_actions();
@@ -277,7 +277,7 @@
 fn a_call_whose_load_is_not_accepted_in_time_is_turned_away_and_the_load_goes_on() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
-    let urgent = PlacementAsk {
+    let urgent = PlacementRequest {
         bound_ms: 600,
         ..ask("base/a1")
     };
@@ -307,8 +307,8 @@
 /// A successor's planner over one engine that holds nothing; engines check fencing tokens or don't.
 fn successor(are_fenced: bool, now: Instant) -> ZonePlanner {
     let mut planner = planner(&["e1"], now);
-    planner.set_fenced(are_fenced);
-    planner.succeed(now);
+    planner.set_order_fencing(are_fenced);
+    planner.mark_takeover(now);
     planner
 }
 
@@ -321,8 +321,8 @@
         planner.tick(now);
         for action in planner.take_actions() {
             match action {
-                PlannerAction::Report(entry) => {
-                    planner.report_came(&entry.name, Some(&report(&[], 0)), now);
+                PlannerAction::FetchReport(entry) => {
+                    planner.report_received(&entry.name, Some(&report(&[], 0)), now);
                 }
                 other => left.push_back(other),
             }
@@ -339,7 +339,7 @@
 fn a_call_whose_load_is_held_after_a_takeover_is_refused_at_once_with_the_time_to_come_back() {
     let now = Instant(1_000_000);
     let mut planner = successor(false, now);
-    let patience = PlacementAsk {
+    let patience = PlacementRequest {
         bound_ms: 8_000,
         ..ask("base/a1")
     };
@@ -360,7 +360,7 @@
     };
     assert!(matches!(cause, RefusalCause::TooLong(_)), "{cause:?}");
     assert!(orders(actions).is_empty(), "a load before the time is over");
-    let held = LATE_ORDER.as_millis() as u64;
+    let held = UNANSWERED_ORDER_TTL.as_millis() as u64;
     assert!(
         (held..held + 1_000).contains(&u64::from(*retry_after_ms)),
         "{retry_after_ms} ms"
@@ -386,7 +386,7 @@
     let mut planner = successor(false, now);
     planner.place(key(1), ask("base/a1"), now);
     assert!(answers(&planner.take_actions()).is_empty());
-    let over = after(now, LATE_ORDER.as_millis() as u64 + 100);
+    let over = after(now, UNANSWERED_ORDER_TTL.as_millis() as u64 + 100);
     let given = orders(work_until(&mut planner, now, over));
     let now = over;
     planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
@@ -406,23 +406,23 @@
 }
 
 /// A planner over an engine with the model and an empty one; `own_copies` are those of the empty one.
-fn planner_beside_empty(own_copies: &[&str], now: Instant) -> ZonePlanner {
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(1, 3.0), limits(), now);
+fn planner_beside_empty(local_models: &[&str], now: Instant) -> ZonePlanner {
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     let mut empty = (*entry("empty")).clone();
     empty.models.clear();
     planner.set_targets(vec![entry("full"), Arc::new(empty)], now);
     planner.tick(now);
-    planner.report_came(&TargetName::new("full"), Some(&report(&[], 0)), now);
+    planner.report_received(&TargetName::new("full"), Some(&report(&[], 0)), now);
     let nothing = EngineReport {
         life: TargetLife::default(),
         models: Vec::new(),
-        own_copies: own_copies
+        local_models: local_models
             .iter()
             .map(|name| AdapterName::new(name))
             .collect(),
         ..report(&[], 0)
     };
-    planner.report_came(&TargetName::new("empty"), Some(&nothing), now);
+    planner.report_received(&TargetName::new("empty"), Some(&nothing), now);
     planner.take_actions();
     planner
 }
@@ -444,7 +444,7 @@
 fn an_adapter_that_crowds_its_engine_gets_a_second_copy_before_the_places_are_full() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two"], now);
-    planner.report_came(&TargetName::new("one"), Some(&report(&["base/a"], 0)), now);
+    planner.report_received(&TargetName::new("one"), Some(&report(&["base/a"], 0)), now);
     let mut loads = Vec::new();
     for number in 0..5 {
         planner.place(key(number), ask("base/a"), now);
@@ -468,7 +468,7 @@
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two", "three"], now);
     let held = report(&["base/a", "base/b"], 0);
-    planner.report_came(&TargetName::new("one"), Some(&held), now);
+    planner.report_received(&TargetName::new("one"), Some(&held), now);
     let sought: Vec<_> = (0..6)
         .map(|number| {
             let adapter = if number == 5 { "base/b" } else { "base/a" };
@@ -492,7 +492,7 @@
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two"], now);
     let held = report(&["base/a", "base/b", "base/c", "base/d"], 0);
-    planner.report_came(&TargetName::new("one"), Some(&held), now);
+    planner.report_received(&TargetName::new("one"), Some(&held), now);
     let mut loads = 0;
     for (number, adapter) in (0..).zip(["base/a", "base/b", "base/c", "base/d", "base/a", "base/b"])
     {
@@ -528,7 +528,7 @@
 #[test]
 fn holders_in_series_load_no_more_models_than_one_would() {
     let start = Instant(1_000_000);
-    let pause = EngineFigures::shared_by(1, 3.0).model_load_pause;
+    let pause = EngineEstimates::per_zone(1, 3.0).model_load_interval;
     let life = pause / 2;
     let mut ordered = 0;
     for holder in 0..20 {
@@ -550,7 +550,7 @@
     let mut planner = planner(&["one"], now);
     let one = TargetName::new("one");
     let full = ["base/a", "base/b", "base/c", "base/d"];
-    planner.report_came(&one, Some(&report(&full, 0)), now);
+    planner.report_received(&one, Some(&report(&full, 0)), now);
     planner.place(key(1), ask("base/e"), now);
     let refused = answers(&planner.take_actions());
     assert!(matches!(refused[0].1, PlacementAnswer::Refuse { .. }));
@@ -558,12 +558,12 @@
     let later = after(now, 350);
     planner.tick(later);
     let asks = planner.take_actions();
-    assert!(matches!(asks[0], PlannerAction::Report(_)));
+    assert!(matches!(asks[0], PlannerAction::FetchReport(_)));
     let idle = EngineReport {
         requests: 0,
         ..report(&full, 0)
     };
-    planner.report_came(&one, Some(&idle), later);
+    planner.report_received(&one, Some(&idle), later);
     planner.place(key(2), ask("base/e"), later);
     let given = orders(planner.take_actions());
     assert_eq!(given[0].1.kind, OrderKind::Unload);
@@ -575,14 +575,14 @@
     let mut planner = planner(&["one"], now);
     let one = TargetName::new("one");
     let full = ["base/a", "base/b", "base/c", "base/d"];
-    planner.report_came(&one, Some(&report(&full, 0)), now);
+    planner.report_received(&one, Some(&report(&full, 0)), now);
     for number in 1..4 {
         let adapter = AdapterName::new(full[number as usize - 1]);
-        planner.adopt(key(number), &one, &adapter);
+        planner.adopt_call(key(number), &one, &adapter);
     }
     let told = after(now, 950);
     planner.tick(told);
-    planner.report_came(&one, Some(&report(&full, 0)), told);
+    planner.report_received(&one, Some(&report(&full, 0)), told);
     planner.place(key(9), ask("base/e"), told);
     let given = orders(planner.take_actions());
     assert_eq!(given.len(), 1);
@@ -655,8 +655,8 @@
             orders_taken: self.sequence,
             models: vec![(AdapterName::new("base"), 1)],
             adapters: self.here.iter().map(|held| (held.clone(), 1)).collect(),
-            coming: self.coming.keys().map(|held| (held.clone(), 1)).collect(),
-            own_copies: Vec::new(),
+            loading: self.coming.keys().map(|held| (held.clone(), 1)).collect(),
+            local_models: Vec::new(),
             requests: u32::try_from(self.running.len()).expect("few"),
             is_busy: false,
         };
@@ -717,7 +717,7 @@
         .map(|name| (name.clone(), EngineModel::default()))
         .collect();
     let mut now = Instant(1_000_000);
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(1, 3.0), limits(), now);
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(names.iter().map(|name| entry(name.as_str())).collect(), now);
     let mut asked = BTreeSet::new();
     let mut running: Vec<(CallKey, TargetName, u64)> = Vec::new();
@@ -752,7 +752,7 @@
                 .expect("an engine")
                 .running
                 .remove(&call);
-            planner.ended(&call, Some(&name), Some(CallOutcome::Good), now);
+            planner.call_ended(&call, Some(&name), Some(CallOutcome::Good), now);
         }
         if random.random_bool(0.002) {
             // The link to a gateway breaks; its calls run on for a while.
@@ -804,12 +804,12 @@
                         };
                         planner.order_ended(&entry.name, outcome, now);
                     }
-                    PlannerAction::Report(entry) => {
+                    PlannerAction::FetchReport(entry) => {
                         let report = engines[&entry.name].report();
                         let report = random.random_bool(0.95).then_some(report);
-                        planner.report_came(&entry.name, report.as_ref(), now);
+                        planner.report_received(&entry.name, report.as_ref(), now);
                     }
-                    PlannerAction::Moved(_) => {}
+                    PlannerAction::RecordTransfer(_) => {}
                 }
             }
         }
@@ -828,11 +828,11 @@
 fn a_zone_offers_what_it_would_have_to_load_and_takes_it_only_for_less() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
-    let with = |terms| PlacementAsk {
+    let with = |terms| PlacementRequest {
         terms,
         ..ask("base/a1")
     };
-    planner.place(key(1), with(AskTerms::Inquire), now);
+    planner.place(key(1), with(PlacementTerms::Inquire), now);
     let actions = planner.take_actions();
     let [(_, PlacementAnswer::Refuse { cause, .. })] = &answers(&actions)[..] else {
         panic!("not one refusal");
@@ -841,14 +841,14 @@
         panic!("no offer: {cause:?}");
     };
     assert!(orders(actions).is_empty(), "an inquiry loads nothing");
-    planner.place(key(2), with(AskTerms::Beat(cost)), now);
+    planner.place(key(2), with(PlacementTerms::Beat(cost)), now);
     let actions = planner.take_actions();
     assert!(matches!(
         answers(&actions)[..],
         [(_, PlacementAnswer::Refuse { .. })]
     ));
     assert!(orders(actions).is_empty(), "it is no cheaper");
-    planner.place(key(3), with(AskTerms::Beat(cost + 1)), now);
+    planner.place(key(3), with(PlacementTerms::Beat(cost + 1)), now);
     assert_eq!(orders(planner.take_actions()).len(), 1);
 }
 
@@ -915,8 +915,8 @@
     for _ in 0..80 {
         now = after(now, 350);
         for (key, target) in open.drain(..) {
-            planner.begun(&key, &target, Some(1), now);
-            planner.ended(&key, Some(&target), None, now);
+            planner.call_started(&key, &target, Some(1), now);
+            planner.call_ended(&key, Some(&target), None, now);
         }
         planner.tick(now);
         open = take_orders(&mut planner, now);
@@ -929,8 +929,8 @@
     for _ in 0..6 {
         let late = after(now, 500);
         for (key, target) in open.drain(..) {
-            planner.doubt_copy(&key, &target, late);
-            planner.ended(&key, Some(&target), None, late);
+            planner.report_missing_copy(&key, &target, late);
+            planner.call_ended(&key, Some(&target), None, late);
         }
         now = after(now, 2_000);
         planner.tick(now);
@@ -948,14 +948,14 @@
 
 /// A planner over one engine in its first life, which has loaded an adapter for a call that runs.
 fn planner_with_a_run(now: Instant) -> ZonePlanner {
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(1, 3.0), limits(), now);
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(vec![born("e1", 1_000)], now);
     planner.tick(now);
     let first = EngineReport {
         life: TargetLife::begun_at(1_000),
         ..report(&[], 0)
     };
-    planner.report_came(&TargetName::new("e1"), Some(&first), now);
+    planner.report_received(&TargetName::new("e1"), Some(&first), now);
     planner.place(key(1), ask("base/a1"), now);
     take_orders(&mut planner, now);
     assert_eq!(planner.engines()[&TargetName::new("e1")].calls.len(), 1);
@@ -969,20 +969,20 @@
     let name = TargetName::new("e1");
     for number in 0..20 {
         let failed = Some(CallOutcome::Failed);
-        planner.ended(&key(100 + number), Some(&name), failed, now);
+        planner.call_ended(&key(100 + number), Some(&name), failed, now);
     }
     planner.set_targets(vec![born("e1", 2_000)], after(now, 10));
     let engine = &planner.engines()[&name];
     assert!(engine.copies.is_empty() && engine.calls.is_empty());
-    assert_eq!((engine.sequence, engine.is_known), (0, false));
-    assert!(planner.knows_life(&name, TargetLife::begun_at(2_000)));
-    assert!(!planner.knows_life(&name, TargetLife::begun_at(1_000)));
+    assert_eq!((engine.sequence, engine.is_inventory_known), (0, false));
+    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
+    assert!(!planner.is_current_life(&name, TargetLife::begun_at(1_000)));
     // The end of a call that the life before ran frees nothing here.
-    planner.ended(&key(1), Some(&name), None, after(now, 20));
+    planner.call_ended(&key(1), Some(&name), None, after(now, 20));
     assert!(planner.engines()[&name].calls.is_empty());
     // An entry of the life before changes nothing.
     planner.set_targets(vec![born("e1", 1_000)], after(now, 30));
-    assert!(planner.knows_life(&name, TargetLife::begun_at(2_000)));
+    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
 }
 
 #[test]
@@ -995,17 +995,17 @@
         life: TargetLife::begun_at(1_000),
         ..report(&["base/a1"], 1)
     };
-    planner.report_came(&name, Some(&late), after(now, 10));
+    planner.report_received(&name, Some(&late), after(now, 10));
     let engine = &planner.engines()[&name];
-    assert!(engine.copies.is_empty() && !engine.is_known);
+    assert!(engine.copies.is_empty() && !engine.is_inventory_known);
     // One that does not say its life is from before too: the engine's reports do.
-    planner.report_came(&name, Some(&report(&["base/a1"], 1)), after(now, 20));
-    assert!(!planner.engines()[&name].is_known);
+    planner.report_received(&name, Some(&report(&["base/a1"], 1)), after(now, 20));
+    assert!(!planner.engines()[&name].is_inventory_known);
     let own = EngineReport {
         life: TargetLife::begun_at(2_000),
         ..report(&["base/a7"], 3)
     };
-    planner.report_came(&name, Some(&own), after(now, 30));
+    planner.report_received(&name, Some(&own), after(now, 30));
     let engine = &planner.engines()[&name];
     assert_eq!((engine.sequence, engine.copies.len()), (3, 1));
     // A report may tell of the next life before the list does.
@@ -1013,10 +1013,10 @@
         life: TargetLife::begun_at(3_000),
         ..report(&[], 0)
     };
-    planner.report_came(&name, Some(&next), after(now, 40));
+    planner.report_received(&name, Some(&next), after(now, 40));
     let engine = &planner.engines()[&name];
     assert_eq!((engine.sequence, engine.copies.len()), (0, 0));
-    assert!(engine.is_known);
+    assert!(engine.is_inventory_known);
 }
 
 #[test]
@@ -1051,7 +1051,7 @@
         requests: 0,
         ..report(&held, 1)
     };
-    planner.report_came(&TargetName::new("e1"), Some(&own), reported);
+    planner.report_received(&TargetName::new("e1"), Some(&own), reported);
     planner.take_actions();
     planner
 }
@@ -1086,14 +1086,14 @@
 #[test]
 fn a_list_that_tells_no_lives_says_that_an_engine_leaves_though_its_reports_tell_them() {
     let now = Instant(1_000_000);
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(1, 3.0), limits(), now);
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(vec![entry("e1")], now);
     planner.tick(now);
     let own = EngineReport {
         life: TargetLife::begun_at(1_000),
         ..report(&["base/a1"], 0)
     };
-    planner.report_came(&TargetName::new("e1"), Some(&own), now);
+    planner.report_received(&TargetName::new("e1"), Some(&own), now);
     let mut leaving = (*entry("e1")).clone();
     leaving.stage = TargetStage::Draining;
     planner.set_targets(vec![Arc::new(leaving)], after(now, 10));
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -8,8 +8,8 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetEntry, TargetStage},
-        engine::{EngineReport, OrderOutcome, UNCOUNTED_RUN},
-        planner::{PlacementAsk, ZonePlanner},
+        engine::{EngineReport, ORPHANED_CALL_TTL, OrderOutcome},
+        planner::{PlacementRequest, ZonePlanner},
     },
     ids::{AdapterName, TargetLife, VmName},
 };
@@ -30,7 +30,7 @@
     let mut planner = lending();
     let now = SETTLED.after(READING);
     planner.set_targets(vec![Arc::new(entry(1))], now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
+    planner.call_ended(&key(2), Some(&target(2)), None, now);
     name_version(&mut planner, 2, now.after(LOADED));
     assert_eq!(replaced(&mut planner), [target(1)]);
 }
@@ -43,8 +43,8 @@
         life: TargetLife::begun_at(7),
         ..report(1, 1)
     };
-    planner.report_came(&target(2), Some(&reborn), now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
+    planner.report_received(&target(2), Some(&reborn), now);
+    planner.call_ended(&key(2), Some(&target(2)), None, now);
     name_version(&mut planner, 2, now.after(LOADED));
     assert!(replaced(&mut planner).contains(&target(1)));
 }
@@ -54,8 +54,8 @@
 fn a_loan_ends_with_a_call_that_its_gateway_tells_of_again() {
     let mut planner = lending();
     let now = SETTLED.after(READING);
-    planner.adopt(key(2), &target(2), &adapter());
-    planner.ended(&key(2), Some(&target(2)), None, now);
+    planner.adopt_call(key(2), &target(2), &adapter());
+    planner.call_ended(&key(2), Some(&target(2)), None, now);
     name_version(&mut planner, 2, now.after(LOADED));
     let mut names = replaced(&mut planner);
     names.sort();
@@ -71,7 +71,7 @@
     planner.forget_gateway(&VmName::new("vm"), now);
     name_version(&mut planner, 2, now);
     assert_eq!(replaced(&mut planner), [], "both may be in use");
-    planner.tick(now.after(UNCOUNTED_RUN));
+    planner.tick(now.after(ORPHANED_CALL_TTL));
     assert_eq!(replaced(&mut planner).len(), 2);
 }
 
@@ -81,16 +81,16 @@
     let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
     read(&mut planner, 1, &["e1"], 1, SETTLED);
     // Of another prompt, so that the engine has nothing of the one that is asked about.
-    let other = PlacementAsk {
+    let other = PlacementRequest {
         prefix: vec![(4, 6_300), (5, 2_890)],
         ..ask(&["e2"])
     };
     planner.place(key(2), other, SETTLED);
     let late = placed(&mut planner);
     let now = SETTLED.after(READING);
-    planner.report_came(&late.target, Some(&report(7, 1)), now);
-    planner.begun(&key(2), &late.target, Some(1), now);
-    planner.ended(&key(2), Some(&late.target), None, now);
+    planner.report_received(&late.target, Some(&report(7, 1)), now);
+    planner.call_started(&key(2), &late.target, Some(1), now);
+    planner.call_ended(&key(2), Some(&late.target), None, now);
     let placed = place(&mut planner, 3, &["e2"], now);
     assert_eq!(placed.target, target(1));
     assert_eq!(placed.fetch, None, "weights 1 for weights 7");
@@ -111,7 +111,7 @@
         ..report(7, 0)
     };
     let now = SETTLED.after(LOADED);
-    planner.report_came(&target(1), Some(&empty), now);
+    planner.report_received(&target(1), Some(&empty), now);
     planner.place(key(1), loading(&[]), now);
     assert_eq!(replaced(&mut planner), [target(1)]);
     planner.order_ended(&target(1), OrderOutcome::Begun, now);
@@ -121,7 +121,7 @@
     planner.set_targets(vec![Arc::new(old)], now);
     let copy = &planner.engines()[&target(1)].copies[&adapter()];
     assert_eq!(
-        copy.sight, None,
+        copy.known_version, None,
         "the newest was loaded, and nobody has told which"
     );
 }
@@ -148,7 +148,7 @@
 fn an_engine_that_may_be_another_run_takes_no_memory() {
     let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
     read(&mut planner, 1, &["e2"], 1, SETTLED);
-    let other = PlacementAsk {
+    let other = PlacementRequest {
         subject: AdapterName::new("base/a2"),
         may_load: true,
         ..ask(&["e1"])
@@ -165,7 +165,7 @@
 fn memory_whose_answer_told_no_version_is_not_lent() {
     let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
     let first = place(&mut planner, 1, &["e2"], SETTLED);
-    planner.begun(&key(1), &first.target, None, SETTLED.after(READING));
+    planner.call_started(&key(1), &first.target, None, SETTLED.after(READING));
     let placed = place(&mut planner, 2, &["e1"], SETTLED.after(READING));
     assert_eq!(placed.fetch, None);
 }
@@ -196,8 +196,8 @@
         adapters: Vec::new(),
         ..report(1, 0)
     };
-    planner.report_came(&target(1), Some(&dropped), now);
-    planner.report_came(&target(1), Some(&report(1, 1)), now.after(LOADED));
+    planner.report_received(&target(1), Some(&dropped), now);
+    planner.report_received(&target(1), Some(&report(1, 1)), now.after(LOADED));
     let placed = place(&mut planner, 3, &["e2"], now.after(LOADED));
     assert_eq!(placed.fetch, Some(address(2)));
 }
@@ -207,8 +207,8 @@
 fn a_call_that_was_turned_away_with_memory_is_placed_again_without_it() {
     let mut planner = lending();
     let now = SETTLED.after(READING);
-    planner.doubt_copy(&key(2), &target(2), now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
+    planner.report_missing_copy(&key(2), &target(2), now);
+    planner.call_ended(&key(2), Some(&target(2)), None, now);
     planner.take_actions();
     let again = place(&mut planner, 3, &["e1"], now);
     assert_eq!(again.target, target(2));
@@ -232,17 +232,17 @@
     planner.order_ended(&target(2), OrderOutcome::Begun, SETTLED);
     let borrower = placed(&mut planner);
     assert_eq!(borrower.version, Some(1));
-    let expected = planner.loads().expected(&target(2));
+    let expected = planner.load_limiter().expected(&target(2));
     let now = SETTLED.after(expected).after(READING);
-    planner.doubt_copy(&key(2), &target(2), now);
-    assert_eq!(planner.loads().expected(&target(2)), expected);
+    planner.report_missing_copy(&key(2), &target(2), now);
+    assert_eq!(planner.load_limiter().expected(&target(2)), expected);
 }
 
 // A lender may run nothing at all. The holder before has sent a call that takes its memory once its own adapter is there.
 #[test]
 fn a_new_holder_holds_lenders_that_run_nothing() {
     let mut planner = held_from(SETTLED, &engines(&[(1, 1), (1, 1)]));
-    planner.adopt(key(9), &target(2), &adapter());
+    planner.adopt_call(key(9), &target(2), &adapter());
     name_version(&mut planner, 2, SETTLED);
     assert_eq!(replaced(&mut planner), []);
 }
@@ -263,13 +263,13 @@
 #[test]
 fn a_copy_that_is_gone_is_not_replaced() {
     let mut planner = planner(&engines(&[(1, 1)]));
-    planner.doubt_copy(&key(1), &target(1), SETTLED);
+    planner.report_missing_copy(&key(1), &target(1), SETTLED);
     planner.tick(SETTLED);
     planner.set_version(&adapter(), 2, SETTLED);
     assert_eq!(replaced(&mut planner), []);
     let mut without = report(1, 0);
     without.adapters.clear();
-    planner.report_came(&target(1), Some(&without), SETTLED);
+    planner.report_received(&target(1), Some(&without), SETTLED);
     assert_eq!(replaced(&mut planner), []);
 }
 
@@ -309,7 +309,7 @@
     for name in [target(1), target(2)] {
         planner.order_ended(&name, OrderOutcome::Begun, SETTLED);
         planner.tick(now);
-        planner.report_came(&name, Some(&taken), now);
+        planner.report_received(&name, Some(&taken), now);
     }
     let placed = place(&mut planner, 2, &["e1"], now);
     assert_eq!((placed.fetch, placed.version), (None, Some(2)));
@@ -319,7 +319,7 @@
 fn memory_of_before_new_weights_that_a_report_tells_is_no_source() {
     let mut planner = planner(&engines(&[(1, 1), (7, 1)]));
     read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target(1), Some(&report(7, 1)), SETTLED);
+    planner.report_received(&target(1), Some(&report(7, 1)), SETTLED);
     let placed = place(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
@@ -328,7 +328,7 @@
 fn memory_of_before_a_version_that_a_report_tells_is_no_source() {
     let mut planner = planner(&engines(&[(1, 1), (1, 2)]));
     read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target(1), Some(&report(1, 2)), SETTLED);
+    planner.report_received(&target(1), Some(&report(1, 2)), SETTLED);
     let placed = place(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
@@ -337,7 +337,8 @@
 // without the copy since it was loaded, and lists it now, speaks of this loading.
 #[test]
 fn a_listed_version_of_before_the_last_load_is_not_taken() {
-    let sight = |planner: &ZonePlanner| planner.engines()[&target(1)].copies[&adapter()].sight;
+    let sight =
+        |planner: &ZonePlanner| planner.engines()[&target(1)].copies[&adapter()].known_version;
     for count in [2, 3, 99] {
         let mut planner = planner(&[(listed(1, 1, 2), report(1, 0))]);
         planner.set_targets(vec![Arc::new(listed(1, 1, count))], SETTLED);
@@ -373,11 +374,11 @@
         (later, true, Some(address(1))),
     ] {
         let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-        planner.succeed(SETTLED);
+        planner.mark_takeover(SETTLED);
         read(&mut planner, 1, &["e2"], 1, SETTLED);
-        planner.lead_until(now.after(READING));
+        planner.set_lead_until(now.after(READING));
         if is_reported {
-            planner.report_came(&target(1), Some(&report(1, 1)), now);
+            planner.report_received(&target(1), Some(&report(1, 1)), now);
         }
         assert_eq!(place(&mut planner, 2, &["e1"], now).fetch, fetch);
     }
@@ -393,8 +394,8 @@
         Some(address(1))
     );
     // The first engine is about to leave, so that the second lends to the next call.
-    planner.begun(&key(2), &target(2), Some(1), SETTLED.after(READING));
-    planner.ended(&key(2), Some(&target(2)), None, SETTLED.after(READING));
+    planner.call_started(&key(2), &target(2), Some(1), SETTLED.after(READING));
+    planner.call_ended(&key(2), Some(&target(2)), None, SETTLED.after(READING));
     let now = SETTLED.after(LOADED);
     assert!(place(&mut planner, 3, &["e1", "e2"], now).fetch.is_some());
     let leaving = TargetEntry {
@@ -403,11 +404,11 @@
     };
     let listed = [leaving, entry(2), entry(3), entry(4)].map(Arc::new);
     planner.set_targets(listed.to_vec(), now);
-    planner.report_came(&target(4), Some(&report(1, 1)), now);
+    planner.report_received(&target(4), Some(&report(1, 1)), now);
     planner.take_actions();
     let again = place(&mut planner, 3, &["e1", "e2", "e3"], now);
     assert_eq!(again.fetch, Some(address(2)));
-    planner.ended(&key(3), Some(&target(4)), None, now);
+    planner.call_ended(&key(3), Some(&target(4)), None, now);
     name_version(&mut planner, 2, now.after(LOADED));
     let mut names = replaced(&mut planner);
     names.sort();
--- a/crates/core/tests/direct_versions/moves.rs
+++ b/crates/core/tests/direct_versions/moves.rs
@@ -6,8 +6,8 @@
 use hoplanding_core::{
     direct::{
         catalog::ResidentAdapter,
-        engine::{OrderOutcome, UNCOUNTED_RUN},
-        planner::{PlacementAnswer, PlacementAsk, PlannerAction, ZonePlanner},
+        engine::{ORPHANED_CALL_TTL, OrderOutcome},
+        planner::{PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner},
     },
     ids::{AdapterName, TargetName},
 };
@@ -17,8 +17,8 @@
 fn read_at_first(planner: &mut ZonePlanner, subject: &str, base: u64) {
     let placed = place_for(planner, 1, subject, &["e2", "e3"]);
     let now = SETTLED.after(READING);
-    planner.begun(&key(1), &placed.target, Some(base), now);
-    planner.ended(&key(1), Some(&placed.target), None, now);
+    planner.call_started(&key(1), &placed.target, Some(base), now);
+    planner.call_ended(&key(1), Some(&placed.target), None, now);
 }
 
 #[test]
@@ -123,7 +123,7 @@
     // The first engine has started again unseen, with new weights: the next answer tells it.
     let placed = place_for(&mut planner, 2, "base/a1", &["e2"]);
     let now = SETTLED.after(READING);
-    planner.begun(&key(2), &placed.target, Some(7), now);
+    planner.call_started(&key(2), &placed.target, Some(7), now);
     let placed = place_for(&mut planner, 3, "base/a1", &["e1"]);
     assert_eq!(placed.fetch, None, "nobody knows which weights read it");
 }
@@ -137,10 +137,10 @@
     assert_eq!(borrower.fetch, Some(address(1)));
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
     assert_eq!(replaced(&mut planner), [], "one lends, the other runs");
-    planner.begun(&key(2), &borrower.target, Some(1), now);
+    planner.call_started(&key(2), &borrower.target, Some(1), now);
     planner.tick(now);
     assert_eq!(replaced(&mut planner), [TargetName::new("e1")]);
-    planner.ended(&key(2), Some(&borrower.target), None, now);
+    planner.call_ended(&key(2), Some(&borrower.target), None, now);
     assert_eq!(replaced(&mut planner), [TargetName::new("e2")]);
 }
 
@@ -151,14 +151,14 @@
     let now = SETTLED.after(READING);
     let borrower = place_for(&mut planner, 2, "base/a1", &["e1"]);
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
-    planner.ended(&key(2), Some(&borrower.target), None, now);
+    planner.call_ended(&key(2), Some(&borrower.target), None, now);
     planner.tick(now);
     assert_eq!(
         replaced(&mut planner),
         [TargetName::new("e2")],
         "it may be on its way"
     );
-    planner.tick(now.after(UNCOUNTED_RUN));
+    planner.tick(now.after(ORPHANED_CALL_TTL));
     assert_eq!(replaced(&mut planner), [TargetName::new("e1")]);
 }
 
@@ -176,7 +176,7 @@
     planner.set_version(&AdapterName::new("base/a1"), 4, SETTLED);
     planner.take_actions();
     let name = TargetName::new("e1");
-    planner.report_came(&name, Some(&report(1, 4)), SETTLED);
+    planner.report_received(&name, Some(&report(1, 4)), SETTLED);
     assert_eq!(
         place_for(&mut planner, 4, "base/a1", &["e2"]).version,
         Some(4)
@@ -187,8 +187,8 @@
 fn no_call_goes_to_a_copy_that_comes_in_an_older_version() {
     let mut planner = planner(&engines(&[(1, 1), (1, 2)]));
     let mut coming = report(1, 1);
-    coming.coming = std::mem::take(&mut coming.adapters);
-    planner.report_came(&TargetName::new("e1"), Some(&coming), SETTLED);
+    coming.loading = std::mem::take(&mut coming.adapters);
+    planner.report_received(&TargetName::new("e1"), Some(&coming), SETTLED);
     planner.set_version(&AdapterName::new("base/a1"), 2, SETTLED);
     planner.take_actions();
     assert_eq!(
@@ -204,11 +204,11 @@
     let mut planner = planner(&engines(&[(1, 1)]));
     place_for(&mut planner, 1, "base/a1", &[]);
     let mut twice = report(1, 1);
-    twice.coming = vec![(AdapterName::new("base/a1"), 2)];
+    twice.loading = vec![(AdapterName::new("base/a1"), 2)];
     let name = TargetName::new("e1");
-    planner.report_came(&name, Some(&twice), SETTLED);
+    planner.report_received(&name, Some(&twice), SETTLED);
     let copies = &planner.engines()[&name].copies;
-    assert_eq!(copies[&AdapterName::new("base/a1")].users, 1);
+    assert_eq!(copies[&AdapterName::new("base/a1")].active_calls, 1);
 }
 
 // Once a new version was named each copy was replaced, and the calls that were to follow came too early: an engine that had the
@@ -222,7 +222,7 @@
     let mut now = SETTLED;
     planner.place(
         key(1),
-        PlacementAsk {
+        PlacementRequest {
             may_load: true,
             ..ask.clone()
         },
@@ -231,8 +231,8 @@
     planner.order_ended(&name, OrderOutcome::Begun, now);
     now = now.after(Duration::from_millis(400));
     planner.tick(now);
-    planner.begun(&key(1), &name, Some(1), now);
-    planner.ended(&key(1), Some(&name), None, now);
+    planner.call_started(&key(1), &name, Some(1), now);
+    planner.call_ended(&key(1), Some(&name), None, now);
     planner.take_actions();
     planner.set_version(&AdapterName::new("base/a2"), 2, now);
     assert_eq!(replaced(&mut planner), std::slice::from_ref(&name));
--- a/crates/core/tests/direct_versions/support.rs
+++ b/crates/core/tests/direct_versions/support.rs
@@ -6,8 +6,8 @@
         config::EngineLimits,
         engine::{EngineReport, OrderKind},
         planner::{
-            AskTerms, CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction,
-            ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlacementTerms,
+            PlannerAction, ZonePlanner,
         },
     },
     ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
@@ -96,14 +96,14 @@
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     };
-    let figures = EngineFigures::shared_by(1, 3.0);
+    let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, began);
     let entries = engines.iter().map(|(entry, _)| Arc::new(entry.clone()));
-    planner.lead_until(LED);
+    planner.set_lead_until(LED);
     planner.set_targets(entries.collect(), began);
     planner.tick(began);
     for (entry, report) in engines {
-        planner.report_came(&entry.name, Some(report), began);
+        planner.report_received(&entry.name, Some(report), began);
     }
     planner.take_actions();
     planner
@@ -126,12 +126,12 @@
 }
 
 /// A call for the adapter.
-pub fn ask(tried: &[&str]) -> PlacementAsk {
+pub fn ask(tried: &[&str]) -> PlacementRequest {
     ask_for("base/a1", tried)
 }
 
-pub fn ask_for(subject: &str, tried: &[&str]) -> PlacementAsk {
-    PlacementAsk {
+pub fn ask_for(subject: &str, tried: &[&str]) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
         charge: None,
@@ -144,13 +144,13 @@
         exclude: tried.iter().map(|name| TargetName::new(name)).collect(),
         resting: Vec::new(),
         may_load: false,
-        terms: AskTerms::Take,
+        terms: PlacementTerms::Take,
     }
 }
 
 /// A call for which the adapter may be loaded.
-pub fn loading(tried: &[&str]) -> PlacementAsk {
-    PlacementAsk {
+pub fn loading(tried: &[&str]) -> PlacementRequest {
+    PlacementRequest {
         may_load: true,
         ..ask(tried)
     }
@@ -198,8 +198,8 @@
 pub fn read(planner: &mut ZonePlanner, number: u64, tried: &[&str], base: u64, now: Instant) {
     let placed = place(planner, number, tried, now);
     let now = now.after(READING);
-    planner.begun(&key(number), &placed.target, Some(base), now);
-    planner.ended(&key(number), Some(&placed.target), None, now);
+    planner.call_started(&key(number), &placed.target, Some(base), now);
+    planner.call_ended(&key(number), Some(&placed.target), None, now);
 }
 
 /// Engines that have been ordered to load since the last look.
--- a/crates/core/tests/load/fetching.rs
+++ b/crates/core/tests/load/fetching.rs
@@ -37,17 +37,17 @@
         shared: (6_300, 24),
         ..CASE
     };
-    let play = |fetch_gain, seed| {
+    let play = |min_fetch_saving, seed| {
         let mut play = LoadPlay::new(&kinds, &[case, CHAT], seed);
         play.set_policy(PlacementPolicy {
-            fetch_gain,
+            min_fetch_saving,
             ..PlacementPolicy::default()
         });
         play.run(Duration::from_secs(30))
     };
     let mut gain = 0.0;
     for seed in seeds {
-        let fetched = play(PlacementPolicy::default().fetch_gain, seed);
+        let fetched = play(PlacementPolicy::default().min_fetch_saving, seed);
         // Nothing saves a minute: as if nothing were fetched.
         let alone = play(Duration::from_secs(60), seed);
         let told = format!("fetched: {}; alone: {}", told(&fetched), told(&alone));
--- a/crates/core/tests/load/plain.rs
+++ b/crates/core/tests/load/plain.rs
@@ -4,7 +4,7 @@
     direct::{
         catalog::{TargetEntry, TargetStage},
         health::{CallOutcome, HealthTable},
-        plain::{PlainAsk, PlainPlanner, pick_alone},
+        plain::{PlainPlanner, PlainRequest, pick_without_holder},
         planner::{CallKey, PlacementAnswer},
     },
     ids::{AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, TargetRun, VmName},
@@ -65,12 +65,12 @@
             Self::Alone(gateways) => {
                 let (health, in_flight) = &mut gateways[gateway];
                 let zone = AvailabilityZone::new(&format!("z{}", gateway % 3));
-                let picked = pick_alone(&zone, health, in_flight, &[], targets, now)?;
+                let picked = pick_without_holder(&zone, health, in_flight, &[], targets, now)?;
                 *in_flight.entry(picked.run()).or_default() += 1;
                 picked.name.clone()
             }
             Self::Holder(planner) => {
-                let ask = PlainAsk {
+                let ask = PlainRequest {
                     service: ServiceName::new("ledger"),
                     rank: 1,
                     left_ms: (OBJECTIVE_US / 1_000) as u32,
@@ -103,7 +103,7 @@
                 *in_flight.get_mut(&entry.run()).expect("it was sent") -= 1;
                 health.note(&entry.name, outcome, now);
             }
-            Self::Holder(planner) => planner.ended(&key(call, gateway), Some(outcome), now),
+            Self::Holder(planner) => planner.call_ended(&key(call, gateway), Some(outcome), now),
         }
     }
 }
@@ -245,7 +245,7 @@
 fn one_call_that_ends_late_refuses_nobody() {
     let targets = [entry(0)];
     let mut planner = PlainPlanner::default();
-    let ask = PlainAsk {
+    let ask = PlainRequest {
         service: ServiceName::new("ledger"),
         rank: 1,
         left_ms: 300,
@@ -258,7 +258,7 @@
     let begin = Instant(1_000_000);
     planner.place(key(0, 0), &ask, &targets, begin);
     let mut now = begin.after(Duration::from_secs(4));
-    planner.ended(&key(0, 0), Some(CallOutcome::Good), now);
+    planner.call_ended(&key(0, 0), Some(CallOutcome::Good), now);
     for call in 1..60 {
         // Seven at once on six places.
         for gateway in 0..7 {
@@ -267,7 +267,7 @@
         }
         now = now.after(Duration::from_millis(60));
         for gateway in 0..7 {
-            planner.ended(&key(call, gateway), Some(CallOutcome::Good), now);
+            planner.call_ended(&key(call, gateway), Some(CallOutcome::Good), now);
         }
     }
 }
--- a/crates/core/tests/load/play.rs
+++ b/crates/core/tests/load/play.rs
@@ -6,7 +6,7 @@
         config::EngineLimits,
         engine::{EngineReport, OrderKind, OrderOutcome},
         planner::{
-            CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction, ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner,
         },
         policy::PlacementPolicy,
         search::ZoneSearch,
@@ -222,7 +222,7 @@
 /// A planner whose engines were found empty but for the base model.
 fn planner(names: &[String], zones: u32) -> ZonePlanner {
     let now = Instant::default();
-    let mut planner = ZonePlanner::new(EngineFigures::shared_by(zones, 2.8), limits(PLACES), now);
+    let mut planner = ZonePlanner::new(EngineEstimates::per_zone(zones, 2.8), limits(PLACES), now);
     planner.set_targets(names.iter().map(|name| entry(name)).collect(), now);
     planner.tick(now);
     let report = EngineReport {
@@ -232,7 +232,7 @@
         ..EngineReport::default()
     };
     for name in names {
-        planner.report_came(&TargetName::new(name), Some(&report), now);
+        planner.report_received(&TargetName::new(name), Some(&report), now);
     }
     planner.take_actions();
     planner
@@ -311,7 +311,7 @@
             }
             if now % 50_000 == 0 {
                 for planner in &mut self.planners {
-                    planner.lead_until(Instant(now).after(LEAD));
+                    planner.set_lead_until(Instant(now).after(LEAD));
                     planner.tick(Instant(now));
                 }
             }
@@ -387,16 +387,16 @@
         };
         self.open.insert(number, call);
         self.shares[at].asked += 1.0;
-        self.ask_next(number, now);
+        self.next_query(number, now);
     }
 
     /// Puts a call's next question; it is refused where there is none.
-    fn ask_next(&mut self, number: u64, now: u64) {
+    fn next_query(&mut self, number: u64, now: u64) {
         let Some(call) = self.open.get_mut(&number) else {
             return;
         };
         let class = self.classes[call.class];
-        let Some(question) = call.search.ask_next() else {
+        let Some(question) = call.search.next_query() else {
             let shares = &mut self.shares[call.class];
             shares.refused += 1.0;
             shares.refusal_waits.push((now - call.arrived) / 1_000);
@@ -407,8 +407,8 @@
         let left = objective.saturating_sub(Duration::from_micros(now - call.arrived));
         let bound = call
             .search
-            .wait_bound(question.pass, class.rank, objective, left);
-        let ask = PlacementAsk {
+            .max_wait(question.pass, class.rank, objective, left);
+        let ask = PlacementRequest {
             fingerprint: Default::default(),
             is_trial: false,
             charge: None,
@@ -463,10 +463,10 @@
                 };
                 planner.order_ended(&entry.name, outcome, Instant(now));
             }
-            PlannerAction::Report(entry) => {
-                planner.report_came(&entry.name, None, Instant(now));
+            PlannerAction::FetchReport(entry) => {
+                planner.report_received(&entry.name, None, Instant(now));
             }
-            PlannerAction::Moved(_) => {}
+            PlannerAction::RecordTransfer(_) => {}
         }
     }
 
@@ -503,8 +503,8 @@
             } => {
                 let turn = call.zones.iter().position(|asked| *asked == zone);
                 let turn = turn.expect("a zone that was asked");
-                call.search.take_refusal(turn, cause, retry_after_ms);
-                self.ask_next(key.number, now);
+                call.search.record_refusal(turn, cause, retry_after_ms);
+                self.next_query(key.number, now);
             }
         }
     }
@@ -555,7 +555,7 @@
                     .push((key.clone(), now + u64::from(output) * 12_000));
             }
             for (key, _) in ended {
-                self.planners[zone].ended(&key, Some(&name), None, Instant(now));
+                self.planners[zone].call_ended(&key, Some(&name), None, Instant(now));
             }
             for key in begun {
                 self.begin(&key, &name, now);
@@ -566,7 +566,7 @@
     fn begin(&mut self, key: &CallKey, target: &TargetName, now: u64) {
         if self.tells_first_events {
             let zone = self.engines[target].zone;
-            self.planners[zone].begun(key, target, Some(1), Instant(now));
+            self.planners[zone].call_started(key, target, Some(1), Instant(now));
         }
         if let Some(call) = self.open.remove(&key.number) {
             let class = self.classes[call.class];
@@ -599,7 +599,7 @@
                     .filter(|(prompt, _)| prompt.key.number != number);
             }
             for planner in &mut self.planners {
-                planner.ended(&key(number), target.as_ref(), None, Instant(now));
+                planner.call_ended(&key(number), target.as_ref(), None, Instant(now));
             }
         }
     }
--- a/crates/core/tests/load/zones.rs
+++ b/crates/core/tests/load/zones.rs
@@ -14,15 +14,15 @@
         per_s: class.per_s * 1.6,
         ..class
     });
-    let play = |away_price| {
+    let play = |remote_zone_penalty| {
         let mut play = LoadPlay::over_zones(&zones, &classes, 5);
         play.set_policy(PlacementPolicy {
-            away_price,
+            remote_zone_penalty,
             ..PlacementPolicy::default()
         });
         play.run(Duration::from_secs(30))
     };
-    let compared = play(PlacementPolicy::default().away_price);
+    let compared = play(PlacementPolicy::default().remote_zone_penalty);
     // No zone beats an offer by a minute: as if only the home zone loaded.
     let alone = play(Duration::from_secs(60));
     let told = format!("compared: {}; alone: {}", told(&compared), told(&alone));
@@ -41,10 +41,10 @@
 #[test]
 fn a_silent_home_zone_leaves_the_loads_to_others() {
     let mut search = ZoneSearch::new(PlacementPolicy::default(), 3);
-    let first = search.ask_next().expect("a question");
+    let first = search.next_query().expect("a question");
     assert_eq!(first.zone, 0);
-    search.take_silence(0);
-    let rest: Vec<_> = std::iter::from_fn(|| search.ask_next()).collect();
+    search.record_no_answer(0);
+    let rest: Vec<_> = std::iter::from_fn(|| search.next_query()).collect();
     assert_eq!(rest.len(), 6, "two passes over three zones: {rest:?}");
     assert!(rest.iter().all(|question| question.may_load));
 }
--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/access.rs
@@ -15,8 +15,8 @@
     direct::{
         lease::{HolderContact, ZoneLease},
         limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAnswer, PlacementAsk},
+        plain::PlainRequest,
+        planner::{CallKey, PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
         suspects::{EndedUnder, RequestFingerprint},
         trials::{TrialAnswer, trial_zones},
@@ -86,7 +86,7 @@
     pub async fn place(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
     ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
@@ -106,7 +106,7 @@
     pub async fn place_plain(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlainAsk,
+        ask: PlainRequest,
     ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/asking.rs
@@ -7,8 +7,8 @@
 use hoplanding_core::{
     direct::{
         limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAsk},
+        plain::PlainRequest,
+        planner::{CallKey, PlacementRequest},
         quotas::QuotaCharge,
         suspects::{EndedUnder, RequestFingerprint},
     },
@@ -18,9 +18,9 @@
 /// What a holder is asked.
 pub(super) enum HolderQuestion {
     /// Where a call goes.
-    Place(Box<PlacementAsk>),
+    Place(Box<PlacementRequest>),
     /// Where a call of a plain service goes.
-    Plain(Box<PlainAsk>),
+    Plain(Box<PlainRequest>),
     /// Whether a charge is paid.
     Pay(QuotaCharge),
     /// Whether a trial of a suspect is granted.
--- a/crates/daemon/src/direct/call/placing.rs
+++ b/crates/daemon/src/direct/call/placing.rs
@@ -14,9 +14,9 @@
     direct::{
         catalog::{TargetEntry, TargetStage},
         millis,
-        plain::{PlainAsk, pick_alone, placing_zones},
-        planner::{PlacementAnswer, PlacementAsk, RefusalCause, split_subject},
-        search::{SearchPass, ZoneQuestion, ZoneSearch},
+        plain::{PlainRequest, pick_without_holder, placement_zones},
+        planner::{PlacementAnswer, PlacementRequest, RefusalCause, split_subject},
+        search::{SearchPass, ZoneQuery, ZoneSearch},
         suspects::Suspicion,
         trials::TrialAnswer,
     },
@@ -72,13 +72,13 @@
         let policy = self.context.fleet.books().policy;
         let mut search = ZoneSearch::new(policy, zones.len());
         let mut pass = SearchPass::Compare;
-        while let Some(question) = search.ask_next() {
+        while let Some(question) = search.next_query() {
             if question.pass != pass {
                 pass = question.pass;
                 if !self.has_time() {
                     break;
                 }
-                if pass == SearchPass::Again {
+                if pass == SearchPass::Retry {
                     sleep(PLACE_AGAIN).await;
                 }
             }
@@ -87,12 +87,12 @@
                 return found;
             }
         }
-        Placing::Nowhere(search.come_back().unwrap_or(COME_BACK))
+        Placing::Nowhere(search.retry_after().unwrap_or(COME_BACK))
     }
 
     /// Finds the target of a plain service's call: the holder that places them knows of all that are under way.
     async fn place_plain(&mut self) -> Placing {
-        let zones = placing_zones(&self.service.name, &self.context.settings.zones);
+        let zones = placement_zones(&self.service.name, &self.context.settings.zones);
         for zone in &zones {
             let mut asked = self.ask_plain(zone).await;
             if is_refused_for(&asked, RefusalCause::NeedsTrial) {
@@ -152,7 +152,7 @@
         if let Some(unpaid) = self.unpaid(None, None).await {
             return unpaid;
         }
-        self.pick_alone()
+        self.pick_without_holder()
     }
 
     async fn ask_plain(
@@ -160,7 +160,7 @@
         zone: &AvailabilityZone,
     ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
         let left = self.route.objective.saturating_sub(self.arrived.elapsed());
-        let ask = PlainAsk {
+        let ask = PlainRequest {
             service: self.service.name.clone(),
             rank: self.rank,
             left_ms: millis(left),
@@ -174,7 +174,7 @@
     }
 
     /// Picks a plain service's target by what this VM sees alone.
-    fn pick_alone(&self) -> Placing {
+    fn pick_without_holder(&self) -> Placing {
         let mut books = self.context.fleet.books();
         let now = clock::now();
         let ready = books.catalog.ready(&self.service.name);
@@ -183,7 +183,7 @@
             .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
             .cloned()
             .collect();
-        let picked = pick_alone(
+        let picked = pick_without_holder(
             &self.context.fleet.zone,
             &books.health,
             &books.in_flight,
@@ -202,12 +202,12 @@
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
-        question: &ZoneQuestion,
+        question: &ZoneQuery,
         search: &mut ZoneSearch,
     ) -> Option<Placing> {
         let ask = self.ask(question, search);
         let Some((answer, ticket)) = self.context.access.place(zone, ask).await else {
-            search.take_silence(question.zone);
+            search.record_no_answer(question.zone);
             // While the home zone's offer stands: a zone that can't be heard may be cut off with its targets.
             let is_compared = question.pass == SearchPass::Compare && question.zone > 0;
             if is_compared {
@@ -278,7 +278,7 @@
                         }
                     }
                     _ => {
-                        search.take_refusal(question.zone, cause, retry_after_ms);
+                        search.record_refusal(question.zone, cause, retry_after_ms);
                         None
                     }
                 }
@@ -334,7 +334,7 @@
         let is_popular = {
             let now = clock::now();
             let books = self.context.fleet.books();
-            books.demand.rate(&subject, now) >= books.policy.popular_per_s
+            books.demand.rate(&subject, now) >= books.policy.popular_rate_per_s
                 || books.is_sought(&subject, now)
         };
         let has_adapter = split_subject(&subject).1.is_some();
@@ -349,21 +349,21 @@
         zones
     }
 
-    fn ask(&self, question: &ZoneQuestion, search: &ZoneSearch) -> PlacementAsk {
+    fn ask(&self, question: &ZoneQuery, search: &ZoneSearch) -> PlacementRequest {
         let objective = self.route.objective;
         let left = objective.saturating_sub(self.arrived.elapsed());
         let bound = if self.runs > 0 && question.pass != SearchPass::Compare {
             // It has run already: its caller is served late rather than told that it failed.
             self.remaining()
         } else {
-            search.wait_bound(question.pass, self.rank, objective, left)
+            search.max_wait(question.pass, self.rank, objective, left)
         };
         let output = self
             .head
             .output_hint
             .unwrap_or(self.head.most_output / 2)
             .min(self.head.most_output.max(1));
-        PlacementAsk {
+        PlacementRequest {
             subject: self.subject(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: output,
--- a/crates/daemon/src/direct/figures.rs
+++ b/crates/daemon/src/direct/figures.rs
@@ -13,7 +13,7 @@
     direct::{
         catalog::TargetStage,
         config::{AnswerShape, RepeatRule, RouteRule},
-        planner::PromptMove,
+        planner::CacheTransfer,
         quotas::BucketCounts,
         versions::{MemoryVersions, SightAge, VersionMatch},
     },
@@ -327,14 +327,14 @@
     }
 
     /// An engine could take parts of a prompt from another one, and is told to or not.
-    pub fn tell_move(&self, moved: &PromptMove) {
+    pub fn tell_move(&self, moved: &CacheTransfer) {
         let now = clock::now();
-        let versions = match moved.versions() {
+        let versions = match moved.version_match() {
             VersionMatch::Same => "same",
             VersionMatch::Unlike => "unlike",
             VersionMatch::Unknown => "unknown",
         };
-        let told = moved.is_told;
+        let told = moved.is_permitted;
         let labels = MoveLabels { versions, told };
         self.moves.get_or_create(&labels).inc();
         let known = |versions: &MemoryVersions| {
@@ -352,7 +352,7 @@
             known(&moved.source_versions),
             moved.target,
             known(&moved.target_versions),
-            moved.named
+            moved.named_version
         );
     }
 
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/ledger.rs
@@ -6,7 +6,7 @@
         health::CallOutcome,
         limits::NamedLimit,
         millis,
-        plain::{PlainAsk, PlainPlanner},
+        plain::{PlainPlanner, PlainRequest},
         planner::{CallKey, PlacementAnswer, RefusalCause},
         quotas::{BucketCounts, BucketStart, QuotaCharge, QuotaLedger, StandingTimes},
         suspects::{RequestFingerprint, Suspicion},
@@ -122,7 +122,7 @@
         &mut self,
         fleet: &FleetState,
         key: CallKey,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         now: Instant,
     ) -> PlacementAnswer {
         let suspicion = fleet.books().suspects.suspicion(ask.fingerprint, now);
@@ -148,8 +148,8 @@
 
     /// Ends a call of a plain service; says whether it was one.
     pub fn end_plain(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) -> bool {
-        let is_plain = self.plain.knows(key);
-        self.plain.ended(key, outcome, now);
+        let is_plain = self.plain.has_call(key);
+        self.plain.call_ended(key, outcome, now);
         is_plain
     }
 
@@ -173,7 +173,7 @@
 
     /// An answer told of a target's limit.
     pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.plain.note_limit(named, now);
+        self.plain.record_limit(named, now);
     }
 
     /// All calls and trials of a gateway that can't be reached.
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -6,8 +6,8 @@
         freshness::{BeatEcho, PassedProof},
         health::CallOutcome,
         limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{PlacementAnswer, PlacementAsk},
+        plain::PlainRequest,
+        planner::{PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
         suspects::{EndedUnder, RequestFingerprint},
         trials::TrialAnswer,
@@ -155,9 +155,9 @@
         proof: Option<PassedProof>,
     },
     /// Place a call.
-    Place(u64, Box<PlacementAsk>),
+    Place(u64, Box<PlacementRequest>),
     /// Place a call of a plain service.
-    PlacePlain(u64, Box<PlainAsk>),
+    PlacePlain(u64, Box<PlainRequest>),
     /// Where a call goes.
     Placed(u64, PlacementAnswer),
     /// The receiver does not hold the zone.
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -178,30 +178,30 @@
         section.span(name, known, 0, 600_000)
     };
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
-    let [urgent, normal, batch] = known.bearable_parts;
+    let [urgent, normal, batch] = known.max_wait_factors;
     PlacementPolicy {
-        swift_part: part("swift_part", known.swift_part),
-        bearable_parts: [
+        home_wait_fraction: part("swift_part", known.home_wait_fraction),
+        max_wait_factors: [
             part("bearable_urgent", urgent),
             part("bearable_normal", normal),
             part("bearable_batch", batch),
         ],
-        popular_per_s: part("popular_per_s", known.popular_per_s),
-        away_price: span("away_price_ms", known.away_price),
-        load_price: span("load_price_ms", known.load_price),
-        reload_price: span("reload_price_ms", known.reload_price),
-        fetch_time: span("fetch_time_ms", known.fetch_time),
-        fetch_gain: span("fetch_gain_ms", known.fetch_gain),
-        lately_kept: count("lately_kept", known.lately_kept),
-        crowded_places: part("crowded_places", known.crowded_places),
+        popular_rate_per_s: part("popular_per_s", known.popular_rate_per_s),
+        remote_zone_penalty: span("away_price_ms", known.remote_zone_penalty),
+        load_penalty: span("load_price_ms", known.load_penalty),
+        reload_penalty: span("reload_price_ms", known.reload_penalty),
+        cache_fetch_time: span("fetch_time_ms", known.cache_fetch_time),
+        min_fetch_saving: span("fetch_gain_ms", known.min_fetch_saving),
+        max_recent_adapters: count("lately_kept", known.max_recent_adapters),
+        crowded_slot_fraction: part("crowded_places", known.crowded_slot_fraction),
         crowded_backlog: span("crowded_backlog_ms", known.crowded_backlog),
-        crowding_part: part("crowding_part", known.crowding_part),
-        sought_part: part("sought_part", known.sought_part),
-        spare_part: part("spare_part", known.spare_part),
-        busy_part: part("busy_part", known.busy_part),
-        doubt_price: span("doubt_price_ms", known.doubt_price),
-        failing_price: span("failing_price_ms", known.failing_price),
-        shed_price: span("shed_price_ms", known.shed_price),
+        crowding_call_fraction: part("crowding_part", known.crowding_call_fraction),
+        hot_adapter_fraction: part("sought_part", known.hot_adapter_fraction),
+        speculative_load_fraction: part("spare_part", known.speculative_load_fraction),
+        busy_fraction: part("busy_part", known.busy_fraction),
+        doubt_penalty: span("doubt_price_ms", known.doubt_penalty),
+        failure_penalty: span("failing_price_ms", known.failure_penalty),
+        shed_penalty: span("shed_price_ms", known.shed_penalty),
     }
 }
 
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -24,9 +24,9 @@
         limits::NamedLimit,
         loading::LoadSummary,
         millis,
-        plain::PlainAsk,
+        plain::PlainRequest,
         planner::{
-            CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction, ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner,
         },
         quotas::QuotaCharge,
         suspects::{EndedUnder, RequestFingerprint},
@@ -74,9 +74,9 @@
 #[derive(Debug)]
 pub enum ZoneEvent {
     /// Place a call.
-    Place(CallKey, Box<PlacementAsk>, ReplyTo),
+    Place(CallKey, Box<PlacementRequest>, ReplyTo),
     /// Place a call of a plain service.
-    PlacePlain(CallKey, Box<PlainAsk>, ReplyTo),
+    PlacePlain(CallKey, Box<PlainRequest>, ReplyTo),
     /// Pay a charge.
     Pay(CallKey, QuotaCharge, ReplyTo),
     /// A call that was paid for did not run.
@@ -128,7 +128,7 @@
 impl HeldZone {
     /// Says what has been learned of the weight store, if that has changed.
     fn tell_loads(&mut self) {
-        let summary = self.planner.loads().summary();
+        let summary = self.planner.load_limiter().summary();
         if summary.differs_from(&self.told_loads) {
             self.told_loads = summary;
             event!(
@@ -215,7 +215,7 @@
                         if confirmed != Some(held.token) {
                             held.planner.hold_orders(clock::now().after(2 * TICK));
                         }
-                        held.planner.lead_until(led_until);
+                        held.planner.set_lead_until(led_until);
                         held.planner.tick(clock::now());
                         held.tell_loads();
                     }
@@ -268,7 +268,7 @@
                 held.planner.place(key, *ask, now);
             }
             ZoneEvent::Begun(key, target, version) => {
-                held.planner.begun(&key, &target, version, now);
+                held.planner.call_started(&key, &target, version, now);
             }
             ZoneEvent::Ended(vm, ending) => {
                 let key = CallKey {
@@ -276,13 +276,14 @@
                     number: ending.number,
                 };
                 // What an earlier life did says nothing about this one.
-                let is_known = held.planner.knows_life(&ending.target, ending.life);
+                let is_known = held.planner.is_current_life(&ending.target, ending.life);
                 let health = ending.outcome.and_then(CallEnd::health);
                 let health = health.filter(|_| is_known);
                 if ending.outcome == Some(CallEnd::Absent) {
-                    held.planner.doubt_copy(&key, &ending.target, now);
+                    held.planner.report_missing_copy(&key, &ending.target, now);
                 }
-                held.planner.ended(&key, Some(&ending.target), health, now);
+                held.planner
+                    .call_ended(&key, Some(&ending.target), health, now);
             }
             ZoneEvent::Withdrawn(key) => {
                 let pending = self.pending.remove(&key);
@@ -291,11 +292,11 @@
                 {
                     ledger.give_back(&charge, now);
                 }
-                held.planner.ended(&key, None, None, now);
+                held.planner.call_ended(&key, None, None, now);
             }
             ZoneEvent::Open(key, target, life, subject) => {
-                if held.planner.knows_life(&target, life) {
-                    held.planner.adopt(key, &target, &subject);
+                if held.planner.is_current_life(&target, life) {
+                    held.planner.adopt_call(key, &target, &subject);
                 }
             }
             ZoneEvent::GatewayGone(vm) => {
@@ -303,7 +304,7 @@
                 held.planner.forget_gateway(&vm, now);
             }
             ZoneEvent::OrderEnded(target, life, outcome) => {
-                if !held.planner.knows_life(&target, life) {
+                if !held.planner.is_current_life(&target, life) {
                     event!(Event::OrderOutlived, "{target}: {outcome:?}");
                 } else if outcome == OrderOutcome::Fenced {
                     event!(Event::LeaseFenced, "{target} has orders of a newer holder");
@@ -314,7 +315,7 @@
                 }
             }
             ZoneEvent::Reported(target, report) => {
-                held.planner.report_came(&target, report.as_ref(), now);
+                held.planner.report_received(&target, report.as_ref(), now);
             }
             ZoneEvent::Release(done) => {
                 self.is_released = true;
@@ -373,7 +374,7 @@
                 if is_good {
                     self.fleet.pardon(fingerprint);
                     if let Some(held) = &mut self.held {
-                        held.planner.pardon(fingerprint);
+                        held.planner.clear_suspicion(fingerprint);
                     }
                 }
                 None
@@ -382,7 +383,7 @@
                 self.fleet.books().limits.note(&named, now);
                 ledger.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
-                    held.planner.note_limit(&named, now);
+                    held.planner.record_limit(&named, now);
                 }
                 None
             }
@@ -443,7 +444,7 @@
         let Some(held) = &self.held else {
             return;
         };
-        if !held.is_yielding || held.planner.awaits_orders() {
+        if !held.is_yielding || held.planner.has_pending_orders() {
             return;
         }
         let token = held.token;
@@ -589,20 +590,21 @@
             let orders_from = now.after(quiet.max(2 * TICK * u32::from(!is_confirmed)));
             let mut held = hold(token, &service, &limits, zones, orders_from);
             if had_holder {
-                held.planner.succeed(now.after(quiet));
+                held.planner.mark_takeover(now.after(quiet));
             }
             held
         });
         held.service.clone_from(&service);
         held.planner.set_limits(limits);
         held.planner.set_policy(policy);
-        held.planner.set_fenced(self.settings.are_orders_fenced);
-        held.planner.lead_until(led_until);
+        held.planner
+            .set_order_fencing(self.settings.are_orders_fenced);
+        held.planner.set_lead_until(led_until);
         held.planner
             .set_targets(self.fleet.zone_targets(&service, &self.fleet.zone), now);
         if is_new {
             for named in &named_limits {
-                held.planner.note_limit(named, now);
+                held.planner.record_limit(named, now);
             }
         }
         for (subject, version) in versions {
@@ -634,8 +636,9 @@
                     let outcome = OrderOutcome::Refused;
                     held.planner.order_ended(&entry.name, outcome, clock::now());
                 }
-                PlannerAction::Report(entry) if self.fleet.is_resting(&entry.run()) => {
-                    held.planner.report_came(&entry.name, None, clock::now());
+                PlannerAction::FetchReport(entry) if self.fleet.is_resting(&entry.run()) => {
+                    held.planner
+                        .report_received(&entry.name, None, clock::now());
                 }
                 PlannerAction::Order(entry, order) => {
                     let vm = self.fleet.vm.clone();
@@ -655,8 +658,8 @@
                             .await;
                     });
                 }
-                PlannerAction::Moved(moved) => self.fleet.figures.tell_move(&moved),
-                PlannerAction::Report(entry) => {
+                PlannerAction::RecordTransfer(moved) => self.fleet.figures.tell_move(&moved),
+                PlannerAction::FetchReport(entry) => {
                     let fleet = Arc::clone(&self.fleet);
                     let pool = Arc::clone(&self.pool);
                     let events = self.events.clone();
@@ -683,7 +686,7 @@
         token,
         service: service.clone(),
         planner: ZonePlanner::new(
-            EngineFigures::shared_by(zones, limits.loads_per_s),
+            EngineEstimates::per_zone(zones, limits.loads_per_s),
             limits.clone(),
             orders_from,
         ),
--- a/crates/daemon/tests/direct/reloads.rs
+++ b/crates/daemon/tests/direct/reloads.rs
@@ -36,7 +36,7 @@
     let mut settings = settings("vm-1", log);
     settings.retries.slack = f64::from(round % 3) * 40.0;
     settings.retries.ratio = 0.1 * f64::from(round % 4);
-    settings.policy.away_price = Duration::from_millis(u64::from(round % 5) * 20);
+    settings.policy.remote_zone_penalty = Duration::from_millis(u64::from(round % 5) * 20);
     settings
 }
 
