--- a/crates/core/src/direct/rests.rs
+++ b/crates/core/src/direct/backoffs.rs
@@ -20,13 +20,13 @@
 
 /// The rests of targets, each in one of its lives.
 #[derive(Clone, Debug, Default)]
-pub struct RestTable {
+pub struct BackoffTable {
     rows: HashMap<TargetRun, RestRow>,
 }
 
-impl RestTable {
+impl BackoffTable {
     /// A target asked for rest; gives how much of it is kept.
-    pub fn note(&mut self, run: &TargetRun, rest: Duration, now: Instant) -> Duration {
+    pub fn record(&mut self, run: &TargetRun, rest: Duration, now: Instant) -> Duration {
         let kept = rest.min(LONGEST_REST);
         let until = now.after(kept);
         let row = self.rows.entry(run.clone()).or_insert(RestRow {
@@ -39,7 +39,7 @@
     }
 
     /// A target answered a call without asking for rest. Before the rest is over that is the answer to an earlier call.
-    pub fn answered(&mut self, run: &TargetRun) {
+    pub fn record_answer(&mut self, run: &TargetRun) {
         if self.rows.get(run).is_some_and(|row| row.is_half_open) {
             self.rows.remove(run);
         }
@@ -59,14 +59,14 @@
     }
 
     /// Targets that want nothing now.
-    pub fn resting(&self, now: Instant) -> impl Iterator<Item = &TargetRun> {
+    pub fn active(&self, now: Instant) -> impl Iterator<Item = &TargetRun> {
         let rows = self.rows.iter();
         rows.filter(move |(_, row)| now < row.until)
             .map(|(run, _)| run)
     }
 
     /// Whether a call may be sent now; after a rest the next ones then wait for a moment.
-    pub fn admit(&mut self, run: &TargetRun, now: Instant) -> bool {
+    pub fn try_admit(&mut self, run: &TargetRun, now: Instant) -> bool {
         let Some(row) = self.rows.get_mut(run) else {
             return true;
         };
--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -23,7 +23,7 @@
 };
 
 /// Time after the log's return within which lapsed entries come back; the users name two seconds.
-pub const LAPSE_RETURN: Duration = Duration::from_millis(2_200);
+pub const RELIST_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Whether a target takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     /// Time left until it is gone, where it was told so at short notice.
     pub remaining: Option<Duration>,
     /// Time for which it is still slow from its start.
-    pub cold: Duration,
+    pub warmup_remaining: Duration,
     /// The count in its entry. An engine's report counts orders under the same name; on the users' platform the entry's moves with each
     /// write, so it says nothing of orders.
     pub orders_taken: u64,
@@ -85,7 +85,7 @@
 
     /// Whether calls go to the same place by both entries; what an engine holds is its holder's concern.
     #[must_use]
-    pub fn leads_alike(&self, other: &Self) -> bool {
+    pub fn routes_like(&self, other: &Self) -> bool {
         self.service == other.service
             && self.life == other.life
             && self.address == other.address
@@ -152,25 +152,25 @@
 }
 
 /// A removal that counts, and the position of its record.
-pub type CountedRemoval = (TargetName, LogPosition);
+pub type ConfirmedRemoval = (TargetName, LogPosition);
 
 impl TargetCatalog {
     /// The log came back from its last outage then; none if there was no outage. Doubts end sooner if that is earlier
     /// than was thought, and never later: a log that goes and comes again would keep a target that is gone for good.
-    pub fn log_returned(&mut self, returned: Option<Instant>) {
+    pub fn note_log_recovered(&mut self, returned: Option<Instant>) {
         if self.returned == returned {
             return;
         }
         self.returned = returned;
         let ends = returned.max(self.restored);
-        let ends = ends.map_or(Instant(0), |at| at.after(LAPSE_RETURN));
+        let ends = ends.map_or(Instant(0), |at| at.after(RELIST_GRACE));
         for row in self.rows.values_mut() {
             row.lapses_at = row.lapses_at.map(|at| at.min(ends));
         }
     }
 
     /// The log has come back from a copy, which may say that a target is ready though it leaves since; gives those that leave.
-    pub fn log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
+    pub fn note_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
         self.restored = Some(now);
         let mut runs = Vec::new();
         for row in self.rows.values_mut() {
@@ -220,7 +220,7 @@
                     || row
                         .entry
                         .as_ref()
-                        .is_none_or(|known| !known.leads_alike(&entry));
+                        .is_none_or(|known| !known.routes_like(&entry));
                 row.set_entry(entry);
                 is_news
             }
@@ -254,12 +254,12 @@
 
     /// Until when a removal that is read now is in doubt.
     fn doubt_ends(&self, now: Instant) -> Option<Instant> {
-        let ends = self.returned.max(self.restored)?.after(LAPSE_RETURN);
+        let ends = self.returned.max(self.restored)?.after(RELIST_GRACE);
         (now < ends).then_some(ends)
     }
 
     /// Folds a removal that is beyond doubt; says whether it changes where calls may go.
-    pub fn settle(&mut self, name: &TargetName, position: LogPosition) -> bool {
+    pub fn confirm_removal(&mut self, name: &TargetName, position: LogPosition) -> bool {
         let row = self
             .rows
             .entry(name.clone())
@@ -273,12 +273,12 @@
 
     /// Removes what a whole listing taken at `end` lacks, unless it is known by a later record; gives the removals that
     /// count at once.
-    pub fn remove_unlisted(
+    pub fn remove_missing(
         &mut self,
         listed: &HashSet<&str>,
         end: LogPosition,
         now: Instant,
-    ) -> Vec<CountedRemoval> {
+    ) -> Vec<ConfirmedRemoval> {
         let doubt_ends = self.doubt_ends(now);
         // A record at `end` itself comes after the listing.
         let last = LogPosition(end.0.saturating_sub(1));
@@ -296,7 +296,7 @@
     }
 
     /// Removes what was in doubt and did not come back; gives the removals.
-    pub fn expire(&mut self, now: Instant) -> Vec<CountedRemoval> {
+    pub fn expire_removals(&mut self, now: Instant) -> Vec<ConfirmedRemoval> {
         let mut counted = Vec::new();
         for (name, row) in &mut self.rows {
             if row.lapses_at.is_some_and(|at| now >= at) {
@@ -310,7 +310,7 @@
 
     /// Lowest position of a removal in doubt.
     #[must_use]
-    pub fn first_doubted(&self) -> Option<LogPosition> {
+    pub fn first_unconfirmed(&self) -> Option<LogPosition> {
         let rows = self.rows.values();
         rows.filter(|row| row.lapses_at.is_some())
             .map(|row| row.position)
@@ -319,7 +319,7 @@
 
     /// Whether the removal of a target's entry is in doubt.
     #[must_use]
-    pub fn is_doubted(&self, name: &TargetName) -> bool {
+    pub fn is_removal_pending(&self, name: &TargetName) -> bool {
         self.rows
             .get(name)
             .is_some_and(|row| row.lapses_at.is_some())
@@ -327,7 +327,7 @@
 
     /// Targets whose removal is in doubt.
     #[must_use]
-    pub fn doubted(&self) -> usize {
+    pub fn pending_removals(&self) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| row.lapses_at.is_some()).count()
     }
--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -8,7 +8,7 @@
 
 /// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatRule {
+pub enum RetryPolicy {
     /// It may run again after any failure.
     Idempotent,
     /// It runs at most once.
@@ -17,11 +17,11 @@
 
 /// The shape of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerShape {
+pub enum ResponseShape {
     /// One body, taken whole before it is passed on.
-    Whole,
+    Buffered,
     /// A series of events, passed on as they come.
-    Events {
+    EventStream {
         /// Whether a broken stream may go on at another target.
         resumable: bool,
     },
@@ -37,9 +37,9 @@
     /// Start of the paths that it serves, with a slash at both ends.
     pub path_prefix: String,
     /// Whether its calls may be repeated.
-    pub repeat: RepeatRule,
+    pub retry_policy: RetryPolicy,
     /// The shape of its answers.
-    pub shape: AnswerShape,
+    pub response_shape: ResponseShape,
     /// Longest time that a call may be held.
     pub timeout: Duration,
     /// Time within which an answer is worth its full value.
@@ -51,7 +51,7 @@
     /// Most targets that one call may be sent to.
     pub max_attempts: u32,
     /// Whether its calls need no key.
-    pub is_open: bool,
+    pub allows_anonymous: bool,
 }
 
 impl RouteRule {
@@ -108,7 +108,7 @@
     /// Idle connections that one VM of so many may keep to a target. A target resets connections beyond what it accepts, and a call
     /// that went out over one of them may have run as far as its VM can tell. 100 VMs that keep one each leave none.
     #[must_use]
-    pub fn idle_share(&self, vms: usize) -> usize {
+    pub fn max_idle_connections(&self, vms: usize) -> usize {
         self.max_connections as usize / 4 * IDLE_QUARTERS / vms.max(1)
     }
 }
@@ -117,9 +117,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Bytes of a request's head.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time to send a head.
     pub header_timeout: Duration,
     /// Time that a connection may rest.
@@ -130,8 +130,8 @@
     /// What holds until the first configuration is known.
     fn default() -> Self {
         Self {
-            header_bytes: 16 * 1024,
-            body_bytes: 4 << 20,
+            max_header_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
             header_timeout: Duration::from_secs(3),
             idle_timeout: Duration::from_secs(15),
         }
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -3,10 +3,10 @@
 use crate::{
     direct::{
         engine::ADOPTED_WITHIN,
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{CallKey, PlacementAsk},
         suspects::RequestFingerprint,
-        versions::VersionSight,
+        versions::ObservedVersion,
     },
     ids::{AdapterName, Instant},
 };
@@ -43,7 +43,7 @@
     /// Its state.
     pub state: ResidentState,
     /// Its version, if anything told it.
-    pub sight: Option<VersionSight>,
+    pub sight: Option<ObservedVersion>,
     /// Which copy this is: another one after each load, so that no memory outlives what made it.
     pub generation: u64,
     /// Calls sent to it that have not ended.
@@ -67,7 +67,7 @@
 impl ResidentCopy {
     pub(super) fn new(
         state: ResidentState,
-        sight: Option<VersionSight>,
+        sight: Option<ObservedVersion>,
         generation: u64,
         now: Instant,
     ) -> Self {
@@ -121,7 +121,7 @@
     /// Its name.
     pub name: AdapterName,
     /// Its version, if anything told it.
-    pub sight: Option<VersionSight>,
+    pub sight: Option<ObservedVersion>,
     /// Which loading of it this is, as for a copy.
     pub generation: u64,
 }
--- a/crates/core/src/direct/engine/lending.rs
+++ b/crates/core/src/direct/engine/lending.rs
@@ -9,7 +9,7 @@
     direct::{
         engine::{EngineOrder, EngineState, HeldModel, ResidentState, SentCall, shared_parts},
         planner::{CallKey, PlacementAsk, split_subject},
-        versions::{MemoryMark, MemoryVersions, VersionMatch, VersionSight, VersionTeller},
+        versions::{CacheTag, CacheVersions, ObservedVersion, VersionMatch, VersionSource},
     },
     ids::{AdapterName, Instant},
 };
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendableMemory {
     /// What made it.
-    pub mark: MemoryMark,
+    pub mark: CacheTag,
     /// Its tokens.
     pub tokens: u32,
 }
@@ -33,8 +33,8 @@
 
     /// Versions of what makes its memory of a prompt, as far as is known.
     #[must_use]
-    pub fn memory_versions(&self, subject: &AdapterName) -> MemoryVersions {
-        MemoryVersions {
+    pub fn memory_versions(&self, subject: &AdapterName) -> CacheVersions {
+        CacheVersions {
             base: self.base(subject).and_then(|held| held.sight),
             adapter: self.copies.get(subject).and_then(|copy| copy.sight),
         }
@@ -51,7 +51,7 @@
     /// The version of the base model by the engine's own word; its entry in the list may be from before it started again.
     fn own_base(&self, subject: &AdapterName) -> Option<u64> {
         let sight = self.base(subject)?.sight?;
-        (sight.teller != VersionTeller::List).then_some(sight.version)
+        (sight.source != VersionSource::List).then_some(sight.version)
     }
 
     /// The version that a call has to ask for so that it runs under no other than the one that is known here. A copy that is
@@ -77,7 +77,7 @@
     pub(super) fn take_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
-            let sight = VersionSight::told(*version, VersionTeller::Report, now);
+            let sight = ObservedVersion::observe(*version, VersionSource::Report, now);
             match old.iter().find(|held| held.name == *name) {
                 Some(known) => self.models.push(known.clone()),
                 None => {
@@ -94,9 +94,9 @@
     }
 
     /// Takes over what told the version of a base model.
-    fn see_base(&mut self, model: &str, sight: Option<VersionSight>) {
+    fn see_base(&mut self, model: &str, sight: Option<ObservedVersion>) {
         let known = self.held(model).and_then(|held| held.sight);
-        if VersionMatch::of(known, sight) == VersionMatch::Unlike {
+        if VersionMatch::of(known, sight) == VersionMatch::Different {
             self.outdate_memory(model);
         }
         let mut models = self.models.iter_mut();
@@ -158,7 +158,7 @@
                 && copy.sight.is_none()
                 && copy.state == ResidentState::Here
             {
-                copy.sight = VersionSight::told(resident.version, VersionTeller::List, now);
+                copy.sight = ObservedVersion::observe(resident.version, VersionSource::List, now);
             }
         }
     }
@@ -176,9 +176,9 @@
     pub(super) fn doubt_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
-            let listed = VersionSight::told(*version, VersionTeller::List, now);
+            let listed = ObservedVersion::observe(*version, VersionSource::List, now);
             let known = self.held(model).and_then(|held| held.sight);
-            if VersionMatch::of(known, listed) == VersionMatch::Unlike {
+            if VersionMatch::of(known, listed) == VersionMatch::Different {
                 self.outdate_memory(model);
                 self.report_at = Some(now);
             }
@@ -199,7 +199,7 @@
         if self.generation(&subject) != Some(generation) {
             return;
         }
-        let sight = VersionSight::told(version, VersionTeller::Answer, now);
+        let sight = ObservedVersion::observe(version, VersionSource::Answer, now);
         self.see_base(split_subject(&subject).0, sight);
         self.read_parts.note(&subject, generation, &shared);
     }
@@ -248,14 +248,14 @@
             }
             None => None,
         };
-        let mark = MemoryMark { base, adapter };
+        let mark = CacheTag { base, adapter };
         Some(LendableMemory { mark, tokens })
     }
 
     /// Whether a call may use memory with this mark here. Where nobody knows the version of the adapter here, the call has to
     /// name the one that it expects: the engine turns it away if it has another, and then its report comes first.
     #[must_use]
-    pub fn may_use(&self, mark: MemoryMark, subject: &AdapterName, named: Option<u64>) -> bool {
+    pub fn may_use(&self, mark: CacheTag, subject: &AdapterName, named: Option<u64>) -> bool {
         let own = self.copies.get(subject).and_then(|copy| copy.sight);
         let is_fit = match (mark.adapter, named.or(own.map(|sight| sight.version))) {
             (None, _) => true,
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -20,10 +20,10 @@
     direct::{
         catalog::TargetEntry,
         engine::parts::PartMemory,
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{CallKey, split_subject},
-        reading::PromptQueue,
-        versions::{VersionMatch, VersionSight, VersionTeller},
+        prefill::PrefillQueue,
+        versions::{ObservedVersion, VersionMatch, VersionSource},
     },
     ids::{AdapterName, Instant, TargetLife},
 };
@@ -78,7 +78,7 @@
     /// Whether its report is being read.
     pub is_reporting: bool,
     /// The prompts that it has to read.
-    pub prompts: PromptQueue,
+    pub prompts: PrefillQueue,
     /// Adapters that it had, with the version that was named then.
     lately: VecDeque<(AdapterName, Option<u64>)>,
     /// Parts of the prompts that were sent, by generation.
@@ -122,7 +122,7 @@
             ordered_at: Instant::default(),
             report_at: Some(now),
             is_reporting: false,
-            prompts: PromptQueue::default(),
+            prompts: PrefillQueue::default(),
             lately: VecDeque::new(),
             sent_parts: PartMemory::default(),
             read_parts: PartMemory::default(),
@@ -139,12 +139,12 @@
             .iter()
             .map(|(model, version)| HeldModel {
                 name: AdapterName::new(model),
-                sight: VersionSight::told(*version, VersionTeller::List, now),
+                sight: ObservedVersion::observe(*version, VersionSource::List, now),
                 generation: 0,
             })
             .collect();
         for resident in &entry.adapters {
-            let sight = VersionSight::told(resident.version, VersionTeller::List, now);
+            let sight = ObservedVersion::observe(resident.version, VersionSource::List, now);
             let generation = engine.next_generation();
             let mut copy = ResidentCopy::new(ResidentState::Here, sight, generation, now);
             copy.hold_for_unknown(now);
@@ -281,7 +281,7 @@
         version: u64,
         now: Instant,
     ) -> ResidentCopy {
-        let sight = VersionSight::told(version, VersionTeller::Report, now);
+        let sight = ObservedVersion::observe(version, VersionSource::Report, now);
         // One that is being replaced is listed twice: as it is, and as it comes.
         let known = old.remove(adapter).or_else(|| self.copies.remove(adapter));
         let Some(known) = known else {
@@ -293,8 +293,8 @@
         // The list may have told it as it was before.
         let known_sight = known
             .sight
-            .filter(|known| known.teller != VersionTeller::List);
-        let is_other = VersionMatch::of(known.sight, sight) == VersionMatch::Unlike
+            .filter(|known| known.source != VersionSource::List);
+        let is_other = VersionMatch::of(known.sight, sight) == VersionMatch::Different
             || (known.sight != known_sight && sight.is_none());
         let generation = if is_other {
             self.next_generation()
@@ -385,7 +385,7 @@
 
     /// Counts a call no more.
     pub fn remove_call(&mut self, key: &CallKey) -> Option<SentCall> {
-        self.prompts.forget(key);
+        self.prompts.remove(key);
         let call = self.calls.remove(key)?;
         self.tokens_sent -= call.tokens;
         Some(call)
--- a/crates/core/src/direct/freshness.rs
+++ b/crates/core/src/direct/freshness.rs
@@ -20,7 +20,7 @@
 
 /// A VM's proof as it passes it on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedProof {
+pub struct RelayedProof {
     /// Version of the newest configuration as of the proof.
     pub version: u64,
     /// Age of the proof, in milliseconds.
@@ -29,7 +29,7 @@
 
 /// What a sign of life answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatEcho {
+pub struct HeartbeatEcho {
     /// When the receiver sent its last sign of life that came, by the receiver's own clock, in microseconds.
     pub sent: u64,
     /// Time from its arrival until this answer, in milliseconds.
@@ -46,26 +46,26 @@
 
 /// The newest proof.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ConfigProof {
+pub struct FreshnessProof {
     known_at: Option<Instant>,
 }
 
-impl ConfigProof {
+impl FreshnessProof {
     /// A read of the operators' records that was sent then brought all that there is.
-    pub fn note_read(&mut self, sent: Instant) {
+    pub fn record_read(&mut self, sent: Instant) {
         self.known_at = self.known_at.max(Some(sent));
     }
 
     /// Takes over another VM's proof, if the configuration in force here, which has the version `known`, is the one that it is
     /// about or a later one.
-    pub fn take_passed(&mut self, passed: &PassedProof, echo: &BeatEcho, known: u64) {
+    pub fn accept_relayed(&mut self, passed: &RelayedProof, echo: &HeartbeatEcho, known: u64) {
         if known < passed.version {
             return;
         }
         let answered = echo.sent + u64::from(echo.held_ms) * 1_000;
         let proven = answered.checked_sub(u64::from(passed.age_ms) * 1_000);
         if let Some(proven) = proven {
-            self.note_read(Instant(proven));
+            self.record_read(Instant(proven));
         }
     }
 
@@ -77,9 +77,9 @@
 
     /// The proof for others; an age is rounded up, so that none gets younger on its way.
     #[must_use]
-    pub fn pass_on(&self, version: u64, now: Instant) -> Option<PassedProof> {
+    pub fn relay(&self, version: u64, now: Instant) -> Option<RelayedProof> {
         let age = self.age(now)?.as_micros().div_ceil(1_000);
-        Some(PassedProof {
+        Some(RelayedProof {
             version,
             age_ms: u32::try_from(age).ok()?,
         })
@@ -87,7 +87,7 @@
 
     /// Whether a call with a key that is known may be sent now.
     #[must_use]
-    pub fn holds(&self, rule: RevocationRule, now: Instant) -> bool {
+    pub fn is_fresh(&self, rule: RevocationRule, now: Instant) -> bool {
         self.age(now)
             .is_some_and(|age| age + ON_ITS_WAY < rule.bound)
     }
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -22,13 +22,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// It was answered well.
-    Good,
+    Success,
     /// The target stated a failure, or broke the answer off.
     Failed,
     /// No connection could be made.
-    Unreached,
+    ConnectFailed,
     /// The target turned it away as full, and asked for rest for so long.
-    Shed(Duration),
+    Overloaded(Duration),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -51,9 +51,9 @@
 
 impl HealthTable {
     /// Notes an outcome.
-    pub fn note(&mut self, target: &TargetName, outcome: CallOutcome, now: Instant) {
+    pub fn record(&mut self, target: &TargetName, outcome: CallOutcome, now: Instant) {
         if !self.records.contains_key(target) {
-            if outcome == CallOutcome::Good {
+            if outcome == CallOutcome::Success {
                 return;
             }
             self.records.insert(target.clone(), TargetRecord::default());
@@ -62,7 +62,7 @@
             return;
         };
         match outcome {
-            CallOutcome::Good => {
+            CallOutcome::Success => {
                 record.failing *= 1.0 - NEWEST_WEIGHT;
                 record.unreached = 0;
                 record.retry_at = None;
@@ -71,13 +71,13 @@
                 record.failing += (1.0 - record.failing) * NEWEST_WEIGHT;
                 record.unreached = 0;
             }
-            CallOutcome::Unreached => {
+            CallOutcome::ConnectFailed => {
                 record.unreached += 1;
                 let doublings = (record.unreached - 1).min(3);
                 let pause = (UNREACHED_PAUSE * (1 << doublings)).min(UNREACHED_LONGEST);
                 record.retry_at = Some(now.after(pause));
             }
-            CallOutcome::Shed(rest) => {
+            CallOutcome::Overloaded(rest) => {
                 let until = now.after(rest.clamp(SHED_PAUSE, SHED_LONGEST));
                 record.shed_until = record.shed_until.max(Some(until));
             }
@@ -86,7 +86,7 @@
 
     /// Running share of failures of a target.
     #[must_use]
-    pub fn failing(&self, target: &TargetName) -> f64 {
+    pub fn failure_rate(&self, target: &TargetName) -> f64 {
         self.records
             .get(target)
             .map_or(0.0, |record| record.failing)
@@ -94,13 +94,13 @@
 
     /// Whether a target is doubted, and should only get a trickle.
     #[must_use]
-    pub fn is_doubted(&self, target: &TargetName) -> bool {
-        self.failing(target) >= DOUBT_FROM
+    pub fn is_degraded(&self, target: &TargetName) -> bool {
+        self.failure_rate(target) >= DOUBT_FROM
     }
 
     /// Whether a target should not be tried now.
     #[must_use]
-    pub fn is_out(&self, target: &TargetName, now: Instant) -> bool {
+    pub fn is_unreachable(&self, target: &TargetName, now: Instant) -> bool {
         self.records.get(target).is_some_and(|record| {
             record.unreached >= UNREACHED_FROM && record.retry_at.is_some_and(|at| now < at)
         })
@@ -108,8 +108,8 @@
 
     /// Whether a target was out of reach more than once, the last time a moment ago: no call should wait for it.
     #[must_use]
-    pub fn is_lost(&self, target: &TargetName, now: Instant) -> bool {
-        self.is_out(target, now)
+    pub fn is_down(&self, target: &TargetName, now: Instant) -> bool {
+        self.is_unreachable(target, now)
             && self
                 .records
                 .get(target)
@@ -118,7 +118,7 @@
 
     /// Whether a target turned calls away a moment ago.
     #[must_use]
-    pub fn is_shedding(&self, target: &TargetName, now: Instant) -> bool {
+    pub fn is_overloaded(&self, target: &TargetName, now: Instant) -> bool {
         self.records
             .get(target)
             .is_some_and(|record| record.shed_until.is_some_and(|until| now < until))
--- a/crates/core/src/direct/lease.rs
+++ b/crates/core/src/direct/lease.rs
@@ -52,27 +52,27 @@
 
 /// What to do about a zone's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseStep {
+pub enum LeaseAction {
     /// Nothing for now.
-    Stay,
+    Wait,
     /// Ask the holder for it, as it is weaker than this VM.
-    AskFor,
+    RequestTransfer,
     /// Claim it; orders may begin this long after the claim was recorded.
     Claim {
         /// Pause before the first order.
-        quiet: Duration,
+        order_delay: Duration,
     },
 }
 
 /// Spans that decide when to claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeaseTimes {
+pub struct LeaseTimeouts {
     /// Silence after which a holder is replaced.
-    pub silence: Duration,
+    pub holder_timeout: Duration,
     /// Pause for each VM that comes earlier in the order of claimants.
     pub stagger: Duration,
     /// Time within which two holders may not take turns.
-    pub turn: Duration,
+    pub handover_delay: Duration,
 }
 
 /// What a VM sees of its zone's holder, and its own place in the order of claimants.
@@ -81,18 +81,18 @@
     /// How the contact with the holder stands.
     pub contact: HolderContact,
     /// Whether this VM is stronger than the holder.
-    pub is_weaker: bool,
+    pub is_holder_weaker: bool,
     /// VMs that claim before this one.
     pub rank: u32,
     /// How long ago the zone was claimed at the least, if the claimant was to wait before its first order.
-    pub waited: Option<Duration>,
+    pub waiting_claim_age: Option<Duration>,
     /// Whether the log has come back from a copy since the newest record: later ones may be lost, and their holders go on until
     /// they know.
-    pub is_outdated: bool,
+    pub is_log_restored: bool,
     /// Whether this process is the holder.
-    pub is_oneself: bool,
+    pub is_holder: bool,
     /// Whether this process gives the zone's orders, and no other VM can have done so meanwhile, though its claim may be lost.
-    pub was_led: bool,
+    pub is_sole_holder: bool,
 }
 
 /// One zone's lease, as this VM knows it.
@@ -105,9 +105,9 @@
     /// Whether the zone has had a holder before the newest record's.
     pub had_holder: bool,
     /// Token of the record before, if the newest one was appended by the same holder.
-    pub renewed: Option<FencingToken>,
+    pub renewed_token: Option<FencingToken>,
     /// Whether the newest record was read in a later era than it was claimed in: nobody begins to hold the zone by it.
-    pub is_copied: bool,
+    pub is_from_earlier_era: bool,
     /// When this VM first looked at the newest record.
     seen_at: Option<Instant>,
     /// Since when the zone has had no holder that can be reached.
@@ -126,8 +126,8 @@
         if self.lease.is_some() && position <= self.position {
             return false;
         }
-        self.is_copied = position != read_at;
-        self.renewed = self.is_renewed_by(lease.as_ref()).then(|| self.token());
+        self.is_from_earlier_era = position != read_at;
+        self.renewed_token = self.is_renewed_by(lease.as_ref()).then(|| self.token());
         self.had_holder |= self.lease.is_some();
         self.position = position;
         self.lease = lease;
@@ -156,20 +156,27 @@
     }
 
     /// Decides what this VM does about the lease.
-    pub fn step(&mut self, times: &LeaseTimes, view: HolderView, now: Instant) -> LeaseStep {
-        if view.is_outdated && view.is_oneself {
-            let quiet = if view.was_led {
+    pub fn next_action(
+        &mut self,
+        times: &LeaseTimeouts,
+        view: HolderView,
+        now: Instant,
+    ) -> LeaseAction {
+        if view.is_log_restored && view.is_holder {
+            let quiet = if view.is_sole_holder {
                 Duration::ZERO
             } else {
-                times.turn
+                times.handover_delay
             };
-            return LeaseStep::Claim { quiet };
+            return LeaseAction::Claim { order_delay: quiet };
         }
         let seen_at = *self.seen_at.get_or_insert(now);
-        let since_gone = match view.waited {
-            _ if view.is_outdated => times.turn,
+        let since_gone = match view.waiting_claim_age {
+            _ if view.is_log_restored => times.handover_delay,
             // The holder before the one that is gone may go on.
-            Some(waited) => times.turn.saturating_sub(waited.max(now.since(seen_at))),
+            Some(waited) => times
+                .handover_delay
+                .saturating_sub(waited.max(now.since(seen_at))),
             None => Duration::ZERO,
         };
         let (vacant_from, quiet) = match (self.holder(), view.contact) {
@@ -177,8 +184,8 @@
             (Some(_), HolderContact::Heard) => (None, Duration::ZERO),
             (Some(_), HolderContact::Ended) => (Some(now), since_gone),
             (Some(_), HolderContact::Silent(since)) => {
-                let silent = now.since(since) >= times.silence;
-                (silent.then_some(now), times.turn)
+                let silent = now.since(since) >= times.holder_timeout;
+                (silent.then_some(now), times.handover_delay)
             }
         };
         let Some(from) = vacant_from else {
@@ -188,23 +195,23 @@
         self.weaker_since = None;
         let since = *self.vacant_since.get_or_insert(from);
         if now.since(since) >= times.stagger * view.rank {
-            LeaseStep::Claim { quiet }
+            LeaseAction::Claim { order_delay: quiet }
         } else {
-            LeaseStep::Stay
+            LeaseAction::Wait
         }
     }
 
     /// Asks a weaker holder for the lease, once a turn: that long it has held it, and this VM has heard it.
-    fn ask_weaker(&mut self, times: &LeaseTimes, view: HolderView, now: Instant) -> LeaseStep {
-        if view.contact != HolderContact::Heard || !view.is_weaker {
+    fn ask_weaker(&mut self, times: &LeaseTimeouts, view: HolderView, now: Instant) -> LeaseAction {
+        if view.contact != HolderContact::Heard || !view.is_holder_weaker {
             self.weaker_since = None;
-            return LeaseStep::Stay;
+            return LeaseAction::Wait;
         }
         let since = *self.weaker_since.get_or_insert(now);
-        if now.since(since) < times.turn {
-            return LeaseStep::Stay;
+        if now.since(since) < times.handover_delay {
+            return LeaseAction::Wait;
         }
         self.weaker_since = Some(now);
-        LeaseStep::AskFor
+        LeaseAction::RequestTransfer
     }
 }
--- a/crates/core/src/direct/limits.rs
+++ b/crates/core/src/direct/limits.rs
@@ -37,7 +37,7 @@
 
 /// What an answer of a target said of its limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// The target and its life.
     pub run: TargetRun,
     /// Its limit; none where the answer names none.
@@ -70,19 +70,19 @@
 
 /// The limits that targets named, and what is left of them.
 #[derive(Clone, Debug)]
-pub struct LimitTable {
+pub struct RateLimitTable {
     rows: HashMap<TargetName, LimitRow>,
     /// The part of each limit that may be used here.
     share: f64,
 }
 
-impl Default for LimitTable {
+impl Default for RateLimitTable {
     fn default() -> Self {
         Self::with_share(1.0)
     }
 }
 
-impl LimitTable {
+impl RateLimitTable {
     /// A table that uses a part of each limit.
     #[must_use]
     pub fn with_share(share: f64) -> Self {
@@ -98,7 +98,7 @@
     }
 
     /// Notes what an answer said; says whether that changes the target's limit.
-    pub fn note(&mut self, named: &NamedLimit, now: Instant) -> bool {
+    pub fn record(&mut self, named: &AdvertisedLimit, now: Instant) -> bool {
         let name = &named.run.name;
         let known = self.rows.get(name);
         if known.is_some_and(|row| row.run.life > named.run.life) {
@@ -149,7 +149,7 @@
     }
 
     /// Takes a token for a request that is sent once its wait is over.
-    pub fn take(&mut self, target: &TargetName, now: Instant) {
+    pub fn take_token(&mut self, target: &TargetName, now: Instant) {
         let share = self.share;
         if let Some(row) = self.rows.get_mut(target) {
             row.level = row.level(share, now) - 1.0;
@@ -163,8 +163,8 @@
     }
 
     /// What is known, to be told to another VM.
-    pub fn told(&self) -> impl Iterator<Item = NamedLimit> + '_ {
-        self.rows.values().map(|row| NamedLimit {
+    pub fn advertised(&self) -> impl Iterator<Item = AdvertisedLimit> + '_ {
+        self.rows.values().map(|row| AdvertisedLimit {
             run: row.run.clone(),
             rate: Some(row.rate),
         })
--- a/crates/core/src/direct/loading.rs
+++ b/crates/core/src/direct/load_limiter.rs
@@ -97,9 +97,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLoad {
     /// When its order was taken.
-    pub began: Instant,
+    pub started_at: Instant,
     /// Whether the limit held loads back when it began, or just did not.
-    pub is_bound: bool,
+    pub at_limit: bool,
     /// Whether it is known to have come in time, or to be late.
     pub is_judged: bool,
 }
@@ -107,10 +107,10 @@
 impl StoreLoad {
     /// A load whose order was taken now.
     #[must_use]
-    pub fn begun(now: Instant, is_bound: bool) -> Self {
+    pub fn started(now: Instant, is_bound: bool) -> Self {
         Self {
-            began: now,
-            is_bound,
+            started_at: now,
+            at_limit: is_bound,
             is_judged: false,
         }
     }
@@ -131,18 +131,21 @@
     /// Loads that may be on their way.
     pub limit: u32,
     /// Time that a load takes now.
-    pub expected: Duration,
+    pub expected_time: Duration,
     /// Time that it takes while the store is not crowded.
-    pub shortest: Duration,
+    pub uncontended_time: Duration,
 }
 
 impl LoadSummary {
     /// Whether it differs from an earlier one by so much that it is worth a line.
     #[must_use]
-    pub fn differs_from(&self, told: &Self) -> bool {
+    pub fn differs_notably(&self, told: &Self) -> bool {
         let is_far = |now: f64, then: f64| now > then * TOLD_CHANGE || then > now * TOLD_CHANGE;
         is_far(f64::from(self.limit), f64::from(told.limit))
-            || is_far(self.expected.as_secs_f64(), told.expected.as_secs_f64())
+            || is_far(
+                self.expected_time.as_secs_f64(),
+                told.expected_time.as_secs_f64(),
+            )
     }
 }
 
@@ -202,7 +205,7 @@
 impl LoadLimiter {
     /// A limiter that begins with so many loads, if they are more than it would try by itself.
     #[must_use]
-    pub fn starting_with(loads: f64) -> Self {
+    pub fn with_initial_limit(loads: f64) -> Self {
         Self {
             limit: loads.max(START_LIMIT),
             ..Self::default()
@@ -220,27 +223,27 @@
     pub fn summary(&self) -> LoadSummary {
         LoadSummary {
             limit: self.limit(),
-            expected: Duration::from_secs_f64(self.expected_ms / 1e3),
-            shortest: Duration::from_secs_f64(self.shortest_ms / 1e3),
+            expected_time: Duration::from_secs_f64(self.expected_ms / 1e3),
+            uncontended_time: Duration::from_secs_f64(self.shortest_ms / 1e3),
         }
     }
 
     /// Time that a load takes at an engine as it looks now.
     #[must_use]
-    pub fn expected(&self, target: &TargetName) -> Duration {
+    pub fn expected_time(&self, target: &TargetName) -> Duration {
         let factor = self.engines.get(target).map_or(1.0, |loads| loads.factor);
         Duration::from_secs_f64(self.expected_ms * factor / 1e3)
     }
 
     /// Time until one more load is at an engine, behind `crowd` of them on their way or waiting.
     #[must_use]
-    pub fn wait_behind(&self, target: &TargetName, crowd: u32) -> Duration {
+    pub fn expected_wait(&self, target: &TargetName, crowd: u32) -> Duration {
         let turns = f64::from(crowd + 1) / self.limit.max(1.0);
-        self.expected(target).mul_f64(turns.max(1.0))
+        self.expected_time(target).mul_f64(turns.max(1.0))
     }
 
     /// Forgets an engine, which has started again.
-    pub fn forget(&mut self, target: &TargetName) {
+    pub fn reset_target(&mut self, target: &TargetName) {
         self.engines.remove(target);
     }
 
@@ -250,7 +253,7 @@
     }
 
     /// Time passes: what was stretched may no longer be.
-    pub fn relax(&mut self, now: Instant) {
+    pub fn decay(&mut self, now: Instant) {
         let passed = now.since(self.relaxed_at).as_secs_f64();
         self.relaxed_at = now;
         if now.since(self.judged_at).as_secs_f64() * 1e3 < self.expected_ms * QUIET_FROM {
@@ -265,7 +268,7 @@
     }
 
     /// The calls that waited for a load found it there.
-    pub fn came_in_time(&mut self, target: &TargetName, load: StoreLoad, now: Instant) {
+    pub fn record_on_time(&mut self, target: &TargetName, load: StoreLoad, now: Instant) {
         if self.is_slow(target, false) {
             return;
         }
@@ -287,7 +290,7 @@
             return;
         }
         self.stretched = 0;
-        if !load.is_bound || load.began < self.cut_at {
+        if !load.at_limit || load.started_at < self.cut_at {
             return;
         }
         self.limit += if self.is_starting {
@@ -298,9 +301,9 @@
     }
 
     /// A call that came for a load when it should have been there found it missing, for the first time or again.
-    pub fn came_late(&mut self, target: &TargetName, load: StoreLoad, now: Instant) {
-        let known_ms = now.since(load.began).as_secs_f64() * 1e3;
-        let expected_ms = self.expected(target).as_secs_f64() * 1e3;
+    pub fn record_late(&mut self, target: &TargetName, load: StoreLoad, now: Instant) {
+        let known_ms = now.since(load.started_at).as_secs_f64() * 1e3;
+        let expected_ms = self.expected_time(target).as_secs_f64() * 1e3;
         if known_ms > expected_ms * LOST_FROM || self.is_slow(target, true) {
             return;
         }
@@ -310,7 +313,7 @@
         self.set_expected(self.expected_ms + more.max(0.0) * LATE_WEIGHT);
         // What began before the last cut says nothing about the limit that it set, and a load that is hardly late shows
         // only that the expected time was tried too short.
-        if load.began < self.cut_at || !self.is_stretched(known_ms) {
+        if load.started_at < self.cut_at || !self.is_stretched(known_ms) {
             return;
         }
         self.note(target, load, true, now);
@@ -355,7 +358,8 @@
     }
 
     fn note(&mut self, target: &TargetName, load: StoreLoad, is_late: bool, now: Instant) {
-        let is_known = |judged: &JudgedLoad| judged.began == load.began && judged.target == *target;
+        let is_known =
+            |judged: &JudgedLoad| judged.began == load.started_at && judged.target == *target;
         let span = Duration::from_secs_f64(self.expected_ms * RECENT_LOADS / 1e3).max(RECENT_SPAN);
         self.recent
             .retain(|judged| now.since(judged.at) < span && !is_known(judged));
@@ -364,7 +368,7 @@
         }
         self.recent.push_back(JudgedLoad {
             target: target.clone(),
-            began: load.began,
+            began: load.started_at,
             is_late,
             at: now,
         });
--- a/crates/core/src/direct/contact.rs
+++ b/crates/core/src/direct/log_contact.rs
@@ -9,7 +9,7 @@
 
 /// A run of answers from the log, without a failed call between them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerRun {
+pub struct AnswerSpan {
     /// The first answer.
     pub since: Instant,
     /// The last one so far.
@@ -32,15 +32,15 @@
 /// This VM's contact with the log, and what others say of theirs.
 #[derive(Clone, Debug, Default)]
 pub struct LogContact {
-    run: Option<AnswerRun>,
+    answer_span: Option<AnswerSpan>,
     outage: Option<CallOutage>,
-    others: HashMap<VmName, AnswerRun>,
+    others: HashMap<VmName, AnswerSpan>,
 }
 
 impl LogContact {
     /// A call was answered.
-    pub fn answered(&mut self, now: Instant) {
-        let run = self.run.get_or_insert(AnswerRun {
+    pub fn record_answer(&mut self, now: Instant) {
+        let run = self.answer_span.get_or_insert(AnswerSpan {
             since: now,
             last: now,
         });
@@ -51,9 +51,9 @@
     }
 
     /// A call was refused, or had no answer.
-    pub fn failed(&mut self, now: Instant) {
-        let before = self.returned();
-        let run = self.run.take();
+    pub fn record_failure(&mut self, now: Instant) {
+        let before = self.recovered_at();
+        let run = self.answer_span.take();
         match &mut self.outage {
             Some(outage) if outage.back.is_none() => outage.last_failed = now,
             _ => {
@@ -68,7 +68,7 @@
     }
 
     /// Another VM says how its contact stands; none while its calls fail, or where it makes none.
-    pub fn take_report(&mut self, vm: &VmName, run: Option<AnswerRun>) {
+    pub fn record_peer(&mut self, vm: &VmName, run: Option<AnswerSpan>) {
         match run {
             Some(run) => {
                 self.others.insert(vm.clone(), run);
@@ -81,13 +81,13 @@
 
     /// This VM's present run of answers.
     #[must_use]
-    pub fn run(&self) -> Option<AnswerRun> {
-        self.run
+    pub fn answer_span(&self) -> Option<AnswerSpan> {
+        self.answer_span
     }
 
     /// When the log came back from its last outage, as far as this VM can tell; none if it has had none.
     #[must_use]
-    pub fn returned(&self) -> Option<Instant> {
+    pub fn recovered_at(&self) -> Option<Instant> {
         let outage = self.outage?;
         // Who had an answer since this VM's last failure was served when this VM was not.
         let served = self
--- a/crates/core/src/direct/duty.rs
+++ b/crates/core/src/direct/log_readers.rs
@@ -20,42 +20,44 @@
 
 /// What a VM sees of its zone's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderSight {
+pub enum HolderPresence {
     /// It is the holder itself.
-    Oneself,
+    Myself,
     /// It hears the holder.
     Heard,
     /// There is a holder, and it is not heard.
     Silent,
     /// No holder is recorded.
-    Nobody,
+    Vacant,
 }
 
 /// What a VM knows of itself and its zone when it decides whether to read a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DutyView {
+pub struct ReaderView {
     /// Time since its process started.
     pub age: Duration,
     /// Its zone's holder.
-    pub holder: HolderSight,
+    pub holder: HolderPresence,
     /// Its place among the others of its zone, the strongest first.
     pub rank: u32,
     /// VMs of its zone.
     pub zone_vms: usize,
     /// Whether another VM has said lately that the log turns it away.
-    pub is_asked: bool,
+    pub is_backup_requested: bool,
 }
 
-impl DutyView {
+impl ReaderView {
     /// Whether the VM reads the topic itself.
     #[must_use]
     pub fn must_read(&self) -> bool {
         let is_stand_in = self.zone_vms <= SMALL_ZONE && self.rank < STAND_INS;
-        let reads_for_others = self.is_asked && self.rank < ANSWERERS;
+        let reads_for_others = self.is_backup_requested && self.rank < ANSWERERS;
         match self.holder {
-            HolderSight::Oneself => true,
-            HolderSight::Heard => is_stand_in || reads_for_others,
-            HolderSight::Silent | HolderSight::Nobody => is_stand_in || self.age >= LINK_GRACE,
+            HolderPresence::Myself => true,
+            HolderPresence::Heard => is_stand_in || reads_for_others,
+            HolderPresence::Silent | HolderPresence::Vacant => {
+                is_stand_in || self.age >= LINK_GRACE
+            }
         }
     }
 }
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -30,31 +30,31 @@
 //! | [`trials`] | when a suspect may run again, and one at a time |
 //! | [`budget`] | this VM's share of the fleet's retry budget |
 
-pub mod budget;
+pub mod backoffs;
 pub mod catalog;
 pub mod config;
-pub mod contact;
-pub mod copy_doubt;
 pub mod demand;
-pub mod duty;
 pub mod engine;
 pub mod freshness;
 pub mod health;
 pub mod lease;
 pub mod limits;
-pub mod loading;
-pub mod notices;
+pub mod load_limiter;
+pub mod log_contact;
+pub mod log_readers;
 pub mod organisations;
 pub mod plain;
 pub mod planner;
 pub mod policy;
+pub mod prefill;
 pub mod quotas;
-pub mod reading;
-pub mod rests;
+pub mod restore_guard;
+pub mod retry_budget;
 pub mod routes;
 pub mod search;
-pub mod streams;
+pub mod stream_estimate;
 pub mod suspects;
+pub mod target_notices;
 pub mod trials;
 pub mod versions;
 
--- a/crates/core/src/direct/organisations.rs
+++ b/crates/core/src/direct/organisations.rs
@@ -41,7 +41,7 @@
 
 /// Why a list of organisations can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OrganisationFault {
+pub enum OrganisationError {
     /// Two organisations have one name.
     #[error("organisation {0} is named twice: give each a name of its own")]
     SameName(OrganisationName),
@@ -67,7 +67,7 @@
     /// Names the organisations that are at fault, and no key.
     pub fn new(
         listed: impl IntoIterator<Item = (Organisation, Vec<String>)>,
-    ) -> Result<Self, OrganisationFault> {
+    ) -> Result<Self, OrganisationError> {
         let mut table = Self::default();
         for (organisation, keys) in listed {
             table.add(&Arc::new(organisation), &keys)?;
@@ -79,21 +79,21 @@
         &mut self,
         organisation: &Arc<Organisation>,
         keys: &[String],
-    ) -> Result<(), OrganisationFault> {
+    ) -> Result<(), OrganisationError> {
         let name = &organisation.name;
         if self.by_name.contains_key(name) {
-            return Err(OrganisationFault::SameName(name.clone()));
+            return Err(OrganisationError::SameName(name.clone()));
         }
         self.by_name.insert(name.clone(), Arc::clone(organisation));
         for key in keys {
             if key.is_empty() {
-                return Err(OrganisationFault::EmptyKey(name.clone()));
+                return Err(OrganisationError::EmptyKey(name.clone()));
             }
             let known = self
                 .by_key
                 .insert(ApiKey::new(key), Arc::clone(organisation));
             if let Some(known) = known.filter(|known| known.name != *name) {
-                return Err(OrganisationFault::SharedKey(
+                return Err(OrganisationError::SharedKey(
                     known.name.clone(),
                     name.clone(),
                 ));
@@ -116,14 +116,14 @@
 
     /// The organisation that has a key.
     #[must_use]
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Organisation>> {
+    pub fn find_by_key(&self, key: &ApiKey) -> Option<&Arc<Organisation>> {
         self.by_key.get(key)
     }
 }
 
 /// What a caller's head says of its key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum GivenKey {
+pub enum PresentedKey {
     /// Nothing.
     #[default]
     Absent,
@@ -135,7 +135,7 @@
 
 /// Why a call is not let in for its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum KeyFault {
+pub enum KeyError {
     /// It gives none.
     Absent,
     /// What it gives is no key.
@@ -150,7 +150,7 @@
     /// The configuration names no organisations.
     Unkeyed,
     /// The route is open, and the call has no key that is known.
-    Anyone,
+    Anonymous,
     /// An organisation.
     Organisation(Arc<Organisation>),
 }
@@ -163,19 +163,19 @@
     pub fn of(
         table: Option<&OrganisationTable>,
         route: &RouteRule,
-        given: &GivenKey,
-    ) -> Result<Self, KeyFault> {
+        given: &PresentedKey,
+    ) -> Result<Self, KeyError> {
         let Some(table) = table else {
             return Ok(Self::Unkeyed);
         };
         let holder = match given {
-            GivenKey::Absent => Err(KeyFault::Absent),
-            GivenKey::Malformed => Err(KeyFault::Malformed),
-            GivenKey::Key(key) => table.holder(key).ok_or(KeyFault::Unknown),
+            PresentedKey::Absent => Err(KeyError::Absent),
+            PresentedKey::Malformed => Err(KeyError::Malformed),
+            PresentedKey::Key(key) => table.find_by_key(key).ok_or(KeyError::Unknown),
         };
         match holder {
             Ok(organisation) => Ok(Self::Organisation(Arc::clone(organisation))),
-            Err(_) if route.is_open => Ok(Self::Anyone),
+            Err(_) if route.allows_anonymous => Ok(Self::Anonymous),
             Err(fault) => Err(fault),
         }
     }
@@ -185,7 +185,7 @@
     pub fn organisation(&self) -> Option<&Organisation> {
         match self {
             Self::Organisation(organisation) => Some(organisation),
-            Self::Unkeyed | Self::Anyone => None,
+            Self::Unkeyed | Self::Anonymous => None,
         }
     }
 
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -11,7 +11,7 @@
     direct::{
         catalog::TargetEntry,
         health::{CallOutcome, HealthTable},
-        limits::{LimitTable, NamedLimit},
+        limits::{AdvertisedLimit, RateLimitTable},
         millis,
         planner::{CallKey, PlacementAnswer, RefusalCause},
         quotas::QuotaCharge,
@@ -122,7 +122,7 @@
     lives: HashMap<TargetName, TargetLife>,
     health: HealthTable,
     /// Limits that targets named.
-    rates: LimitTable,
+    rates: RateLimitTable,
 }
 
 impl PlainPlanner {
@@ -149,7 +149,7 @@
             let cause = RefusalCause::TooLong(millis(expected));
             return refuse(expected.saturating_sub(bound), token_wait, cause);
         }
-        self.rates.take(&entry.name, now);
+        self.rates.take_token(&entry.name, now);
         load.calls += 1;
         let call = PlainCall {
             run,
@@ -212,13 +212,13 @@
             return;
         };
         if let Some(outcome) = outcome {
-            self.health.note(&call.run.name, outcome, now);
+            self.health.record(&call.run.name, outcome, now);
         }
         let Some(load) = self.loads.get_mut(&call.run) else {
             return;
         };
         load.calls = load.calls.saturating_sub(1);
-        if outcome == Some(CallOutcome::Good) {
+        if outcome == Some(CallOutcome::Success) {
             let took = now.since(call.sent).div_f64(call.sharing);
             let took = took.min(load.pace * OUTLIER_FROM);
             load.pace = load.pace.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT);
@@ -239,8 +239,8 @@
     }
 
     /// An answer told of a target's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.rates.note(named, now);
+    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
+        self.rates.record(named, now);
     }
 
     /// Forgets targets that are gone.
@@ -280,11 +280,11 @@
 
 /// What a target's health counts, in calls under way.
 fn health_price(health: &HealthTable, target: &TargetName, now: Instant) -> f64 {
-    let mut price = FAILING_PRICE * health.failing(target);
-    if health.is_doubted(target) {
+    let mut price = FAILING_PRICE * health.failure_rate(target);
+    if health.is_degraded(target) {
         price += DOUBT_PRICE;
     }
-    if health.is_shedding(target, now) {
+    if health.is_overloaded(target, now) {
         price += SHED_PRICE;
     }
     price
@@ -299,10 +299,10 @@
 ) -> Option<&'a Arc<TargetEntry>> {
     let candidates = || targets.iter().filter(|entry| is_open(&entry.name));
     let best = candidates()
-        .filter(|entry| !health.is_out(&entry.name, now))
+        .filter(|entry| !health.is_unreachable(&entry.name, now))
         .min_by(|left, right| order(left, right));
     // One failed connection is no proof where there is nothing else; after more of them callers are told at once.
-    best.or_else(|| candidates().find(|entry| !health.is_lost(&entry.name, now)))
+    best.or_else(|| candidates().find(|entry| !health.is_down(&entry.name, now)))
 }
 
 /// Refuses a call; a caller that waits for a token of its target's limit may be told to wait longer than others.
--- a/crates/core/src/direct/planner/ask.rs
+++ b/crates/core/src/direct/planner/ask.rs
@@ -7,7 +7,7 @@
         planner::split_subject,
         quotas::QuotaCharge,
         suspects::RequestFingerprint,
-        versions::{MemoryVersions, VersionMatch},
+        versions::{CacheVersions, VersionMatch},
     },
     ids::{AdapterName, TargetLife, TargetName, VmName},
 };
@@ -137,11 +137,11 @@
     /// The engine that has kept them.
     pub source: TargetName,
     /// What made them, as far as is known.
-    pub source_versions: MemoryVersions,
+    pub source_versions: CacheVersions,
     /// The engine that the call goes to.
     pub target: TargetName,
     /// The versions that it will run under, as far as is known.
-    pub target_versions: MemoryVersions,
+    pub target_versions: CacheVersions,
     /// The version of the adapter that was named last.
     pub named: Option<u64>,
     /// Whether it is told to; otherwise their versions do not fit.
--- a/crates/core/src/direct/planner/fetching.rs
+++ b/crates/core/src/direct/planner/fetching.rs
@@ -10,7 +10,7 @@
         catalog::TargetStage,
         engine::EngineState,
         planner::{CallKey, PlacementAsk, PlannerAction, PromptMove, ZonePlanner},
-        versions::MemoryMark,
+        versions::CacheTag,
     },
     ids::{AdapterName, Instant, TargetName},
 };
@@ -21,7 +21,7 @@
 pub(super) struct PromptSource {
     pub name: TargetName,
     pub address: SocketAddr,
-    pub mark: MemoryMark,
+    pub mark: CacheTag,
     tokens: u32,
 }
 
@@ -59,8 +59,8 @@
             let is_fit = engine.entry.stage == TargetStage::Ready
                 && self.is_settled(engine)
                 && self.has_own_address(engine)
-                && !self.health.is_out(name, now)
-                && !self.health.is_doubted(name);
+                && !self.health.is_unreachable(name, now)
+                && !self.health.is_degraded(name);
             if !is_fit {
                 continue;
             }
@@ -104,7 +104,7 @@
         let named = self.named_version(&ask.subject);
         let kept = engine.kept_tokens(ask);
         let tokens = ask.prompt_tokens.saturating_sub(kept);
-        let time = engine.prompts.own_time(tokens, &self.pace, now);
+        let time = engine.prompts.prefill_time(tokens, &self.pace, now);
         let alone = PromptWork {
             tokens,
             time,
@@ -120,7 +120,7 @@
             return alone;
         }
         let tokens = ask.prompt_tokens.saturating_sub(source.tokens);
-        let time = engine.prompts.own_time(tokens, &self.pace, now) + self.policy.fetch_time;
+        let time = engine.prompts.prefill_time(tokens, &self.pace, now) + self.policy.fetch_time;
         if time + self.policy.fetch_gain > alone.time {
             return alone;
         }
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -38,12 +38,12 @@
         demand::DemandTable,
         engine::{EngineState, LATE_ORDER, ResidentState, SentCall, UNCOUNTED_RUN},
         health::{CallOutcome, HealthTable},
-        limits::{LimitTable, NamedLimit},
-        loading::LoadLimiter,
+        limits::{AdvertisedLimit, RateLimitTable},
+        load_limiter::LoadLimiter,
         millis,
         planner::fetching::MemoryLoan,
         policy::PlacementPolicy,
-        reading::ReadingPace,
+        prefill::PrefillModel,
         suspects::SuspectTable,
     },
     ids::{AdapterName, Instant, TargetLife, TargetName, VmName},
@@ -72,12 +72,12 @@
     policy: PlacementPolicy,
     limits: EngineLimits,
     /// Limits that engines named.
-    rates: LimitTable,
+    rates: RateLimitTable,
     engines: BTreeMap<TargetName, EngineState>,
     versions: HashMap<AdapterName, u64>,
     demand: DemandTable,
     health: HealthTable,
-    pace: ReadingPace,
+    pace: PrefillModel,
     loads: LoadLimiter,
     /// Memory that calls are about to take.
     loans: HashMap<CallKey, MemoryLoan>,
@@ -106,13 +106,13 @@
             figures,
             policy: PlacementPolicy::default(),
             limits,
-            rates: LimitTable::default(),
+            rates: RateLimitTable::default(),
             engines: BTreeMap::new(),
             versions: HashMap::new(),
             demand: DemandTable::default(),
             health: HealthTable::default(),
-            pace: ReadingPace::default(),
-            loads: LoadLimiter::starting_with(figures.start_loads),
+            pace: PrefillModel::default(),
+            loads: LoadLimiter::with_initial_limit(figures.start_loads),
             loans: HashMap::new(),
             led_until: Instant::default(),
             settled_from: Instant::default(),
@@ -218,9 +218,9 @@
     }
 
     /// An answer told of an engine's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
+    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
         if self.engines.contains_key(&named.run.name) {
-            self.rates.note(named, now);
+            self.rates.record(named, now);
         }
     }
 
@@ -233,7 +233,7 @@
         let old = std::mem::replace(engine, reborn);
         self.outlive_loans(name);
         self.health.forget(name);
-        self.loads.forget(name);
+        self.loads.reset_target(name);
         let waiters = old.copies.into_values().flat_map(|copy| copy.waiters);
         self.place_waiters_again(waiters.collect(), now);
     }
@@ -296,11 +296,11 @@
             if let Some(version) = version {
                 engine.note_read(key, version, now);
             }
-            engine.prompts.begun(key, &mut self.pace, now);
+            engine.prompts.record_first_event(key, &mut self.pace, now);
             if let Some(load) = engine.judge_load(key)
                 && !load.is_judged
             {
-                self.loads.came_in_time(target, load, now);
+                self.loads.record_on_time(target, load, now);
             }
         }
     }
@@ -314,7 +314,7 @@
         now: Instant,
     ) {
         if let (Some(target), Some(outcome)) = (target, outcome) {
-            self.health.note(target, outcome, now);
+            self.health.record(target, outcome, now);
         }
         // Where the caller has left, the call may be on its way still.
         self.end_loan(key, now.after(UNCOUNTED_RUN));
@@ -357,7 +357,7 @@
         // What it lacks may be the version that made the memory which the call was to use.
         let takes_memory = self.loans.contains_key(key);
         if let Some(load) = engine.judge_load(key).filter(|_| !takes_memory) {
-            self.loads.came_late(target, load, now);
+            self.loads.record_late(target, load, now);
         }
         let Some(subject) = engine.calls.get(key).map(|call| call.subject.clone()) else {
             return;
@@ -404,7 +404,7 @@
     /// Regular work: loads that are done, reports that are due, empty engines.
     pub fn tick(&mut self, now: Instant) {
         self.look_at_load(now);
-        self.loads.relax(now);
+        self.loads.decay(now);
         let names: Vec<_> = self.engines.keys().cloned().collect();
         for name in &names {
             self.settle(name, now);
@@ -457,7 +457,7 @@
             late.extend(copy.waiters.extract_if(.., |waiting| now >= waiting.until));
         }
         for waiting in late {
-            let retry_after_ms = millis(self.loads.expected(name));
+            let retry_after_ms = millis(self.loads.expected_time(name));
             let cause = RefusalCause::LoadLate;
             self.refuse(waiting.key, retry_after_ms, cause);
         }
--- a/crates/core/src/direct/planner/ordering.rs
+++ b/crates/core/src/direct/planner/ordering.rs
@@ -6,12 +6,12 @@
             EngineOrder, EngineReport, EngineState, OrderKind, OrderOutcome, ResidentState,
             UNCOUNTED_RUN, WaitingCall,
         },
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{
             COME_BACK_MS, COMING_MOST, LOAD_MARGIN, PlannerAction, RefusalCause, SETTLE,
             ZonePlanner, millis, split_subject,
         },
-        versions::{VersionSight, VersionTeller},
+        versions::{ObservedVersion, VersionSource},
     },
     ids::{AdapterName, Instant, TargetName},
 };
@@ -25,7 +25,7 @@
 impl ZonePlanner {
     /// An order was answered, or its answer is overdue.
     pub fn order_ended(&mut self, name: &TargetName, outcome: OrderOutcome, now: Instant) {
-        let store_time = self.loads.expected(name);
+        let store_time = self.loads.expected_time(name);
         let is_bound = self.store_loads(now) + self.loads_waiting() >= self.loads.limit();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
@@ -55,7 +55,7 @@
                     _ if engine.had_lately(&subject, order.version) => {
                         (self.figures.lately_load, None)
                     }
-                    _ => (store_time, Some(StoreLoad::begun(now, is_bound))),
+                    _ => (store_time, Some(StoreLoad::started(now, is_bound))),
                 };
                 engine.note_lately(&subject, order.version, self.policy.lately_kept);
                 if let Some(copy) = engine.copies.get_mut(&subject) {
@@ -67,8 +67,9 @@
                     copy.load = load;
                     // Without a named version it is the newest of when the engine began, which nobody here knows.
                     let named = order.version;
-                    copy.sight = named
-                        .and_then(|version| VersionSight::told(version, VersionTeller::Order, now));
+                    copy.sight = named.and_then(|version| {
+                        ObservedVersion::observe(version, VersionSource::Order, now)
+                    });
                     let waiters = std::mem::take(&mut copy.waiters);
                     self.release_waiters(name, waiters, now);
                 }
--- a/crates/core/src/direct/planner/placing.rs
+++ b/crates/core/src/direct/planner/placing.rs
@@ -71,25 +71,31 @@
         let crowd = self.store_loads(now) + self.loads_waiting();
         let sources = self.prompt_sources(ask, now);
         let shared_ends = self.shared_ends(ask.fingerprint, now);
-        let all_doubted = self.engines.keys().all(|name| self.health.is_doubted(name));
+        let all_doubted = self
+            .engines
+            .keys()
+            .all(|name| self.health.is_degraded(name));
         self.engines
             .iter()
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
                     && !ask.exclude.contains(name)
                     && !ask.resting.contains(name)
-                    && !self.health.is_out(name, now)
+                    && !self.health.is_unreachable(name, now)
             })
             .filter_map(|(name, engine)| {
                 let mut cost = self.cost(engine, ask, &sources, crowd, now)?;
-                if self.health.is_doubted(name) && !all_doubted {
+                if self.health.is_degraded(name) && !all_doubted {
                     cost.total += self.policy.doubt_price;
                 }
-                cost.total += self.policy.failing_price.mul_f64(self.health.failing(name));
+                cost.total += self
+                    .policy
+                    .failing_price
+                    .mul_f64(self.health.failure_rate(name));
                 if shared_ends.contains(name) {
                     cost.total += SHARED_END_PRICE;
                 }
-                if self.health.is_shedding(name, now) {
+                if self.health.is_overloaded(name, now) {
                     cost.total += self.policy.shed_price;
                 }
                 Some((name.clone(), cost))
@@ -122,7 +128,7 @@
             + self.figures.per_call * calls
             + self.figures.slot_time / engine.entry.slots.max(1) * over
             + full
-            + engine.entry.cold.min(Duration::from_secs(1));
+            + engine.entry.warmup_remaining.min(Duration::from_secs(1));
         Some(PlacementCost {
             wait,
             total: wait + load.penalty,
@@ -155,11 +161,11 @@
                         ..LoadCost::default()
                     }),
                     ResidentState::Wanted => Some(LoadCost {
-                        time: self.loads_held(now) + self.loads.expected(&engine.entry.name),
+                        time: self.loads_held(now) + self.loads.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     ResidentState::Outdated => Some(LoadCost {
-                        time: self.loads.expected(&engine.entry.name),
+                        time: self.loads.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     _ => Some(LoadCost::default()),
@@ -181,7 +187,7 @@
                 let is_new = !engine.had_lately(&ask.subject, self.named_version(&ask.subject));
                 let (time, price) = if is_new {
                     (
-                        self.loads.wait_behind(&engine.entry.name, crowd),
+                        self.loads.expected_wait(&engine.entry.name, crowd),
                         self.policy.load_price,
                     )
                 } else {
@@ -281,7 +287,7 @@
         now: Instant,
     ) {
         let token_wait = self.rates.wait(name, now);
-        self.rates.take(name, now);
+        self.rates.take_token(name, now);
         let wait_ms = adapter_ms.max(millis(token_wait));
         let sent = self.note_sent(name, key.clone(), ask, wait_ms, now);
         self.answer_send(name, key, &ask.subject, wait_ms, sent);
--- a/crates/core/src/direct/planner/spreading.rs
+++ b/crates/core/src/direct/planner/spreading.rs
@@ -77,8 +77,8 @@
                     && !engine.copies.contains_key(subject)
                     && engine.queue.len() + engine.coming(now) < COMING_MOST
                     && !self.is_crowded(engine, now)
-                    && !self.health.is_doubted(name)
-                    && !self.health.is_out(name, now)
+                    && !self.health.is_degraded(name)
+                    && !self.health.is_unreachable(name, now)
                     && self.can_make_room(engine, now)
             })
             .min_by_key(|(_, engine)| (engine.calls.len(), engine.copies.len()))
--- a/crates/core/src/direct/planner/suspecting.rs
+++ b/crates/core/src/direct/planner/suspecting.rs
@@ -4,7 +4,7 @@
     direct::{
         engine::SentCall,
         planner::ZonePlanner,
-        suspects::{EndedUnder, RequestFingerprint, SuspectTable, Suspicion},
+        suspects::{RequestFingerprint, SuspectTable, Suspicion, TargetCrash},
     },
     ids::{Instant, TargetName},
 };
@@ -16,13 +16,13 @@
 
 impl ZonePlanner {
     /// An engine ended while a request ran there.
-    pub fn target_ended(&mut self, ended: &EndedUnder, now: Instant) {
-        self.suspects.note_ended(ended, now);
+    pub fn target_ended(&mut self, ended: &TargetCrash, now: Instant) {
+        self.suspects.record_crash(ended, now);
     }
 
     /// A trial of a request was answered well.
     pub fn pardon(&mut self, fingerprint: RequestFingerprint) {
-        self.suspects.pardon(fingerprint);
+        self.suspects.clear(fingerprint);
     }
 
     /// Takes over what is known of requests under which engines ended.
@@ -46,7 +46,7 @@
         }
         let shares = |call: &SentCall| {
             call.fingerprint
-                .is_some_and(|other| self.suspects.share_an_end(fingerprint, other))
+                .is_some_and(|other| self.suspects.share_crash(fingerprint, other))
         };
         self.engines
             .iter()
--- a/crates/core/src/direct/reading.rs
+++ b/crates/core/src/direct/prefill.rs
@@ -40,7 +40,7 @@
 
 /// The zone's line: the time for a prompt by its tokens, from decayed sums.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingPace {
+pub struct PrefillModel {
     weight: f64,
     tokens: f64,
     millis: f64,
@@ -49,7 +49,7 @@
     seen_at: Instant,
 }
 
-impl Default for ReadingPace {
+impl Default for PrefillModel {
     fn default() -> Self {
         Self {
             weight: 0.0,
@@ -62,10 +62,10 @@
     }
 }
 
-impl ReadingPace {
+impl PrefillModel {
     /// A prompt of `tokens` took a time.
-    pub fn note(&mut self, tokens: u32, took: Duration, now: Instant) {
-        let expected = millis_of(self.time(tokens));
+    pub fn record(&mut self, tokens: u32, took: Duration, now: Instant) {
+        let expected = millis_of(self.expected_time(tokens));
         let bounds = (expected / OUTLIER, expected * OUTLIER);
         let millis = millis_of(took).clamp(bounds.0, bounds.1);
         let kept = 0.5_f64.powf(now.since(self.seen_at).as_secs_f64() / HALF_LIFE_S);
@@ -80,14 +80,14 @@
 
     /// Expected time for a prompt.
     #[must_use]
-    pub fn time(&self, tokens: u32) -> Duration {
-        let (start, token) = self.line();
+    pub fn expected_time(&self, tokens: u32) -> Duration {
+        let (start, token) = self.coefficients();
         Duration::from_secs_f64((start + token * f64::from(tokens)) / 1e3)
     }
 
     /// Milliseconds for a prompt of no tokens, and for each token.
     #[must_use]
-    pub fn line(&self) -> (f64, f64) {
+    pub fn coefficients(&self) -> (f64, f64) {
         let (mut weight, mut tokens, mut millis) = (self.weight, self.tokens, self.millis);
         let (mut squares, mut products) = (self.squares, self.products);
         for at in GUESSED_AT {
@@ -120,7 +120,7 @@
 
 /// What one engine still has to read.
 #[derive(Clone, Debug)]
-pub struct PromptQueue {
+pub struct PrefillQueue {
     waiting: Vec<WaitingPrompt>,
     /// Since when the engine has been at the prompt that comes next.
     read_from: Instant,
@@ -128,7 +128,7 @@
     seen_at: Instant,
 }
 
-impl Default for PromptQueue {
+impl Default for PrefillQueue {
     fn default() -> Self {
         Self {
             waiting: Vec::new(),
@@ -139,7 +139,7 @@
     }
 }
 
-impl PromptQueue {
+impl PrefillQueue {
     /// A prompt was sent, and reaches the engine at `ready_at`.
     pub fn add(&mut self, key: CallKey, tokens: u32, rank: u8, ready_at: Instant) {
         self.waiting.push(WaitingPrompt {
@@ -152,7 +152,7 @@
     }
 
     /// The first event of a call came: its prompt is read.
-    pub fn begun(&mut self, key: &CallKey, pace: &mut ReadingPace, now: Instant) {
+    pub fn record_first_event(&mut self, key: &CallKey, pace: &mut PrefillModel, now: Instant) {
         let Some(at) = self.waiting.iter().position(|prompt| prompt.key == *key) else {
             return;
         };
@@ -161,14 +161,16 @@
         let start = self.read_from.max(prompt.ready_at);
         let took = now.since(start);
         if was_next && prompt.given.is_zero() {
-            let expected = millis_of(pace.time(prompt.tokens)).max(1.0);
+            let expected = millis_of(pace.expected_time(prompt.tokens)).max(1.0);
             let ratio = (millis_of(took) / expected).clamp(FACTOR_BOUNDS[0], FACTOR_BOUNDS[1]);
             let log = self.factor(now).ln();
             self.factor = (log + (ratio.ln() - log) * FACTOR_WEIGHT).exp();
             self.seen_at = now;
-            pace.note(prompt.tokens, took, now);
+            pace.record(prompt.tokens, took, now);
         } else if !was_next {
-            let own = self.scaled(pace.time(prompt.tokens), now).min(took);
+            let own = self
+                .scaled(pace.expected_time(prompt.tokens), now)
+                .min(took);
             let rest = now.since(self.read_from).saturating_sub(own);
             self.give_next(rest, now);
         }
@@ -176,7 +178,7 @@
     }
 
     /// A call ended, whether its first event came or not.
-    pub fn forget(&mut self, key: &CallKey) {
+    pub fn remove(&mut self, key: &CallKey) {
         self.waiting.retain(|prompt| prompt.key != *key);
     }
 
@@ -188,14 +190,14 @@
 
     /// Time until the engine has read what it would read before a prompt of a rank that is sent now.
     #[must_use]
-    pub fn backlog(&self, rank: u8, pace: &ReadingPace, now: Instant) -> Duration {
+    pub fn backlog(&self, rank: u8, pace: &PrefillModel, now: Instant) -> Duration {
         let next = self.next_at(now);
         let mut total = Duration::ZERO;
         for (at, prompt) in self.waiting.iter().enumerate() {
             if next == Some(at) {
                 total += self.rest(prompt, pace, now);
             } else if prompt.rank <= rank {
-                let time = self.scaled(pace.time(prompt.tokens), now);
+                let time = self.scaled(pace.expected_time(prompt.tokens), now);
                 total += time.saturating_sub(prompt.given);
             }
         }
@@ -204,8 +206,8 @@
 
     /// Time that the engine takes for a prompt by itself.
     #[must_use]
-    pub fn own_time(&self, tokens: u32, pace: &ReadingPace, now: Instant) -> Duration {
-        self.scaled(pace.time(tokens), now)
+    pub fn prefill_time(&self, tokens: u32, pace: &PrefillModel, now: Instant) -> Duration {
+        self.scaled(pace.expected_time(tokens), now)
     }
 
     /// The engine's time against the zone's line; 1 where that says nothing, or nothing was seen of it for long.
@@ -222,10 +224,10 @@
     }
 
     /// What is left of the prompt that the engine is at; one that is overdue takes as long again in part.
-    fn rest(&self, prompt: &WaitingPrompt, pace: &ReadingPace, now: Instant) -> Duration {
+    fn rest(&self, prompt: &WaitingPrompt, pace: &PrefillModel, now: Instant) -> Duration {
         let since = self.read_from.max(prompt.ready_at);
         let spent = prompt.given + now.since(since);
-        let time = self.scaled(pace.time(prompt.tokens), now);
+        let time = self.scaled(pace.expected_time(prompt.tokens), now);
         time.saturating_sub(spent)
             .max(spent.saturating_sub(time).mul_f64(OVERDUE_PART))
     }
--- a/crates/core/src/direct/quotas.rs
+++ b/crates/core/src/direct/quotas.rs
@@ -25,7 +25,7 @@
 const SHARED_HOLD: f64 = 0.5;
 /// Time after a payment in which it is given back for a call that did not run: what comes later would be paid out in another
 /// window.
-pub const GIVEN_BACK_WITHIN: Duration = Duration::from_secs(1);
+pub const REFUND_WINDOW: Duration = Duration::from_secs(1);
 /// Shortest and longest time after which a call beyond a quota is told to come back.
 const COME_BACK_LEAST: Duration = Duration::from_millis(100);
 const COME_BACK_MOST: Duration = Duration::from_secs(5);
@@ -40,7 +40,7 @@
     /// Tokens, in and out.
     Tokens {
         /// Tokens of a request that does not tell how many it has.
-        plain: u64,
+        default_tokens: u64,
     },
 }
 
@@ -61,7 +61,9 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { plain } => tokens.unwrap_or(plain),
+            QuotaUnit::Tokens {
+                default_tokens: plain,
+            } => tokens.unwrap_or(plain),
         }
     }
 }
@@ -72,9 +74,9 @@
     /// Length of the window.
     pub window: Duration,
     /// Part by which a quota may be passed in a window.
-    pub over: f64,
+    pub tolerance_ratio: f64,
     /// Units by which it may be passed beside that.
-    pub slack: f64,
+    pub tolerance_units: f64,
 }
 
 /// A call's charge to its organisation.
@@ -92,55 +94,55 @@
     /// Nobody has paid anything out.
     Full,
     /// Nobody knows what was paid out.
-    Spent,
+    Exhausted,
 }
 
 /// How much of its part a holder pays out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderStanding {
+pub enum HolderShare {
     /// All: there is no other.
     Sole,
     /// Half: there may be another, which pays out the other half.
     Shared,
     /// Nothing.
-    Out,
+    Inactive,
 }
 
-impl HolderStanding {
+impl HolderShare {
     /// Part of its part that a holder pays out.
     fn paid_part(self) -> f64 {
         match self {
             Self::Sole => 1.0,
             Self::Shared => SHARED_HOLD,
-            Self::Out => 0.0,
+            Self::Inactive => 0.0,
         }
     }
 }
 
 /// How long a holder's standing lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StandingTimes {
+pub struct HolderTenure {
     /// Until when it is known that no other VM was the zone's holder.
-    pub led_until: Instant,
+    pub sole_until: Instant,
     /// From when on it may act as the zone's holder.
-    pub began: Instant,
+    pub active_from: Instant,
     /// Whether the holder before it may still be at work.
-    pub is_contested: bool,
+    pub has_predecessor: bool,
     /// Longest time for which such a holder pays out half.
     pub window: Duration,
 }
 
-impl StandingTimes {
+impl HolderTenure {
     /// The standing now.
     #[must_use]
-    pub fn standing(&self, now: Instant) -> HolderStanding {
-        let is_early = self.is_contested && now < self.began.after(self.window);
-        if now < self.began || now >= self.led_until.after(self.window) {
-            HolderStanding::Out
-        } else if is_early || now >= self.led_until {
-            HolderStanding::Shared
+    pub fn share(&self, now: Instant) -> HolderShare {
+        let is_early = self.has_predecessor && now < self.active_from.after(self.window);
+        if now < self.active_from || now >= self.sole_until.after(self.window) {
+            HolderShare::Inactive
+        } else if is_early || now >= self.sole_until {
+            HolderShare::Shared
         } else {
-            HolderStanding::Sole
+            HolderShare::Sole
         }
     }
 
@@ -148,17 +150,17 @@
     fn paid_seconds(&self, from: Instant, to: Instant) -> f64 {
         let mut turns = [
             from,
-            self.began,
-            self.began.after(self.window),
-            self.led_until,
-            self.led_until.after(self.window),
+            self.active_from,
+            self.active_from.after(self.window),
+            self.sole_until,
+            self.sole_until.after(self.window),
             to,
         ]
         .map(|turn| turn.clamp(from, to.max(from)));
         turns.sort();
         let spans = turns.windows(2).map(|span| {
             let seconds = span[1].since(span[0]).as_secs_f64();
-            seconds * self.standing(span[0]).paid_part()
+            seconds * self.share(span[0]).paid_part()
         });
         spans.sum()
     }
@@ -185,7 +187,7 @@
 
 impl QuotaBucket {
     /// Fills it up to now.
-    fn fill(&mut self, times: &StandingTimes, now: Instant) {
+    fn fill(&mut self, times: &HolderTenure, now: Instant) {
         let earned = times.paid_seconds(self.at, now) * self.part.per_s;
         self.level = (self.level + earned).min(self.part.most);
         self.at = now;
@@ -208,14 +210,14 @@
     /// Parts that each quota has.
     parts: u32,
     start: BucketStart,
-    times: StandingTimes,
+    times: HolderTenure,
     buckets: HashMap<OrganisationName, QuotaBucket>,
 }
 
 impl QuotaLedger {
     /// A ledger with one of `parts` parts of every quota.
     #[must_use]
-    pub fn new(bounds: QuotaBounds, parts: u32, start: BucketStart, times: StandingTimes) -> Self {
+    pub fn new(bounds: QuotaBounds, parts: u32, start: BucketStart, times: HolderTenure) -> Self {
         Self {
             bounds,
             parts: parts.max(1),
@@ -226,15 +228,15 @@
     }
 
     /// Until then it is known that no other VM was the zone's holder.
-    pub fn lead_until(&mut self, time: Instant) {
-        self.times.led_until = time;
+    pub fn set_sole_until(&mut self, time: Instant) {
+        self.times.sole_until = time;
     }
 
     fn part(&self, rule: &QuotaRule) -> QuotaPart {
         let parts = f64::from(self.parts);
         let (per_s, burst) = (rule.per_s as f64, rule.burst as f64);
         let quota = per_s * self.bounds.window.as_secs_f64() + burst;
-        let spare = quota * self.bounds.over + self.bounds.slack;
+        let spare = quota * self.bounds.tolerance_ratio + self.bounds.tolerance_units;
         QuotaPart {
             per_s: per_s / parts,
             most: burst / parts,
@@ -244,7 +246,7 @@
 
     /// Takes over the quotas in force. A lower one counts at once, and a higher one fills from now on. An organisation
     /// that is new has paid nothing out as far as this holder knows, and another one may know better.
-    pub fn declare<'a>(
+    pub fn set_rules<'a>(
         &mut self,
         quotas: impl IntoIterator<Item = (&'a OrganisationName, &'a QuotaRule)>,
         now: Instant,
@@ -253,7 +255,7 @@
             let part = self.part(rule);
             let first = match self.start {
                 BucketStart::Full => part.most,
-                BucketStart::Spent => -part.debt,
+                BucketStart::Exhausted => -part.debt,
             };
             let bucket = self.buckets.entry(name.clone()).or_insert(QuotaBucket {
                 part,
@@ -266,7 +268,7 @@
             bucket.part = part;
             bucket.level = bucket.level.min(part.most);
         }
-        self.start = BucketStart::Spent;
+        self.start = BucketStart::Exhausted;
         self.buckets
             .retain(|_, bucket| now.since(bucket.at) < FORGOTTEN_AFTER);
     }
@@ -275,14 +277,14 @@
     ///
     /// # Errors
     /// When the bucket has too little: the time until it has enough.
-    pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
+    pub fn charge(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
         let Some(bucket) = self.buckets.get_mut(&charge.organisation) else {
             return Ok(());
         };
         bucket.fill(&self.times, now);
         let units = charge.units as f64;
         let missing = units - (bucket.level + bucket.part.debt);
-        if missing <= 0.0 && self.times.standing(now) != HolderStanding::Out {
+        if missing <= 0.0 && self.times.share(now) != HolderShare::Inactive {
             bucket.level -= units;
             bucket.paid += charge.units;
             return Ok(());
@@ -294,7 +296,7 @@
     }
 
     /// Gives a charge back whose call did not run.
-    pub fn give_back(&mut self, charge: &QuotaCharge, now: Instant) {
+    pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
         if let Some(bucket) = self.buckets.get_mut(&charge.organisation) {
             bucket.fill(&self.times, now);
             bucket.level = (bucket.level + charge.units as f64).min(bucket.part.most);
--- a/crates/core/src/direct/copy_doubt.rs
+++ b/crates/core/src/direct/restore_guard.rs
@@ -15,36 +15,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RewriteRule {
     /// Time from the log's return until all of it is written again.
-    pub rewrite: Duration,
+    pub rewrite_time: Duration,
 }
 
 /// Whether what is read of the operators' records may lack the newest.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct CopyDoubt {
+pub struct RestoreGuard {
     /// When operators have had the time to write again.
     latest: Instant,
     /// When the doubt is over, as far as is known.
     until: Instant,
 }
 
-impl CopyDoubt {
+impl RestoreGuard {
     /// Takes in a new era of the log; `proven` is the age of the proof that the configuration was the newest.
-    pub fn enter(
+    pub fn enter_era(
         &mut self,
         era: StoreEra,
         proven: Option<Duration>,
         rule: RewriteRule,
         now: Instant,
     ) {
-        let is_known = proven.is_some_and(|age| age <= rule.rewrite);
+        let is_known = proven.is_some_and(|age| age <= rule.rewrite_time);
         if !era.is_first() && !is_known {
-            self.latest = now.after(rule.rewrite);
+            self.latest = now.after(rule.rewrite_time);
             self.until = self.latest;
         }
     }
 
     /// Operators wrote a configuration in this era.
-    pub fn note_written(&mut self, now: Instant) {
+    pub fn record_write(&mut self, now: Instant) {
         if self.remaining(now).is_some() {
             self.until = self.latest.min(now.after(WRITES_PAUSE));
         }
--- a/crates/core/src/direct/budget.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -27,11 +27,11 @@
 
 /// The fleet's rule for repeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryRule {
+pub struct RetryBudgetRule {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed beside those in one window, over the whole fleet.
-    pub slack: f64,
+    pub extra_retries: f64,
     /// Length of the window.
     pub window: Duration,
 }
@@ -103,11 +103,11 @@
 
 /// What a share stands at.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryStanding {
+pub struct RetryUsage {
     /// Requests in the window.
     pub requests: u32,
     /// Repeats in the window.
-    pub repeats: u32,
+    pub retries: u32,
     /// Repeats allowed in it.
     pub allowed: f64,
 }
@@ -115,7 +115,7 @@
 /// Counts requests and repeats by service, and allows further repeats.
 #[derive(Clone, Debug)]
 pub struct RetryShare {
-    rule: RetryRule,
+    rule: RetryBudgetRule,
     /// Longest window that a rule had: what was spent in it counts again if it comes back.
     longest: Duration,
     /// VMs that share the fixed number; none as long as the fleet is not known.
@@ -128,7 +128,7 @@
 impl RetryShare {
     /// A share of `rule` among `vms` machines, in a process that has run for long.
     #[must_use]
-    pub fn new(rule: RetryRule, vms: u32) -> Self {
+    pub fn new(rule: RetryBudgetRule, vms: u32) -> Self {
         Self {
             rule,
             longest: rule.window,
@@ -142,7 +142,7 @@
     /// would take nine times its part of a fleet of 75 if it assumed eight. `restarted` is when it started if processes
     /// of the fleet may have run before; at the first start of a fleet nobody has spent anything.
     #[must_use]
-    pub fn starting(rule: RetryRule, restarted: Option<Instant>) -> Self {
+    pub fn starting(rule: RetryBudgetRule, restarted: Option<Instant>) -> Self {
         Self {
             rule,
             longest: rule.window,
@@ -154,7 +154,7 @@
 
     /// Sets the fleet's rule. What was spent under the rules before counts on: a window that is shorter for a moment, in
     /// one of several reloads, would otherwise pay for the same repeats twice.
-    pub fn set_rule(&mut self, rule: RetryRule) {
+    pub fn set_rule(&mut self, rule: RetryBudgetRule) {
         self.longest = self.longest.max(rule.window);
         self.rule = rule;
     }
@@ -165,7 +165,7 @@
     }
 
     /// A caller's request for a service came.
-    pub fn count_request(&mut self, service: &ServiceName, now: Instant) {
+    pub fn record_request(&mut self, service: &ServiceName, now: Instant) {
         let window = self.window(service, now);
         if let Some(step) = window.steps.back_mut() {
             step.requests += 1;
@@ -173,15 +173,17 @@
     }
 
     /// What the share of a service stands at.
-    pub fn standing(&mut self, service: &ServiceName, now: Instant) -> RetryStanding {
+    pub fn usage(&mut self, service: &ServiceName, now: Instant) -> RetryUsage {
         let rule = self.rule;
-        let share = self.vms.map_or(0.0, |vms| rule.slack / f64::from(vms));
+        let share = self
+            .vms
+            .map_or(0.0, |vms| rule.extra_retries / f64::from(vms));
         let (used, grown) = self.parts(now);
         let window = self.window(service, now);
         let (requests, repeats) = window.totals(now, rule.window);
-        RetryStanding {
+        RetryUsage {
             requests,
-            repeats,
+            retries: repeats,
             allowed: (rule.ratio * f64::from(requests) + share * grown) * used,
         }
     }
@@ -200,9 +202,9 @@
     }
 
     /// Whether one more repeat is allowed; counts it if so.
-    pub fn try_repeat(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let standing = self.standing(service, now);
-        if f64::from(standing.repeats) + 1.0 > standing.allowed {
+    pub fn try_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
+        let standing = self.usage(service, now);
+        if f64::from(standing.retries) + 1.0 > standing.allowed {
             return false;
         }
         if let Some(step) = self.window(service, now).steps.back_mut() {
--- a/crates/core/src/direct/streams.rs
+++ b/crates/core/src/direct/stream_estimate.rs
@@ -44,21 +44,21 @@
 
 /// Longest parts of the streams that ended lately.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StreamPace {
+pub struct StreamEstimate {
     start_ms: Option<DecayedPeak>,
     event_ms: Option<DecayedPeak>,
     /// Events for each token that the caller allowed; does not fall, as it is the engines' way of sending.
     events_part: Option<f64>,
 }
 
-impl StreamPace {
+impl StreamEstimate {
     /// A stream's first event came after a time.
-    pub fn note_start(&mut self, held: Duration, now: Instant) {
+    pub fn record_start(&mut self, held: Duration, now: Instant) {
         DecayedPeak::note(&mut self.start_ms, held.as_secs_f64() * 1e3, now);
     }
 
     /// A stream of a number of events ended a span after its first one; its caller allowed `most_output` tokens.
-    pub fn note_end(&mut self, events: u64, span: Duration, most_output: u32, now: Instant) {
+    pub fn record_end(&mut self, events: u64, span: Duration, most_output: u32, now: Instant) {
         let gaps = events.saturating_sub(1);
         if gaps == 0 || most_output == 0 {
             return;
@@ -71,7 +71,7 @@
 
     /// Longest time that a stream of up to `most_output` tokens is expected to take.
     #[must_use]
-    pub fn longest(&self, most_output: u32, now: Instant) -> Duration {
+    pub fn max_duration(&self, most_output: u32, now: Instant) -> Duration {
         let seen = |peak: Option<DecayedPeak>, guess| peak.map_or(guess, |peak| peak.value(now));
         let start = seen(self.start_ms, START_GUESS_MS);
         let each = seen(self.event_ms, EVENT_GUESS_MS);
--- a/crates/core/src/direct/suspects.rs
+++ b/crates/core/src/direct/suspects.rs
@@ -13,9 +13,9 @@
 use std::{collections::HashMap, time::Duration};
 
 /// Ends from which a request is quarantined.
-pub const QUARANTINED_FROM: usize = 2;
+pub const QUARANTINE_MIN_CRASHES: usize = 2;
 /// Time after which a request that stays away is forgotten.
-pub const REMEMBERED_FOR: Duration = Duration::from_secs(24 * 3_600);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(24 * 3_600);
 /// Requests that are remembered; beyond that those with the fewest ends go first. A fleet that loses a quarter of 140 engines
 /// with 12 requests each has 420 of them.
 const KEPT_MOST: usize = 2_048;
@@ -30,7 +30,7 @@
 
 /// A target that ended while a request ran there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedUnder {
+pub struct TargetCrash {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The target and its life.
@@ -45,9 +45,9 @@
     /// Targets ended under it.
     Suspected {
         /// How many.
-        ends: usize,
+        crashes: usize,
         /// When the last end was noted.
-        since: Instant,
+        last_crash: Instant,
     },
 }
 
@@ -57,20 +57,20 @@
     pub fn ends(self) -> usize {
         match self {
             Self::Clear => 0,
-            Self::Suspected { ends, .. } => ends,
+            Self::Suspected { crashes: ends, .. } => ends,
         }
     }
 }
 
 /// What counts against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SuspectStanding {
+pub struct SuspectStatus {
     /// Targets that ended under it, in the order in which they were noted.
-    pub ended: Vec<TargetRun>,
+    pub crashes: Vec<TargetRun>,
     /// When the last one was noted.
-    pub since: Instant,
+    pub last_crash: Instant,
     /// When it is forgotten unless it comes again.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -147,12 +147,17 @@
     }
 
     /// Notes that a target ended under a request; says whether that is news.
-    pub fn note_ended(&mut self, ended: &EndedUnder, now: Instant) -> bool {
-        self.note_until(ended, now.after(REMEMBERED_FOR), now)
+    pub fn record_crash(&mut self, ended: &TargetCrash, now: Instant) -> bool {
+        self.record_crash_until(ended, now.after(SUSPECT_TTL), now)
     }
 
     /// Notes an end that is remembered until a time; says whether it is news.
-    pub fn note_until(&mut self, ended: &EndedUnder, until: Instant, now: Instant) -> bool {
+    pub fn record_crash_until(
+        &mut self,
+        ended: &TargetCrash,
+        until: Instant,
+        now: Instant,
+    ) -> bool {
         self.rows.retain(|_, row| row.is_remembered(now));
         if until <= now {
             return false;
@@ -180,7 +185,7 @@
     }
 
     /// A trial of a request was answered well: it is not what ended targets before. Says whether it was a suspect.
-    pub fn pardon(&mut self, fingerprint: RequestFingerprint) -> bool {
+    pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         let Some(row) = self.rows.get_mut(&fingerprint) else {
             return false;
         };
@@ -191,7 +196,7 @@
     }
 
     /// Some ends of a request no longer count against it.
-    pub fn pardon_ends(&mut self, fingerprint: RequestFingerprint, runs: &[TargetRun]) {
+    pub fn clear_crashes(&mut self, fingerprint: RequestFingerprint, runs: &[TargetRun]) {
         let Some(row) = self.rows.get_mut(&fingerprint) else {
             return;
         };
@@ -202,9 +207,9 @@
     }
 
     /// A suspect came again.
-    pub fn note_return(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+    pub fn refresh(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if let Some(row) = self.rows.get_mut(&fingerprint) {
-            row.until = now.after(REMEMBERED_FOR);
+            row.until = now.after(SUSPECT_TTL);
         }
     }
 
@@ -215,24 +220,23 @@
         let row = row.filter(|row| row.is_remembered(now));
         match row.map(|row| (row.counted().count(), row.since)) {
             None | Some((0, _)) => Suspicion::Clear,
-            Some((ends, since)) => Suspicion::Suspected { ends, since },
+            Some((ends, since)) => Suspicion::Suspected {
+                crashes: ends,
+                last_crash: since,
+            },
         }
     }
 
     /// What counts against a request; nothing if it is clear.
     #[must_use]
-    pub fn standing(
-        &self,
-        fingerprint: RequestFingerprint,
-        now: Instant,
-    ) -> Option<SuspectStanding> {
+    pub fn status(&self, fingerprint: RequestFingerprint, now: Instant) -> Option<SuspectStatus> {
         let row = self.rows.get(&fingerprint)?;
         let ended: Vec<_> = row.counted().cloned().collect();
         let is_suspect = !ended.is_empty() && row.is_remembered(now);
-        is_suspect.then_some(SuspectStanding {
-            ended,
-            since: row.since,
-            until: row.until,
+        is_suspect.then_some(SuspectStatus {
+            crashes: ended,
+            last_crash: row.since,
+            expires_at: row.until,
         })
     }
 
@@ -247,12 +251,12 @@
     #[must_use]
     pub fn quarantine(&self, fingerprint: RequestFingerprint) -> Option<Vec<TargetRun>> {
         let counted: Vec<_> = self.rows.get(&fingerprint)?.counted().cloned().collect();
-        (counted.len() >= QUARANTINED_FROM).then_some(counted)
+        (counted.len() >= QUARANTINE_MIN_CRASHES).then_some(counted)
     }
 
     /// Whether a target ended under both requests.
     #[must_use]
-    pub fn share_an_end(&self, fingerprint: RequestFingerprint, other: RequestFingerprint) -> bool {
+    pub fn share_crash(&self, fingerprint: RequestFingerprint, other: RequestFingerprint) -> bool {
         let (Some(row), Some(other)) = (self.rows.get(&fingerprint), self.rows.get(&other)) else {
             return false;
         };
@@ -260,13 +264,13 @@
     }
 
     /// What is known, to be told to another VM.
-    pub fn told(&self, now: Instant) -> impl Iterator<Item = EndedUnder> + '_ {
+    pub fn crashes(&self, now: Instant) -> impl Iterator<Item = TargetCrash> + '_ {
         let rows = self
             .rows
             .iter()
             .filter(move |(_, row)| row.is_remembered(now));
         rows.flat_map(|(fingerprint, row)| {
-            row.counted().map(|run| EndedUnder {
+            row.counted().map(|run| TargetCrash {
                 fingerprint: *fingerprint,
                 run: run.clone(),
             })
@@ -281,7 +285,7 @@
             .map(|row| row.counted().count())
             .filter(|ends| *ends > 0);
         ends.fold((0, 0), |(suspected, quarantined), ends| {
-            let is_quarantined = ends >= QUARANTINED_FROM;
+            let is_quarantined = ends >= QUARANTINE_MIN_CRASHES;
             (suspected + 1, quarantined + usize::from(is_quarantined))
         })
     }
--- a/crates/core/src/direct/notices.rs
+++ b/crates/core/src/direct/target_notices.rs
@@ -13,13 +13,13 @@
     /// Whether the target is about to leave, and wants no new work in this life.
     pub is_leaving: bool,
     /// Time for which it wants nothing from this VM.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Requests a second that it takes from all VMs together.
-    pub rate: Option<RequestRate>,
+    pub rate_limit: Option<RequestRate>,
     /// Version of the base model that made the answer, also where an adapter was asked for.
     pub version: Option<u64>,
     /// Time for which it keeps the connection when idle.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub is_closing: bool,
 }
--- a/crates/core/src/direct/trials.rs
+++ b/crates/core/src/direct/trials.rs
@@ -94,14 +94,18 @@
     }
 
     /// Grants a trial of a request, or says when to come back.
-    pub fn ask(
+    pub fn try_grant(
         &mut self,
         suspects: &SuspectTable,
         fingerprint: RequestFingerprint,
         key: CallKey,
         now: Instant,
     ) -> TrialAnswer {
-        let Suspicion::Suspected { ends, since } = suspects.suspicion(fingerprint, now) else {
+        let Suspicion::Suspected {
+            crashes: ends,
+            last_crash: since,
+        } = suspects.suspicion(fingerprint, now)
+        else {
             return TrialAnswer::Clear;
         };
         let Some(pause) = self.rule.pause_after(ends) else {
@@ -122,7 +126,7 @@
     }
 
     /// A trial ended.
-    pub fn end(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
+    pub fn release(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
         let running = self.running.get(&fingerprint);
         if running.is_some_and(|trial| trial.key == *key) {
             self.running.remove(&fingerprint);
--- a/crates/core/src/direct/versions.rs
+++ b/crates/core/src/direct/versions.rs
@@ -8,7 +8,7 @@
 
 /// What told a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionTeller {
+pub enum VersionSource {
     /// The platform's list, which may be seconds old.
     List,
     /// The engine's report.
@@ -21,22 +21,22 @@
 
 /// A version as it was last told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct VersionSight {
+pub struct ObservedVersion {
     /// The version.
     pub version: u64,
     /// What told it.
-    pub teller: VersionTeller,
+    pub source: VersionSource,
     /// When it was told.
     pub at: Instant,
 }
 
-impl VersionSight {
+impl ObservedVersion {
     /// A version that was told now; nothing where what told it names none.
     #[must_use]
-    pub fn told(version: u64, teller: VersionTeller, at: Instant) -> Option<Self> {
+    pub fn observe(version: u64, teller: VersionSource, at: Instant) -> Option<Self> {
         (version > 0).then_some(Self {
             version,
-            teller,
+            source: teller,
             at,
         })
     }
@@ -48,7 +48,7 @@
     /// They are known and the same.
     Same,
     /// They are known and unlike.
-    Unlike,
+    Different,
     /// One of them is not known.
     Unknown,
 }
@@ -56,10 +56,10 @@
 impl VersionMatch {
     /// Compares what is known of two versions.
     #[must_use]
-    pub fn of(left: Option<VersionSight>, right: Option<VersionSight>) -> Self {
+    pub fn of(left: Option<ObservedVersion>, right: Option<ObservedVersion>) -> Self {
         match (left, right) {
             (Some(left), Some(right)) if left.version == right.version => Self::Same,
-            (Some(_), Some(_)) => Self::Unlike,
+            (Some(_), Some(_)) => Self::Different,
             _ => Self::Unknown,
         }
     }
@@ -68,7 +68,7 @@
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
-            (Self::Unlike, _) | (_, Self::Unlike) => Self::Unlike,
+            (Self::Different, _) | (_, Self::Different) => Self::Different,
             (Self::Unknown, _) | (_, Self::Unknown) => Self::Unknown,
             (Self::Same, Self::Same) => Self::Same,
         }
@@ -77,23 +77,23 @@
 
 /// Versions of what makes an engine's memory of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemoryVersions {
+pub struct CacheVersions {
     /// Of the base model.
-    pub base: Option<VersionSight>,
+    pub base: Option<ObservedVersion>,
     /// Of the adapter.
-    pub adapter: Option<VersionSight>,
+    pub adapter: Option<ObservedVersion>,
 }
 
 /// Versions that are known to have made an engine's memory of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemoryMark {
+pub struct CacheTag {
     /// Of the base model.
     pub base: u64,
     /// Of the adapter, where one was asked for.
     pub adapter: Option<u64>,
 }
 
-impl MemoryMark {
+impl CacheTag {
     /// The version that a call has to expect of an engine that uses the memory.
     #[must_use]
     pub fn expected(&self) -> u64 {
@@ -103,22 +103,22 @@
 
 /// Shows a version with its age, for a log line.
 #[derive(Clone, Copy, Debug)]
-pub struct SightAge {
+pub struct VersionAge {
     /// What is known.
-    pub sight: Option<VersionSight>,
+    pub observed: Option<ObservedVersion>,
     /// The present.
     pub now: Instant,
 }
 
-impl fmt::Display for SightAge {
+impl fmt::Display for VersionAge {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.sight {
+        match self.observed {
             Some(sight) => {
                 let age = self.now.since(sight.at).as_millis();
                 write!(
                     f,
                     "version {} by {:?} {age} ms ago",
-                    sight.version, sight.teller
+                    sight.version, sight.source
                 )
             }
             None => f.write_str("unknown version"),
--- a/crates/core/tests/direct_duty.rs
+++ b/crates/core/tests/direct_duty.rs
@@ -9,7 +9,7 @@
 //! that names the change is E720 of vm-0 with `Read` at 71.338 s, 3.13 s after its E100. All other 17 VMs write E720 with
 //! `Passed` in the same millisecond. With four VMs a zone, or after those three seconds, no call came late.
 
-use hoplanding_core::direct::duty::{DutyView, HolderSight, LINK_GRACE};
+use hoplanding_core::direct::log_readers::{HolderPresence, LINK_GRACE, ReaderView};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -18,36 +18,36 @@
 /// Time that a read of the list takes to find a new record, with the pause before it.
 const READ_TIME: Duration = Duration::from_millis(700);
 
-fn sight() -> impl Strategy<Value = HolderSight> {
+fn sight() -> impl Strategy<Value = HolderPresence> {
     prop_oneof![
-        Just(HolderSight::Oneself),
-        Just(HolderSight::Heard),
-        Just(HolderSight::Silent),
-        Just(HolderSight::Nobody),
+        Just(HolderPresence::Myself),
+        Just(HolderPresence::Heard),
+        Just(HolderPresence::Silent),
+        Just(HolderPresence::Vacant),
     ]
 }
 
-fn view() -> impl Strategy<Value = DutyView> {
+fn view() -> impl Strategy<Value = ReaderView> {
     let numbers = (0..6_000_u64, 1..400_usize, 0..400_u32, any::<bool>());
-    (sight(), numbers).prop_map(|(holder, (age_ms, zone_vms, rank, is_asked))| DutyView {
+    (sight(), numbers).prop_map(|(holder, (age_ms, zone_vms, rank, is_asked))| ReaderView {
         age: Duration::from_millis(age_ms),
         holder,
         rank,
         zone_vms,
-        is_asked,
+        is_backup_requested: is_asked,
     })
 }
 
 proptest! {
     #[test]
     fn a_holder_reads_from_its_start_on(view in view()) {
-        prop_assert!(view.holder != HolderSight::Oneself || view.must_read(), "{view:?}");
+        prop_assert!(view.holder != HolderPresence::Myself || view.must_read(), "{view:?}");
     }
 
     #[test]
     fn whoever_hears_no_holder_reads_in_time(view in view()) {
         let has_waited = view.age + READ_TIME >= LEAVING_KNOWN;
-        let is_blind = view.holder != HolderSight::Heard && !view.must_read();
+        let is_blind = view.holder != HolderPresence::Heard && !view.must_read();
         prop_assert!(!(has_waited && is_blind), "{view:?}");
     }
 }
@@ -58,18 +58,18 @@
 fn a_zone_that_starts_has_one_reader_whom_the_others_hear() {
     for zone_vms in 5..=60_u32 {
         for age_ms in (0..4_000).step_by(100) {
-            let views = (0..zone_vms).map(|rank| DutyView {
+            let views = (0..zone_vms).map(|rank| ReaderView {
                 age: Duration::from_millis(age_ms),
                 holder: if rank == 0 {
-                    HolderSight::Oneself
+                    HolderPresence::Myself
                 } else {
-                    HolderSight::Heard
+                    HolderPresence::Heard
                 },
                 rank: rank.saturating_sub(1),
                 zone_vms: zone_vms as usize,
-                is_asked: false,
+                is_backup_requested: false,
             });
-            let readers = views.filter(DutyView::must_read).count();
+            let readers = views.filter(ReaderView::must_read).count();
             assert_eq!(readers, 1, "{zone_vms} VMs, {age_ms} ms after the start");
         }
     }
@@ -77,12 +77,12 @@
 
 #[test]
 fn a_vm_gives_its_first_link_time_to_come_up() {
-    let mut view = DutyView {
+    let mut view = ReaderView {
         age: LINK_GRACE / 2,
-        holder: HolderSight::Silent,
+        holder: HolderPresence::Silent,
         rank: 5,
         zone_vms: 30,
-        is_asked: false,
+        is_backup_requested: false,
     };
     assert!(!view.must_read());
     view.age = LINK_GRACE;
--- a/crates/core/tests/direct_freshness.rs
+++ b/crates/core/tests/direct_freshness.rs
@@ -2,7 +2,7 @@
 //! woken, a call is let through only while no key can have been gone for longer than the bound.
 
 use hoplanding_core::{
-    direct::freshness::{BeatEcho, ConfigProof, RevocationRule},
+    direct::freshness::{FreshnessProof, HeartbeatEcho, RevocationRule},
     ids::Instant,
 };
 use proptest::{collection::vec, prelude::*};
@@ -19,29 +19,29 @@
 
 #[test]
 fn a_proof_counts_from_when_its_read_was_sent() {
-    let mut proof = ConfigProof::default();
-    assert!(!proof.holds(RULE, at(0)));
-    proof.note_read(at(100));
-    assert!(proof.holds(RULE, at(4_900)));
-    assert!(!proof.holds(RULE, at(5_100)));
+    let mut proof = FreshnessProof::default();
+    assert!(!proof.is_fresh(RULE, at(0)));
+    proof.record_read(at(100));
+    assert!(proof.is_fresh(RULE, at(4_900)));
+    assert!(!proof.is_fresh(RULE, at(5_100)));
     // An older answer that comes late changes nothing.
-    proof.note_read(at(50));
+    proof.record_read(at(50));
     assert_eq!(proof.age(at(200)), Some(Duration::from_millis(100)));
 }
 
 #[test]
 fn a_proof_of_a_newer_configuration_than_is_known_proves_nothing_here() {
-    let mut holder = ConfigProof::default();
-    holder.note_read(at(1_000));
-    let passed = holder.pass_on(NEWEST, at(1_200)).expect("a proof");
-    let echo = BeatEcho {
+    let mut holder = FreshnessProof::default();
+    holder.record_read(at(1_000));
+    let passed = holder.relay(NEWEST, at(1_200)).expect("a proof");
+    let echo = HeartbeatEcho {
         sent: at(1_150).0,
         held_ms: 30,
     };
-    let mut proof = ConfigProof::default();
-    proof.take_passed(&passed, &echo, 6);
+    let mut proof = FreshnessProof::default();
+    proof.accept_relayed(&passed, &echo, 6);
     assert_eq!(proof.age(at(1_300)), None);
-    proof.take_passed(&passed, &echo, 8);
+    proof.accept_relayed(&passed, &echo, 8);
     assert_eq!(proof.age(at(1_300)), Some(Duration::from_millis(320)));
 }
 
@@ -81,22 +81,22 @@
     ) {
         let sent = 20_000;
         // The sender's clock is true time plus an offset.
-        let (mut proof, mut offset) = (ConfigProof::default(), 0);
-        proof.note_read(at(sent));
+        let (mut proof, mut offset) = (FreshnessProof::default(), 0);
+        proof.record_read(at(sent));
         let mut now = sent + answered;
         for hop in hops {
             // The receiver's sign of life is under way while the sender has its proof, or before.
             let asked = now;
             let looked = asked + hop.there + hop.held;
-            let passed = proof.pass_on(NEWEST, at(looked + offset)).expect("a proof");
-            let echo = BeatEcho { sent: at(asked + hop.clock).0, held_ms: hop.held as u32 };
-            let mut received = ConfigProof::default();
-            received.take_passed(&passed, &echo, NEWEST);
+            let passed = proof.relay(NEWEST, at(looked + offset)).expect("a proof");
+            let echo = HeartbeatEcho { sent: at(asked + hop.clock).0, held_ms: hop.held as u32 };
+            let mut received = FreshnessProof::default();
+            received.accept_relayed(&passed, &echo, NEWEST);
             (proof, offset) = (received, hop.clock);
             now = looked + hop.back;
         }
         let now = now + waits;
-        if proof.holds(RULE, at(now + offset)) {
+        if proof.is_fresh(RULE, at(now + offset)) {
             prop_assert!(now <= sent + 5_000, "{now}");
         }
     }
--- a/crates/core/tests/direct_limits.rs
+++ b/crates/core/tests/direct_limits.rs
@@ -1,7 +1,7 @@
 //! Limits that targets name: what a holder sends in any window, how a limit is lifted, and what a part of one allows.
 
 use hoplanding_core::{
-    direct::limits::{LimitTable, NamedLimit, RequestRate},
+    direct::limits::{AdvertisedLimit, RateLimitTable, RequestRate},
     ids::{Instant, TargetLife, TargetName, TargetRun},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -17,22 +17,22 @@
     TargetName::new("t")
 }
 
-fn named(life: u64, rate: Option<f64>) -> NamedLimit {
+fn named(life: u64, rate: Option<f64>) -> AdvertisedLimit {
     let life = TargetLife::begun_at(life);
-    NamedLimit {
+    AdvertisedLimit {
         run: TargetRun { name: name(), life },
         rate: rate.and_then(RequestRate::per_second),
     }
 }
 
-fn limited(rate: f64) -> LimitTable {
-    let mut table = LimitTable::default();
-    assert!(table.note(&named(1, Some(rate)), at(0)));
+fn limited(rate: f64) -> RateLimitTable {
+    let mut table = RateLimitTable::default();
+    assert!(table.record(&named(1, Some(rate)), at(0)));
     table
 }
 
 /// When requests are sent if as many come as a caller likes to wait for.
-fn sends(table: &mut LimitTable, seed: u64) -> Vec<Instant> {
+fn sends(table: &mut RateLimitTable, seed: u64) -> Vec<Instant> {
     let mut draw = StdRng::seed_from_u64(seed);
     let mut sent = Vec::new();
     let mut ms = 0;
@@ -43,11 +43,11 @@
         }
         let wait = table.wait(&name(), at(ms));
         if wait <= Duration::from_millis(draw.random_range(0..2_000)) {
-            table.take(&name(), at(ms));
+            table.take_token(&name(), at(ms));
             sent.push(at(ms).after(wait));
         }
         if draw.random_bool(0.3) {
-            table.note(&named(1, Some(2.7)), at(ms));
+            table.record(&named(1, Some(2.7)), at(ms));
         }
     }
     sent
@@ -74,38 +74,38 @@
 
 #[test]
 fn a_target_that_names_no_limit_is_not_waited_for() {
-    let mut table = LimitTable::default();
-    assert!(!table.note(&named(1, None), at(0)));
-    table.take(&name(), at(0));
+    let mut table = RateLimitTable::default();
+    assert!(!table.record(&named(1, None), at(0)));
+    table.take_token(&name(), at(0));
     assert_eq!(table.wait(&name(), at(0)), Duration::ZERO);
 }
 
 #[test]
 fn an_answer_made_before_the_limit_does_not_lift_it_and_later_ones_do() {
     let mut table = limited(2.0);
-    assert!(!table.note(&named(1, None), at(300)));
+    assert!(!table.record(&named(1, None), at(300)));
     assert!(table.is_limited(&name()));
-    assert!(table.note(&named(1, None), at(1_300)));
+    assert!(table.record(&named(1, None), at(1_300)));
     assert!(!table.is_limited(&name()));
 }
 
 #[test]
 fn another_limit_counts_from_its_answer_on() {
     let mut table = limited(0.5);
-    table.take(&name(), at(0));
+    table.take_token(&name(), at(0));
     let slow = table.wait(&name(), at(0));
-    assert!(table.note(&named(1, Some(5.0)), at(0)));
+    assert!(table.record(&named(1, Some(5.0)), at(0)));
     assert!(table.wait(&name(), at(0)) < slow);
-    assert!(!table.note(&named(1, Some(5.0)), at(10)));
+    assert!(!table.record(&named(1, Some(5.0)), at(10)));
 }
 
 #[test]
 fn a_limit_ends_with_the_life_that_named_it() {
-    let mut table = LimitTable::default();
-    table.note(&named(2, Some(1.0)), at(0));
-    assert!(!table.note(&named(1, None), at(5_000)));
+    let mut table = RateLimitTable::default();
+    table.record(&named(2, Some(1.0)), at(0));
+    assert!(!table.record(&named(1, None), at(5_000)));
     assert!(table.is_limited(&name()));
-    assert!(table.note(&named(3, None), at(5_000)));
+    assert!(table.record(&named(3, None), at(5_000)));
     assert!(!table.is_limited(&name()));
 }
 
@@ -124,11 +124,11 @@
     const VMS: u32 = 8;
     let mut sent = 0;
     for _ in 0..VMS {
-        let mut table = LimitTable::with_share(1.0 / f64::from(VMS));
-        table.note(&named(1, Some(2.0)), at(0));
+        let mut table = RateLimitTable::with_share(1.0 / f64::from(VMS));
+        table.record(&named(1, Some(2.0)), at(0));
         for ms in (0..20_000).step_by(10) {
             if table.wait(&name(), at(ms)).is_zero() {
-                table.take(&name(), at(ms));
+                table.take_token(&name(), at(ms));
                 sent += 1;
             }
         }
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -29,7 +29,7 @@
 
 /// The versions that made a part of memory; adapter 0 where the base model alone made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemoryMark {
+pub struct CacheTag {
     pub base: u64,
     pub adapter: u64,
 }
@@ -110,7 +110,7 @@
     /// Requests by the number of their call.
     pub runs: BTreeMap<u64, EngineRun>,
     copies: BTreeMap<AdapterName, TrueCopy>,
-    kept: BTreeMap<(AdapterName, u64), MemoryMark>,
+    kept: BTreeMap<(AdapterName, u64), CacheTag>,
     /// The base model that is being loaded, and when it is there, in ms.
     base_coming: Option<(u64, u64)>,
     lately: Vec<AdapterName>,
@@ -188,15 +188,15 @@
     }
 
     /// The versions that a run for a subject is made under now.
-    pub fn mark(&self, subject: &AdapterName) -> Option<MemoryMark> {
+    pub fn mark(&self, subject: &AdapterName) -> Option<CacheTag> {
         let base = self.base?;
         if split_subject(subject).1.is_none() {
-            return Some(MemoryMark { base, adapter: 0 });
+            return Some(CacheTag { base, adapter: 0 });
         }
         let copy = self.copies.get(subject)?;
         let is_there = !matches!(copy.state, CopyState::Coming(_));
         let adapter = copy.version;
-        is_there.then_some(MemoryMark { base, adapter })
+        is_there.then_some(CacheTag { base, adapter })
     }
 
     /// A request comes.
@@ -216,12 +216,12 @@
         Reception::Taken
     }
 
-    pub fn kept(&self, subject: &AdapterName, part: u64) -> Option<MemoryMark> {
+    pub fn kept(&self, subject: &AdapterName, part: u64) -> Option<CacheTag> {
         self.kept.get(&(subject.clone(), part)).copied()
     }
 
     /// Keeps a part, unless it has it.
-    pub fn keep(&mut self, subject: &AdapterName, part: u64, mark: MemoryMark) {
+    pub fn keep(&mut self, subject: &AdapterName, part: u64, mark: CacheTag) {
         self.kept.entry((subject.clone(), part)).or_insert(mark);
     }
 
@@ -460,7 +460,7 @@
             slots: SLOTS,
             stage: TargetStage::Ready,
             remaining: None,
-            cold: Duration::ZERO,
+            warmup_remaining: Duration::ZERO,
             orders_taken: self.sequence,
             models: self
                 .base
--- a/crates/core/tests/direct_memory/world.rs
+++ b/crates/core/tests/direct_memory/world.rs
@@ -3,7 +3,7 @@
 use crate::{
     drawn::{DrawnCall, DrawnEvent, DrawnWorld, Hearing, OrderFate, ReportFate, Return},
     engine::{
-        EngineRun, MemoryMark, NamedVersions, PLACES, Reception, SLOTS, TrueEngine, base_model,
+        CacheTag, EngineRun, NamedVersions, PLACES, Reception, SLOTS, TrueEngine, base_model,
         instant,
     },
 };
@@ -509,7 +509,7 @@
             let entries = self.entries.entry(engine.name.clone()).or_default();
             let is_told = |last: &Option<Arc<TargetEntry>>| {
                 last.as_ref()
-                    .is_some_and(|last| last.leads_alike(&entry) && last.adapters == entry.adapters)
+                    .is_some_and(|last| last.routes_like(&entry) && last.adapters == entry.adapters)
             };
             if !entries.last().is_some_and(|(_, last)| is_told(last)) {
                 entries.push((self.now_ms, Some(entry)));
@@ -745,7 +745,7 @@
         let subject = subject(drawn.subject);
         let up = |engine: &TrueEngine| engine.is_up && engine.name == sent.target;
         let Some(at) = self.engines.iter().position(up) else {
-            self.retry(number, sent.target, Some(CallOutcome::Unreached));
+            self.retry(number, sent.target, Some(CallOutcome::ConnectFailed));
             return;
         };
         let engine = &mut self.engines[at];
@@ -770,9 +770,11 @@
                 };
                 self.close_with(number, end, true);
             }
-            Reception::Deferred => {
-                self.retry(number, sent.target, Some(CallOutcome::Shed(Duration::ZERO)))
-            }
+            Reception::Deferred => self.retry(
+                number,
+                sent.target,
+                Some(CallOutcome::Overloaded(Duration::ZERO)),
+            ),
         }
     }
 
@@ -848,7 +850,7 @@
             return;
         }
         self.engines[life.at].end_run(number, self.now_ms);
-        self.close(number, Some(CallOutcome::Good), false);
+        self.close(number, Some(CallOutcome::Success), false);
     }
 
     /// A caller leaves; some engines go on with its request.
@@ -886,7 +888,7 @@
                 self.retry(
                     number,
                     name.clone(),
-                    Some(CallOutcome::Shed(Duration::ZERO)),
+                    Some(CallOutcome::Overloaded(Duration::ZERO)),
                 );
             }
         }
@@ -1075,8 +1077,8 @@
     engine: &mut TrueEngine,
     subject: &AdapterName,
     drawn: &DrawnCall,
-    mark: MemoryMark,
-) -> Vec<MemoryMark> {
+    mark: CacheTag,
+) -> Vec<CacheTag> {
     let kept = shared_parts(drawn).map_while(|(part, _)| engine.kept(subject, part));
     let used = kept.collect();
     for (part, _) in shared_parts(drawn) {
--- a/crates/core/tests/direct_outdated.rs
+++ b/crates/core/tests/direct_outdated.rs
@@ -31,7 +31,7 @@
         slots: 8,
         stage: TargetStage::Ready,
         remaining: None,
-        cold: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         orders_taken: 0,
         models: vec![("base".to_owned(), 1)],
         adapters: Vec::new(),
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -45,7 +45,7 @@
         slots: 8,
         stage: TargetStage::Ready,
         remaining: None,
-        cold: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         orders_taken: 0,
         models: vec![("base".to_owned(), 1)],
         adapters: Vec::new(),
@@ -244,7 +244,7 @@
             .all(|(_, answer)| !matches!(answer, PlacementAnswer::Send { .. })),
         "no call goes to the old version"
     );
-    planner.ended(&key(1), Some(&name), Some(CallOutcome::Good), now);
+    planner.ended(&key(1), Some(&name), Some(CallOutcome::Success), now);
     planner.tick(now);
     let given = orders(planner.take_actions());
     assert_eq!(given.len(), 1, "one replacement: {given:?}");
@@ -599,16 +599,16 @@
     let mut health = HealthTable::default();
     let target = TargetName::new("i-1");
     let now = Instant(1_000_000);
-    health.note(&target, CallOutcome::Unreached, now);
-    assert!(health.is_out(&target, now) && !health.is_lost(&target, now));
-    health.note(&target, CallOutcome::Unreached, now);
-    assert!(health.is_lost(&target, now));
+    health.record(&target, CallOutcome::ConnectFailed, now);
+    assert!(health.is_unreachable(&target, now) && !health.is_down(&target, now));
+    health.record(&target, CallOutcome::ConnectFailed, now);
+    assert!(health.is_down(&target, now));
     let later = after(now, 3_000);
-    assert!(!health.is_out(&target, later) && !health.is_lost(&target, later));
-    health.note(&target, CallOutcome::Good, later);
-    health.note(&target, CallOutcome::Unreached, later);
+    assert!(!health.is_unreachable(&target, later) && !health.is_down(&target, later));
+    health.record(&target, CallOutcome::Success, later);
+    health.record(&target, CallOutcome::ConnectFailed, later);
     assert!(
-        !health.is_lost(&target, later),
+        !health.is_down(&target, later),
         "an answer in between clears it"
     );
 }
@@ -752,7 +752,7 @@
                 .expect("an engine")
                 .running
                 .remove(&call);
-            planner.ended(&call, Some(&name), Some(CallOutcome::Good), now);
+            planner.ended(&call, Some(&name), Some(CallOutcome::Success), now);
         }
         if random.random_bool(0.002) {
             // The link to a gateway breaks; its calls run on for a while.
--- a/crates/core/tests/direct_quotas.rs
+++ b/crates/core/tests/direct_quotas.rs
@@ -3,8 +3,8 @@
 
 use hoplanding_core::{
     direct::quotas::{
-        BucketStart, HolderStanding, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit,
-        StandingTimes,
+        BucketStart, HolderShare, HolderTenure, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule,
+        QuotaUnit,
     },
     ids::{Instant, OrganisationName},
 };
@@ -13,8 +13,8 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
-    over: 0.1,
-    slack: 11_000.0,
+    tolerance_ratio: 0.1,
+    tolerance_units: 11_000.0,
 };
 /// Time within which a holder that is cut off from the log has been replaced at the soonest.
 const TURN_MS: u64 = 3_000;
@@ -28,7 +28,9 @@
 }
 
 fn rule(per_s: u64, burst: u64) -> QuotaRule {
-    let unit = QuotaUnit::Tokens { plain: 200 };
+    let unit = QuotaUnit::Tokens {
+        default_tokens: 200,
+    };
     QuotaRule { unit, per_s, burst }
 }
 
@@ -46,7 +48,7 @@
 /// Units that the users' rule allows in a window.
 fn allowed(rule: &QuotaRule) -> f64 {
     let quota = rule.per_s as f64 * BOUNDS.window.as_secs_f64() + rule.burst as f64;
-    quota * (1.0 + BOUNDS.over) + BOUNDS.slack
+    quota * (1.0 + BOUNDS.tolerance_ratio) + BOUNDS.tolerance_units
 }
 
 /// Most units that were paid within a window, by times in ms.
@@ -63,16 +65,16 @@
 
 fn ledger(start: BucketStart, rule: &QuotaRule, now_ms: u64) -> QuotaLedger {
     let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, sole());
-    ledger.declare([(&mill(), rule)], at(now_ms));
+    ledger.set_rules([(&mill(), rule)], at(now_ms));
     ledger
 }
 
 /// The times of a holder that nobody replaces.
-fn sole() -> StandingTimes {
-    StandingTimes {
-        led_until: Instant(u64::MAX >> 1),
-        began: Instant(0),
-        is_contested: false,
+fn sole() -> HolderTenure {
+    HolderTenure {
+        sole_until: Instant(u64::MAX >> 1),
+        active_from: Instant(0),
+        has_predecessor: false,
         window: BOUNDS.window,
     }
 }
@@ -87,14 +89,14 @@
 
 impl Holder {
     fn new(start: BucketStart, rule: &QuotaRule, now_ms: u64, quiet_ms: u64) -> Self {
-        let times = StandingTimes {
-            led_until: at(now_ms + TURN_MS),
-            began: at(now_ms + quiet_ms),
-            is_contested: quiet_ms > 0,
+        let times = HolderTenure {
+            sole_until: at(now_ms + TURN_MS),
+            active_from: at(now_ms + quiet_ms),
+            has_predecessor: quiet_ms > 0,
             window: BOUNDS.window,
         };
         let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, times);
-        ledger.declare([(&mill(), rule)], at(now_ms));
+        ledger.set_rules([(&mill(), rule)], at(now_ms));
         Self {
             ledger,
             is_cut: false,
@@ -107,9 +109,9 @@
             return false;
         }
         if !self.is_cut {
-            self.ledger.lead_until(at(now_ms + TURN_MS));
+            self.ledger.set_sole_until(at(now_ms + TURN_MS));
         }
-        self.ledger.pay(&charge(units), at(now_ms)).is_ok()
+        self.ledger.charge(&charge(units), at(now_ms)).is_ok()
     }
 }
 
@@ -170,10 +172,10 @@
                 if holders.len() > 1 {
                     holders.remove(0);
                 }
-                holders.push(Holder::new(BucketStart::Spent, &rule, now_ms, TURN_MS));
+                holders.push(Holder::new(BucketStart::Exhausted, &rule, now_ms, TURN_MS));
             }
             Happening::Die(zone) => {
-                zones[zone] = vec![Holder::new(BucketStart::Spent, &rule, now_ms, 0)];
+                zones[zone] = vec![Holder::new(BucketStart::Exhausted, &rule, now_ms, 0)];
             }
             Happening::Freeze(zone, is_frozen) => {
                 for holder in &mut zones[zone] {
@@ -184,7 +186,7 @@
                 // A lower limit binds one window later, so only the largest is looked at: rates do not rise here.
                 rule.per_s = rule.per_s.min(lower);
                 for holder in zones.iter_mut().flatten() {
-                    holder.ledger.declare([(&mill(), &rule)], at(now_ms));
+                    holder.ledger.set_rules([(&mill(), &rule)], at(now_ms));
                 }
             }
             Happening::GiveBack(zone, units) => {
@@ -203,7 +205,7 @@
                         }
                     });
                     if let Some(holder) = zones[zone].last_mut() {
-                        holder.ledger.give_back(&charge(units), at(now_ms));
+                        holder.ledger.refund(&charge(units), at(now_ms));
                     }
                 }
             }
@@ -233,7 +235,7 @@
 fn usual_use_is_paid_and_ten_times_as_much_is_held_to_the_rate() {
     let rule = rule(60_000, 60_000);
     let mut holders: Vec<_> = (0..ZONES)
-        .map(|_| ledger(BucketStart::Spent, &rule, 0))
+        .map(|_| ledger(BucketStart::Exhausted, &rule, 0))
         .collect();
     let mut paid = [0, 0];
     for ms in (2_000..22_000).step_by(10) {
@@ -241,7 +243,7 @@
         let calls = if ms < 12_000 { 1 } else { 10 };
         for _ in 0..calls {
             let holder = &mut holders[(ms / 10) as usize % 3];
-            let is_paid = holder.pay(&charge(330), at(ms)).is_ok();
+            let is_paid = holder.charge(&charge(330), at(ms)).is_ok();
             paid[usize::from(ms >= 12_000)] += u64::from(is_paid) * 330;
         }
     }
@@ -254,12 +256,12 @@
 fn an_organisation_with_a_small_rate_has_its_largest_calls_served() {
     let rule = rule(2_700, 2_700);
     let mut holder = ledger(BucketStart::Full, &rule, 0);
-    assert!(holder.pay(&charge(LARGEST), at(0)).is_ok());
+    assert!(holder.charge(&charge(LARGEST), at(0)).is_ok());
     let wait = holder
-        .pay(&charge(LARGEST), at(100))
+        .charge(&charge(LARGEST), at(100))
         .expect_err("it has to wait");
     assert!(wait > Duration::from_secs(1), "{wait:?}");
-    assert!(holder.pay(&charge(LARGEST), at(100 + 6_000)).is_ok());
+    assert!(holder.charge(&charge(LARGEST), at(100 + 6_000)).is_ok());
 }
 
 #[test]
@@ -267,12 +269,12 @@
     let rule = rule(30_000, 30_000);
     let mut first = ledger(BucketStart::Full, &rule, 0);
     let mut paid = 0;
-    while first.pay(&charge(100), at(0)).is_ok() {
+    while first.charge(&charge(100), at(0)).is_ok() {
         paid += 100;
     }
     for life in 1..=20 {
-        let mut holder = ledger(BucketStart::Spent, &rule, life * 10);
-        while holder.pay(&charge(100), at(life * 10)).is_ok() {
+        let mut holder = ledger(BucketStart::Exhausted, &rule, life * 10);
+        while holder.charge(&charge(100), at(life * 10)).is_ok() {
             paid += 100;
         }
     }
@@ -283,25 +285,25 @@
 #[test]
 fn a_holder_that_may_be_replaced_and_its_successor_pay_half_each() {
     let window = BOUNDS.window;
-    let old = StandingTimes {
-        led_until: at(3_000),
-        began: at(0),
-        is_contested: false,
+    let old = HolderTenure {
+        sole_until: at(3_000),
+        active_from: at(0),
+        has_predecessor: false,
         window,
     };
-    let new = StandingTimes {
-        led_until: at(60_000),
-        began: at(4_000),
-        is_contested: true,
+    let new = HolderTenure {
+        sole_until: at(60_000),
+        active_from: at(4_000),
+        has_predecessor: true,
         window,
     };
-    let seen = |ms| (old.standing(at(ms)), new.standing(at(ms)));
-    use HolderStanding::{Out, Shared, Sole};
-    assert_eq!(seen(2_999), (Sole, Out));
-    assert_eq!(seen(3_500), (Shared, Out));
+    let seen = |ms| (old.share(at(ms)), new.share(at(ms)));
+    use HolderShare::{Inactive, Shared, Sole};
+    assert_eq!(seen(2_999), (Sole, Inactive));
+    assert_eq!(seen(3_500), (Shared, Inactive));
     assert_eq!(seen(4_000), (Shared, Shared));
-    assert_eq!(seen(11_000), (Out, Shared));
-    assert_eq!(seen(12_000), (Out, Sole));
+    assert_eq!(seen(11_000), (Inactive, Shared));
+    assert_eq!(seen(12_000), (Inactive, Sole));
 }
 
 /// A holder stands still, or is cut off, and wakes with what waited for it: it pays out by what it is by then, and what it earned
@@ -309,21 +311,21 @@
 #[test]
 fn a_holder_that_stood_still_pays_nothing_out_and_earns_half_after_its_time() {
     let rule = rule(30_000, 300_000);
-    let times = StandingTimes {
-        led_until: at(3_000),
+    let times = HolderTenure {
+        sole_until: at(3_000),
         ..sole()
     };
     let begin = |start| {
         let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, times);
-        ledger.declare([(&mill(), &rule)], at(0));
+        ledger.set_rules([(&mill(), &rule)], at(0));
         ledger
     };
     let mut woken = begin(BucketStart::Full);
-    assert!(woken.pay(&charge(100), at(11_001)).is_err());
+    assert!(woken.charge(&charge(100), at(11_001)).is_err());
     // Three seconds at 10,000 a second, and five at half of it.
-    let mut late = begin(BucketStart::Spent);
+    let mut late = begin(BucketStart::Exhausted);
     let mut paid = 0;
-    while late.pay(&charge(100), at(8_000)).is_ok() {
+    while late.charge(&charge(100), at(8_000)).is_ok() {
         paid += 100;
     }
     assert_eq!(paid, 55_000);
@@ -331,10 +333,10 @@
 
 #[test]
 fn organisations_without_a_quota_pay_nothing() {
-    let mut holder = ledger(BucketStart::Spent, &rule(1, 0), 0);
+    let mut holder = ledger(BucketStart::Exhausted, &rule(1, 0), 0);
     let other = QuotaCharge {
         organisation: OrganisationName::new("port"),
         units: u64::MAX,
     };
-    assert_eq!(holder.pay(&other, at(0)), Ok(()));
+    assert_eq!(holder.charge(&other, at(0)), Ok(()));
 }
--- a/crates/core/tests/direct_suspects.rs
+++ b/crates/core/tests/direct_suspects.rs
@@ -3,7 +3,7 @@
 use hoplanding_core::{
     direct::{
         planner::CallKey,
-        suspects::{EndedUnder, RequestFingerprint, SuspectTable, Suspicion},
+        suspects::{RequestFingerprint, SuspectTable, Suspicion, TargetCrash},
         trials::{TrialAnswer, TrialRule, TrialTable, trial_zones},
     },
     ids::{AvailabilityZone, Instant, TargetLife, TargetName, TargetRun, VmName},
@@ -21,8 +21,8 @@
     Instant(1_000_000 + ms * 1_000)
 }
 
-fn ended(fingerprint: u64, target: &str) -> EndedUnder {
-    EndedUnder {
+fn ended(fingerprint: u64, target: &str) -> TargetCrash {
+    TargetCrash {
         fingerprint: RequestFingerprint(fingerprint),
         run: TargetRun {
             name: TargetName::new(target),
@@ -62,9 +62,9 @@
 
     fn ask(&mut self, fingerprint: u64, key: &CallKey, ms: u64) -> TrialAnswer {
         let fingerprint = RequestFingerprint(fingerprint);
-        self.suspects.note_return(fingerprint, at(ms));
+        self.suspects.refresh(fingerprint, at(ms));
         self.trials
-            .ask(&self.suspects, fingerprint, key.clone(), at(ms))
+            .try_grant(&self.suspects, fingerprint, key.clone(), at(ms))
     }
 
     /// Asks for a trial, and ends a target under it if it is granted; says whether it was.
@@ -74,8 +74,8 @@
             return false;
         }
         self.suspects
-            .note_ended(&ended(fingerprint, target), at(ms));
-        self.trials.end(RequestFingerprint(fingerprint), &key);
+            .record_crash(&ended(fingerprint, target), at(ms));
+        self.trials.release(RequestFingerprint(fingerprint), &key);
         true
     }
 }
@@ -83,10 +83,10 @@
 #[test]
 fn an_end_that_several_vms_tell_counts_once() {
     let mut table = SuspectTable::default();
-    assert!(table.note_ended(&ended(1, "a"), at(0)));
-    assert!(!table.note_ended(&ended(1, "a"), at(5)));
+    assert!(table.record_crash(&ended(1, "a"), at(0)));
+    assert!(!table.record_crash(&ended(1, "a"), at(5)));
     assert_eq!(ends(&table, 1, 10), 1);
-    assert!(table.note_ended(&ended(1, "b"), at(20)));
+    assert!(table.record_crash(&ended(1, "b"), at(20)));
     assert_eq!(ends(&table, 1, 30), 2);
     assert_eq!(suspicion(&table, 2, 30), Suspicion::Clear);
 }
@@ -95,7 +95,7 @@
 fn the_second_target_that_ends_under_a_request_quarantines_it_for_a_time() {
     let mut holder = Holder::new();
     assert_eq!(holder.ask(1, &call("vm-1", 1), 0), TrialAnswer::Clear);
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
     assert!(holder.tries(1, "b", 10));
     for ms in [20, 1_000, 15_000, 30_000] {
         assert!(!holder.tries(1, "c", ms), "{ms}");
@@ -115,9 +115,9 @@
 #[test]
 fn a_quarantine_that_is_over_keeps_its_count() {
     let mut holder = Holder::new();
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
-    holder.suspects.note_ended(&ended(1, "b"), at(10));
-    holder.suspects.note_ended(&ended(1, "c"), at(31_000));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "b"), at(10));
+    holder.suspects.record_crash(&ended(1, "c"), at(31_000));
     assert_eq!(ends(&holder.suspects, 1, 62_000), 3);
     assert!(!holder.tries(1, "d", 62_000));
 }
@@ -125,8 +125,8 @@
 #[test]
 fn many_callers_that_return_after_a_quarantine_get_one_trial() {
     let mut holder = Holder::new();
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
-    holder.suspects.note_ended(&ended(1, "b"), at(10));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "b"), at(10));
     let granted = (0..40).filter(|number| {
         let vm = format!("vm-{}", number % 7);
         holder.ask(1, &call(&vm, *number), PAUSED_MS) == TrialAnswer::Granted
@@ -137,7 +137,7 @@
 #[test]
 fn a_poison_request_that_returns_for_days_ends_four_targets() {
     let mut holder = Holder::new();
-    holder.suspects.note_ended(&ended(1, "first"), at(0));
+    holder.suspects.record_crash(&ended(1, "first"), at(0));
     let mut ended = 1;
     let mut ms = 0;
     while ms < 10 * DAY_MS {
@@ -150,7 +150,7 @@
 #[test]
 fn each_end_lengthens_the_pause_before_the_next_trial() {
     let mut holder = Holder::new();
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
     assert!(holder.tries(1, "b", 10));
     assert!(holder.tries(1, "c", PAUSED_MS));
     assert!(!holder.tries(1, "d", 2 * PAUSED_MS));
@@ -163,7 +163,7 @@
 fn the_third_end_bars_a_request_for_long() {
     let mut holder = Holder::new();
     for (ms, target) in [(0, "a"), (10, "b"), (20, "c")] {
-        holder.suspects.note_ended(&ended(1, target), at(ms));
+        holder.suspects.record_crash(&ended(1, target), at(ms));
     }
     assert!(!holder.tries(1, "d", 600_000));
 }
@@ -171,10 +171,10 @@
 #[test]
 fn a_good_trial_pardons_a_suspect_and_a_day_away_does_too() {
     let mut table = SuspectTable::default();
-    table.note_ended(&ended(1, "a"), at(0));
-    table.note_ended(&ended(2, "a"), at(0));
-    assert!(table.pardon(RequestFingerprint(1)));
-    assert!(!table.pardon(RequestFingerprint(1)));
+    table.record_crash(&ended(1, "a"), at(0));
+    table.record_crash(&ended(2, "a"), at(0));
+    assert!(table.clear(RequestFingerprint(1)));
+    assert!(!table.clear(RequestFingerprint(1)));
     assert_eq!(suspicion(&table, 1, 10), Suspicion::Clear);
     assert_eq!(ends(&table, 2, DAY_MS - 1), 1);
     assert_eq!(suspicion(&table, 2, DAY_MS), Suspicion::Clear);
@@ -183,12 +183,12 @@
 #[test]
 fn an_end_before_a_pardon_that_another_vm_tells_late_is_no_news() {
     let mut table = SuspectTable::default();
-    table.note_ended(&ended(1, "a"), at(0));
-    table.pardon(RequestFingerprint(1));
-    assert!(!table.note_ended(&ended(1, "a"), at(10)));
+    table.record_crash(&ended(1, "a"), at(0));
+    table.clear(RequestFingerprint(1));
+    assert!(!table.record_crash(&ended(1, "a"), at(10)));
     assert_eq!(suspicion(&table, 1, 20), Suspicion::Clear);
-    assert_eq!(table.told(at(20)).count(), 0);
-    table.note_ended(&ended(1, "b"), at(30));
+    assert_eq!(table.crashes(at(20)).count(), 0);
+    table.record_crash(&ended(1, "b"), at(30));
     assert_eq!(ends(&table, 1, 40), 1);
 }
 
@@ -196,11 +196,11 @@
 fn a_request_with_many_pardoned_ends_is_still_quarantined_by_new_ones() {
     let mut table = SuspectTable::default();
     for number in 0..40 {
-        table.note_ended(&ended(1, &format!("t{number}")), at(number));
-        table.pardon(RequestFingerprint(1));
+        table.record_crash(&ended(1, &format!("t{number}")), at(number));
+        table.clear(RequestFingerprint(1));
     }
     for number in 40..60 {
-        table.note_ended(&ended(1, &format!("t{number}")), at(number));
+        table.record_crash(&ended(1, &format!("t{number}")), at(number));
     }
     assert!(table.quarantine(RequestFingerprint(1)).is_some());
 }
@@ -208,7 +208,7 @@
 #[test]
 fn a_trial_whose_gateway_is_gone_or_silent_holds_up_no_other_for_long() {
     let mut holder = Holder::new();
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
     let running = |answer| {
         matches!(
             answer,
@@ -220,7 +220,9 @@
     };
     assert_eq!(holder.ask(1, &call("vm-1", 1), 10), TrialAnswer::Granted);
     assert!(running(holder.ask(1, &call("vm-2", 1), 20)));
-    holder.trials.end(RequestFingerprint(1), &call("vm-2", 1));
+    holder
+        .trials
+        .release(RequestFingerprint(1), &call("vm-2", 1));
     assert!(running(holder.ask(1, &call("vm-2", 2), 30)));
     holder.trials.forget_gateway(&VmName::new("vm-1"));
     assert_eq!(holder.ask(1, &call("vm-2", 3), 40), TrialAnswer::Granted);
@@ -232,24 +234,24 @@
 #[test]
 fn suspects_of_one_end_know_each_other() {
     let mut table = SuspectTable::default();
-    table.note_ended(&ended(1, "a"), at(0));
-    table.note_ended(&ended(2, "a"), at(0));
-    table.note_ended(&ended(3, "b"), at(0));
-    assert!(table.share_an_end(RequestFingerprint(1), RequestFingerprint(2)));
-    assert!(!table.share_an_end(RequestFingerprint(1), RequestFingerprint(3)));
+    table.record_crash(&ended(1, "a"), at(0));
+    table.record_crash(&ended(2, "a"), at(0));
+    table.record_crash(&ended(3, "b"), at(0));
+    assert!(table.share_crash(RequestFingerprint(1), RequestFingerprint(2)));
+    assert!(!table.share_crash(RequestFingerprint(1), RequestFingerprint(3)));
 }
 
 #[test]
 fn the_table_is_bounded_and_what_it_tells_is_all_that_it_knows() {
     let mut table = SuspectTable::default();
     for fingerprint in 0..10_000 {
-        table.note_ended(&ended(fingerprint, "a"), at(fingerprint));
+        table.record_crash(&ended(fingerprint, "a"), at(fingerprint));
     }
     let (suspected, quarantined) = table.counts(at(10_000));
     assert!(suspected <= 2_048 && quarantined == 0, "{suspected}");
     let mut other = SuspectTable::default();
-    for told in table.told(at(10_000)) {
-        other.note_ended(&told, at(10_000));
+    for told in table.crashes(at(10_000)) {
+        other.record_crash(&told, at(10_000));
     }
     assert_eq!(other.counts(at(10_000)), (suspected, quarantined));
     assert_eq!(ends(&other, 9_999, 10_000), 1);
@@ -258,10 +260,10 @@
 #[test]
 fn many_suspects_push_no_quarantined_request_out() {
     let mut table = SuspectTable::default();
-    table.note_ended(&ended(1, "a"), at(0));
-    table.note_ended(&ended(1, "b"), at(1));
+    table.record_crash(&ended(1, "a"), at(0));
+    table.record_crash(&ended(1, "b"), at(1));
     for fingerprint in 2..10_000 {
-        table.note_ended(&ended(fingerprint, "c"), at(fingerprint));
+        table.record_crash(&ended(fingerprint, "c"), at(fingerprint));
     }
     assert_eq!(ends(&table, 1, 10_000), 2);
 }
@@ -288,8 +290,8 @@
         pause: Duration::from_millis(400),
         long_pause: Duration::from_millis(900),
     });
-    holder.suspects.note_ended(&ended(1, "a"), at(0));
-    holder.suspects.note_ended(&ended(1, "b"), at(0));
+    holder.suspects.record_crash(&ended(1, "a"), at(0));
+    holder.suspects.record_crash(&ended(1, "b"), at(0));
     assert!(!holder.tries(1, "c", 390));
     assert!(holder.tries(1, "c", 400));
     assert!(!holder.tries(1, "d", 1_290));
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -232,10 +232,10 @@
     planner.order_ended(&target(2), OrderOutcome::Begun, SETTLED);
     let borrower = placed(&mut planner);
     assert_eq!(borrower.version, Some(1));
-    let expected = planner.loads().expected(&target(2));
+    let expected = planner.loads().expected_time(&target(2));
     let now = SETTLED.after(expected).after(READING);
     planner.doubt_copy(&key(2), &target(2), now);
-    assert_eq!(planner.loads().expected(&target(2)), expected);
+    assert_eq!(planner.loads().expected_time(&target(2)), expected);
 }
 
 // A lender may run nothing at all. The holder before has sent a call that takes its memory once its own adapter is there.
--- a/crates/core/tests/load/plain.rs
+++ b/crates/core/tests/load/plain.rs
@@ -37,7 +37,7 @@
         slots: SLOTS,
         stage: TargetStage::Ready,
         remaining: None,
-        cold: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         orders_taken: 0,
         models: Vec::new(),
         adapters: Vec::new(),
@@ -101,7 +101,7 @@
             Self::Alone(gateways) => {
                 let (health, in_flight) = &mut gateways[gateway];
                 *in_flight.get_mut(&entry.run()).expect("it was sent") -= 1;
-                health.note(&entry.name, outcome, now);
+                health.record(&entry.name, outcome, now);
             }
             Self::Holder(planner) => planner.ended(&key(call, gateway), Some(outcome), now),
         }
@@ -176,13 +176,13 @@
                     call,
                     gateway,
                     &entries[target],
-                    CallOutcome::Shed(Duration::ZERO),
+                    CallOutcome::Overloaded(Duration::ZERO),
                     now,
                 );
             }
             continue;
         }
-        chooser.ended(call, gateway, &entries[target], CallOutcome::Good, now);
+        chooser.ended(call, gateway, &entries[target], CallOutcome::Success, now);
         if now_us - came <= OBJECTIVE_US {
             view.in_time += 1;
         } else {
@@ -258,7 +258,7 @@
     let begin = Instant(1_000_000);
     planner.place(key(0, 0), &ask, &targets, begin);
     let mut now = begin.after(Duration::from_secs(4));
-    planner.ended(&key(0, 0), Some(CallOutcome::Good), now);
+    planner.ended(&key(0, 0), Some(CallOutcome::Success), now);
     for call in 1..60 {
         // Seven at once on six places.
         for gateway in 0..7 {
@@ -267,7 +267,7 @@
         }
         now = now.after(Duration::from_millis(60));
         for gateway in 0..7 {
-            planner.ended(&key(call, gateway), Some(CallOutcome::Good), now);
+            planner.ended(&key(call, gateway), Some(CallOutcome::Success), now);
         }
     }
 }
--- a/crates/core/tests/load/play.rs
+++ b/crates/core/tests/load/play.rs
@@ -205,7 +205,7 @@
         slots: 64,
         stage: TargetStage::Ready,
         remaining: None,
-        cold: Duration::ZERO,
+        warmup_remaining: Duration::ZERO,
         orders_taken: 0,
         models: vec![("base".to_owned(), 1)],
         adapters: Vec::new(),
--- a/crates/core/tests/load/quotas.rs
+++ b/crates/core/tests/load/quotas.rs
@@ -4,7 +4,7 @@
 use crate::play::seeds;
 use hoplanding_core::{
     direct::quotas::{
-        BucketStart, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit, StandingTimes,
+        BucketStart, HolderTenure, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit,
     },
     ids::{Instant, OrganisationName},
 };
@@ -14,8 +14,8 @@
 
 const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(8),
-    over: 0.1,
-    slack: 11_000.0,
+    tolerance_ratio: 0.1,
+    tolerance_units: 11_000.0,
 };
 /// VMs, and zones of them.
 const VMS: usize = 72;
@@ -58,7 +58,9 @@
     let mean = (UNITS[0] + 2 * UNITS[1]) as f64 / 3.0;
     let per_s = (CALLS_PER_S * SHARES[organisation] * mean * QUOTA_PART) as u64;
     QuotaRule {
-        unit: QuotaUnit::Tokens { plain: UNITS[0] },
+        unit: QuotaUnit::Tokens {
+            default_tokens: UNITS[0],
+        },
         per_s,
         burst: per_s,
     }
@@ -73,14 +75,14 @@
     let rules: Vec<_> = (0..SHARES.len()).map(|at| (name(at), rule(at))).collect();
     let mut ledgers: Vec<_> = (0..count)
         .map(|_| {
-            let times = StandingTimes {
-                led_until: Instant(u64::MAX >> 1),
-                began: Instant(0),
-                is_contested: false,
+            let times = HolderTenure {
+                sole_until: Instant(u64::MAX >> 1),
+                active_from: Instant(0),
+                has_predecessor: false,
                 window: BOUNDS.window,
             };
             let mut ledger = QuotaLedger::new(BOUNDS, count as u32, BucketStart::Full, times);
-            ledger.declare(rules.iter().map(|(name, rule)| (name, rule)), Instant(1));
+            ledger.set_rules(rules.iter().map(|(name, rule)| (name, rule)), Instant(1));
             ledger
         })
         .collect();
@@ -111,7 +113,7 @@
             let now = Instant((second * 1e6) as u64 + 1);
             let is_paid = (0..asked).any(|step| {
                 let ledger = &mut ledgers[(first + step) % count];
-                ledger.pay(&charge, now).is_ok()
+                ledger.charge(&charge, now).is_ok()
             });
             if organisation == 1 {
                 if is_paid {
@@ -131,7 +133,7 @@
         within.map(|(_, units)| *units).sum::<u64>()
     });
     let quota = rule(1).per_s as f64 * window + rule(1).burst as f64;
-    let allowed = quota * (1.0 + BOUNDS.over) + BOUNDS.slack;
+    let allowed = quota * (1.0 + BOUNDS.tolerance_ratio) + BOUNDS.tolerance_units;
     view.worst = sums.max().unwrap_or(0) as f64 / allowed;
     view
 }
--- a/crates/core/tests/load/stores.rs
+++ b/crates/core/tests/load/stores.rs
@@ -2,7 +2,7 @@
 
 use crate::play::seeds;
 use hoplanding_core::{
-    direct::loading::{LoadLimiter, StoreLoad},
+    direct::load_limiter::{LoadLimiter, StoreLoad},
     ids::{Instant, TargetName},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -116,7 +116,7 @@
 ) -> StoreShares {
     let mut random = StdRng::seed_from_u64(seed);
     let count = plan.zones.len();
-    let mut limiters = vec![LoadLimiter::starting_with(plan.start_loads); count];
+    let mut limiters = vec![LoadLimiter::with_initial_limit(plan.start_loads); count];
     let mut waiting: Vec<VecDeque<u64>> = vec![VecDeque::new(); count];
     let mut running: Vec<RunningLoad> = Vec::new();
     let mut shares = StoreShares::default();
@@ -157,7 +157,7 @@
                 continue;
             }
             if load.left > 0.0 {
-                limiters[load.zone].came_late(&target, load.load, Instant(now));
+                limiters[load.zone].record_late(&target, load.load, Instant(now));
                 load.load.is_judged = true;
                 load.call_at = now + AGAIN_MICROS;
                 shares.early += f64::from(u8::from(is_counted));
@@ -165,7 +165,7 @@
                 continue;
             }
             if !load.load.is_judged {
-                limiters[load.zone].came_in_time(&target, load.load, Instant(now));
+                limiters[load.zone].record_on_time(&target, load.load, Instant(now));
             }
             if is_counted && now - load.wanted <= 500_000 {
                 shares.swift += 1.0;
@@ -173,7 +173,7 @@
         }
         running = still;
         for limiter in &mut limiters {
-            limiter.relax(Instant(now));
+            limiter.decay(Instant(now));
         }
         let first = random.random_range(0..count);
         for turn in 0..count {
@@ -192,7 +192,7 @@
                 let expected = match knowledge {
                     StoreKnowledge::Told => plan.load_micros as u64,
                     StoreKnowledge::Learned => {
-                        let span = limiters[zone].expected(&engine_name(zone, engine));
+                        let span = limiters[zone].expected_time(&engine_name(zone, engine));
                         span.as_micros() as u64
                     }
                 };
@@ -200,7 +200,7 @@
                     zone,
                     engine,
                     wanted,
-                    load: StoreLoad::begun(Instant(now), own + waiting[zone].len() >= limit),
+                    load: StoreLoad::started(Instant(now), own + waiting[zone].len() >= limit),
                     left: plan.load_micros,
                     call_at: now + expected + MARGIN_MICROS,
                 });
@@ -367,12 +367,16 @@
     let late = |limiter: &mut LoadLimiter, engine: usize, ms: u64| {
         let began = Instant(1_000_000);
         let now = began.after(Duration::from_millis(ms));
-        limiter.came_late(&engine_name(0, engine), StoreLoad::begun(began, false), now);
+        limiter.record_late(
+            &engine_name(0, engine),
+            StoreLoad::started(began, false),
+            now,
+        );
     };
     // A load in time has shown how long one takes.
-    limiter.came_in_time(
+    limiter.record_on_time(
         &engine_name(0, 9),
-        StoreLoad::begun(Instant(1_000_000), false),
+        StoreLoad::started(Instant(1_000_000), false),
         Instant(1_260_000),
     );
     late(&mut limiter, 1, 310);
@@ -398,7 +402,11 @@
         let began = Instant(1_000_000);
         for engine in 0..4 {
             let now = began.after(Duration::from_millis(ms));
-            limiter.came_late(&engine_name(0, engine), StoreLoad::begun(began, false), now);
+            limiter.record_late(
+                &engine_name(0, engine),
+                StoreLoad::started(began, false),
+                now,
+            );
         }
         assert_eq!(limiter.limit() < before, is_cut, "{ms} ms");
     }
@@ -412,28 +420,28 @@
     let began = Instant(1_000_000);
     let target = engine_name(0, 1);
     let found = began.after(Duration::from_secs(10));
-    limiter.relax(found);
-    limiter.came_late(&target, StoreLoad::begun(began, false), found);
-    assert!(limiter.expected(&target) < Duration::from_millis(300));
+    limiter.decay(found);
+    limiter.record_late(&target, StoreLoad::started(began, false), found);
+    assert!(limiter.expected_time(&target) < Duration::from_millis(300));
 }
 
 #[test]
 fn a_stretched_time_is_tried_again_though_nothing_is_loaded() {
     let mut limiter = LoadLimiter::default();
     let began = Instant(1_000_000);
-    limiter.relax(began);
+    limiter.decay(began);
     let mut expected = Duration::ZERO;
     for engine in 0..8 {
         let target = engine_name(0, engine);
         let found = began.after(Duration::from_millis(900));
-        limiter.came_late(&target, StoreLoad::begun(began, false), found);
-        expected = limiter.expected(&target);
+        limiter.record_late(&target, StoreLoad::started(began, false), found);
+        expected = limiter.expected_time(&target);
     }
     assert!(expected > Duration::from_millis(500), "{expected:?}");
     for second in 2..30 {
-        limiter.relax(Instant(second * 1_000_000));
+        limiter.decay(Instant(second * 1_000_000));
     }
-    let expected = limiter.expected(&engine_name(0, 1));
+    let expected = limiter.expected_time(&engine_name(0, 1));
     assert!(expected < Duration::from_millis(290), "{expected:?}");
 }
 
--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/access.rs
@@ -14,11 +14,11 @@
 use hoplanding_core::{
     direct::{
         lease::{HolderContact, ZoneLease},
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         plain::PlainAsk,
         planner::{CallKey, PlacementAnswer, PlacementAsk},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::{TrialAnswer, trial_zones},
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, VmName},
@@ -318,8 +318,8 @@
         }
         let known: Vec<_> = {
             let books = self.fleet.books();
-            let suspects = books.suspects.told(clock::now());
-            let limits = books.limits.told().map(VmMessage::LimitNamed);
+            let suspects = books.suspects.crashes(clock::now());
+            let limits = books.limits.advertised().map(VmMessage::LimitNamed);
             suspects.map(VmMessage::EndedUnder).chain(limits).collect()
         };
         let first = self
@@ -437,14 +437,14 @@
     }
 
     /// Tells every zone's holder that a target ended while a request ran there.
-    pub fn tell_ended_under(&self, ended: &EndedUnder) {
+    pub fn tell_ended_under(&self, ended: &TargetCrash) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::EndedUnder(ended.clone()));
         }
     }
 
     /// Tells every zone's holder what an answer said of its target's limit.
-    pub fn tell_limit(&self, named: &NamedLimit) {
+    pub fn tell_limit(&self, named: &AdvertisedLimit) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::LimitNamed(named.clone()));
         }
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/asking.rs
@@ -6,11 +6,11 @@
 };
 use hoplanding_core::{
     direct::{
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         plain::PlainAsk,
         planner::{CallKey, PlacementAsk},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
     },
     ids::{TargetName, VmName},
 };
@@ -60,9 +60,9 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A trial ended, answered well or not.
     TrialEnded(u64, RequestFingerprint, bool),
 }
--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -14,7 +14,7 @@
 };
 use hoplanding_core::direct::{
     config::RouteRule,
-    organisations::{CallerIdentity, KeyFault},
+    organisations::{CallerIdentity, KeyError},
 };
 use hoplanding_platform::front::CallHead;
 use http::{Response, StatusCode};
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EntryFault {
     /// Its key is none that is in force.
-    Key(KeyFault),
+    Key(KeyError),
     /// Keys may have been taken away that this VM does not know of yet.
     Stale,
 }
@@ -61,9 +61,9 @@
     /// Its name in the metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Key(KeyFault::Absent) => "no_key",
-            Self::Key(KeyFault::Malformed) => "malformed_key",
-            Self::Key(KeyFault::Unknown) => "unknown_key",
+            Self::Key(KeyError::Absent) => "no_key",
+            Self::Key(KeyError::Malformed) => "malformed_key",
+            Self::Key(KeyError::Unknown) => "unknown_key",
             Self::Stale => "stale_configuration",
         }
     }
@@ -81,7 +81,7 @@
     let identity = CallerIdentity::of(table, route, &head.key);
     let needs_proof = !matches!(
         identity,
-        Ok(CallerIdentity::Unkeyed | CallerIdentity::Anyone)
+        Ok(CallerIdentity::Unkeyed | CallerIdentity::Anonymous)
     );
     if needs_proof && !context.fleet.may_trust_keys() {
         return Err(EntryFault::Stale);
@@ -102,7 +102,7 @@
         let identity = let_in(&self.context, &active, &self.route, &self.head)?;
         match identity.organisation() {
             Some(held) if held.name == organisation.name => Ok(()),
-            _ => Err(EntryFault::Key(KeyFault::Unknown)),
+            _ => Err(EntryFault::Key(KeyError::Unknown)),
         }
     }
 }
--- a/crates/daemon/src/direct/call/ends.rs
+++ b/crates/daemon/src/direct/call/ends.rs
@@ -13,7 +13,7 @@
 };
 use hoplanding_core::direct::{
     catalog::TargetEntry,
-    suspects::{EndedUnder, RequestFingerprint},
+    suspects::{RequestFingerprint, TargetCrash},
 };
 use hoplanding_platform::{front::CallHead, orders::encode_report_request};
 use http::{Method, StatusCode, Uri};
@@ -82,7 +82,7 @@
                 return;
             }
         }
-        let ended = EndedUnder {
+        let ended = TargetCrash {
             fingerprint: self.fingerprint,
             run: entry.run(),
         };
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -55,7 +55,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        config::{AnswerShape, RepeatRule, RouteRule, ServiceRule},
+        config::{ResponseShape, RetryPolicy, RouteRule, ServiceRule},
         organisations::CallerIdentity,
         planner::RefusalCause,
         suspects::RequestFingerprint,
@@ -193,7 +193,7 @@
         return Ok(refusal(&head.id, come_back));
     }
     let (parts, body) = request.into_parts();
-    let limit = active.config.limits.body_bytes;
+    let limit = active.config.limits.max_body_bytes;
     let within = route.timeout.max(active.config.limits.header_timeout);
     let body = match timeout(within, Limited::new(body, limit).collect()).await {
         Err(_) => {
@@ -214,7 +214,7 @@
     {
         let now = clock::now();
         let mut books = context.fleet.books();
-        books.retries.count_request(&service.name, now);
+        books.retries.record_request(&service.name, now);
         if let (Some(subject), true) = (&head.subject, service.engine.is_some()) {
             books.demand.record(subject, now);
         }
@@ -382,7 +382,7 @@
 
     /// Whether it may run again: its route allows it, and the fleet's budget pays for it.
     pub fn may_repeat(&mut self) -> bool {
-        self.route.repeat == RepeatRule::Idempotent
+        self.route.retry_policy == RetryPolicy::Idempotent
             && self.runs < self.route.max_attempts
             && self.has_time()
             && self.pay_for_repeat()
@@ -411,8 +411,8 @@
         let now = clock::now();
         let (standing, is_allowed) = {
             let retries = &mut fleet.books().retries;
-            let standing = retries.standing(service, now);
-            (standing, retries.try_repeat(service, now))
+            let standing = retries.usage(service, now);
+            (standing, retries.try_retry(service, now))
         };
         fleet.figures.count_repeat(is_allowed);
         let decided = if is_allowed {
@@ -421,7 +421,7 @@
             Event::RepeatDenied
         };
         event!(decided, request = self.head.id; "of {service}, {} repeats of {:.1} for {} requests, {:?} after the start",
-            standing.repeats,
+            standing.retries,
             standing.allowed,
             standing.requests,
             fleet.age()
@@ -431,9 +431,9 @@
 
     /// Passes a success on to the caller; gives the call back if the answer broke before its first byte went out.
     async fn pass_on(self, open: OpenAnswer) -> Result<Response<AnswerBody>, Self> {
-        match self.route.shape {
-            AnswerShape::Events { resumable } => Ok(relay_events(self, open, resumable)),
-            AnswerShape::Whole => {
+        match self.route.response_shape {
+            ResponseShape::EventStream { resumable } => Ok(relay_events(self, open, resumable)),
+            ResponseShape::Buffered => {
                 let mut call = self;
                 let target = call.tried.len();
                 let (parts, taken) = take_whole(open, &call).await;
--- a/crates/daemon/src/direct/call/paying.rs
+++ b/crates/daemon/src/direct/call/paying.rs
@@ -12,7 +12,7 @@
 use hoplanding_core::{
     direct::{
         organisations::CallerIdentity,
-        quotas::{GIVEN_BACK_WITHIN, QuotaCharge},
+        quotas::{QuotaCharge, REFUND_WINDOW},
     },
     ids::{AvailabilityZone, Instant},
 };
@@ -102,7 +102,7 @@
     /// Gives the charge of a call back that did not run.
     pub(super) fn take_back_payment(&self) {
         if let CallPayment::Paid(charge, at) = &self.payment
-            && clock::now().since(*at) < GIVEN_BACK_WITHIN
+            && clock::now().since(*at) < REFUND_WINDOW
         {
             self.context.access.give_back(charge.clone());
         }
--- a/crates/daemon/src/direct/call/placing.rs
+++ b/crates/daemon/src/direct/call/placing.rs
@@ -194,7 +194,7 @@
         let Some(entry) = picked else {
             return Placing::Nowhere(COME_BACK);
         };
-        books.limits.take(&entry.name, now);
+        books.limits.take_token(&entry.name, now);
         Placing::At(Arc::clone(entry), None, None)
     }
 
@@ -449,13 +449,13 @@
             .catalog
             .ready(&self.service.name)
             .filter(|entry| entry.zone == *zone && !self.tried.contains(&entry.name))
-            .filter(|entry| !books.health.is_out(&entry.name, now))
+            .filter(|entry| !books.health.is_unreachable(&entry.name, now))
             .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
             .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
             .filter(|entry| holds(entry, &subject, version))
             .min_by_key(|entry| books.in_flight.get(&entry.run()).copied().unwrap_or(0))
             .cloned()?;
-        books.limits.take(&entry.name, now);
+        books.limits.take_token(&entry.name, now);
         // The holder does not know of this call: it must not make memory that is taken for another version's.
         let version = version.or_else(|| listed_version(&entry, &subject));
         Some(Placing::At(entry, version, None))
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -16,10 +16,10 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetEntry, TargetStage},
-        config::RepeatRule,
-        limits::{NamedLimit, RequestRate},
+        config::RetryPolicy,
+        limits::{AdvertisedLimit, RequestRate},
         millis,
-        notices::TargetNotice,
+        target_notices::TargetNotice,
     },
     ids::TargetRun,
 };
@@ -103,7 +103,7 @@
         if let Some(outcome) = end.health()
             && books.catalog.life(name) == *life
         {
-            books.health.note(name, outcome, clock::now());
+            books.health.record(name, outcome, clock::now());
         }
     }
 }
@@ -136,9 +136,9 @@
                 ticket.end(end);
             }
         };
-        let reuse = match self.route.repeat {
-            RepeatRule::Idempotent => ReuseRule::Any,
-            RepeatRule::AtMostOnce => ReuseRule::FreshOnly,
+        let reuse = match self.route.retry_policy {
+            RetryPolicy::Idempotent => ReuseRule::Any,
+            RetryPolicy::AtMostOnce => ReuseRule::FreshOnly,
         };
         let taken = self
             .context
@@ -190,12 +190,12 @@
             AnswerKind::Success | AnswerKind::Failure | AnswerKind::NotRun => {
                 let fleet = &self.context.fleet;
                 let notice = fleet.hear_target(&entry.run(), response.status(), response.headers());
-                self.note_limit(entry, notice.rate);
+                self.note_limit(entry, notice.rate_limit);
                 notice
             }
         };
         if matches!(kind, AnswerKind::Success | AnswerKind::Failure) {
-            self.context.fleet.books().rests.answered(&entry.run());
+            self.context.fleet.books().rests.record_answer(&entry.run());
         }
         let (parts, body) = response.into_parts();
         let open = |ticket, count| {
@@ -230,7 +230,7 @@
                     CallEnd::Absent
                 } else {
                     CallEnd::Shed {
-                        rest_ms: notice.rest.map_or(0, millis),
+                        rest_ms: notice.backoff.map_or(0, millis),
                     }
                 };
                 end(ticket, count, outcome);
@@ -285,18 +285,18 @@
         let mut books = self.context.fleet.books();
         let known = books.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && books.rests.admit(&entry.run(), clock::now())
+            && books.rests.try_admit(&entry.run(), clock::now())
     }
 
     /// Notes what an answer says of its target's limit.
     fn note_limit(&self, entry: &TargetEntry, rate: Option<RequestRate>) {
-        let named = NamedLimit {
+        let named = AdvertisedLimit {
             run: entry.run(),
             rate,
         };
         let is_change = {
             let mut books = self.context.fleet.books();
-            books.limits.note(&named, clock::now())
+            books.limits.record(&named, clock::now())
         };
         if is_change {
             let rate = named.rate.map(RequestRate::as_f64);
@@ -313,8 +313,8 @@
             return;
         }
         let vms = self.context.fleet.books().vms.len();
-        let share = self.service.idle_share(vms);
+        let share = self.service.max_idle_connections(vms);
         let pool = &self.context.pool;
-        pool.give_back(connection, notice.idle, share);
+        pool.give_back(connection, notice.idle_timeout, share);
     }
 }
--- a/crates/daemon/src/direct/call/stop.rs
+++ b/crates/daemon/src/direct/call/stop.rs
@@ -2,8 +2,8 @@
 
 use crate::clock;
 use hoplanding_core::direct::{
-    config::{AnswerShape, RouteRule},
-    streams::StreamPace,
+    config::{ResponseShape, RouteRule},
+    stream_estimate::StreamEstimate,
 };
 use hoplanding_platform::front::CallHead;
 use std::time::Duration;
@@ -27,14 +27,14 @@
         &self,
         route: &RouteRule,
         head: &CallHead,
-        streams: &StreamPace,
+        streams: &StreamEstimate,
     ) -> Result<(), Duration> {
         let now = Instant::now();
         let left = self.exit.saturating_duration_since(now);
-        let longest = match route.shape {
-            AnswerShape::Whole => route.timeout,
-            AnswerShape::Events { .. } => {
-                let longest = streams.longest(head.most_output, clock::now());
+        let longest = match route.response_shape {
+            ResponseShape::Buffered => route.timeout,
+            ResponseShape::EventStream { .. } => {
+                let longest = streams.max_duration(head.most_output, clock::now());
                 longest.min(route.timeout)
             }
         };
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -13,7 +13,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::lease::{HolderContact, HolderView, LeaseState, LeaseStep, ZoneLease},
+    direct::lease::{HolderContact, HolderView, LeaseAction, LeaseState, ZoneLease},
     ids::LogPosition,
 };
 use hoplanding_platform::{
@@ -111,31 +111,31 @@
         let holder = lease.as_ref().and_then(|lease| lease.vm.as_ref());
         let view = HolderView {
             contact,
-            is_weaker: holder
+            is_holder_weaker: holder
                 .and_then(|vm| books.vms.get(vm))
                 .is_some_and(|record| record.strength < self.fleet.strength),
             rank,
-            waited: lease.as_ref().and_then(waited),
-            is_outdated: books.is_outdated(&self.fleet.zone),
-            is_oneself: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
-            was_led: self.is_confirmed(&books)
-                && books
-                    .fleet_read_at
-                    .is_some_and(|read_at| now < read_at.after(self.settings.leases.turn)),
+            waiting_claim_age: lease.as_ref().and_then(waited),
+            is_log_restored: books.is_outdated(&self.fleet.zone),
+            is_holder: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
+            is_sole_holder: self.is_confirmed(&books)
+                && books.fleet_read_at.is_some_and(|read_at| {
+                    now < read_at.after(self.settings.leases.handover_delay)
+                }),
         };
         let state = books.leases.entry(self.fleet.zone.clone()).or_default();
         let position = state.position;
-        let step = state.step(&self.settings.leases, view, now);
-        if let LeaseStep::Claim { quiet } = step {
+        let step = state.next_action(&self.settings.leases, view, now);
+        if let LeaseAction::Claim { order_delay: quiet } = step {
             books.claim_quiet = quiet;
             books.leads_from = now.after(quiet);
         }
         drop(books);
-        if let (LeaseStep::AskFor, Some(lease)) = (step, &lease) {
+        if let (LeaseAction::RequestTransfer, Some(lease)) = (step, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
             self.access.ask_for_lease(&self.fleet.zone, lease, position);
         }
-        matches!(step, LeaseStep::Claim { .. })
+        matches!(step, LeaseAction::Claim { .. })
     }
 
     /// Whether this VM may give orders by the newest record of its zone's lease.
@@ -160,7 +160,7 @@
             (end, books.leads_from)
         };
         let is_read = self.read_on(client, end).await;
-        if !is_read && now < leads_from.after(self.settings.leases.turn) {
+        if !is_read && now < leads_from.after(self.settings.leases.handover_delay) {
             return;
         }
         let lease = self.fleet.lease(&self.fleet.zone);
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -14,7 +14,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::copy_doubt::RewriteRule,
+    direct::restore_guard::RewriteRule,
     ids::{LogPosition, StoreEra},
 };
 use serde::{Deserialize, Serialize};
@@ -43,7 +43,7 @@
     /// Whether operators have had the time to write again what the copy lacked.
     fn is_settled(&self, rule: RewriteRule) -> bool {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(self.seen_ms));
-        age >= rule.rewrite + CLOCK_ERROR
+        age >= rule.rewrite_time + CLOCK_ERROR
     }
 }
 
@@ -68,7 +68,7 @@
     fn doubt_copy(&mut self, era: StoreEra, rule: RewriteRule) {
         let now = clock::now();
         let proven = self.proof.age(now);
-        self.copy_doubt.enter(era, proven, rule, now);
+        self.copy_doubt.enter_era(era, proven, rule, now);
         if let Some(record) = self.era_record {
             self.note_era_record(record, rule);
         }
@@ -126,7 +126,7 @@
             books.store_era = Some(era);
             books.stored_version = 0;
             books.doubt_copy(era, self.rewrites);
-            for run in books.catalog.log_restored(clock::now()) {
+            for run in books.catalog.note_log_restored(clock::now()) {
                 books.leaving.push(run);
             }
             self.announce(&books);
--- a/crates/daemon/src/direct/events.rs
+++ b/crates/daemon/src/direct/events.rs
@@ -105,7 +105,7 @@
             let held = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
             fleet.figures.note_first_event(held);
-            fleet.books().streams.note_start(held, clock::now());
+            fleet.books().streams.record_start(held, clock::now());
         }
         let Some(open) = self.open.as_ref().filter(|_| self.awaits_first) else {
             return;
@@ -133,7 +133,7 @@
         let most_output = call.head.most_output;
         books
             .streams
-            .note_end(events, span, most_output, clock::now());
+            .record_end(events, span, most_output, clock::now());
     }
 
     /// How long the next event may take: a stream that can go on elsewhere is not waited for until its caller leaves.
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        contact::AnswerRun,
-        freshness::{BeatEcho, PassedProof},
+        freshness::{HeartbeatEcho, RelayedProof},
+        log_contact::AnswerSpan,
         millis,
     },
     ids::{Instant, LogPosition, TargetName, VmName},
@@ -34,7 +34,7 @@
 
 impl FleetState {
     /// Folds records that another VM passed on.
-    pub fn take_passed(&self, passed: Vec<PassedRecord>) {
+    pub fn accept_relayed(&self, passed: Vec<PassedRecord>) {
         self.take_told(passed, RecordSource::Passed);
     }
 
@@ -75,7 +75,7 @@
         if self.books().fleet_end == Some(position) {
             self.note_end(FeedTopic::Fleet, position.plus(1));
         }
-        self.take_passed(vec![PassedRecord {
+        self.accept_relayed(vec![PassedRecord {
             topic: FeedTopic::Fleet,
             key,
             // A key without a value is dropped.
@@ -128,7 +128,7 @@
     /// Folds what another VM answered, and with it the topics of which that one knows every key.
     pub fn take_answer(&self, records: Vec<PassedRecord>, spans: &[TopicSpan]) {
         self.learn_eras(spans.iter().map(|span| span.end));
-        self.take_passed(records);
+        self.accept_relayed(records);
         let was_ready = self.is_ready();
         for span in spans {
             let is_whole = self.books().note_told(*span);
@@ -158,7 +158,7 @@
     #[must_use]
     pub fn tellable_ends(&self) -> Vec<TopicEnd> {
         let books = self.books();
-        let doubted = books.catalog.first_doubted();
+        let doubted = books.catalog.first_unconfirmed();
         let ends = books
             .ends
             .iter()
@@ -172,7 +172,7 @@
     /// How this VM's contact with the log stands, for others.
     #[must_use]
     pub fn log_report(&self) -> Option<ContactReport> {
-        let run = self.books().contact.run()?;
+        let run = self.books().contact.answer_span()?;
         let now = clock::now();
         Some(ContactReport {
             since_ms: age_ms(run.since, now),
@@ -184,25 +184,25 @@
     /// log's.
     pub fn take_log_report(&self, vm: &VmName, report: Option<ContactReport>) {
         let now = clock::now();
-        let run = report.map(|report| AnswerRun {
+        let run = report.map(|report| AnswerSpan {
             since: before(now, report.since_ms),
             last: before(now, report.last_ms),
         });
         {
             let mut books = self.books();
-            books.contact.take_report(vm, run);
+            books.contact.record_peer(vm, run);
             books.note_return();
         }
         self.expire();
     }
 
     /// Another VM passes on its proof that the configuration is the newest.
-    pub fn take_proof(&self, proof: &PassedProof, echo: &BeatEcho) {
+    pub fn take_proof(&self, proof: &RelayedProof, echo: &HeartbeatEcho) {
         let mut books = self.books();
         let Some(known) = books.active.as_ref().map(|active| active.config.version) else {
             return;
         };
-        books.proof.take_passed(proof, echo, known);
+        books.proof.accept_relayed(proof, echo, known);
     }
 
     /// What this VM lacks, for the VMs that it asks: of a topic that it never knew whole, everything, unless its zone is
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -14,8 +14,8 @@
 };
 use hoplanding_core::{
     direct::{
-        duty::{DutyView, HolderSight},
         lease::HolderContact,
+        log_readers::{HolderPresence, ReaderView},
     },
     ids::LogPosition,
 };
@@ -282,27 +282,27 @@
             FeedTopic::Fleet => Duration::MAX,
             FeedTopic::Operators | FeedTopic::Targets => self.started.elapsed(),
         };
-        let view = DutyView {
+        let view = ReaderView {
             age,
             holder: self.holder_sight(),
             rank: self.fleet.rank(),
             zone_vms: self.fleet.zone_vms(),
-            is_asked: self.fleet.is_asked(),
+            is_backup_requested: self.fleet.is_asked(),
         };
         view.must_read()
     }
 
-    fn holder_sight(&self) -> HolderSight {
+    fn holder_sight(&self) -> HolderPresence {
         let lease = self.fleet.lease(&self.fleet.zone);
         let Some(holder) = lease.as_ref().and_then(|lease| lease.vm.as_ref()) else {
-            return HolderSight::Nobody;
+            return HolderPresence::Vacant;
         };
         if *holder == self.fleet.vm {
-            HolderSight::Oneself
+            HolderPresence::Myself
         } else if self.hears_holder() {
-            HolderSight::Heard
+            HolderPresence::Heard
         } else {
-            HolderSight::Silent
+            HolderPresence::Silent
         }
     }
 
--- a/crates/daemon/src/direct/figures.rs
+++ b/crates/daemon/src/direct/figures.rs
@@ -12,10 +12,10 @@
 use hoplanding_core::{
     direct::{
         catalog::TargetStage,
-        config::{AnswerShape, RepeatRule, RouteRule},
+        config::{ResponseShape, RetryPolicy, RouteRule},
         planner::PromptMove,
         quotas::BucketCounts,
-        versions::{MemoryVersions, SightAge, VersionMatch},
+        versions::{CacheVersions, VersionAge, VersionMatch},
     },
     ids::OrganisationName,
 };
@@ -50,10 +50,10 @@
     /// The kind that a route's requests are of.
     #[must_use]
     pub fn of(route: &RouteRule) -> Self {
-        match (&route.shape, route.repeat) {
-            (AnswerShape::Events { .. }, _) => Self::Stream,
-            (AnswerShape::Whole, RepeatRule::Idempotent) => Self::Idempotent,
-            (AnswerShape::Whole, RepeatRule::AtMostOnce) => Self::Once,
+        match (&route.response_shape, route.retry_policy) {
+            (ResponseShape::EventStream { .. }, _) => Self::Stream,
+            (ResponseShape::Buffered, RetryPolicy::Idempotent) => Self::Idempotent,
+            (ResponseShape::Buffered, RetryPolicy::AtMostOnce) => Self::Once,
         }
     }
 }
@@ -331,15 +331,17 @@
         let now = clock::now();
         let versions = match moved.versions() {
             VersionMatch::Same => "same",
-            VersionMatch::Unlike => "unlike",
+            VersionMatch::Different => "unlike",
             VersionMatch::Unknown => "unknown",
         };
         let told = moved.is_told;
         let labels = MoveLabels { versions, told };
         self.moves.get_or_create(&labels).inc();
-        let known = |versions: &MemoryVersions| {
-            let [base, adapter] =
-                [versions.base, versions.adapter].map(|sight| SightAge { sight, now });
+        let known = |versions: &CacheVersions| {
+            let [base, adapter] = [versions.base, versions.adapter].map(|sight| VersionAge {
+                observed: sight,
+                now,
+            });
             format!("base {base}, adapter {adapter}")
         };
         event!(
@@ -401,7 +403,8 @@
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(signed(count.count() as u64));
         }
-        self.doubted.set(signed(books.catalog.doubted() as u64));
+        self.doubted
+            .set(signed(books.catalog.pending_removals() as u64));
         let in_flight: u32 = books.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
         let version = books
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -17,20 +17,20 @@
 };
 use hoplanding_core::{
     direct::{
-        budget::RetryShare,
+        backoffs::BackoffTable,
         catalog::{TargetCatalog, TargetEntry, TargetStage},
         config::FleetConfig,
-        contact::LogContact,
-        copy_doubt::{CopyDoubt, RewriteRule},
         demand::DemandTable,
-        freshness::{ConfigProof, PassedProof, RevocationRule},
+        freshness::{FreshnessProof, RelayedProof, RevocationRule},
         health::HealthTable,
         lease::{LeaseState, ZoneLease},
-        limits::LimitTable,
+        limits::RateLimitTable,
+        log_contact::LogContact,
         policy::PlacementPolicy,
-        rests::RestTable,
+        restore_guard::{RestoreGuard, RewriteRule},
+        retry_budget::RetryShare,
         routes::RouteTable,
-        streams::StreamPace,
+        stream_estimate::StreamEstimate,
         suspects::{RequestFingerprint, SuspectTable},
     },
     ids::{
@@ -125,7 +125,7 @@
     /// This VM's share of the retry budget.
     pub retries: RetryShare,
     /// How long streams of this VM took lately.
-    pub streams: StreamPace,
+    pub streams: StreamEstimate,
     /// What decisions weigh.
     pub policy: PlacementPolicy,
     /// How often callers of this VM ask for each adapter.
@@ -133,17 +133,17 @@
     /// Adapters that take much of their home zone, and until when that counts.
     pub sought: HashMap<AdapterName, Instant>,
     /// Since when the configuration is known to be the newest.
-    pub proof: ConfigProof,
+    pub proof: FreshnessProof,
     /// Whether what the log holds of operators' records may lack the newest.
-    pub copy_doubt: CopyDoubt,
+    pub copy_doubt: RestoreGuard,
     /// What the log says of its present era.
     pub era_record: Option<EraRecord>,
     /// Requests under which targets ended, by this VM's calls, others' word and the log.
     pub suspects: SuspectTable,
     /// Limits that targets named to this VM, or that others told of.
-    pub limits: LimitTable,
+    pub limits: RateLimitTable,
     /// Rests that targets asked this VM for.
-    pub rests: RestTable,
+    pub rests: BackoffTable,
     /// The newest records, to be passed on.
     pub records: RecordBook,
     /// Pause before the first order after the claim that is under way.
@@ -209,15 +209,15 @@
     #[must_use]
     pub fn may_trust_keys(&self, rule: Option<RevocationRule>, now: Instant) -> bool {
         let is_keyed = |active: &Arc<ActiveConfig>| active.config.organisations.is_some();
-        rule.is_none_or(|rule| self.proof.holds(rule, now))
+        rule.is_none_or(|rule| self.proof.is_fresh(rule, now))
             || !self.active.as_ref().is_some_and(is_keyed)
     }
 
     /// This VM's proof that its configuration is the newest, for others.
     #[must_use]
-    pub fn passed_proof(&self, now: Instant) -> Option<PassedProof> {
+    pub fn passed_proof(&self, now: Instant) -> Option<RelayedProof> {
         let version = self.active.as_ref()?.config.version;
-        self.proof.pass_on(version, now)
+        self.proof.relay(version, now)
     }
 
     /// The place of a VM in the order in which its zone's VMs take on duties.
@@ -250,7 +250,7 @@
     /// Targets that want nothing from this VM now.
     #[must_use]
     pub fn resting(&self, now: Instant) -> Vec<TargetName> {
-        let resting = self.rests.resting(now);
+        let resting = self.rests.active(now);
         resting.map(|run| run.name.clone()).collect()
     }
 
@@ -276,7 +276,7 @@
 
     /// Tells the catalog when the log came back, as it looks now.
     pub(super) fn note_return(&mut self) {
-        self.catalog.log_returned(self.contact.returned());
+        self.catalog.note_log_recovered(self.contact.recovered_at());
     }
 }
 
@@ -348,16 +348,16 @@
                 health: HealthTable::default(),
                 in_flight: HashMap::new(),
                 retries: RetryShare::starting(settings.retries, restarted),
-                streams: StreamPace::default(),
+                streams: StreamEstimate::default(),
                 policy: settings.policy,
                 demand: DemandTable::default(),
                 sought: HashMap::new(),
-                proof: ConfigProof::default(),
-                copy_doubt: CopyDoubt::default(),
+                proof: FreshnessProof::default(),
+                copy_doubt: RestoreGuard::default(),
                 era_record: None,
                 suspects: SuspectTable::default(),
-                limits: LimitTable::with_share(1.0 / f64::from(FEWEST_SHARES)),
-                rests: RestTable::default(),
+                limits: RateLimitTable::with_share(1.0 / f64::from(FEWEST_SHARES)),
+                rests: BackoffTable::default(),
                 records: RecordBook::default(),
                 claim_quiet: Duration::ZERO,
                 leads_from: Instant::default(),
@@ -378,7 +378,7 @@
 
     /// How long streams of this VM took lately.
     #[must_use]
-    pub fn streams(&self) -> StreamPace {
+    pub fn streams(&self) -> StreamEstimate {
         self.books().streams
     }
 
@@ -519,7 +519,7 @@
         let version = books.active.as_ref().map(|active| active.config.version);
         let is_doubted = books.copy_doubt.remaining(sent).is_some();
         if !is_doubted && version.is_none_or(|version| books.stored_version >= version) {
-            books.proof.note_read(sent);
+            books.proof.record_read(sent);
         }
     }
 
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -16,7 +16,7 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetCatalog, TargetEntry, TargetStage},
-        copy_doubt::RewriteRule,
+        restore_guard::RewriteRule,
         routes::RouteTable,
     },
     ids::{AvailabilityZone, Instant, TargetName, VmName},
@@ -91,7 +91,9 @@
     let name = TargetName::new(&record.key);
     let was_ready = is_ready(&books.catalog, &name);
     let is_news = match &record.value {
-        None if source == RecordSource::Passed => books.catalog.settle(&name, record.position),
+        None if source == RecordSource::Passed => {
+            books.catalog.confirm_removal(&name, record.position)
+        }
         None => books.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
             Ok(entry) if books.is_own_address(entry.address) => {
@@ -116,7 +118,7 @@
             Err(error) => return fold_unusable(books, record, &error, now),
         },
     };
-    if books.catalog.is_doubted(&name) {
+    if books.catalog.is_removal_pending(&name) {
         event!(
             Event::RemovalDoubted,
             "{name} at position {}, {source:?}",
@@ -197,7 +199,7 @@
     now: Instant,
 ) -> FoldedRecord {
     let name = TargetName::new(&record.key);
-    let is_change = books.catalog.settle(&name, record.position);
+    let is_change = books.catalog.confirm_removal(&name, record.position);
     if let Some(untold) = books.skipped.note(now) {
         let key: String = record.key.escape_debug().take(SHOWN_CHARS).collect();
         event!(
--- a/crates/daemon/src/direct/front.rs
+++ b/crates/daemon/src/direct/front.rs
@@ -112,7 +112,7 @@
         .timer(TokioTimer::new())
         .keep_alive(!is_late)
         .header_read_timeout(head_timeout)
-        .max_buf_size(limits.header_bytes.max(HEAD_LEAST))
+        .max_buf_size(limits.max_header_bytes.max(HEAD_LEAST))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let closing = async {
--- a/crates/daemon/src/direct/intake.rs
+++ b/crates/daemon/src/direct/intake.rs
@@ -14,7 +14,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::catalog::CountedRemoval,
+    direct::catalog::ConfirmedRemoval,
     ids::{Instant, LogPosition},
 };
 use hoplanding_platform::{
@@ -41,9 +41,9 @@
         let now = clock::now();
         let mut books = self.books();
         if is_answered {
-            books.contact.answered(now);
+            books.contact.record_answer(now);
         } else {
-            books.contact.failed(now);
+            books.contact.record_failure(now);
         }
         books.note_return();
     }
@@ -61,7 +61,7 @@
             let mut books = self.books();
             let gone = books
                 .catalog
-                .remove_unlisted(&listed.collect(), listing.end, now);
+                .remove_missing(&listed.collect(), listing.end, now);
             self.pass_removals(&mut books, gone, "not listed any more");
         }
         let span = TopicSpan {
@@ -148,7 +148,7 @@
                 FeedTopic::Operators => {
                     let is_written = source == RecordSource::Read && record.key == CONFIG_KEY;
                     if is_written && Some(record.position.era()) == books.store_era {
-                        books.copy_doubt.note_written(now);
+                        books.copy_doubt.record_write(now);
                     }
                     fold_operator_record(&mut books, record)
                 }
@@ -188,7 +188,7 @@
     }
 
     /// Keeps removals that count now as news for others.
-    fn pass_removals(&self, books: &mut FleetBooks, gone: Vec<CountedRemoval>, why: &str) {
+    fn pass_removals(&self, books: &mut FleetBooks, gone: Vec<ConfirmedRemoval>, why: &str) {
         for (name, position) in gone {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
@@ -212,7 +212,7 @@
         limits.retain(|run| catalog.get(&run.name).is_some());
         leaving.retain(|run| catalog.get(&run.name).is_some());
         rests.retain(|run| catalog.get(&run.name).is_some());
-        let gone = catalog.expire(clock::now());
+        let gone = catalog.expire_removals(clock::now());
         if gone.is_empty() {
             return;
         }
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/ledger.rs
@@ -4,11 +4,11 @@
 use hoplanding_core::{
     direct::{
         health::CallOutcome,
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         millis,
         plain::{PlainAsk, PlainPlanner},
         planner::{CallKey, PlacementAnswer, RefusalCause},
-        quotas::{BucketCounts, BucketStart, QuotaCharge, QuotaLedger, StandingTimes},
+        quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaLedger},
         suspects::{RequestFingerprint, Suspicion},
         trials::{TrialAnswer, TrialTable},
     },
@@ -51,13 +51,13 @@
         let start = if is_first {
             BucketStart::Full
         } else {
-            BucketStart::Spent
+            BucketStart::Exhausted
         };
         let zones = u32::try_from(settings.zones.len()).unwrap_or(u32::MAX);
-        let times = StandingTimes {
-            led_until,
-            began: now.after(lease.quiet),
-            is_contested: !lease.quiet.is_zero(),
+        let times = HolderTenure {
+            sole_until: led_until,
+            active_from: now.after(lease.quiet),
+            has_predecessor: !lease.quiet.is_zero(),
             window: settings.quotas.window,
         };
         Self {
@@ -76,7 +76,7 @@
             && self.declared != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
-            self.quotas.declare(table.quotas(), now);
+            self.quotas.set_rules(table.quotas(), now);
             self.declared = Some(active.config.version);
         }
         self.plain
@@ -85,7 +85,7 @@
 
     /// Until then it is known that no other VM was the zone's holder.
     pub fn lead_until(&mut self, time: Instant) {
-        self.quotas.lead_until(time);
+        self.quotas.set_sole_until(time);
     }
 
     /// Pays a charge.
@@ -93,7 +93,7 @@
     /// # Errors
     /// When too little is left: the time until there is enough.
     pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
-        self.quotas.pay(charge, now)
+        self.quotas.charge(charge, now)
     }
 
     /// Pays for a call that is to be placed.
@@ -114,7 +114,7 @@
 
     /// Gives a charge back whose call did not run, or found no place.
     pub fn give_back(&mut self, charge: &QuotaCharge, now: Instant) {
-        self.quotas.give_back(charge, now);
+        self.quotas.refund(charge, now);
     }
 
     /// Places a call of a plain service, and pays for it if it finds a place.
@@ -162,17 +162,18 @@
         now: Instant,
     ) -> TrialAnswer {
         let mut books = fleet.books();
-        books.suspects.note_return(fingerprint, now);
-        self.trials.ask(&books.suspects, fingerprint, key, now)
+        books.suspects.refresh(fingerprint, now);
+        self.trials
+            .try_grant(&books.suspects, fingerprint, key, now)
     }
 
     /// A trial ended.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
-        self.trials.end(fingerprint, key);
+        self.trials.release(fingerprint, key);
     }
 
     /// An answer told of a target's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
+    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
         self.plain.note_limit(named, now);
     }
 
