--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        freshness::{BeatEcho, PassedProof},
+        freshness::{HeartbeatEcho, RelayedProof},
         health::CallOutcome,
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         plain::PlainAsk,
         planner::{PlacementAnswer, PlacementAsk},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::TrialAnswer,
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, TargetRun, VmName},
@@ -56,12 +56,12 @@
     #[must_use]
     pub fn health(self) -> Option<CallOutcome> {
         match self {
-            Self::Good => Some(CallOutcome::Good),
+            Self::Good => Some(CallOutcome::Success),
             Self::Failed => Some(CallOutcome::Failed),
-            Self::Unreached => Some(CallOutcome::Unreached),
+            Self::Unreached => Some(CallOutcome::ConnectFailed),
             Self::Shed { rest_ms } => {
                 let rest = Duration::from_millis(u64::from(rest_ms));
-                Some(CallOutcome::Shed(rest))
+                Some(CallOutcome::Overloaded(rest))
             }
             Self::Absent => None,
         }
@@ -150,9 +150,9 @@
         /// The sender's clock, in microseconds, to be given back.
         sent: u64,
         /// The receiver's last sign of life that came over this link.
-        echo: Option<BeatEcho>,
+        echo: Option<HeartbeatEcho>,
         /// The sender's proof that its configuration is the newest.
-        proof: Option<PassedProof>,
+        proof: Option<RelayedProof>,
     },
     /// Place a call.
     Place(u64, Box<PlacementAsk>),
@@ -176,7 +176,7 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// Grant a trial of a suspect.
     Trial(u64, RequestFingerprint),
     /// Whether a trial is granted.
@@ -184,7 +184,7 @@
     /// A trial ended, answered well or not.
     TrialEnded(u64, RequestFingerprint, bool),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A call that was open before the link.
     Open(u64, TargetName, TargetLife, AdapterName),
     /// The sender, a stronger VM of the zone, would rather hold it than the receiver by the lease at this position.
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -4,7 +4,7 @@
 //! is away nothing else tells of it.
 
 use crate::{clock, direct::fleet::FleetState, event, events::Event};
-use hoplanding_core::{direct::notices::TargetNotice, ids::TargetRun};
+use hoplanding_core::{direct::target_notices::TargetNotice, ids::TargetRun};
 use hoplanding_platform::notices::decode_notice;
 use http::{HeaderMap, StatusCode};
 use std::{collections::BTreeMap, slice};
@@ -74,8 +74,8 @@
         if notice.is_leaving {
             self.take_leaving(slice::from_ref(run), "by its own answer");
         }
-        if let Some(rest) = notice.rest {
-            let kept = self.books().rests.note(run, rest, now);
+        if let Some(rest) = notice.backoff {
+            let kept = self.books().rests.record(run, rest, now);
             event!(
                 Event::RestAsked,
                 "{} for {rest:?}, kept for {kept:?}",
--- a/crates/daemon/src/direct/sender.rs
+++ b/crates/daemon/src/direct/sender.rs
@@ -244,7 +244,7 @@
         })?
         .to_bytes();
     if let Some(notice) = notice.filter(|notice| !notice.is_closing) {
-        pool.give_back(connection, notice.idle, IDLE_MOST);
+        pool.give_back(connection, notice.idle_timeout, IDLE_MOST);
     }
     Ok((status, body))
 }
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -3,8 +3,9 @@
 use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
 use hoplanding_core::{
     direct::{
-        budget::RetryRule, copy_doubt::RewriteRule, freshness::RevocationRule, lease::LeaseTimes,
-        policy::PlacementPolicy, quotas::QuotaBounds, trials::TrialRule,
+        freshness::RevocationRule, lease::LeaseTimeouts, policy::PlacementPolicy,
+        quotas::QuotaBounds, restore_guard::RewriteRule, retry_budget::RetryBudgetRule,
+        trials::TrialRule,
     },
     ids::{AvailabilityZone, VmName},
 };
@@ -41,7 +42,7 @@
     /// Whether the whole fleet starts for the first time, before there are callers.
     pub is_first_start: bool,
     /// The fleet's rule for repeats.
-    pub retries: RetryRule,
+    pub retries: RetryBudgetRule,
     /// How long a key that was taken away may still be served; none where a VM that is out of touch need not know.
     pub revocation: Option<RevocationRule>,
     /// How long operators take to write again what a copy of the log lacks.
@@ -51,7 +52,7 @@
     /// Pauses before trials of requests under which targets ended.
     pub trials: TrialRule,
     /// Spans that decide about claims.
-    pub leases: LeaseTimes,
+    pub leases: LeaseTimeouts,
     /// Whether engines refuse orders with an older fencing token than one that they have seen.
     pub are_orders_fenced: bool,
     /// What decisions weigh.
@@ -126,10 +127,10 @@
     }
 }
 
-fn read_retries(section: &SectionReader<'_>) -> RetryRule {
-    RetryRule {
+fn read_retries(section: &SectionReader<'_>) -> RetryBudgetRule {
+    RetryBudgetRule {
         ratio: section.fraction("ratio", 0.2, 0.0, 1e6),
-        slack: section.fraction("slack", 50.0, 0.0, 1e9),
+        extra_retries: section.fraction("slack", 50.0, 0.0, 1e9),
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
     }
 }
@@ -142,15 +143,15 @@
 fn read_rewrites(section: &SectionReader<'_>) -> RewriteRule {
     let recovered = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
     RewriteRule {
-        rewrite: recovered.saturating_sub(START_TIME),
+        rewrite_time: recovered.saturating_sub(START_TIME),
     }
 }
 
 fn read_quotas(section: &SectionReader<'_>) -> QuotaBounds {
     QuotaBounds {
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
-        over: section.fraction("over", 0.1, 0.0, 10.0),
-        slack: section.fraction("slack", 0.0, 0.0, 1e15),
+        tolerance_ratio: section.fraction("over", 0.1, 0.0, 10.0),
+        tolerance_units: section.fraction("slack", 0.0, 0.0, 1e15),
     }
 }
 
@@ -161,11 +162,11 @@
     }
 }
 
-fn read_leases(section: &SectionReader<'_>) -> LeaseTimes {
-    LeaseTimes {
-        silence: section.span("silence_ms", 1500, 100, 60_000),
+fn read_leases(section: &SectionReader<'_>) -> LeaseTimeouts {
+    LeaseTimeouts {
+        holder_timeout: section.span("silence_ms", 1500, 100, 60_000),
         stagger: section.span("stagger_ms", 120, 0, 10_000),
-        turn: section.span("turn_ms", 3000, 0, 600_000),
+        handover_delay: section.span("turn_ms", 3000, 0, 600_000),
     }
 }
 
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -15,7 +15,7 @@
     },
 };
 use hoplanding_core::{
-    direct::{freshness::BeatEcho, millis},
+    direct::{freshness::HeartbeatEcho, millis},
     ids::{Instant, LogPosition, TargetRun, VmName},
 };
 use std::{
@@ -155,7 +155,7 @@
                 Vec::new()
             },
             sent: now.0,
-            echo: self.last_beat.map(|(sent, came)| BeatEcho {
+            echo: self.last_beat.map(|(sent, came)| HeartbeatEcho {
                 sent,
                 held_ms: millis(now.since(came)),
             }),
@@ -262,7 +262,7 @@
         match message {
             VmMessage::Records(records) => {
                 self.note_heard(&records);
-                self.fleet.take_passed(records);
+                self.fleet.accept_relayed(records);
             }
             VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "by another VM's word"),
             VmMessage::Answer { records, spans } => {
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -20,7 +20,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        suspects::{EndedUnder, REMEMBERED_FOR, RequestFingerprint},
+        suspects::{RequestFingerprint, SUSPECT_TTL, TargetCrash},
         trials::trial_zones,
     },
     ids::{AvailabilityZone, Instant, TargetRun},
@@ -85,7 +85,7 @@
             WrittenRecord::Timed(record) => record,
             WrittenRecord::Untimed(ended) => Self {
                 ended,
-                until_ms: wall_ms_at(clock::now().after(REMEMBERED_FOR)),
+                until_ms: wall_ms_at(clock::now().after(SUSPECT_TTL)),
             },
         })
     }
@@ -94,7 +94,7 @@
     #[must_use]
     pub fn until(&self) -> Instant {
         let left = Duration::from_millis(self.until_ms.saturating_sub(clock::wall_ms()));
-        clock::now().after(left.min(REMEMBERED_FOR))
+        clock::now().after(left.min(SUSPECT_TTL))
     }
 
     fn encode(&self) -> Bytes {
@@ -133,14 +133,14 @@
         let written = self
             .records
             .value(FeedTopic::Fleet, &suspect_key(fingerprint));
-        let Some(standing) = self.suspects.standing(fingerprint, now) else {
+        let Some(standing) = self.suspects.status(fingerprint, now) else {
             // What another version of this program wrote is not this one's to drop.
             let is_known = written.is_some_and(|value| SuspectRecord::decode(value).is_ok());
             return is_known.then(Bytes::new);
         };
         let due = SuspectRecord {
-            ended: standing.ended,
-            until_ms: wall_ms_at(standing.until),
+            ended: standing.crashes,
+            until_ms: wall_ms_at(standing.expires_at),
         };
         let Some(Ok(written)) = written.map(SuspectRecord::decode) else {
             return Some(due.encode());
@@ -163,9 +163,9 @@
         let recorded = recorded.filter_map(suspect_of);
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
-            let standing = self.suspects.standing(fingerprint, now);
+            let standing = self.suspects.status(fingerprint, now);
             let is_gateways =
-                standing.is_some_and(|standing| now.since(standing.since) < GATEWAY_TIME);
+                standing.is_some_and(|standing| now.since(standing.last_crash) < GATEWAY_TIME);
             if is_gateways || !keeps_record(zone, zones, fingerprint) {
                 return None;
             }
@@ -330,15 +330,15 @@
         let dropped = books.records.value(FeedTopic::Fleet, &key);
         if let Some(Ok(record)) = dropped.map(SuspectRecord::decode) {
             // An end that came meanwhile still counts.
-            books.suspects.pardon_ends(fingerprint, &record.ended);
+            books.suspects.clear_crashes(fingerprint, &record.ended);
         }
         return Ok(());
     };
     let record = SuspectRecord::decode(value)?;
     let until = record.until();
     for run in record.ended {
-        let ended = EndedUnder { fingerprint, run };
-        books.suspects.note_until(&ended, until, now);
+        let ended = TargetCrash { fingerprint, run };
+        books.suspects.record_crash_until(&ended, until, now);
     }
     Ok(())
 }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -7,7 +7,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::AvailabilityZone,
 };
 use std::sync::Arc;
@@ -62,10 +62,10 @@
 
 impl FleetState {
     /// Notes that a target ended under a request; says whether that is news.
-    pub fn note_ended_under(&self, ended: &EndedUnder) -> bool {
+    pub fn note_ended_under(&self, ended: &TargetCrash) -> bool {
         let now = clock::now();
         let mut books = self.books();
-        if !books.suspects.note_ended(ended, now) {
+        if !books.suspects.record_crash(ended, now) {
             return false;
         }
         let (suspected, quarantined) = books.suspects.counts(now);
@@ -80,7 +80,7 @@
 
     /// Notes that a trial of a request was answered well.
     pub fn pardon(&self, fingerprint: RequestFingerprint) {
-        if self.books().suspects.pardon(fingerprint) {
+        if self.books().suspects.clear(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
         }
     }
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -21,15 +21,15 @@
         config::EngineLimits,
         engine::{EngineReport, OrderOutcome},
         lease::LeaseState,
-        limits::NamedLimit,
-        loading::LoadSummary,
+        limits::AdvertisedLimit,
+        load_limiter::LoadSummary,
         millis,
         plain::PlainAsk,
         planner::{
             CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction, ZonePlanner,
         },
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::TrialAnswer,
     },
     ids::{AdapterName, FencingToken, Instant, ServiceName, TargetLife, TargetName, VmName},
@@ -82,9 +82,9 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// Grant a trial of a suspect.
     Trial(CallKey, RequestFingerprint, ReplyTo),
     /// Tell the record of a target.
@@ -129,14 +129,14 @@
     /// Says what has been learned of the weight store, if that has changed.
     fn tell_loads(&mut self) {
         let summary = self.planner.loads().summary();
-        if summary.differs_from(&self.told_loads) {
+        if summary.differs_notably(&self.told_loads) {
             self.told_loads = summary;
             event!(
                 Event::LoadsLimited,
                 "to {} at once, {:?} each, {:?} without a crowd",
                 summary.limit,
-                summary.expected,
-                summary.shortest
+                summary.expected_time,
+                summary.uncontended_time
             );
         }
     }
@@ -379,7 +379,7 @@
                 None
             }
             ZoneEvent::LimitNamed(named) => {
-                self.fleet.books().limits.note(&named, now);
+                self.fleet.books().limits.record(&named, now);
                 ledger.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
                     held.planner.note_limit(&named, now);
@@ -435,7 +435,9 @@
     /// A successor gives no order for a turn after it has claimed the zone, unless this VM has given it up or ended.
     fn led_until(&self) -> Instant {
         let read_at = self.fleet.books().fleet_read_at;
-        read_at.unwrap_or_default().after(self.settings.leases.turn)
+        read_at
+            .unwrap_or_default()
+            .after(self.settings.leases.handover_delay)
     }
 
     /// Gives the lease up for a stronger VM once no order is under way, so that the successor's are the next ones.
@@ -456,7 +458,7 @@
             let within = settings.pace.platform_timeout;
             if !release_lease(&fleet, settings.platform_address, within).await {
                 // It may be recorded yet, and a successor may act on that: the zone rests for a turn.
-                sleep(settings.leases.turn).await;
+                sleep(settings.leases.handover_delay).await;
                 // The worker ends with the process.
                 let _ = events.send(ZoneEvent::Kept(token)).await;
             }
@@ -519,8 +521,8 @@
             })
         });
         let token = lease.map(LeaseState::token);
-        let is_copied = lease.is_some_and(|state| state.is_copied);
-        let renewed = lease.and_then(|state| state.renewed);
+        let is_copied = lease.is_some_and(|state| state.is_from_earlier_era);
+        let renewed = lease.and_then(|state| state.renewed_token);
         let had_holder = books
             .leases
             .get(&self.fleet.zone)
@@ -541,7 +543,7 @@
             .iter()
             .map(|(subject, version)| (subject.clone(), *version))
             .collect();
-        let named_limits: Vec<_> = books.limits.told().collect();
+        let named_limits: Vec<_> = books.limits.advertised().collect();
         drop(books);
         let held = self.ledger.as_ref().map(|ledger| ledger.token);
         // Nobody begins to hold a zone by a claim of an earlier history.
--- a/crates/daemon/tests/direct/copies.rs
+++ b/crates/daemon/tests/direct/copies.rs
@@ -4,7 +4,7 @@
     keys::{KEY, call, keyed_config, mill, strict_settings},
     support::{entry, good, is_ready, process, start_in, wait_for},
 };
-use hoplanding_core::direct::copy_doubt::RewriteRule;
+use hoplanding_core::direct::restore_guard::RewriteRule;
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget};
 use hoplandingd::direct::{daemon::DirectDaemon, settings::DirectSettings};
 use serde_json::json;
@@ -28,7 +28,9 @@
 fn later_settings(vm: &str, log: &KeyedLog) -> DirectSettings {
     let mut settings = strict_settings(vm, log);
     settings.is_first_start = false;
-    settings.rewrites = RewriteRule { rewrite: REWRITE };
+    settings.rewrites = RewriteRule {
+        rewrite_time: REWRITE,
+    };
     settings
 }
 
@@ -123,7 +125,7 @@
     sleep(Duration::from_millis(500)).await;
     assert_eq!(status(&before).await, 200);
     let mut settings = later_settings("vm-2", &log);
-    settings.rewrites.rewrite = NEVER;
+    settings.rewrites.rewrite_time = NEVER;
     let after = DirectDaemon::start(settings).await;
     let after = after.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&after).await).await;
@@ -138,7 +140,7 @@
     let record = json!({ "era": 2, "seen_ms": LONG_AGO_MS }).to_string();
     log.put("keyed.fleet", "era", Some(&record));
     let mut settings = later_settings("vm-1", &log);
-    settings.rewrites.rewrite = NEVER;
+    settings.rewrites.rewrite_time = NEVER;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -360,7 +360,7 @@
     log.put("keyed.op", "config", Some(&config(1)));
     let mut settings = settings("vm-1", &log);
     // Longer than one dial takes, so that the silence has to be counted over several.
-    settings.leases.silence = Duration::from_millis(1_500);
+    settings.leases.holder_timeout = Duration::from_millis(1_500);
     let _daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
@@ -531,7 +531,7 @@
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     let later = |vm: &str| {
         let mut settings = settings(vm, &log);
-        settings.leases.turn = TURN;
+        settings.leases.handover_delay = TURN;
         settings.are_orders_fenced = true;
         settings
     };
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -118,20 +118,20 @@
         position: LogPosition(position),
     };
     let ready = (1..=600).map(|number| record(number, "ready", number));
-    fleet.take_passed(ready.collect());
+    fleet.accept_relayed(ready.collect());
     let mut sharing = RecordSharing::new(&fleet, true);
     for number in 1..=600 {
-        fleet.take_passed(vec![record(number, "draining", 600 + number)]);
+        fleet.accept_relayed(vec![record(number, "draining", 600 + number)]);
     }
     let other = FleetState::new(&settings("vm-2", &log), 2);
-    other.take_passed(
+    other.accept_relayed(
         (1..=600)
             .map(|number| record(number, "ready", number))
             .collect(),
     );
     while let Some(message) = sharing.next().now_or_never() {
         if let VmMessage::Records(records) = message {
-            other.take_passed(records);
+            other.accept_relayed(records);
         }
     }
     let kept: Vec<_> = (1..=600)
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -78,9 +78,11 @@
     // Passed on by others: what was written last is of the life before.
     let late = record(1_012, born_entry(address, "draining", 1_000));
     let new = record(1_010, born_entry(address, "ready", 2_000));
-    daemon.fleet().take_passed(vec![late.clone(), new.clone()]);
+    daemon
+        .fleet()
+        .accept_relayed(vec![late.clone(), new.clone()]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
-    daemon.fleet().take_passed(vec![late]);
+    daemon.fleet().accept_relayed(vec![late]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
     // Whoever is told everything is told of the newer life.
     let told = daemon
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -5,7 +5,7 @@
     wait_for,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::{AvailabilityZone, TargetLife, TargetName, TargetRun},
 };
 use hoplanding_standins::{
@@ -505,7 +505,7 @@
         life: TargetLife::default(),
     };
     let fleet = daemon.fleet();
-    fleet.note_ended_under(&EndedUnder { fingerprint, run });
+    fleet.note_ended_under(&TargetCrash { fingerprint, run });
     let is_recorded = || site.log.newest("keyed.fleet", &key).is_some();
     wait_for("the record", async || is_recorded()).await;
     fleet.pardon(fingerprint);
--- a/crates/daemon/tests/direct/reloads.rs
+++ b/crates/daemon/tests/direct/reloads.rs
@@ -34,7 +34,7 @@
 /// Settings that differ from those before in what a running process takes over.
 fn changed(log: &KeyedLog, round: u32) -> DirectSettings {
     let mut settings = settings("vm-1", log);
-    settings.retries.slack = f64::from(round % 3) * 40.0;
+    settings.retries.extra_retries = f64::from(round % 3) * 40.0;
     settings.retries.ratio = 0.1 * f64::from(round % 4);
     settings.policy.away_price = Duration::from_millis(u64::from(round % 5) * 20);
     settings
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -5,7 +5,7 @@
     site_of, start_in, stream, wait_for,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::{StoreEra, TargetLife, TargetName, TargetRun, VmName},
 };
 use hoplanding_standins::{
@@ -367,7 +367,7 @@
         };
         vms[0]
             .fleet()
-            .note_ended_under(&EndedUnder { fingerprint, run });
+            .note_ended_under(&TargetCrash { fingerprint, run });
     }
     let key = "suspect/0000000000000007";
     // A quarantine that the log had, whoever recorded it.
@@ -499,7 +499,7 @@
     relay.set_target(log.address());
     let mut settings = settings("vm-1", &log);
     settings.platform_address = relay.address;
-    settings.leases.turn = Duration::from_secs(2);
+    settings.leases.handover_delay = Duration::from_secs(2);
     settings.are_orders_fenced = true;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
--- a/crates/daemon/tests/direct/settings.rs
+++ b/crates/daemon/tests/direct/settings.rs
@@ -93,11 +93,14 @@
 #[test]
 fn a_bound_with_a_fraction_is_a_bound() {
     let settings = with_bound("budget_slack", json!(35.83)).expect("a fraction of a repeat");
-    assert!((settings.retries.slack - 35.83).abs() < 1e-9);
+    assert!((settings.retries.extra_retries - 35.83).abs() < 1e-9);
     let settings = with_bound("budget_window_s", json!(7.5)).expect("half a second");
     assert_eq!(settings.retries.window, Duration::from_millis(7_500));
     let settings = with_bound("lease_ms", json!(2_999.5)).expect("half a millisecond");
-    assert_eq!(settings.leases.turn, Duration::from_micros(2_999_500));
+    assert_eq!(
+        settings.leases.handover_delay,
+        Duration::from_micros(2_999_500)
+    );
     let settings = with_bound("config_apply_ms", json!(2_000.25)).expect("a quarter of one");
     assert_eq!(settings.pace.config_wait, Duration::from_micros(1_400_250));
     with_bound("retry_budget_ratio", json!(1)).expect("a whole ratio");
@@ -115,13 +118,13 @@
     let settings = with_bound("require_fence", json!(true)).expect("a bound");
     assert!(settings.revocation.is_none() && settings.are_orders_fenced);
     let settings = with_bound("quota_slack", json!(11_000.0)).expect("a bound");
-    assert!((settings.quotas.slack - 11_000.0).abs() < 1e-9);
+    assert!((settings.quotas.tolerance_units - 11_000.0).abs() < 1e-9);
 }
 
 #[test]
 fn bounds_of_zero_and_large_ones_are_bounds() {
     let settings = with_bound("budget_slack", json!(0)).expect("no fixed number of repeats");
-    assert!(settings.retries.slack.abs() < 1e-9);
+    assert!(settings.retries.extra_retries.abs() < 1e-9);
     let settings = with_bound("retry_budget_ratio", json!(0.0)).expect("no repeats");
     assert!(settings.retries.ratio.abs() < 1e-9);
     with_bound("lease_ms", json!(0)).expect("no turn");
@@ -182,5 +185,5 @@
     file.changed().expect_err("half a file");
     write(&good.replace("54", "35.83"));
     let settings = file.changed().expect("in order").expect("a change");
-    assert!((settings.retries.slack - 35.83).abs() < 1e-9);
+    assert!((settings.retries.extra_retries - 35.83).abs() < 1e-9);
 }
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -109,7 +109,7 @@
         let two = yard.engine("i-2", base, held).await;
         // As users have it: a holder that may have been replaced for longer names no source.
         let mut settings = settings("vm-1", &log);
-        settings.leases.turn = Duration::from_secs(3);
+        settings.leases.handover_delay = Duration::from_secs(3);
         let daemon = site_of(settings, &log, &[("i-1", "scribe", one.address)]).await;
         let text = entry("scribe", two.address, "ready", listed);
         let text = text.replace("\"version\":1", &format!("\"version\":{base}"));
