--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -3,10 +3,10 @@
 use crate::{
     direct::{
         engine::CALL_ADOPTION_TIMEOUT,
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{CallKey, PlacementRequest},
         suspects::RequestFingerprint,
-        versions::VersionSight,
+        versions::ObservedVersion,
     },
     ids::{AdapterName, Instant},
 };
@@ -43,7 +43,7 @@
     /// Its state.
     pub state: CopyState,
     /// Its version, if anything told it.
-    pub known_version: Option<VersionSight>,
+    pub known_version: Option<ObservedVersion>,
     /// Which copy this is: another one after each load, so that no memory outlives what made it.
     pub generation: u64,
     /// Calls sent to it that have not ended.
@@ -67,7 +67,7 @@
 impl AdapterCopy {
     pub(super) fn new(
         state: CopyState,
-        known_version: Option<VersionSight>,
+        known_version: Option<ObservedVersion>,
         generation: u64,
         now: Instant,
     ) -> Self {
@@ -122,7 +122,7 @@
     /// Its name.
     pub name: AdapterName,
     /// Its version, if anything told it.
-    pub known_version: Option<VersionSight>,
+    pub known_version: Option<ObservedVersion>,
     /// Which loading of it this is, as for a copy.
     pub generation: u64,
 }
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -39,12 +39,12 @@
         demand::DemandTable,
         engine::{CopyState, EngineState, ORPHANED_CALL_TTL, SentCall, UNANSWERED_ORDER_TTL},
         health::{CallOutcome, HealthTable},
-        limits::{LimitTable, NamedLimit},
-        loading::LoadLimiter,
+        limits::{AdvertisedLimit, RateLimitTable},
+        load_limiter::LoadLimiter,
         millis,
         planner::cache_transfer::MemoryLoan,
         policy::PlacementPolicy,
-        reading::ReadingPace,
+        prefill::PrefillModel,
         suspects::SuspectTable,
     },
     ids::{AdapterName, Instant, TargetLife, TargetName, VmName},
@@ -73,12 +73,12 @@
     policy: PlacementPolicy,
     limits: EngineLimits,
     /// Limits that engines named.
-    rates: LimitTable,
+    rates: RateLimitTable,
     engines: BTreeMap<TargetName, EngineState>,
     versions: HashMap<AdapterName, u64>,
     demand: DemandTable,
     health: HealthTable,
-    pace: ReadingPace,
+    pace: PrefillModel,
     loads: LoadLimiter,
     /// Memory that calls are about to take.
     loans: HashMap<CallKey, MemoryLoan>,
@@ -107,13 +107,13 @@
             figures,
             policy: PlacementPolicy::default(),
             limits,
-            rates: LimitTable::default(),
+            rates: RateLimitTable::default(),
             engines: BTreeMap::new(),
             versions: HashMap::new(),
             demand: DemandTable::default(),
             health: HealthTable::default(),
-            pace: ReadingPace::default(),
-            loads: LoadLimiter::starting_with(figures.initial_load_limit),
+            pace: PrefillModel::default(),
+            loads: LoadLimiter::with_initial_limit(figures.initial_load_limit),
             loans: HashMap::new(),
             led_until: Instant::default(),
             settled_from: Instant::default(),
@@ -219,9 +219,9 @@
     }
 
     /// An answer told of an engine's limit.
-    pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
+    pub fn record_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
         if self.engines.contains_key(&named.run.name) {
-            self.rates.note(named, now);
+            self.rates.record(named, now);
         }
     }
 
@@ -234,7 +234,7 @@
         let old = std::mem::replace(engine, restarted);
         self.outlive_loans(name);
         self.health.forget(name);
-        self.loads.forget(name);
+        self.loads.reset_target(name);
         let waiters = old.copies.into_values().flat_map(|copy| copy.waiters);
         self.place_waiters_again(waiters.collect(), now);
     }
@@ -297,11 +297,11 @@
             if let Some(version) = version {
                 engine.record_prompt_read(key, version, now);
             }
-            engine.prompts.begun(key, &mut self.pace, now);
+            engine.prompts.record_first_event(key, &mut self.pace, now);
             if let Some(load) = engine.resolve_load(key)
                 && !load.is_judged
             {
-                self.loads.came_in_time(target, load, now);
+                self.loads.record_on_time(target, load, now);
             }
         }
     }
@@ -315,7 +315,7 @@
         now: Instant,
     ) {
         if let (Some(target), Some(outcome)) = (target, outcome) {
-            self.health.note(target, outcome, now);
+            self.health.record(target, outcome, now);
         }
         // Where the caller has left, the call may be on its way still.
         self.end_loan(key, now.after(ORPHANED_CALL_TTL));
@@ -358,7 +358,7 @@
         // What it lacks may be the version that made the memory which the call was to use.
         let takes_memory = self.loans.contains_key(key);
         if let Some(load) = engine.resolve_load(key).filter(|_| !takes_memory) {
-            self.loads.came_late(target, load, now);
+            self.loads.record_late(target, load, now);
         }
         let Some(subject) = engine.calls.get(key).map(|call| call.subject.clone()) else {
             return;
@@ -405,7 +405,7 @@
     /// Regular work: loads that are done, reports that are due, empty engines.
     pub fn tick(&mut self, now: Instant) {
         self.look_at_load(now);
-        self.loads.relax(now);
+        self.loads.decay(now);
         let names: Vec<_> = self.engines.keys().cloned().collect();
         for name in &names {
             self.settle(name, now);
@@ -461,7 +461,7 @@
             late.extend(copy.waiters.extract_if(.., |waiting| now >= waiting.until));
         }
         for waiting in late {
-            let retry_after_ms = millis(self.loads.expected(name));
+            let retry_after_ms = millis(self.loads.expected_time(name));
             let cause = RefusalCause::LoadLate;
             self.refuse(waiting.key, retry_after_ms, cause);
         }
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -75,28 +75,31 @@
         let crowd = self.store_loads_in_flight(now) + self.loads_waiting();
         let sources = self.prompt_sources(ask, now);
         let shared_ends = self.shared_ends(ask.fingerprint, now);
-        let all_doubted = self.engines.keys().all(|name| self.health.is_doubted(name));
+        let all_doubted = self
+            .engines
+            .keys()
+            .all(|name| self.health.is_degraded(name));
         self.engines
             .iter()
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
                     && !ask.exclude.contains(name)
                     && !ask.resting.contains(name)
-                    && !self.health.is_out(name, now)
+                    && !self.health.is_unreachable(name, now)
             })
             .filter_map(|(name, engine)| {
                 let mut cost = self.cost(engine, ask, &sources, crowd, now)?;
-                if self.health.is_doubted(name) && !all_doubted {
+                if self.health.is_degraded(name) && !all_doubted {
                     cost.total += self.policy.doubt_penalty;
                 }
                 cost.total += self
                     .policy
                     .failure_penalty
-                    .mul_f64(self.health.failing(name));
+                    .mul_f64(self.health.failure_rate(name));
                 if shared_ends.contains(name) {
                     cost.total += SHARED_END_PRICE;
                 }
-                if self.health.is_shedding(name, now) {
+                if self.health.is_overloaded(name, now) {
                     cost.total += self.policy.shed_penalty;
                 }
                 Some((name.clone(), cost))
@@ -129,7 +132,7 @@
             + self.figures.time_per_call * calls
             + self.figures.slot_hold_time / engine.entry.slots.max(1) * over
             + full
-            + engine.entry.cold.min(Duration::from_secs(1));
+            + engine.entry.warmup_remaining.min(Duration::from_secs(1));
         Some(PlacementCost {
             wait,
             total: wait + load.penalty,
@@ -162,11 +165,11 @@
                         ..LoadCost::default()
                     }),
                     CopyState::Queued => Some(LoadCost {
-                        time: self.loads_held(now) + self.loads.expected(&engine.entry.name),
+                        time: self.loads_held(now) + self.loads.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     CopyState::ReloadQueued => Some(LoadCost {
-                        time: self.loads.expected(&engine.entry.name),
+                        time: self.loads.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     _ => Some(LoadCost::default()),
@@ -189,7 +192,7 @@
                     !engine.was_recently_loaded(&ask.subject, self.named_version(&ask.subject));
                 let (time, price) = if is_new {
                     (
-                        self.loads.wait_behind(&engine.entry.name, crowd),
+                        self.loads.expected_wait(&engine.entry.name, crowd),
                         self.policy.load_penalty,
                     )
                 } else {
@@ -292,7 +295,7 @@
         now: Instant,
     ) {
         let token_wait = self.rates.wait(name, now);
-        self.rates.take(name, now);
+        self.rates.take_token(name, now);
         let wait_ms = adapter_ms.max(millis(token_wait));
         let sent = self.note_sent(name, key.clone(), ask, wait_ms, now);
         self.answer_send(name, key, &ask.subject, wait_ms, sent);
