--- a/crates/daemon/src/direct/whole.rs
+++ b/crates/daemon/src/direct/buffered_answer.rs
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 /// The target, if the answer broke off.
-pub async fn take_whole(
+pub async fn buffer_answer(
     open: OpenAnswer,
     call: &CallState,
 ) -> (http::response::Parts, Result<Bytes, TargetName>) {
@@ -30,8 +30,8 @@
         body,
         connection,
         entry,
-        ticket,
-        count,
+        placed_call,
+        in_flight,
     } = open;
     let target = connection.target().clone();
     let taken = timeout_at(call.deadline, Limited::new(body, ANSWER_BYTES).collect()).await;
@@ -42,12 +42,12 @@
             } else {
                 CallEnd::Good
             };
-            call.give_back(connection, &notice);
+            call.return_connection(connection, &notice);
             (end, Ok(body.to_bytes()))
         }
         Ok(Err(error)) => {
             event!(Event::AnswerBroken, request = call.head.id; "at {target}: {error}");
-            call.look_at_break(&entry, count.is_trial()).await;
+            call.probe_after_failure(&entry, in_flight.is_trial()).await;
             (CallEnd::Failed, Err(target))
         }
         Err(_) => {
@@ -56,9 +56,9 @@
             (CallEnd::Failed, Err(target))
         }
     };
-    count.note(end);
-    if let Some(ticket) = ticket {
-        ticket.end(end);
+    in_flight.finish(end);
+    if let Some(placed_call) = placed_call {
+        placed_call.finish(end);
     }
     (parts, result)
 }
--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -6,8 +6,8 @@
             COME_BACK, CallState, GatewayContext,
             answers::{AnswerBody, own_answer, refusal},
         },
-        figures::{RequestKind, RequestOutcome},
         fleet::ActiveConfig,
+        metrics::{RequestKind, RequestOutcome},
     },
     event,
     events::Event,
@@ -25,14 +25,14 @@
 
 /// Why a call is not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EntryFault {
+pub enum AdmissionFault {
     /// Its key is none that is in force.
     Key(KeyFault),
     /// Keys may have been taken away that this VM does not know of yet.
     Stale,
 }
 
-impl EntryFault {
+impl AdmissionFault {
     /// The answer to a call that is not let in, and was not run.
     pub(super) fn answer(
         self,
@@ -40,9 +40,9 @@
         route: &RouteRule,
         id: &str,
     ) -> Response<AnswerBody> {
-        let figures = &context.fleet.figures;
-        figures.count_request(RequestKind::of(route), RequestOutcome::Refused);
-        figures.count_entry_fault(self);
+        let metrics = &context.fleet.metrics;
+        metrics.count_request(RequestKind::of(route), RequestOutcome::Refused);
+        metrics.count_entry_fault(self);
         match self {
             Self::Key(fault) => {
                 event!(Event::KeyRefused, request = id; "route {}: {fault:?}", route.name);
@@ -76,7 +76,7 @@
     active: &ActiveConfig,
     route: &RouteRule,
     head: &CallHead,
-) -> Result<CallerIdentity, EntryFault> {
+) -> Result<CallerIdentity, AdmissionFault> {
     let table = active.config.organisations.as_ref();
     let identity = CallerIdentity::of(table, route, &head.key);
     let needs_proof = !matches!(
@@ -84,25 +84,25 @@
         Ok(CallerIdentity::Unkeyed | CallerIdentity::Anyone)
     );
     if needs_proof && !context.fleet.may_trust_keys() {
-        return Err(EntryFault::Stale);
+        return Err(AdmissionFault::Stale);
     }
-    identity.map_err(EntryFault::Key)
+    identity.map_err(AdmissionFault::Key)
 }
 
 impl CallState {
     /// Looks at its key again, right before a send: while it waited for its adapter the key may have been taken away,
     /// or this VM cut off.
-    pub(super) fn is_still_let_in(&self) -> Result<(), EntryFault> {
+    pub(super) fn is_still_let_in(&self) -> Result<(), AdmissionFault> {
         let Some(organisation) = self.identity.organisation() else {
             return Ok(());
         };
         let Some(active) = self.context.fleet.active() else {
-            return Err(EntryFault::Stale);
+            return Err(AdmissionFault::Stale);
         };
         let identity = let_in(&self.context, &active, &self.route, &self.head)?;
         match identity.organisation() {
             Some(held) if held.name == organisation.name => Ok(()),
-            _ => Err(EntryFault::Key(KeyFault::Unknown)),
+            _ => Err(AdmissionFault::Key(KeyFault::Unknown)),
         }
     }
 }
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -16,38 +16,38 @@
 
 mod admission;
 mod answers;
-mod ends;
-mod paying;
-mod placing;
+mod payment;
+mod placement;
 mod sending;
-mod stop;
+mod stop_plan;
+mod target_probe;
 mod timeline;
 
-pub use admission::EntryFault;
+pub use admission::AdmissionFault;
 pub use answers::{AnswerBody, BrokenAnswer, full, own_answer};
-pub use paying::CallPayment;
-pub use placing::Placing;
-pub use sending::{InFlightCount, OpenAnswer, SendOutcome};
-pub use stop::StopPlan;
+pub use payment::CallPayment;
+pub use placement::CallPlacement;
+pub use sending::{InFlightGuard, OpenAnswer, SendOutcome};
+pub use stop_plan::StopPlan;
 pub use timeline::CallTimeline;
 
 use crate::{
     clock,
     direct::{
-        access::ZoneAccess,
+        buffered_answer::buffer_answer,
         call::{
             admission::let_in,
             answers::{passed_answer, refusal},
-            ends::request_fingerprint,
+            target_probe::request_fingerprint,
         },
         events::relay_events,
-        figures::{RequestKind, RequestOutcome},
         fleet::{ActiveConfig, FleetState},
-        sender::ConnectionPool,
+        holder_client::HolderClient,
+        metrics::{RequestKind, RequestOutcome},
         settings::DirectSettings,
         suspect_records::EndRecords,
+        target_connections::ConnectionPool,
         trials::TrialPermit,
-        whole::take_whole,
     },
     event,
     events::Event,
@@ -90,7 +90,7 @@
     /// The books.
     pub fleet: Arc<FleetState>,
     /// The way to holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Connections to targets.
     pub pool: Arc<ConnectionPool>,
     /// Records of targets that ended under calls.
@@ -138,7 +138,7 @@
     /// Targets that it need not be sent to again.
     pub tried: Vec<TargetName>,
     /// The engine that its engine takes kept parts of its prompt from.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_source: Option<SocketAddr>,
     /// Targets that may have run it.
     pub runs: u32,
     /// Zones that had no room for it when it was placed last, and why.
@@ -240,7 +240,7 @@
         body,
         is_limited: false,
         tried: Vec::new(),
-        fetch: None,
+        fetch_source: None,
         runs: 0,
         refusals: Vec::new(),
         refused: 0,
@@ -258,7 +258,7 @@
 }
 
 fn count(context: &GatewayContext, kind: RequestKind, outcome: RequestOutcome) {
-    context.fleet.figures.count_request(kind, outcome);
+    context.fleet.metrics.count_request(kind, outcome);
 }
 
 impl CallState {
@@ -271,13 +271,13 @@
                 Ok(placed) => placed,
                 Err(_) => break,
             };
-            let (entry, version, ticket) = match placed {
-                Placing::At(entry, version, ticket) => (entry, version, ticket),
-                Placing::Nowhere(after) => {
+            let (entry, version, placed_call) = match placed {
+                CallPlacement::At(entry, version, placed_call) => (entry, version, placed_call),
+                CallPlacement::Unavailable(after) => {
                     come_back = after;
                     break;
                 }
-                Placing::OverQuota(after) => return self.over_quota(after),
+                CallPlacement::OverQuota(after) => return self.over_quota(after),
             };
             if self.remaining().is_zero() {
                 break;
@@ -289,7 +289,7 @@
                 return fault.answer(&self.context, &self.route, &self.head.id);
             }
             // A failure that came before is passed on only if nothing better comes.
-            match self.send(&entry, version, ticket, None).await {
+            match self.send(&entry, version, placed_call, None).await {
                 SendOutcome::Success(open) => match self.pass_on(*open).await {
                     Ok(answer) => return answer,
                     Err(call) => {
@@ -300,7 +300,7 @@
                     }
                 },
                 SendOutcome::Failure(open) => {
-                    let (parts, taken) = take_whole(*open, &self).await;
+                    let (parts, taken) = buffer_answer(*open, &self).await;
                     if let Ok(body) = taken {
                         failure = Some(passed_answer(&parts, body));
                     }
@@ -414,7 +414,7 @@
             let standing = retries.standing(service, now);
             (standing, retries.try_repeat(service, now))
         };
-        fleet.figures.count_repeat(is_allowed);
+        fleet.metrics.count_repeat(is_allowed);
         let decided = if is_allowed {
             Event::RepeatAllowed
         } else {
@@ -436,7 +436,7 @@
             AnswerShape::Whole => {
                 let mut call = self;
                 let target = call.tried.len();
-                let (parts, taken) = take_whole(open, &call).await;
+                let (parts, taken) = buffer_answer(open, &call).await;
                 match taken {
                     Ok(body) => {
                         call.count(RequestOutcome::Answered);
--- a/crates/daemon/src/direct/call/paying.rs
+++ b/crates/daemon/src/direct/call/payment.rs
@@ -4,7 +4,7 @@
     clock,
     direct::{
         call::{CallState, answers::AnswerBody, answers::own_answer},
-        figures::RequestOutcome,
+        metrics::RequestOutcome,
     },
     event,
     events::Event,
@@ -85,7 +85,7 @@
         zones.sort_by_key(|zone| *zone != own);
         let mut used_up = None;
         for zone in zones.iter().filter(|zone| Some(*zone) != but) {
-            match self.context.access.pay(zone, charge.clone()).await {
+            match self.context.holder_client.pay(zone, charge.clone()).await {
                 Some(Ok(())) => {
                     self.payment.settle();
                     return PaymentOutcome::Settled;
@@ -104,7 +104,7 @@
         if let CallPayment::Paid(charge, at) = &self.payment
             && clock::now().since(*at) < GIVEN_BACK_WITHIN
         {
-            self.context.access.give_back(charge.clone());
+            self.context.holder_client.refund(charge.clone());
         }
     }
 
--- a/crates/daemon/src/direct/call/placing.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -3,8 +3,8 @@
 use crate::{
     clock,
     direct::{
-        access::CallTicket,
-        call::{COME_BACK, CallState, paying::PaymentOutcome},
+        call::{COME_BACK, CallState, payment::PaymentOutcome},
+        holder_client::PlacedCall,
         message::FeedTopic,
     },
     event,
@@ -38,27 +38,27 @@
 const REST_SPREAD: Duration = Duration::from_millis(600);
 
 /// Where the next send goes.
-pub enum Placing {
+pub enum CallPlacement {
     /// To this target, with the version to ask for.
-    At(Arc<TargetEntry>, Option<u64>, Option<CallTicket>),
+    At(Arc<TargetEntry>, Option<u64>, Option<PlacedCall>),
     /// Nowhere now; it is worth coming back after this.
-    Nowhere(Duration),
+    Unavailable(Duration),
     /// Nowhere, as its organisation's quota is used up until then.
     OverQuota(Duration),
 }
 
 impl CallState {
     /// Finds the target of the next send, and waits until it has what is asked for.
-    pub async fn place(&mut self) -> Placing {
+    pub async fn place(&mut self) -> CallPlacement {
         self.refusals.clear();
-        self.fetch = None;
+        self.fetch_source = None;
         self.is_limited = false;
         if let Some(come_back) = self.rest_of_all() {
-            return Placing::Nowhere(come_back);
+            return CallPlacement::Unavailable(come_back);
         }
         if !self.context.fleet.knows_whole(FeedTopic::Fleet) {
             // It may be a suspect.
-            return Placing::Nowhere(COME_BACK);
+            return CallPlacement::Unavailable(COME_BACK);
         }
         if self.is_suspected()
             && let Some(barred) = self.ask_trial().await
@@ -87,11 +87,11 @@
                 return found;
             }
         }
-        Placing::Nowhere(search.come_back().unwrap_or(COME_BACK))
+        CallPlacement::Unavailable(search.come_back().unwrap_or(COME_BACK))
     }
 
     /// Finds the target of a plain service's call: the holder that places them knows of all that are under way.
-    async fn place_plain(&mut self) -> Placing {
+    async fn place_plain(&mut self) -> CallPlacement {
         let zones = placing_zones(&self.service.name, &self.context.settings.zones);
         for zone in &zones {
             let mut asked = self.ask_plain(zone).await;
@@ -124,14 +124,14 @@
                         is_limited,
                         ..
                     },
-                    ticket,
+                    placed_call,
                 )) => {
                     self.payment.settle();
                     self.is_limited = is_limited;
                     sleep(Duration::from_millis(u64::from(wait_ms))).await;
                     let entry = self.entry_of(zone, &target).await;
                     match entry.filter(|entry| entry.stage == TargetStage::Ready) {
-                        Some(entry) => return Placing::At(entry, None, ticket),
+                        Some(entry) => return CallPlacement::At(entry, None, placed_call),
                         // It has left as far as this VM knows.
                         None => self.tried.push(target),
                     }
@@ -144,7 +144,9 @@
                     _,
                 )) => {
                     self.refusals.push((zone.clone(), cause));
-                    return Placing::Nowhere(Duration::from_millis(u64::from(retry_after_ms)));
+                    return CallPlacement::Unavailable(Duration::from_millis(u64::from(
+                        retry_after_ms,
+                    )));
                 }
                 None => {}
             }
@@ -158,7 +160,7 @@
     async fn ask_plain(
         &self,
         zone: &AvailabilityZone,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let left = self.route.objective.saturating_sub(self.arrived.elapsed());
         let ask = PlainAsk {
             service: self.service.name.clone(),
@@ -170,11 +172,11 @@
             is_trial: self.trial.is_some(),
             charge: self.payment.due().cloned(),
         };
-        self.context.access.place_plain(zone, ask).await
+        self.context.holder_client.place_plain(zone, ask).await
     }
 
     /// Picks a plain service's target by what this VM sees alone.
-    fn pick_alone(&self) -> Placing {
+    fn pick_alone(&self) -> CallPlacement {
         let mut books = self.context.fleet.books();
         let now = clock::now();
         let ready = books.catalog.ready(&self.service.name);
@@ -192,10 +194,10 @@
             now,
         );
         let Some(entry) = picked else {
-            return Placing::Nowhere(COME_BACK);
+            return CallPlacement::Unavailable(COME_BACK);
         };
         books.limits.take(&entry.name, now);
-        Placing::At(Arc::clone(entry), None, None)
+        CallPlacement::At(Arc::clone(entry), None, None)
     }
 
     /// Asks one zone; nothing if it does not take the call.
@@ -204,9 +206,9 @@
         zone: &AvailabilityZone,
         question: &ZoneQuestion,
         search: &mut ZoneSearch,
-    ) -> Option<Placing> {
+    ) -> Option<CallPlacement> {
         let ask = self.ask(question, search);
-        let Some((answer, ticket)) = self.context.access.place(zone, ask).await else {
+        let Some((answer, placed_call)) = self.context.holder_client.place(zone, ask).await else {
             search.take_silence(question.zone);
             // While the home zone's offer stands: a zone that can't be heard may be cut off with its targets.
             let is_compared = question.pass == SearchPass::Compare && question.zone > 0;
@@ -231,15 +233,15 @@
                 event!(Event::CallPlaced, request = self.head.id; "at {target} in {zone} after {:?}, its adapter {} of version {version:?} there in {wait_ms} ms, call {:?} of the holder",
                     self.arrived.elapsed(),
                     self.subject(),
-                    ticket.as_ref().map(CallTicket::number)
+                    placed_call.as_ref().map(PlacedCall::number)
                 );
                 self.payment.settle();
                 self.is_limited = is_limited;
                 if is_sought {
                     self.context.fleet.note_sought(&self.subject());
                 }
-                let figures = &self.context.fleet.figures;
-                figures.note_placing(self.arrived.elapsed());
+                let metrics = &self.context.fleet.metrics;
+                metrics.note_placing(self.arrived.elapsed());
                 self.timeline.note_placed(expected_ms);
                 let lease = self.context.fleet.lease(zone);
                 sleep(Duration::from_millis(u64::from(wait_ms))).await;
@@ -256,8 +258,8 @@
                     return None;
                 }
                 // Another holder knows nothing of the loan, and an address may have passed to another target.
-                self.fetch = fetch.filter(|source| is_led && self.is_one_targets(*source));
-                Some(Placing::At(entry, version, ticket))
+                self.fetch_source = fetch.filter(|source| is_led && self.is_one_targets(*source));
+                Some(CallPlacement::At(entry, version, placed_call))
             }
             PlacementAnswer::Refuse {
                 retry_after_ms,
@@ -296,7 +298,7 @@
         let fleet = &self.context.fleet;
         let known = || fleet.books().catalog.get(target).cloned();
         if known().is_none() && !fleet.knows_whole(FeedTopic::Targets) {
-            self.context.access.learn_target(zone, target).await;
+            self.context.holder_client.learn_target(zone, target).await;
         }
         known()
     }
@@ -307,13 +309,16 @@
         &mut self,
         but: Option<&AvailabilityZone>,
         known: Option<Duration>,
-    ) -> Option<Placing> {
+    ) -> Option<CallPlacement> {
         let used_up = match self.pay(but).await {
             PaymentOutcome::Settled => return None,
             PaymentOutcome::UsedUp(other) => Some(known.map_or(other, |known| known.min(other))),
             PaymentOutcome::Unanswered => known,
         };
-        Some(used_up.map_or(Placing::Nowhere(COME_BACK), Placing::OverQuota))
+        Some(used_up.map_or(
+            CallPlacement::Unavailable(COME_BACK),
+            CallPlacement::OverQuota,
+        ))
     }
 
     /// Whether one target is listed at an address.
@@ -400,14 +405,18 @@
     }
 
     /// Asks for a trial unless one is granted already; says where the call goes if none is.
-    async fn ask_trial(&mut self) -> Option<Placing> {
+    async fn ask_trial(&mut self) -> Option<CallPlacement> {
         if self.trial.is_some() {
             return None;
         }
         let zones = &self.context.settings.zones;
-        let asked = self.context.access.ask_trial(zones, self.fingerprint).await;
+        let asked = self
+            .context
+            .holder_client
+            .ask_trial(zones, self.fingerprint)
+            .await;
         let Some((answer, permit)) = asked else {
-            return Some(Placing::Nowhere(COME_BACK));
+            return Some(CallPlacement::Unavailable(COME_BACK));
         };
         let (retry_after_ms, is_running) = match answer {
             TrialAnswer::Granted | TrialAnswer::Clear => {
@@ -426,7 +435,7 @@
         };
         self.refusals.push((permit.zone().clone(), cause));
         let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-        Some(Placing::Nowhere(retry_after))
+        Some(CallPlacement::Unavailable(retry_after))
     }
 
     pub(super) fn subject(&self) -> AdapterName {
@@ -437,7 +446,7 @@
     }
 
     /// Places a call without its holder: at a target that is listed with its adapter.
-    fn place_alone(&self, zone: &AvailabilityZone) -> Option<Placing> {
+    fn place_alone(&self, zone: &AvailabilityZone) -> Option<CallPlacement> {
         let subject = self.subject();
         let mut books = self.context.fleet.books();
         // New weights of a base model bind no call: engines have them from their next start on.
@@ -458,12 +467,12 @@
         books.limits.take(&entry.name, now);
         // The holder does not know of this call: it must not make memory that is taken for another version's.
         let version = version.or_else(|| listed_version(&entry, &subject));
-        Some(Placing::At(entry, version, None))
+        Some(CallPlacement::At(entry, version, None))
     }
 }
 
 fn is_refused_for(
-    asked: &Option<(PlacementAnswer, Option<CallTicket>)>,
+    asked: &Option<(PlacementAnswer, Option<PlacedCall>)>,
     why: RefusalCause,
 ) -> bool {
     matches!(asked, Some((PlacementAnswer::Refuse { cause, .. }, _)) if *cause == why)
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -3,11 +3,11 @@
 use crate::{
     clock,
     direct::{
-        access::CallTicket,
         call::CallState,
         fleet::FleetState,
+        holder_client::PlacedCall,
         message::CallEnd,
-        sender::{ReuseRule, SendError, TargetConnection, TargetRequest},
+        target_connections::{ReuseRule, SendError, TargetConnection, TargetRequest},
         trials::TrialPermit,
     },
     event,
@@ -46,9 +46,9 @@
     /// The target as it was listed when the call was sent.
     pub entry: Arc<TargetEntry>,
     /// The holder's count of the call.
-    pub ticket: Option<CallTicket>,
+    pub placed_call: Option<PlacedCall>,
     /// This VM's count of the call.
-    pub count: InFlightCount,
+    pub in_flight: InFlightGuard,
 }
 
 /// What came of one send.
@@ -69,14 +69,14 @@
 
 /// Counts a call of this VM at a target until dropped.
 #[derive(Debug)]
-pub struct InFlightCount {
+pub struct InFlightGuard {
     fleet: Arc<FleetState>,
     run: TargetRun,
     /// The trial that the call is.
     trial: Option<TrialPermit>,
 }
 
-impl InFlightCount {
+impl InFlightGuard {
     fn new(fleet: &Arc<FleetState>, entry: &TargetEntry, trial: Option<TrialPermit>) -> Self {
         *fleet.books().in_flight.entry(entry.run()).or_default() += 1;
         Self {
@@ -93,7 +93,7 @@
     }
 
     /// Notes how the call ended.
-    pub fn note(mut self, end: CallEnd) {
+    pub fn finish(mut self, end: CallEnd) {
         if let Some(trial) = self.trial.as_mut().filter(|_| end == CallEnd::Good) {
             trial.note_good();
         }
@@ -108,7 +108,7 @@
     }
 }
 
-impl Drop for InFlightCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut books = self.fleet.books();
         if let Some(count) = books.in_flight.get_mut(&self.run) {
@@ -126,14 +126,14 @@
         &mut self,
         entry: &Arc<TargetEntry>,
         version: Option<u64>,
-        ticket: Option<CallTicket>,
+        placed_call: Option<PlacedCall>,
         last_event: Option<u64>,
     ) -> SendOutcome {
-        let count = InFlightCount::new(&self.context.fleet, entry, self.trial.take());
-        let end = |ticket: Option<CallTicket>, count: InFlightCount, end: CallEnd| {
-            count.note(end);
-            if let Some(ticket) = ticket {
-                ticket.end(end);
+        let in_flight = InFlightGuard::new(&self.context.fleet, entry, self.trial.take());
+        let end = |placed_call: Option<PlacedCall>, in_flight: InFlightGuard, end: CallEnd| {
+            in_flight.finish(end);
+            if let Some(placed_call) = placed_call {
+                placed_call.finish(end);
             }
         };
         let reuse = match self.route.repeat {
@@ -168,7 +168,7 @@
             Err(SendError::NotSent { target, cause, .. }) => {
                 event!(Event::TargetUnreached, request = self.head.id; "at {target}: {cause}"
                 );
-                end(ticket, count, CallEnd::Unreached);
+                end(placed_call, in_flight, CallEnd::Unreached);
                 self.unreached += 1;
                 self.tried.push(target);
                 return SendOutcome::NotSent;
@@ -176,8 +176,8 @@
             Err(SendError::Unanswered { target, cause }) => {
                 event!(Event::AnswerMissing, request = self.head.id; "at {target}: {cause}"
                 );
-                self.look_at_break(entry, count.is_trial()).await;
-                end(ticket, count, CallEnd::Failed);
+                self.probe_after_failure(entry, in_flight.is_trial()).await;
+                end(placed_call, in_flight, CallEnd::Failed);
                 self.runs += 1;
                 self.tried.push(target);
                 return SendOutcome::Unknown;
@@ -189,7 +189,8 @@
             AnswerKind::Foreign | AnswerKind::Misdirected => TargetNotice::default(),
             AnswerKind::Success | AnswerKind::Failure | AnswerKind::NotRun => {
                 let fleet = &self.context.fleet;
-                let notice = fleet.hear_target(&entry.run(), response.status(), response.headers());
+                let notice =
+                    fleet.apply_target_notice(&entry.run(), response.status(), response.headers());
                 self.note_limit(entry, notice.rate);
                 notice
             }
@@ -198,26 +199,26 @@
             self.context.fleet.books().rests.answered(&entry.run());
         }
         let (parts, body) = response.into_parts();
-        let open = |ticket, count| {
+        let open = |placed_call, in_flight| {
             Box::new(OpenAnswer {
                 parts: parts.clone(),
                 notice,
                 body,
                 connection,
                 entry: Arc::clone(entry),
-                ticket,
-                count,
+                placed_call,
+                in_flight,
             })
         };
         match kind {
             AnswerKind::Success => {
                 self.runs += 1;
-                SendOutcome::Success(open(ticket, count))
+                SendOutcome::Success(open(placed_call, in_flight))
             }
             AnswerKind::Failure => {
                 self.runs += 1;
                 self.tried.push(entry.name.clone());
-                SendOutcome::Failure(open(ticket, count))
+                SendOutcome::Failure(open(placed_call, in_flight))
             }
             AnswerKind::Misdirected | AnswerKind::NotRun => {
                 event!(Event::TurnedAway, request = self.head.id; "at {}: {kind:?} {} for {} version {version:?}",
@@ -233,7 +234,7 @@
                         rest_ms: notice.rest.map_or(0, millis),
                     }
                 };
-                end(ticket, count, outcome);
+                end(placed_call, in_flight, outcome);
                 self.refused += 1;
                 // An adapter that is late is soon there: its holder knows whether another target is better.
                 if !is_absent {
@@ -247,7 +248,7 @@
                     parts.status
                 );
                 self.context.pool.close(entry.address);
-                end(ticket, count, CallEnd::Failed);
+                end(placed_call, in_flight, CallEnd::Failed);
                 self.runs += 1;
                 self.tried.push(entry.name.clone());
                 SendOutcome::Unknown
@@ -268,7 +269,7 @@
             priority: self.service.engine.as_ref().map(|_| self.rank),
             version,
             last_event,
-            fetch: self.fetch,
+            fetch: self.fetch_source,
             identity: &self.identity,
         };
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -303,18 +304,18 @@
             event!(Event::LimitNamed, request = self.head.id; "{}: {rate:?} a second", entry.name);
         }
         if named.rate.is_some() || self.is_limited {
-            self.context.access.tell_limit(&named);
+            self.context.holder_client.tell_limit(&named);
         }
     }
 
     /// Gives a connection back for further calls, unless its answer says that it ends.
-    pub fn give_back(&self, connection: TargetConnection, notice: &TargetNotice) {
+    pub fn return_connection(&self, connection: TargetConnection, notice: &TargetNotice) {
         if notice.is_closing {
             return;
         }
         let vms = self.context.fleet.books().vms.len();
         let share = self.service.idle_share(vms);
         let pool = &self.context.pool;
-        pool.give_back(connection, notice.idle, share);
+        pool.put_back(connection, notice.idle, share);
     }
 }
--- a/crates/daemon/src/direct/call/stop.rs
+++ b/crates/daemon/src/direct/call/stop_plan.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
     /// From here on only what is sure to end in time is taken.
-    pub choosy_from: Instant,
+    pub restricted_from: Instant,
     /// When the process ends with whatever is left.
     pub exit: Instant,
 }
@@ -38,7 +38,7 @@
                 longest.min(route.timeout)
             }
         };
-        if now < self.choosy_from || longest < left {
+        if now < self.restricted_from || longest < left {
             Ok(())
         } else {
             Err(left + RESTART)
--- a/crates/daemon/src/direct/call/ends.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -6,7 +6,7 @@
 use crate::{
     direct::{
         call::CallState,
-        sender::{ReuseRule, SendError, exchange},
+        target_connections::{ReuseRule, SendError, exchange},
     },
     event,
     events::Event,
@@ -67,7 +67,7 @@
     /// Looks whether a target that broke this call off has ended, and tells all holders and the log if so, before the call is
     /// placed again or its caller answered.
     /// A trial whose target says nothing counts as one that ended it.
-    pub async fn look_at_break(&self, entry: &TargetEntry, is_trial: bool) {
+    pub async fn probe_after_failure(&self, entry: &TargetEntry, is_trial: bool) {
         let mut verdict = self.look(entry).await;
         if verdict == LookVerdict::Unknown {
             // Its connections may end a moment before its address does.
@@ -89,7 +89,7 @@
         event!(Event::TargetEndedUnder, request = self.head.id; "at {}, request {:016x}", entry.name, self.fingerprint.0
         );
         if self.context.fleet.note_ended_under(&ended) {
-            self.context.access.tell_ended_under(&ended);
+            self.context.holder_client.tell_ended_under(&ended);
         }
         self.context.records.record(self.fingerprint).await;
     }
--- a/crates/daemon/src/direct/call/timeline.rs
+++ b/crates/daemon/src/direct/call/timeline.rs
@@ -57,7 +57,7 @@
 
     /// Time from its arrival to its first event, if there was one.
     #[must_use]
-    pub fn first(&self) -> Option<Duration> {
+    pub fn first_event(&self) -> Option<Duration> {
         self.first
     }
 }
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -3,9 +3,9 @@
 use crate::{
     clock::{self, CLOCK_ERROR},
     direct::{
-        access::ZoneAccess,
+        caller_connections::StopPhase,
         fleet::{FleetBooks, FleetState, zone_key},
-        front::StopPhase,
+        holder_client::HolderClient,
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -39,7 +39,7 @@
     /// The books.
     pub fleet: Arc<FleetState>,
     /// Links to holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Settings.
     pub settings: Arc<DirectSettings>,
     /// How far a planned stop is.
@@ -91,9 +91,9 @@
         let lease = self.fleet.lease(&self.fleet.zone);
         let contact = match &lease {
             Some(lease) if lease.vm.is_some() => {
-                let contact = self.access.contact(&self.fleet.zone, lease);
+                let contact = self.holder_client.contact(&self.fleet.zone, lease);
                 if contact != HolderContact::Heard {
-                    self.access.redial(&self.fleet.zone, lease);
+                    self.holder_client.redial(&self.fleet.zone, lease);
                 }
                 contact
             }
@@ -133,7 +133,8 @@
         drop(books);
         if let (LeaseStep::AskFor, Some(lease)) = (step, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
-            self.access.ask_for_lease(&self.fleet.zone, lease, position);
+            self.holder_client
+                .request_lease(&self.fleet.zone, lease, position);
         }
         matches!(step, LeaseStep::Claim { .. })
     }
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -2,20 +2,20 @@
 
 use crate::{
     direct::{
-        access::ZoneAccess,
         call::{GatewayContext, StopPlan},
+        caller_connections::{OpenConnections, StopPhase, accept_callers},
         claims::{ClaimWorker, release_lease},
         feeds::FeedWorker,
         fleet::FleetState,
-        front::{OpenConnections, StopPhase, accept_callers},
+        holder_client::HolderClient,
         links::accept_links,
         message::FeedTopic,
         questions::{accept_questions, answer_metrics, answer_ready},
         reach::StoreReach,
         recorder::FleetRecorder,
-        sender::ConnectionPool,
         settings::DirectSettings,
         suspect_records::EndRecords,
+        target_connections::ConnectionPool,
         zone::{ZoneEvent, ZoneWorker},
     },
     event,
@@ -91,7 +91,7 @@
         let pool = Arc::new(ConnectionPool::default());
         let (zone, zone_receiver) = mpsc::channel(ZONE_EVENTS);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
-        let access = Arc::new(ZoneAccess::new(Arc::clone(&fleet), zone.clone()));
+        let holder_client = Arc::new(HolderClient::new(Arc::clone(&fleet), zone.clone()));
         let connections = Arc::new(OpenConnections::default());
         event!(
             Event::Started,
@@ -100,7 +100,7 @@
             settings.zone,
             settings.peer_address
         );
-        start_feeds(&settings, &fleet, &access);
+        start_feeds(&settings, &fleet, &holder_client);
         let worker = ZoneWorker::new(
             Arc::clone(&fleet),
             Arc::clone(&pool),
@@ -111,7 +111,7 @@
         tokio::spawn(accept_links(peers, Arc::clone(&fleet), zone.clone()));
         let claims = ClaimWorker {
             fleet: Arc::clone(&fleet),
-            access: Arc::clone(&access),
+            holder_client: Arc::clone(&holder_client),
             settings: Arc::clone(&settings),
             stop: stop_watch.clone(),
         };
@@ -124,7 +124,7 @@
         let context = Arc::new(GatewayContext {
             stop: Arc::clone(&plan),
             fleet: Arc::clone(&fleet),
-            access,
+            holder_client,
             pool,
             records: EndRecords::start(&fleet, &settings),
             settings: Arc::clone(&settings),
@@ -165,9 +165,9 @@
         event!(Event::Stopping, "{} connections", self.connections.count());
         let begun = Instant::now();
         let bound = begun + self.settings.pace.stop_bound;
-        let choosy_from = begun + self.settings.pace.stop_notice;
+        let restricted_from = begun + self.settings.pace.stop_notice;
         let plan = StopPlan {
-            choosy_from,
+            restricted_from,
             exit: bound,
         };
         // Only one stop begins.
@@ -181,8 +181,9 @@
                 is_released = true;
             }
             let now = Instant::now();
-            self.stop.send_replace(phase_at(now, choosy_from, bound));
-            if now >= bound || (now >= choosy_from && self.connections.count() == 0) {
+            self.stop
+                .send_replace(phase_at(now, restricted_from, bound));
+            if now >= bound || (now >= restricted_from && self.connections.count() == 0) {
                 break;
             }
             sleep(STOP_LOOK).await;
@@ -209,10 +210,10 @@
     }
 }
 
-fn phase_at(now: Instant, choosy_from: Instant, bound: Instant) -> StopPhase {
+fn phase_at(now: Instant, restricted_from: Instant, bound: Instant) -> StopPhase {
     if now + ENDING >= bound {
         StopPhase::Ending
-    } else if now >= choosy_from {
+    } else if now >= restricted_from {
         StopPhase::Closing
     } else {
         StopPhase::Leaving
@@ -234,12 +235,16 @@
     if let Some(collectors) = collectors {
         let asked = Arc::clone(fleet);
         tokio::spawn(accept_questions(collectors, move |path| {
-            answer_metrics(path, || asked.figures.page(&asked))
+            answer_metrics(path, || asked.metrics.page(&asked))
         }));
     }
 }
 
-fn start_feeds(settings: &Arc<DirectSettings>, fleet: &Arc<FleetState>, access: &Arc<ZoneAccess>) {
+fn start_feeds(
+    settings: &Arc<DirectSettings>,
+    fleet: &Arc<FleetState>,
+    holder_client: &Arc<HolderClient>,
+) {
     let reach = StoreReach::new();
     let first_pause = first_pause(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
@@ -248,7 +253,7 @@
             address: settings.platform_address,
             pace: settings.pace,
             fleet: Arc::clone(fleet),
-            access: Arc::clone(access),
+            holder_client: Arc::clone(holder_client),
             reach: reach.clone(),
             first_pause,
             started: Instant::now(),
@@ -272,7 +277,7 @@
     let mut dropped = 0;
     loop {
         sleep(SWEEP_EVERY).await;
-        pool.sweep();
+        pool.close_expired();
         fleet.expire();
         dropped = report_dropped(dropped);
     }
--- a/crates/daemon/src/direct/engine_calls.rs
+++ b/crates/daemon/src/direct/engine_client.rs
@@ -3,7 +3,7 @@
 use crate::{
     direct::{
         fleet::FleetState,
-        sender::{ConnectionPool, ReuseRule, SendError, TargetRequest, exchange},
+        target_connections::{ConnectionPool, ReuseRule, SendError, TargetRequest, exchange},
     },
     event,
     events::Event,
@@ -24,7 +24,7 @@
 const REPORT_BYTES: usize = 1 << 20;
 
 /// Gives an order, and says how it ended.
-pub async fn give_order(
+pub async fn send_order(
     fleet: &FleetState,
     pool: &ConnectionPool,
     entry: &TargetEntry,
@@ -61,7 +61,7 @@
 }
 
 /// Reads an engine's report; nothing where none comes that can be read.
-pub async fn read_report(
+pub async fn fetch_report(
     fleet: &FleetState,
     pool: &ConnectionPool,
     entry: &TargetEntry,
--- a/crates/daemon/src/direct/cutter.rs
+++ b/crates/daemon/src/direct/event_splitter.rs
@@ -15,17 +15,17 @@
 
 /// Cuts a stream into whole events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     rest: BytesMut,
     last_id: Option<u64>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes bytes; returns the whole events that they complete.
     ///
     /// # Errors
     /// When an event is too large.
-    pub fn take(&mut self, bytes: &Bytes) -> Result<Bytes, OversizedEvent> {
+    pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, OversizedEvent> {
         if self.rest.is_empty()
             && let Some(end) = last_end(bytes)
             && end == bytes.len()
@@ -46,7 +46,7 @@
     }
 
     /// What is left after the stream's end; dropped from here on.
-    pub fn take_rest(&mut self) -> Bytes {
+    pub fn take_remainder(&mut self) -> Bytes {
         self.rest.split().freeze()
     }
 
--- a/crates/daemon/src/direct/events.rs
+++ b/crates/daemon/src/direct/events.rs
@@ -7,10 +7,10 @@
 use crate::{
     clock,
     direct::{
-        call::{AnswerBody, BrokenAnswer, CallState, OpenAnswer, Placing, SendOutcome},
-        cutter::EventCutter,
-        figures::RequestOutcome,
+        call::{AnswerBody, BrokenAnswer, CallPlacement, CallState, OpenAnswer, SendOutcome},
+        event_splitter::EventSplitter,
         message::CallEnd,
+        metrics::RequestOutcome,
     },
     event,
     events::Event,
@@ -29,7 +29,7 @@
 struct EventRelay {
     call: CallState,
     open: Option<OpenAnswer>,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     resumable: bool,
     /// Whether the holder waits to hear of the first event of this send.
     awaits_first: bool,
@@ -42,7 +42,7 @@
     let relay = EventRelay {
         call,
         open: Some(open),
-        cutter: EventCutter::default(),
+        splitter: EventSplitter::default(),
         resumable,
         awaits_first: true,
     };
@@ -69,7 +69,7 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    match self.cutter.take(&data) {
+                    match self.splitter.push(&data) {
                         Ok(events) if events.is_empty() => continue,
                         Ok(events) => {
                             self.note_events();
@@ -92,7 +92,7 @@
             self.look_at_break(is_silent).await;
             let target = self.end_open(CallEnd::Failed);
             event!(Event::StreamBroken, request = self.call.head.id; "at {target}: {cause}, last event {:?}",
-                self.cutter.last_id()
+                self.splitter.last_id()
             );
             if !self.resumable || !self.resume().await {
                 return Some(Err(self.broken(&cause)));
@@ -104,7 +104,7 @@
         if self.call.timeline.note_event() {
             let held = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
-            fleet.figures.note_first_event(held);
+            fleet.metrics.note_first_event(held);
             fleet.books().streams.note_start(held, clock::now());
         }
         let Some(open) = self.open.as_ref().filter(|_| self.awaits_first) else {
@@ -112,20 +112,21 @@
         };
         self.awaits_first = false;
         let version = open.notice.version;
-        if let Some(source) = self.call.fetch {
+        if let Some(source) = self.call.fetch_source {
             event!(Event::MemoryUsed, request = self.call.head.id; "at {} with parts from {source}, by version {version:?}",
                 open.connection.target()
             );
         }
-        if let Some(ticket) = &open.ticket {
-            ticket.note_first_event(version);
+        if let Some(placed_call) = &open.placed_call {
+            placed_call.note_first_event(version);
         }
     }
 
     /// Notes how long the stream took, for what may be taken while this VM stops.
     fn note_span(&self) {
         let call = &self.call;
-        let (Some(first), Some(events)) = (call.timeline.first(), self.cutter.last_id()) else {
+        let (Some(first), Some(events)) = (call.timeline.first_event(), self.splitter.last_id())
+        else {
             return;
         };
         let span = call.arrived.elapsed().saturating_sub(first);
@@ -147,7 +148,7 @@
 
     fn broken(&mut self, cause: &str) -> BrokenAnswer {
         event!(Event::AnswerIncomplete, request = self.call.head.id; "{cause}, last event {:?}",
-            self.cutter.last_id()
+            self.splitter.last_id()
         );
         self.call.count(RequestOutcome::BrokenOff);
         BrokenAnswer(cause.to_owned())
@@ -156,8 +157,8 @@
     /// Looks whether the target that broke the stream off has ended; one that was merely silent has not broken it off.
     async fn look_at_break(&self, is_silent: bool) {
         if let Some(open) = self.open.as_ref().filter(|_| !is_silent) {
-            let is_trial = open.count.is_trial();
-            self.call.look_at_break(&open.entry, is_trial).await;
+            let is_trial = open.in_flight.is_trial();
+            self.call.probe_after_failure(&open.entry, is_trial).await;
         }
     }
 
@@ -166,16 +167,16 @@
         let Some(open) = self.open.take() else {
             return String::new();
         };
-        open.count.note(end);
-        if let Some(ticket) = open.ticket {
-            ticket.end(end);
+        open.in_flight.finish(end);
+        if let Some(placed_call) = open.placed_call {
+            placed_call.finish(end);
         }
         open.connection.target().to_string()
     }
 
     /// The target ended its body: the stream is whole unless that end could not be told from a break.
     fn finish(&mut self) -> Result<Option<Bytes>, String> {
-        let rest = self.cutter.take_rest();
+        let rest = self.splitter.take_remainder();
         let is_framed = self
             .open
             .as_ref()
@@ -193,25 +194,25 @@
                 open.connection.target(),
                 self.call.timeline
             );
-            open.count.note(CallEnd::Good);
-            if let Some(ticket) = open.ticket {
-                ticket.end(CallEnd::Good);
+            open.in_flight.finish(CallEnd::Good);
+            if let Some(placed_call) = open.placed_call {
+                placed_call.finish(CallEnd::Good);
             }
-            self.call.give_back(open.connection, &open.notice);
+            self.call.return_connection(open.connection, &open.notice);
         }
         Ok((!rest.is_empty()).then_some(rest))
     }
 
     /// Goes on at another target from the last whole event.
     async fn resume(&mut self) -> bool {
-        let last = self.cutter.last_id().or(self.call.head.last_event);
-        self.cutter.take_rest();
+        let last = self.splitter.last_id().or(self.call.head.last_event);
+        self.splitter.take_remainder();
         while self.call.may_repeat() {
             let placed = timeout_at(self.call.deadline, self.call.place()).await;
-            let Ok(Placing::At(entry, version, ticket)) = placed else {
+            let Ok(CallPlacement::At(entry, version, placed_call)) = placed else {
                 return false;
             };
-            match self.call.send(&entry, version, ticket, last).await {
+            match self.call.send(&entry, version, placed_call, last).await {
                 SendOutcome::Success(open) => {
                     event!(Event::StreamResumed, request = self.call.head.id; "at {} from {last:?}",
                         entry.name
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -6,8 +6,8 @@
 use crate::{
     clock,
     direct::{
-        access::ZoneAccess, figures::LogOutcome, fleet::FleetState, listing::list_topic,
-        message::FeedTopic, reach::StoreReach, settings::PaceSettings,
+        fleet::FleetState, holder_client::HolderClient, listing::list_topic, message::FeedTopic,
+        metrics::LogOutcome, reach::StoreReach, settings::PaceSettings,
     },
     event,
     events::Event,
@@ -76,7 +76,7 @@
     /// The books.
     pub fleet: Arc<FleetState>,
     /// Links to holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Shared by all feeds.
     pub reach: StoreReach,
     /// Pause before the first listing.
@@ -195,7 +195,7 @@
 
     fn hears_holder(&self) -> bool {
         let lease = self.fleet.lease(&self.fleet.zone);
-        lease.is_some_and(|lease| self.access.is_heard(&lease, READ_SILENCE))
+        lease.is_some_and(|lease| self.holder_client.is_heard(&lease, READ_SILENCE))
     }
 
     /// Whether the zone has a holder that is being dialled, or heard.
@@ -203,7 +203,7 @@
         let lease = self.fleet.lease(&self.fleet.zone);
         lease.is_some_and(|lease| {
             lease.vm.as_ref().is_some_and(|vm| *vm != self.fleet.vm)
-                && self.access.contact(&self.fleet.zone, &lease) != HolderContact::Ended
+                && self.holder_client.contact(&self.fleet.zone, &lease) != HolderContact::Ended
         })
     }
 
@@ -336,8 +336,8 @@
     }
 
     fn note_out(&mut self, error: &StoreError) {
-        let figures = &self.fleet.figures;
-        figures.count_log_call(topic_name(self.topic), LogOutcome::Failed);
+        let metrics = &self.fleet.metrics;
+        metrics.count_log_call(topic_name(self.topic), LogOutcome::Failed);
         if self.topic == FeedTopic::Targets {
             self.fleet.note_list_call(false);
         }
@@ -349,8 +349,8 @@
     }
 
     fn note_back(&mut self) {
-        let figures = &self.fleet.figures;
-        figures.count_log_call(topic_name(self.topic), LogOutcome::Answered);
+        let metrics = &self.fleet.metrics;
+        metrics.count_log_call(topic_name(self.topic), LogOutcome::Answered);
         if self.topic == FeedTopic::Targets {
             self.fleet.note_list_call(true);
         }
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -7,9 +7,9 @@
     clock,
     direct::{
         eras::EraRecord,
-        figures::DirectFigures,
         message::{FeedTopic, TopicSpan},
-        notices::LeavingNews,
+        metrics::DirectMetrics,
+        notices::LeavingTargets,
         records::RecordBook,
         settings::DirectSettings,
         skipped::SkippedEntries,
@@ -157,7 +157,7 @@
     /// Headers in which targets tell of themselves that could not be read.
     pub unread: SkippedEntries,
     /// Targets that said in their answers that they leave, to be passed on.
-    pub leaving: LeavingNews,
+    pub leaving: LeavingTargets,
     /// Where this VM itself is reached.
     pub(super) own_addresses: Vec<SocketAddr>,
 }
@@ -299,7 +299,7 @@
     /// Thousandths of a core that this VM has.
     pub strength: u32,
     /// Counts for the metrics page.
-    pub figures: DirectFigures,
+    pub metrics: DirectMetrics,
     /// VMs of this zone that are linked to this one and could take its lease over.
     successors: Mutex<HashSet<VmName>>,
     stopping: watch::Sender<bool>,
@@ -327,7 +327,7 @@
             revocation: settings.revocation,
             rewrites: settings.rewrites,
             strength: settings.strength,
-            figures: DirectFigures::default(),
+            metrics: DirectMetrics::default(),
             successors: Mutex::default(),
             stopping: watch::channel(false).0,
             books: Mutex::new(FleetBooks {
@@ -364,7 +364,7 @@
                 confirmed: None,
                 skipped: SkippedEntries::default(),
                 unread: SkippedEntries::default(),
-                leaving: LeavingNews::default(),
+                leaving: LeavingTargets::default(),
                 own_addresses: Vec::new(),
             }),
             changes: watch::channel(0).0,
--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -61,7 +61,7 @@
 
 /// Asks holders, and tells them how calls ended.
 #[derive(Debug)]
-pub struct ZoneAccess {
+pub struct HolderClient {
     fleet: Arc<FleetState>,
     zone: mpsc::Sender<ZoneEvent>,
     links: Mutex<HashMap<VmName, VmLink>>,
@@ -69,7 +69,7 @@
     numbers: AtomicU64,
 }
 
-impl ZoneAccess {
+impl HolderClient {
     /// Access by way of this VM's own zone worker and links to others.
     #[must_use]
     pub fn new(fleet: Arc<FleetState>, zone: mpsc::Sender<ZoneEvent>) -> Self {
@@ -87,12 +87,12 @@
         self: &Arc<Self>,
         zone: &AvailabilityZone,
         ask: PlacementAsk,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let subject = ask.subject.clone();
         let withdrawal = WithdrawnAsk {
-            access: self,
+            holder_client: self,
             zone,
             number,
             is_settled: false,
@@ -107,11 +107,11 @@
         self: &Arc<Self>,
         zone: &AvailabilityZone,
         ask: PlainAsk,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let withdrawal = WithdrawnAsk {
-            access: self,
+            holder_client: self,
             zone,
             number,
             is_settled: false,
@@ -192,7 +192,7 @@
             notice(zone);
             return;
         }
-        self.fleet.pardon(fingerprint);
+        self.fleet.clear_suspicion(fingerprint);
         self.all_zones().iter().for_each(notice);
     }
 
@@ -233,7 +233,7 @@
         number: u64,
         subject: AdapterName,
         reply: PlaceReply,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         withdrawal.is_settled = true;
         match reply {
             PlaceReply::NotHolder
@@ -241,7 +241,7 @@
             | PlaceReply::Trial(_)
             | PlaceReply::Target(_) => None,
             PlaceReply::Answer(answer) => {
-                let ticket = match &answer {
+                let placed_call = match &answer {
                     PlacementAnswer::Send { target, life, .. } => {
                         let call = OpenCall {
                             zone: zone.clone(),
@@ -249,22 +249,22 @@
                             life: *life,
                             subject,
                         };
-                        Some(self.ticket(number, call))
+                        Some(self.placed_call(number, call))
                     }
                     PlacementAnswer::Refuse { .. } => None,
                 };
-                Some((answer, ticket))
+                Some((answer, placed_call))
             }
         }
     }
 
-    fn ticket(self: &Arc<Self>, number: u64, call: OpenCall) -> CallTicket {
+    fn placed_call(self: &Arc<Self>, number: u64, call: OpenCall) -> PlacedCall {
         self.open
             .lock()
             .expect("no holder of the lock panics")
             .insert(number, call);
-        CallTicket {
-            access: Arc::clone(self),
+        PlacedCall {
+            holder_client: Arc::clone(self),
             number,
             outcome: None,
         }
@@ -407,7 +407,7 @@
     }
 
     /// Asks a zone's holder for its lease, which was recorded at a position.
-    pub fn ask_for_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
+    pub fn request_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
         if let Some(link) = self.link(zone, lease) {
             link.tell(VmMessage::LeaseWanted(position));
         }
@@ -432,7 +432,7 @@
     }
 
     /// Gives a charge back to this VM's own zone's holder.
-    pub fn give_back(&self, charge: QuotaCharge) {
+    pub fn refund(&self, charge: QuotaCharge) {
         self.notify(&self.fleet.zone, HolderNotice::GiveBack(charge));
     }
 
@@ -468,7 +468,7 @@
 
 /// Withdraws a question that nobody waits for any more.
 struct WithdrawnAsk<'a> {
-    access: &'a ZoneAccess,
+    holder_client: &'a HolderClient,
     zone: &'a AvailabilityZone,
     number: u64,
     is_settled: bool,
@@ -477,7 +477,7 @@
 impl Drop for WithdrawnAsk<'_> {
     fn drop(&mut self) {
         if !self.is_settled {
-            self.access
+            self.holder_client
                 .notify(self.zone, HolderNotice::Withdrawn(self.number));
         }
     }
@@ -485,13 +485,13 @@
 
 /// A placed call; tells the holder of its end when dropped.
 #[derive(Debug)]
-pub struct CallTicket {
-    access: Arc<ZoneAccess>,
+pub struct PlacedCall {
+    holder_client: Arc<HolderClient>,
     number: u64,
     outcome: Option<CallEnd>,
 }
 
-impl CallTicket {
+impl PlacedCall {
     /// The holder's number of the call.
     #[must_use]
     pub fn number(&self) -> u64 {
@@ -502,7 +502,7 @@
     /// the base model.
     pub fn note_first_event(&self, version: Option<u64>) {
         let call = self
-            .access
+            .holder_client
             .open
             .lock()
             .expect("no holder of the lock panics")
@@ -510,20 +510,20 @@
             .cloned();
         if let Some(call) = call {
             let notice = HolderNotice::Begun(self.number, call.target, version);
-            self.access.notify(&call.zone, notice);
+            self.holder_client.notify(&call.zone, notice);
         }
     }
 
     /// Ends the call with what it says about its target.
-    pub fn end(mut self, outcome: CallEnd) {
+    pub fn finish(mut self, outcome: CallEnd) {
         self.outcome = Some(outcome);
     }
 }
 
-impl Drop for CallTicket {
+impl Drop for PlacedCall {
     fn drop(&mut self) {
         let call = self
-            .access
+            .holder_client
             .open
             .lock()
             .expect("no holder of the lock panics")
@@ -535,7 +535,7 @@
                 life: call.life,
                 outcome: self.outcome,
             };
-            self.access.tell(&call.zone, ending);
+            self.holder_client.tell(&call.zone, ending);
         }
     }
 }
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -28,7 +28,7 @@
 }
 
 /// What came with a lease, and ends with it.
-pub struct ZoneLedger {
+pub struct HolderState {
     /// The lease's token.
     pub token: FencingToken,
     plain: PlainPlanner,
@@ -38,7 +38,7 @@
     declared: Option<u64>,
 }
 
-impl ZoneLedger {
+impl HolderState {
     /// The ledger of a lease.
     #[must_use]
     pub fn new(
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// When too little is left: the answer to the call.
-    pub fn pay_for_place(
+    pub fn charge_placement(
         &mut self,
         charge: Option<&QuotaCharge>,
         now: Instant,
@@ -113,7 +113,7 @@
     }
 
     /// Gives a charge back whose call did not run, or found no place.
-    pub fn give_back(&mut self, charge: &QuotaCharge, now: Instant) {
+    pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
         self.quotas.give_back(charge, now);
     }
 
@@ -132,7 +132,7 @@
                 cause: RefusalCause::NeedsTrial,
             };
         }
-        if let Err(refusal) = self.pay_for_place(ask.charge.as_ref(), now) {
+        if let Err(refusal) = self.charge_placement(ask.charge.as_ref(), now) {
             return refusal;
         }
         let targets: Vec<_> = {
@@ -141,7 +141,7 @@
         };
         let answer = self.plain.place(key, ask, &targets, now);
         if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
-            self.give_back(charge, now);
+            self.refund(charge, now);
         }
         answer
     }
--- a/crates/daemon/src/direct/figures.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock,
-    direct::{call::EntryFault, fleet::FleetState},
+    direct::{call::AdmissionFault, fleet::FleetState},
     event,
     events::Event,
     logging::dropped_lines,
@@ -96,7 +96,7 @@
 
 /// Why a record is passed on to another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum PassReason {
+pub enum ForwardReason {
     /// It is news.
     News,
     /// The other VM has asked for it.
@@ -105,7 +105,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct PassLabels {
-    reason: PassReason,
+    reason: ForwardReason,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -142,7 +142,7 @@
 
 /// Counts of this VM.
 #[derive(Debug)]
-pub struct DirectFigures {
+pub struct DirectMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
     repeats: Family<RepeatLabels, Counter>,
@@ -164,11 +164,11 @@
     memory: Gauge,
 }
 
-impl DirectFigures {
+impl DirectMetrics {
     /// Counts that begin at zero.
     #[must_use]
     pub fn new() -> Self {
-        let mut figures = Self {
+        let mut metrics = Self {
             registry: Registry::with_prefix("hoplanding"),
             requests: Family::default(),
             repeats: Family::default(),
@@ -189,8 +189,8 @@
             lines_dropped: Gauge::default(),
             memory: Gauge::default(),
         };
-        figures.register();
-        figures
+        metrics.register();
+        metrics
     }
 
     fn register(&mut self) {
@@ -285,13 +285,13 @@
     }
 
     /// A request was not let in for its key.
-    pub fn count_entry_fault(&self, fault: EntryFault) {
+    pub fn count_entry_fault(&self, fault: AdmissionFault) {
         let cause = fault.label();
         self.entries.get_or_create(&EntryLabels { cause }).inc();
     }
 
     /// What a zone's holder has paid out of organisations' quotas; of those that asked for most, so that their number is bounded.
-    pub fn tell_quotas<'a>(
+    pub fn set_quota_counts<'a>(
         &self,
         counts: impl Iterator<Item = (&'a OrganisationName, BucketCounts)>,
     ) {
@@ -312,7 +312,7 @@
     }
 
     /// Requests that a zone's holder suspects, and those of them that it sends nowhere.
-    pub fn tell_suspects(&self, (suspected, quarantined): (usize, usize)) {
+    pub fn set_suspect_counts(&self, (suspected, quarantined): (usize, usize)) {
         for (state, count) in [("suspected", suspected), ("sent_nowhere", quarantined)] {
             let labels = SuspectLabels { state };
             self.suspects
@@ -327,7 +327,7 @@
     }
 
     /// An engine could take parts of a prompt from another one, and is told to or not.
-    pub fn tell_move(&self, moved: &PromptMove) {
+    pub fn count_prompt_move(&self, moved: &PromptMove) {
         let now = clock::now();
         let versions = match moved.versions() {
             VersionMatch::Same => "same",
@@ -363,7 +363,7 @@
     }
 
     /// Records were passed on to another VM.
-    pub fn count_passed(&self, reason: PassReason, records: usize) {
+    pub fn count_forwarded_records(&self, reason: ForwardReason, records: usize) {
         let labels = PassLabels { reason };
         self.passed.get_or_create(&labels).inc_by(records as u64);
     }
@@ -418,7 +418,7 @@
     }
 }
 
-impl Default for DirectFigures {
+impl Default for DirectMetrics {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -29,37 +29,37 @@
 //! | [`suspect_records`] | records of suspects in the platform's log |
 //! | [`claims`] | claims of a zone's lease |
 
-pub mod access;
 mod asking;
+pub mod buffered_answer;
 pub mod call;
+pub mod caller_connections;
 pub mod claims;
-pub mod cutter;
 pub mod daemon;
-pub mod engine_calls;
+pub mod engine_client;
 pub mod eras;
+pub mod event_splitter;
 pub mod events;
 pub mod exchange;
 pub mod feeds;
-pub mod figures;
 pub mod fleet;
 pub mod folding;
-pub mod front;
+pub mod holder_client;
+pub mod holder_state;
 pub mod intake;
-pub mod ledger;
 pub mod links;
 pub mod listing;
 pub mod message;
+pub mod metrics;
 pub mod notices;
 pub mod questions;
 pub mod reach;
 pub mod recorder;
 pub mod records;
 pub mod reload;
-pub mod sender;
 pub mod settings;
 pub mod sharing;
 pub mod skipped;
 pub mod suspect_records;
+pub mod target_connections;
 pub mod trials;
-pub mod whole;
 pub mod zone;
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -14,13 +14,13 @@
 
 /// Targets that said that they leave, in the order in which this VM heard of it.
 #[derive(Debug, Default)]
-pub struct LeavingNews {
+pub struct LeavingTargets {
     runs: BTreeMap<u64, TargetRun>,
     /// Place behind the newest.
     head: u64,
 }
 
-impl LeavingNews {
+impl LeavingTargets {
     /// Adds a target.
     pub fn push(&mut self, run: TargetRun) {
         self.runs.insert(self.head, run);
@@ -53,7 +53,7 @@
 
 impl FleetState {
     /// Takes in what an answer of a target says of it; the answer must be known to be the target's own.
-    pub fn hear_target(
+    pub fn apply_target_notice(
         &self,
         run: &TargetRun,
         status: StatusCode,
@@ -72,7 +72,7 @@
         }
         let notice = decoded.notice;
         if notice.is_leaving {
-            self.take_leaving(slice::from_ref(run), "by its own answer");
+            self.mark_leaving(slice::from_ref(run), "by its own answer");
         }
         if let Some(rest) = notice.rest {
             let kept = self.books().rests.note(run, rest, now);
@@ -93,7 +93,7 @@
     }
 
     /// Takes in that targets said that they leave.
-    pub fn take_leaving(&self, runs: &[TargetRun], source: &str) {
+    pub fn mark_leaving(&self, runs: &[TargetRun], source: &str) {
         let mut books = self.books();
         let head = books.leaving.head();
         for run in runs {
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -8,9 +8,9 @@
 use crate::{
     clock,
     direct::{
-        figures::PassReason,
         fleet::FleetState,
         message::{FeedTopic, PassedRecord, TopicEnd, VmMessage},
+        metrics::ForwardReason,
         records::in_messages,
     },
 };
@@ -83,8 +83,8 @@
             }
             if let Some(records) = self.take_news() {
                 self.fleet
-                    .figures
-                    .count_passed(PassReason::News, records.len());
+                    .metrics
+                    .count_forwarded_records(ForwardReason::News, records.len());
                 return VmMessage::Records(records);
             }
             // The senders live as long as the books.
@@ -248,8 +248,8 @@
 
     fn reply(&mut self, from: &[TopicEnd], is_turned_away: bool) {
         let (records, spans) = self.fleet.records_since(from, is_turned_away);
-        let figures = &self.fleet.figures;
-        figures.count_passed(PassReason::Answer, records.len());
+        let metrics = &self.fleet.metrics;
+        metrics.count_forwarded_records(ForwardReason::Answer, records.len());
         let mut parts = in_messages(records);
         let records = parts.pop().unwrap_or_default();
         self.replies
@@ -264,7 +264,7 @@
                 self.note_heard(&records);
                 self.fleet.take_passed(records);
             }
-            VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "by another VM's word"),
+            VmMessage::Leaving(runs) => self.fleet.mark_leaving(&runs, "by another VM's word"),
             VmMessage::Answer { records, spans } => {
                 self.note_heard(&records);
                 self.fleet.take_answer(records, &spans);
--- a/crates/daemon/src/direct/sender.rs
+++ b/crates/daemon/src/direct/target_connections.rs
@@ -134,7 +134,7 @@
     }
 
     /// Gives a connection back after a whole answer; keeps up to `share` of its target.
-    pub fn give_back(
+    pub fn put_back(
         &self,
         connection: TargetConnection,
         keep_alive: Option<Duration>,
@@ -160,7 +160,7 @@
     }
 
     /// Closes what has rested too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = clock::now();
         let mut idle = self.idle.lock().expect("no holder of the lock panics");
         idle.retain(|_, kept| {
@@ -234,7 +234,7 @@
     let status = response.status();
     // Another target may answer at its address.
     let notice = (status != StatusCode::MISDIRECTED_REQUEST)
-        .then(|| fleet.hear_target(&entry.run(), status, response.headers()));
+        .then(|| fleet.apply_target_notice(&entry.run(), status, response.headers()));
     let body = Limited::new(response.into_body(), answer_bytes)
         .collect()
         .await
@@ -244,7 +244,7 @@
         })?
         .to_bytes();
     if let Some(notice) = notice.filter(|notice| !notice.is_closing) {
-        pool.give_back(connection, notice.idle, IDLE_MOST);
+        pool.put_back(connection, notice.idle, IDLE_MOST);
     }
     Ok((status, body))
 }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock,
-    direct::{access::ZoneAccess, fleet::FleetState},
+    direct::{fleet::FleetState, holder_client::HolderClient},
     event,
     events::Event,
 };
@@ -15,7 +15,7 @@
 /// Leave to send a suspect once; tells holders of the trial's end when dropped.
 #[derive(Debug)]
 pub struct TrialPermit {
-    access: Arc<ZoneAccess>,
+    holder_client: Arc<HolderClient>,
     /// The zone whose holder granted it.
     zone: AvailabilityZone,
     number: u64,
@@ -27,13 +27,13 @@
     /// The permit that a zone's holder granted to the question with this number.
     #[must_use]
     pub fn new(
-        access: &Arc<ZoneAccess>,
+        holder_client: &Arc<HolderClient>,
         zone: &AvailabilityZone,
         number: u64,
         fingerprint: RequestFingerprint,
     ) -> Self {
         Self {
-            access: Arc::clone(access),
+            holder_client: Arc::clone(holder_client),
             zone: zone.clone(),
             number,
             fingerprint,
@@ -55,7 +55,7 @@
 
 impl Drop for TrialPermit {
     fn drop(&mut self) {
-        self.access
+        self.holder_client
             .end_trial(&self.zone, self.number, self.fingerprint, self.is_good);
     }
 }
@@ -79,7 +79,7 @@
     }
 
     /// Notes that a trial of a request was answered well.
-    pub fn pardon(&self, fingerprint: RequestFingerprint) {
+    pub fn clear_suspicion(&self, fingerprint: RequestFingerprint) {
         if self.books().suspects.pardon(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
         }
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -6,12 +6,12 @@
     clock,
     direct::{
         claims::release_lease,
-        engine_calls::{give_order, read_report},
+        engine_client::{fetch_report, send_order},
         fleet::FleetState,
-        ledger::{LeaseOrigin, ZoneLedger},
+        holder_state::{HolderState, LeaseOrigin},
         message::{CallEnd, CallEnding, PassedRecord, VmMessage},
-        sender::ConnectionPool,
         settings::DirectSettings,
+        target_connections::ConnectionPool,
     },
     event,
     events::Event,
@@ -156,7 +156,7 @@
     events: mpsc::Sender<ZoneEvent>,
     held: Option<HeldZone>,
     /// There as long as the lease can be used, also where no service has engines.
-    ledger: Option<ZoneLedger>,
+    holder_state: Option<HolderState>,
     pending: HashMap<CallKey, PendingAsk>,
     settings: Arc<DirectSettings>,
     /// Token that is not used: a target refused it, or it is being given up.
@@ -179,7 +179,7 @@
             events,
             settings,
             held: None,
-            ledger: None,
+            holder_state: None,
             pending: HashMap::new(),
             refused: None,
             is_released: false,
@@ -200,14 +200,14 @@
                     None => return,
                 },
                 _ = changes.changed() => self.refresh(),
-                _ = look.tick(), if self.ledger.is_some() => {
+                _ = look.tick(), if self.holder_state.is_some() => {
                     self.look_at_list();
                     self.tell_figures();
                 }
-                _ = tick.tick(), if self.ledger.is_some() => {
+                _ = tick.tick(), if self.holder_state.is_some() => {
                     let led_until = self.led_until();
-                    if let Some(ledger) = &mut self.ledger {
-                        ledger.lead_until(led_until);
+                    if let Some(holder_state) = &mut self.holder_state {
+                        holder_state.lead_until(led_until);
                     }
                     self.sync_suspects();
                     let confirmed = self.fleet.books().confirmed;
@@ -255,10 +255,9 @@
         match event {
             ZoneEvent::Place(key, ask, reply) => {
                 let charge = ask.charge.clone();
-                let paid = self
-                    .ledger
-                    .as_mut()
-                    .map_or(Ok(()), |ledger| ledger.pay_for_place(charge.as_ref(), now));
+                let paid = self.holder_state.as_mut().map_or(Ok(()), |holder_state| {
+                    holder_state.charge_placement(charge.as_ref(), now)
+                });
                 if let Err(refusal) = paid {
                     send_reply(&key, reply, PlaceReply::Answer(refusal));
                     return;
@@ -286,10 +285,11 @@
             }
             ZoneEvent::Withdrawn(key) => {
                 let pending = self.pending.remove(&key);
-                if let (Some(charge), Some(ledger)) =
-                    (pending.and_then(|pending| pending.charge), &mut self.ledger)
-                {
-                    ledger.give_back(&charge, now);
+                if let (Some(charge), Some(holder_state)) = (
+                    pending.and_then(|pending| pending.charge),
+                    &mut self.holder_state,
+                ) {
+                    holder_state.refund(&charge, now);
                 }
                 held.planner.ended(&key, None, None, now);
             }
@@ -342,7 +342,7 @@
 
     /// Does what an event asks of the ledger; gives the event back if something else is left to do.
     fn take_for_ledger(&mut self, event: ZoneEvent, now: Instant) -> Option<ZoneEvent> {
-        let Some(ledger) = &mut self.ledger else {
+        let Some(holder_state) = &mut self.holder_state else {
             return match event {
                 ZoneEvent::Pay(key, _, reply)
                 | ZoneEvent::PlacePlain(key, _, reply)
@@ -355,23 +355,23 @@
         };
         match event {
             ZoneEvent::Pay(key, charge, reply) => {
-                let short = ledger.pay(&charge, now).err();
+                let short = holder_state.pay(&charge, now).err();
                 send_reply(&key, reply, PlaceReply::Paid(short.map(millis)));
                 None
             }
             ZoneEvent::GiveBack(charge) => {
-                ledger.give_back(&charge, now);
+                holder_state.refund(&charge, now);
                 None
             }
             ZoneEvent::Trial(key, fingerprint, reply) => {
-                let answer = ledger.ask_trial(&self.fleet, fingerprint, key.clone(), now);
+                let answer = holder_state.ask_trial(&self.fleet, fingerprint, key.clone(), now);
                 send_reply(&key, reply, PlaceReply::Trial(answer));
                 None
             }
             ZoneEvent::TrialEnded(key, fingerprint, is_good) => {
-                ledger.end_trial(fingerprint, &key);
+                holder_state.end_trial(fingerprint, &key);
                 if is_good {
-                    self.fleet.pardon(fingerprint);
+                    self.fleet.clear_suspicion(fingerprint);
                     if let Some(held) = &mut self.held {
                         held.planner.pardon(fingerprint);
                     }
@@ -380,7 +380,7 @@
             }
             ZoneEvent::LimitNamed(named) => {
                 self.fleet.books().limits.note(&named, now);
-                ledger.note_limit(&named, now);
+                holder_state.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
                     held.planner.note_limit(&named, now);
                 }
@@ -394,12 +394,12 @@
                 None
             }
             ZoneEvent::PlacePlain(key, ask, reply) => {
-                let answer = ledger.place_plain(&self.fleet, key.clone(), &ask, now);
+                let answer = holder_state.place_plain(&self.fleet, key.clone(), &ask, now);
                 send_reply(&key, reply, PlaceReply::Answer(answer));
                 None
             }
             ZoneEvent::Withdrawn(ref key) => {
-                let is_plain = ledger.end_plain(key, None, now);
+                let is_plain = holder_state.end_plain(key, None, now);
                 (!is_plain).then_some(event)
             }
             ZoneEvent::Ended(ref vm, ref ending) => {
@@ -408,11 +408,11 @@
                     number: ending.number,
                 };
                 let outcome = ending.outcome.and_then(CallEnd::health);
-                let is_plain = ledger.end_plain(&key, outcome, now);
+                let is_plain = holder_state.end_plain(&key, outcome, now);
                 (!is_plain).then_some(event)
             }
             ZoneEvent::GatewayGone(ref vm) => {
-                ledger.forget_gateway(vm, now);
+                holder_state.forget_gateway(vm, now);
                 Some(event)
             }
             other => Some(other),
@@ -468,7 +468,7 @@
         if self.held.take().is_some() {
             event!(Event::LeaseLost, "{}", self.fleet.zone);
         }
-        self.ledger = None;
+        self.holder_state = None;
         for (key, pending) in self.pending.drain() {
             send_reply(&key, pending.reply, PlaceReply::NotHolder);
         }
@@ -482,8 +482,8 @@
             self.fleet.zone,
             token.0
         );
-        if let Some(ledger) = &mut self.ledger {
-            ledger.token = token;
+        if let Some(holder_state) = &mut self.holder_state {
+            holder_state.token = token;
         }
         if let Some(held) = &mut self.held {
             held.token = token;
@@ -499,11 +499,11 @@
     }
 
     fn tell_figures(&self) {
-        let figures = &self.fleet.figures;
-        if let Some(ledger) = &self.ledger {
-            figures.tell_quotas(ledger.counts());
+        let metrics = &self.fleet.metrics;
+        if let Some(holder_state) = &self.holder_state {
+            metrics.set_quota_counts(holder_state.counts());
             let books = self.fleet.books();
-            figures.tell_suspects(books.suspects.counts(clock::now()));
+            metrics.set_suspect_counts(books.suspects.counts(clock::now()));
         }
     }
 
@@ -543,7 +543,10 @@
             .collect();
         let named_limits: Vec<_> = books.limits.told().collect();
         drop(books);
-        let held = self.ledger.as_ref().map(|ledger| ledger.token);
+        let held = self
+            .holder_state
+            .as_ref()
+            .map(|holder_state| holder_state.token);
         // Nobody begins to hold a zone by a claim of an earlier history.
         let token = token.filter(|token| !is_copied || held == Some(*token));
         let is_renewal = held.is_some() && held == renewed && quiet.is_zero();
@@ -551,26 +554,31 @@
         if let (Some(token), true) = (usable, is_renewal) {
             self.renew(token);
         }
-        if self.ledger.as_ref().map(|ledger| ledger.token) != usable {
+        if self
+            .holder_state
+            .as_ref()
+            .map(|holder_state| holder_state.token)
+            != usable
+        {
             self.give_up();
         }
         let Some(token) = usable else {
             return;
         };
-        let ledger = self.ledger.get_or_insert_with(|| {
+        let holder_state = self.holder_state.get_or_insert_with(|| {
             let lease = LeaseOrigin {
                 token,
                 had_holder,
                 quiet,
             };
-            let mut ledger = ZoneLedger::new(&self.settings, lease, led_until, now);
+            let mut holder_state = HolderState::new(&self.settings, lease, led_until, now);
             for named in &named_limits {
-                ledger.note_limit(named, now);
+                holder_state.note_limit(named, now);
             }
-            ledger
+            holder_state
         });
-        ledger.refresh(&self.fleet, now);
-        ledger.lead_until(led_until);
+        holder_state.refresh(&self.fleet, now);
+        holder_state.lead_until(led_until);
         let Some((service, limits)) = service else {
             return;
         };
@@ -622,10 +630,11 @@
                         continue;
                     };
                     let is_refused = matches!(answer, PlacementAnswer::Refuse { .. });
-                    if let (Some(charge), Some(ledger)) = (&pending.charge, &mut self.ledger)
+                    if let (Some(charge), Some(holder_state)) =
+                        (&pending.charge, &mut self.holder_state)
                         && is_refused
                     {
-                        ledger.give_back(charge, clock::now());
+                        holder_state.refund(charge, clock::now());
                     }
                     send_reply(&key, pending.reply, PlaceReply::Answer(answer));
                 }
@@ -644,7 +653,7 @@
                     let pool = Arc::clone(&self.pool);
                     let events = self.events.clone();
                     tokio::spawn(async move {
-                        let outcome = give_order(&fleet, &pool, &entry, &order, request).await;
+                        let outcome = send_order(&fleet, &pool, &entry, &order, request).await;
                         // The worker ends with the process.
                         let _ = events
                             .send(ZoneEvent::OrderEnded(
@@ -655,13 +664,13 @@
                             .await;
                     });
                 }
-                PlannerAction::Moved(moved) => self.fleet.figures.tell_move(&moved),
+                PlannerAction::Moved(moved) => self.fleet.metrics.count_prompt_move(&moved),
                 PlannerAction::Report(entry) => {
                     let fleet = Arc::clone(&self.fleet);
                     let pool = Arc::clone(&self.pool);
                     let events = self.events.clone();
                     tokio::spawn(async move {
-                        let report = read_report(&fleet, &pool, &entry).await;
+                        let report = fetch_report(&fleet, &pool, &entry).await;
                         let _ = events
                             .send(ZoneEvent::Reported(entry.name.clone(), report))
                             .await;
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -26,7 +26,7 @@
 
 /// Calls to the log that a VM has counted, of the target list and with this outcome.
 fn list_calls(daemon: &DirectDaemon, outcome: &str) -> u64 {
-    let page = daemon.fleet().figures.page(daemon.fleet());
+    let page = daemon.fleet().metrics.page(daemon.fleet());
     let start =
         format!("hoplanding_log_calls_total{{topic=\"keyed.servers\",outcome=\"{outcome}\"}}");
     page.lines()
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -508,7 +508,7 @@
     fleet.note_ended_under(&EndedUnder { fingerprint, run });
     let is_recorded = || site.log.newest("keyed.fleet", &key).is_some();
     wait_for("the record", async || is_recorded()).await;
-    fleet.pardon(fingerprint);
+    fleet.clear_suspicion(fingerprint);
     wait_for("its end", async || !is_recorded()).await;
     site.log.restore(&[("keyed.fleet", 1)]);
     assert!(is_recorded());
