--- a/crates/daemon/tests/direct/keeping.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -35,7 +35,7 @@
 /// Age of what a report tells; the users' pages speak of some hundred milliseconds.
 const REPORT_AGE: Duration = Duration::from_millis(150);
 /// Pause between two looks at the yard; a small part of the spans above.
-const YARD_LOOK: Duration = Duration::from_millis(10);
+const SETTLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What a version of the base model counts in the mark of memory; the adapter's version is added.
 const BASE_MARK: u64 = 1_000;
@@ -59,28 +59,28 @@
 
 /// The engines of a site.
 #[derive(Default)]
-pub struct EngineYard {
+pub struct EngineSimulator {
     net: MemoryNet,
-    state: Mutex<YardState>,
+    state: Mutex<SimulatorState>,
 }
 
 #[derive(Default)]
-struct YardState {
+struct SimulatorState {
     newest: u64,
-    desks: BTreeMap<String, EngineDesk>,
+    desks: BTreeMap<String, SimulatedEngine>,
     runs: Vec<PromptRun>,
     mismatches: Vec<MemoryMismatch>,
     /// Orders that are yet to be left without an answer.
     to_silence: usize,
     /// Orders that were carried out late.
-    late_done: usize,
+    delayed_orders_done: usize,
     /// Requests that are yet to be turned away.
     to_turn_away: usize,
     /// Requests that came for another version than the engine's.
-    misdirected: usize,
+    misdirected_requests: usize,
 }
 
-struct EngineDesk {
+struct SimulatedEngine {
     address: SocketAddr,
     /// Version of its base model.
     base: u64,
@@ -137,31 +137,31 @@
     }
 }
 
-impl EngineYard {
+impl EngineSimulator {
     /// A yard whose store has a version as the newest.
     pub fn new(newest: u64) -> Arc<Self> {
-        let yard = Arc::new(Self::default());
-        yard.lock().newest = newest;
-        let watched = Arc::downgrade(&yard);
+        let simulator = Arc::new(Self::default());
+        simulator.lock().newest = newest;
+        let watched = Arc::downgrade(&simulator);
         tokio::spawn(async move {
-            while let Some(yard) = watched.upgrade() {
-                drop(yard.settled());
-                drop(yard);
-                sleep(YARD_LOOK).await;
+            while let Some(simulator) = watched.upgrade() {
+                drop(simulator.settled());
+                drop(simulator);
+                sleep(SETTLE_INTERVAL).await;
             }
         });
-        yard
+        simulator
     }
 
     /// Starts an engine with a version of the base model and these adapters, by name and version.
-    pub async fn engine(
+    pub async fn start_engine(
         self: &Arc<Self>,
         name: &'static str,
         base: u64,
         held: &[(&str, u64)],
     ) -> RawTarget {
-        let yard = Arc::clone(self);
-        let target = RawTarget::start(move |request| yard.answer(name, request))
+        let simulator = Arc::clone(self);
+        let target = RawTarget::start(move |request| simulator.answer(name, request))
             .await
             .expect("an engine");
         let now = Instant::now();
@@ -169,7 +169,7 @@
             let copy = AdapterCopy::new(Some(*version), now);
             ((*adapter).to_owned(), copy)
         });
-        let desk = EngineDesk {
+        let desk = SimulatedEngine {
             address: target.address,
             base,
             sequence: 0,
@@ -191,36 +191,36 @@
 
     /// Leaves the next load order without an answer, and carries it out late. Its engine tells no report until then, so
     /// that nobody gives the order again.
-    pub fn silence_order(&self) {
+    pub fn delay_next_order(&self) {
         self.lock().to_silence += 1;
     }
 
     /// Turns the next request away.
-    pub fn turn_away(&self) {
+    pub fn reject_next_request(&self) {
         self.lock().to_turn_away += 1;
     }
 
     /// From now on copies come slowly, and reports tell one that is being replaced twice: as held, and as on its way.
-    pub fn replace_slowly(&self) {
+    pub fn use_slow_loads(&self) {
         for desk in self.lock().desks.values_mut() {
             desk.replaces_slowly = true;
         }
     }
 
     /// Requests that came for another version than the engine's.
-    pub fn misdirected(&self) -> usize {
-        self.lock().misdirected
+    pub fn misdirected_requests(&self) -> usize {
+        self.lock().misdirected_requests
     }
 
     /// Whether an order waits to be carried out late.
-    pub fn is_silent(&self) -> bool {
+    pub fn has_delayed_order(&self) -> bool {
         let state = self.settled();
         state.desks.values().any(|desk| !desk.late.is_empty())
     }
 
     /// Orders that were carried out late.
-    pub fn late_done(&self) -> usize {
-        self.settled().late_done
+    pub fn delayed_orders_done(&self) -> usize {
+        self.settled().delayed_orders_done
     }
 
     /// Version of an adapter at an engine.
@@ -239,18 +239,18 @@
         self.lock().mismatches.clone()
     }
 
-    fn lock(&self) -> MutexGuard<'_, YardState> {
+    fn lock(&self) -> MutexGuard<'_, SimulatorState> {
         self.state.lock().expect("no holder of the lock panics")
     }
 
     /// The yard as it stands now.
-    fn settled(&self) -> MutexGuard<'_, YardState> {
+    fn settled(&self) -> MutexGuard<'_, SimulatorState> {
         let mut state = self.lock();
         let now = Instant::now();
-        let YardState {
+        let SimulatorState {
             newest,
             desks,
-            late_done,
+            delayed_orders_done,
             ..
         } = &mut *state;
         for desk in desks.values_mut() {
@@ -258,7 +258,7 @@
             desk.late = waiting;
             for (at, order) in due {
                 desk.change_copies(&self.net, at);
-                *late_done += usize::from(desk.take_order(&order, *newest, at) == 202);
+                *delayed_orders_done += usize::from(desk.take_order(&order, *newest, at) == 202);
             }
             desk.change_copies(&self.net, now);
             desk.note_report(now);
@@ -287,7 +287,7 @@
     }
 }
 
-impl YardState {
+impl SimulatorState {
     fn order(&mut self, name: &str, request: &RawRequest) -> RawAnswer {
         let order: WireOrder = serde_json::from_slice(&request.body).expect("an order");
         let now = Instant::now();
@@ -340,7 +340,7 @@
             return Err("503 Service Unavailable");
         }
         if expected.is_some_and(|expected| expected != version) {
-            self.misdirected += 1;
+            self.misdirected_requests += 1;
             return Err("421 Misdirected Request");
         }
         let prompt = prompt_parts(request);
@@ -374,7 +374,7 @@
     }
 }
 
-impl YardState {
+impl SimulatorState {
     /// Runs a request for the base model itself.
     fn run_base(
         &mut self,
@@ -384,7 +384,7 @@
     ) -> Result<RawAnswer, &'static str> {
         let version = self.desks[name].base;
         if expected.is_some_and(|expected| expected != version) {
-            self.misdirected += 1;
+            self.misdirected_requests += 1;
             return Err("421 Misdirected Request");
         }
         let took = READ_TOKEN * prompt_parts(request).iter().map(|(_, tokens)| tokens).sum();
@@ -392,7 +392,7 @@
     }
 }
 
-impl EngineDesk {
+impl SimulatedEngine {
     /// Takes an order; returns the status of its answer.
     fn take_order(&mut self, order: &WireOrder, newest: u64, now: Instant) -> u16 {
         let Some(adapter) = order.adapter.as_ref().filter(|_| order.model == "base") else {
--- a/crates/daemon/tests/direct/main.rs
+++ b/crates/daemon/tests/direct/main.rs
@@ -3,10 +3,10 @@
 mod calls;
 mod connections;
 mod copies;
+mod engine_simulator;
 mod fleet;
 mod foreign;
 mod headers;
-mod keeping;
 mod keys;
 mod leaving;
 mod limits;
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -8,7 +8,7 @@
 //! kept by the adapter's name alone, and that nothing on the way between two engines says which version made it.
 
 use crate::{
-    keeping::EngineYard,
+    engine_simulator::EngineSimulator,
     support::{Answer, BOUND, HOST, ask, entry, second_vm, settings, site_of, wait_for},
 };
 use hoplanding_core::ids::AdapterName;
@@ -69,8 +69,8 @@
 }
 
 /// The operator names a version.
-fn name_version(log: &KeyedLog, yard: &EngineYard, version: u64) {
-    yard.set_newest(version);
+fn name_version(log: &KeyedLog, simulator: &EngineSimulator, version: u64) {
+    simulator.set_newest(version);
     let record = json!({ "model": "base", "adapter": "a1", "version": version });
     log.put("keyed.op", "version/base.a1", Some(&record.to_string()));
 }
@@ -78,7 +78,7 @@
 /// Two engines with adapter a1, behind one VM.
 struct PairSite {
     log: KeyedLog,
-    yard: Arc<EngineYard>,
+    simulator: Arc<EngineSimulator>,
     daemon: DirectDaemon,
     _engines: [RawTarget; 2],
 }
@@ -97,16 +97,16 @@
     /// One holds version 1; the other brings in version 2 once it is told to load, and no VM has been told of that.
     async fn unlike() -> Self {
         let site = Self::start(1, &[], &[]).await;
-        site.yard.set_newest(2);
+        site.simulator.set_newest(2);
         site
     }
 
     /// The first engine has version 1 of the base model and of the adapter, the second what is given.
     async fn start(base: u64, held: &[(&str, u64)], listed: &[&str]) -> Self {
         let log = KeyedLog::start().await.expect("a log");
-        let yard = EngineYard::new(1);
-        let one = yard.engine("i-1", 1, &[("a1", 1)]).await;
-        let two = yard.engine("i-2", base, held).await;
+        let simulator = EngineSimulator::new(1);
+        let one = simulator.start_engine("i-1", 1, &[("a1", 1)]).await;
+        let two = simulator.start_engine("i-2", base, held).await;
         // As users have it: a holder that may have been replaced for longer names no source.
         let mut settings = settings("vm-1", &log);
         settings.leases.turn = Duration::from_secs(3);
@@ -121,7 +121,7 @@
         .await;
         Self {
             log,
-            yard,
+            simulator,
             daemon,
             _engines: [one, two],
         }
@@ -139,16 +139,16 @@
             }
             calls.spawn(served(address, number, LONG_ANSWER));
             wait_for("the next run", async || {
-                self.yard.runs().len() > number as usize
+                self.simulator.runs().len() > number as usize
             })
             .await;
         }
-        assert_eq!(self.engines_used(), 2, "{:?}", self.yard.runs());
+        assert_eq!(self.engines_used(), 2, "{:?}", self.simulator.runs());
         calls.join_all().await;
     }
 
     fn engines_used(&self) -> usize {
-        let runs = self.yard.runs();
+        let runs = self.simulator.runs();
         let names: HashSet<_> = runs.iter().map(|run| &run.engine).collect();
         names.len()
     }
@@ -165,44 +165,54 @@
 /// the next call.
 async fn a_copy_in_use_stays_behind(way: OrderWay) -> Vec<MemoryMismatch> {
     let site = PairSite::alike().await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
+    let (simulator, address) = (&site.simulator, site.daemon.caller_address);
     served(address, 1, SHORT_ANSWER).await;
     let long = tokio::spawn(served(address, 2, LONG_ANSWER));
-    wait_for("the long run", async || yard.runs().len() == 2).await;
-    let busy = yard.runs()[1].engine.clone();
+    wait_for("the long run", async || simulator.runs().len() == 2).await;
+    let busy = simulator.runs()[1].engine.clone();
     let other = if busy == "i-1" { "i-2" } else { "i-1" };
     if way == OrderWay::Late {
-        yard.silence_order();
+        simulator.delay_next_order();
     }
-    name_version(&site.log, yard, 2);
+    name_version(&site.log, simulator, 2);
     wait_for("the new version", async || {
-        yard.version(other, "a1") == Some(2)
+        simulator.version(other, "a1") == Some(2)
     })
     .await;
-    assert_eq!(yard.late_done() > 0, way == OrderWay::Late);
+    assert_eq!(simulator.delayed_orders_done() > 0, way == OrderWay::Late);
     served(address, 3, SHORT_ANSWER).await;
-    let runs = yard.runs();
+    let runs = simulator.runs();
     let last = (runs[2].engine.as_str(), runs[2].version);
     assert_eq!(last, (other, 2), "{runs:?}");
-    assert_eq!(yard.version(&busy, "a1"), Some(1), "it is in use still");
+    assert_eq!(
+        simulator.version(&busy, "a1"),
+        Some(1),
+        "it is in use still"
+    );
     long.await.expect("it is served");
-    yard.mismatches()
+    simulator.mismatches()
 }
 
 /// A version is named while a call that is to take memory waits for its own engine's load. The engine that lends is
 /// free: it is replaced, and reads the same prompt for others, all before the call is there.
-async fn a_lender_is_replaced() -> Arc<EngineYard> {
+async fn a_lender_is_replaced() -> Arc<EngineSimulator> {
     /// So many that some go to the lender, though the borrower's engine has kept their prompt too.
     const OTHERS: u32 = 16;
     let site = PairSite::start(1, &[], &[]).await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
-    name_version(&site.log, yard, 2);
-    wait_for("version 2", async || yard.version("i-1", "a1") == Some(2)).await;
+    let (simulator, address) = (&site.simulator, site.daemon.caller_address);
+    name_version(&site.log, simulator, 2);
+    wait_for("version 2", async || {
+        simulator.version("i-1", "a1") == Some(2)
+    })
+    .await;
     served(address, 0, SHORT_ANSWER).await;
-    yard.turn_away();
+    simulator.reject_next_request();
     let borrower = tokio::spawn(served(address, 1, SHORT_ANSWER));
-    wait_for("its load", async || yard.version("i-2", "a1") == Some(2)).await;
-    name_version(&site.log, yard, 3);
+    wait_for("its load", async || {
+        simulator.version("i-2", "a1") == Some(2)
+    })
+    .await;
+    name_version(&site.log, simulator, 3);
     let subject = AdapterName::new("base/a1");
     wait_for("version 3 at the VM", async || {
         site.daemon.fleet().books().versions.get(&subject) == Some(&3)
@@ -211,7 +221,7 @@
     let others = (2..2 + OTHERS).map(|number| served(address, number, SHORT_ANSWER));
     JoinSet::from_iter(others).join_all().await;
     borrower.await.expect("it is served");
-    site.yard
+    site.simulator
 }
 
 /// Version of the base model that an answer says it was made under.
@@ -267,7 +277,7 @@
 
 /// What a series of versions left behind.
 struct SeriesOutcome {
-    yard: Arc<EngineYard>,
+    simulator: Arc<EngineSimulator>,
     /// Versions that answers named, by the ids of their calls.
     told: HashMap<String, Option<u64>>,
 }
@@ -280,37 +290,43 @@
     let (second, _relay) = second_vm(&site.log).await;
     let PairSite {
         log,
-        yard,
+        simulator,
         daemon,
         _engines,
     } = site;
     let callers = CallerCrowd::start(second.caller_address, 12);
     let mut first = Some(daemon);
     for version in 2..=NEWEST {
-        let runs = yard.runs().len();
+        let runs = simulator.runs().len();
         wait_for("calls between two versions", async || {
-            yard.runs().len() > runs + 25
+            simulator.runs().len() > runs + 25
         })
         .await;
         if version % 2 == 0 {
-            yard.silence_order();
+            simulator.delay_next_order();
         }
-        name_version(&log, &yard, version);
+        name_version(&log, &simulator, version);
         if version == STOPS_AT
             && let Some(first) = first.take()
         {
-            wait_for("an order without an answer", async || yard.is_silent()).await;
+            wait_for("an order without an answer", async || {
+                simulator.has_delayed_order()
+            })
+            .await;
             tokio::spawn(first.stop());
         }
     }
     wait_for("the newest version everywhere", async || {
-        let is_newest = |name| yard.version(name, "a1") == Some(NEWEST);
+        let is_newest = |name| simulator.version(name, "a1") == Some(NEWEST);
         is_newest("i-1") && is_newest("i-2")
     })
     .await;
     let told = callers.end().await;
-    assert!(yard.late_done() > 0, "no order was carried out late");
-    SeriesOutcome { yard, told }
+    assert!(
+        simulator.delayed_orders_done() > 0,
+        "no order was carried out late"
+    );
+    SeriesOutcome { simulator, told }
 }
 
 /// What callers would see: part of an answer that says version 2 was computed from version 1's weights. Order of events:
@@ -325,7 +341,12 @@
         a_lender_is_replaced(),
         versions_in_series(PairSite::alike().await)
     );
-    let mismatches = [behind, late, lent.mismatches(), series.yard.mismatches()];
+    let mismatches = [
+        behind,
+        late,
+        lent.mismatches(),
+        series.simulator.mismatches(),
+    ];
     assert!(
         mismatches.iter().all(Vec::is_empty),
         "after an answered order, a late one, of a lender, in series: {mismatches:?}"
@@ -347,8 +368,8 @@
     ];
     let [unlike, base, alike] = &sites;
     tokio::join!(unlike.crowd(), base.crowd(), alike.crowd());
-    let mismatches = sites.each_ref().map(|site| site.yard.mismatches());
-    let runs = sites.iter().flat_map(|site| site.yard.runs());
+    let mismatches = sites.each_ref().map(|site| site.simulator.mismatches());
+    let runs = sites.iter().flat_map(|site| site.simulator.runs());
     let unchecked: Vec<_> = runs
         .filter(|run| run.source.is_some() && run.expected.is_none())
         .collect();
@@ -365,9 +386,9 @@
 async fn memory_of_the_same_version_is_moved() {
     let site = PairSite::alike().await;
     site.crowd().await;
-    let runs = site.yard.runs();
+    let runs = site.simulator.runs();
     assert!(runs.iter().any(|run| run.source.is_some()), "{runs:?}");
-    assert_eq!(site.yard.mismatches(), []);
+    assert_eq!(site.simulator.mismatches(), []);
 }
 
 /// What callers would see: answers that name another version than that of their run. Versions of the adapter come in
@@ -376,8 +397,8 @@
 #[tokio::test]
 async fn answers_name_the_weights_and_runs_are_under_the_version_that_was_asked_for() {
     let site = PairSite::alike_but_for_the_base().await;
-    let SeriesOutcome { yard, told } = versions_in_series(site).await;
-    let runs = yard.runs();
+    let SeriesOutcome { simulator, told } = versions_in_series(site).await;
+    let runs = simulator.runs();
     let asked: Vec<_> = runs.iter().filter_map(|run| run.expected).collect();
     assert!(asked.contains(&2) && asked.contains(&6), "{runs:?}");
     for run in runs {
@@ -391,8 +412,13 @@
 /// version, and come back. The cause is that only a copy which is there is compared with the version that was named.
 #[tokio::test]
 async fn no_call_is_sent_to_a_copy_that_comes_in_an_older_version() {
-    let yard = a_lender_is_replaced().await;
-    assert_eq!(yard.misdirected(), 0, "{:?}", yard.runs());
+    let simulator = a_lender_is_replaced().await;
+    assert_eq!(
+        simulator.misdirected_requests(),
+        0,
+        "{:?}",
+        simulator.runs()
+    );
 }
 
 /// What a caller would see: no answer until its deadline. Order of events: its call waits for the replacement of a copy;
@@ -401,13 +427,16 @@
 #[tokio::test]
 async fn a_call_that_waits_for_a_copy_which_is_told_twice_is_answered() {
     let site = PairSite::alike().await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
+    let (simulator, address) = (&site.simulator, site.daemon.caller_address);
     let long = tokio::spawn(served(address, 0, LONG_ANSWER));
-    wait_for("the long run", async || yard.runs().len() == 1).await;
-    yard.replace_slowly();
-    yard.silence_order();
-    name_version(&site.log, yard, 2);
-    wait_for("an order without an answer", async || yard.is_silent()).await;
+    wait_for("the long run", async || simulator.runs().len() == 1).await;
+    simulator.use_slow_loads();
+    simulator.delay_next_order();
+    name_version(&site.log, simulator, 2);
+    wait_for("an order without an answer", async || {
+        simulator.has_delayed_order()
+    })
+    .await;
     served(address, 1, SHORT_ANSWER).await;
     assert!(
         !long.is_finished(),
