--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/access.rs
@@ -3,10 +3,10 @@
 use crate::{
     clock,
     direct::{
-        asking::{HolderNotice, HolderQuestion},
         fleet::FleetState,
-        links::{LinkContact, VmLink},
-        message::{CallEnd, CallEnding, VmMessage},
+        holder_requests::{HolderNotice, HolderRequest},
+        links::{LinkStatus, VmLink},
+        message::{CallEnd, CompletedCall, VmMessage},
         trials::TrialPermit,
         zone::{PlaceReply, ReplyTo, ZoneEvent},
     },
@@ -97,7 +97,7 @@
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Place(Box::new(ask));
+        let question = HolderRequest::Place(Box::new(ask));
         let reply = self.question(zone, &lease, number, question).await?;
         self.settle(withdrawal, zone, number, subject, reply)
     }
@@ -116,7 +116,7 @@
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Plain(Box::new(ask));
+        let question = HolderRequest::Plain(Box::new(ask));
         let asked = self.question(zone, &lease, number, question);
         let reply = timeout(PLAIN_WAIT, asked).await.ok()??;
         self.settle(withdrawal, zone, number, AdapterName::new(""), reply)
@@ -130,7 +130,7 @@
     ) -> Option<Result<(), Duration>> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Pay(charge);
+        let question = HolderRequest::Pay(charge);
         match self.question(zone, &lease, number, question).await? {
             PlaceReply::Paid(None) => Some(Ok(())),
             PlaceReply::Paid(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
@@ -154,7 +154,7 @@
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
             // Dropped where nobody answers, as a trial may have been granted that nobody heard of.
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
-            let question = HolderQuestion::Trial(fingerprint);
+            let question = HolderRequest::Trial(fingerprint);
             let asked = self.question(&zone, &lease, number, question);
             if let Ok(Some(PlaceReply::Trial(answer))) = timeout(TRIAL_WAIT, asked).await {
                 return Some((answer, permit));
@@ -169,10 +169,10 @@
             return;
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Target(target.clone());
+        let question = HolderRequest::Target(target.clone());
         let asked = self.question(zone, &lease, number, question);
         if let Ok(Some(PlaceReply::Target(Some(record)))) = timeout(TARGET_WAIT, asked).await {
-            self.fleet.take_asked(record);
+            self.fleet.apply_requested(record);
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn all_zones(&self) -> Vec<AvailabilityZone> {
-        self.fleet.books().leases.keys().cloned().collect()
+        self.fleet.tables().leases.keys().cloned().collect()
     }
 
     /// Asks a zone's holder; nothing where it does not answer.
@@ -206,7 +206,7 @@
         zone: &AvailabilityZone,
         lease: &ZoneLease,
         number: u64,
-        question: HolderQuestion,
+        question: HolderRequest,
     ) -> Option<PlaceReply> {
         if self.is_mine(lease) {
             let (sender, receiver) = oneshot::channel();
@@ -290,16 +290,16 @@
         };
         let known = known.filter(|link| link.incarnation == lease.incarnation);
         let is_new = known.is_none();
-        if let Some(LinkContact::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
+        if let Some(LinkStatus::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
             && clock::now().since(at) < REDIAL_PAUSE
         {
             return None;
         }
         let link = self.link(zone, lease)?;
         match link.contact() {
-            LinkContact::Up => link.is_heard_within(HOLDER_SILENCE).then_some(link),
-            LinkContact::Dialling if is_new || !link.is_redial => Some(link),
-            LinkContact::Dialling | LinkContact::Ended { .. } => None,
+            LinkStatus::Up => link.is_heard_within(HOLDER_SILENCE).then_some(link),
+            LinkStatus::Dialling if is_new || !link.is_redial => Some(link),
+            LinkStatus::Dialling | LinkStatus::Ended { .. } => None,
         }
     }
 
@@ -312,14 +312,14 @@
             .filter(|link| link.incarnation == lease.incarnation)
             .cloned();
         if let Some(link) = &earlier
-            && !matches!(link.contact(), LinkContact::Ended { .. })
+            && !matches!(link.contact(), LinkStatus::Ended { .. })
         {
             return Some(link.clone());
         }
         let known: Vec<_> = {
-            let books = self.fleet.books();
-            let suspects = books.suspects.told(clock::now());
-            let limits = books.limits.told().map(VmMessage::LimitNamed);
+            let tables = self.fleet.tables();
+            let suspects = tables.suspects.told(clock::now());
+            let limits = tables.limits.told().map(VmMessage::LimitNamed);
             suspects.map(VmMessage::EndedUnder).chain(limits).collect()
         };
         let first = self
@@ -367,13 +367,13 @@
         });
         match known.filter(|link| link.incarnation == lease.incarnation) {
             Some(link) => match link.contact() {
-                LinkContact::Up => HolderContact::Heard,
-                LinkContact::Dialling if !link.is_redial => HolderContact::Heard,
-                LinkContact::Ended {
+                LinkStatus::Up => HolderContact::Heard,
+                LinkStatus::Dialling if !link.is_redial => HolderContact::Heard,
+                LinkStatus::Ended {
                     is_process_gone: true,
                     ..
                 } => HolderContact::Ended,
-                LinkContact::Dialling | LinkContact::Ended { .. } => {
+                LinkStatus::Dialling | LinkStatus::Ended { .. } => {
                     HolderContact::Silent(link.heard())
                 }
             },
@@ -394,7 +394,7 @@
             .and_then(|vm| links.get(vm))
             .is_some_and(|link| {
                 link.incarnation == lease.incarnation
-                    && link.contact() == LinkContact::Up
+                    && link.contact() == LinkStatus::Up
                     && link.is_heard_within(within)
             })
     }
@@ -413,7 +413,7 @@
         }
     }
 
-    fn tell(&self, zone: &AvailabilityZone, ending: CallEnding) {
+    fn tell(&self, zone: &AvailabilityZone, ending: CompletedCall) {
         let Some(lease) = self.fleet.lease(zone) else {
             return;
         };
@@ -529,7 +529,7 @@
             .expect("no holder of the lock panics")
             .remove(&self.number);
         if let Some(call) = call {
-            let ending = CallEnding {
+            let ending = CompletedCall {
                 number: self.number,
                 target: call.target,
                 life: call.life,
--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -49,7 +49,7 @@
                 own_answer(id, StatusCode::UNAUTHORIZED, None)
             }
             Self::Stale => {
-                let doubt = context.fleet.key_doubt().unwrap_or_default();
+                let doubt = context.fleet.key_retry_after().unwrap_or_default();
                 let come_back = doubt.clamp(COME_BACK, DOUBT_LOOK);
                 event!(Event::KeysUncertain, request = id; "route {} not run, come back after {come_back:?}, copy of the log in doubt for {doubt:?}", route.name
                 );
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -213,10 +213,10 @@
     };
     {
         let now = clock::now();
-        let mut books = context.fleet.books();
-        books.retries.count_request(&service.name, now);
+        let mut tables = context.fleet.tables();
+        tables.retries.count_request(&service.name, now);
         if let (Some(subject), true) = (&head.subject, service.engine.is_some()) {
-            books.demand.record(subject, now);
+            tables.demand.record(subject, now);
         }
     }
     let patience = head.deadline.unwrap_or(route.timeout).min(route.timeout);
@@ -410,7 +410,7 @@
         let service = &self.service.name;
         let now = clock::now();
         let (standing, is_allowed) = {
-            let retries = &mut fleet.books().retries;
+            let retries = &mut fleet.tables().retries;
             let standing = retries.standing(service, now);
             (standing, retries.try_repeat(service, now))
         };
--- a/crates/daemon/src/direct/call/placing.rs
+++ b/crates/daemon/src/direct/call/placing.rs
@@ -56,7 +56,7 @@
         if let Some(come_back) = self.rest_of_all() {
             return Placing::Nowhere(come_back);
         }
-        if !self.context.fleet.knows_whole(FeedTopic::Fleet) {
+        if !self.context.fleet.is_topic_known(FeedTopic::Fleet) {
             // It may be a suspect.
             return Placing::Nowhere(COME_BACK);
         }
@@ -69,7 +69,7 @@
             return self.place_plain().await;
         }
         let zones = self.zones_in_order();
-        let policy = self.context.fleet.books().policy;
+        let policy = self.context.fleet.tables().policy;
         let mut search = ZoneSearch::new(policy, zones.len());
         let mut pass = SearchPass::Compare;
         while let Some(question) = search.ask_next() {
@@ -175,18 +175,18 @@
 
     /// Picks a plain service's target by what this VM sees alone.
     fn pick_alone(&self) -> Placing {
-        let mut books = self.context.fleet.books();
+        let mut tables = self.context.fleet.tables();
         let now = clock::now();
-        let ready = books.catalog.ready(&self.service.name);
+        let ready = tables.catalog.ready(&self.service.name);
         let targets: Vec<_> = ready
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .cloned()
             .collect();
         let picked = pick_alone(
             &self.context.fleet.zone,
-            &books.health,
-            &books.in_flight,
+            &tables.health,
+            &tables.in_flight,
             &self.tried,
             &targets,
             now,
@@ -194,7 +194,7 @@
         let Some(entry) = picked else {
             return Placing::Nowhere(COME_BACK);
         };
-        books.limits.take(&entry.name, now);
+        tables.limits.take(&entry.name, now);
         Placing::At(Arc::clone(entry), None, None)
     }
 
@@ -294,8 +294,8 @@
         target: &TargetName,
     ) -> Option<Arc<TargetEntry>> {
         let fleet = &self.context.fleet;
-        let known = || fleet.books().catalog.get(target).cloned();
-        if known().is_none() && !fleet.knows_whole(FeedTopic::Targets) {
+        let known = || fleet.tables().catalog.get(target).cloned();
+        if known().is_none() && !fleet.is_topic_known(FeedTopic::Targets) {
             self.context.access.learn_target(zone, target).await;
         }
         known()
@@ -318,8 +318,8 @@
 
     /// Whether one target is listed at an address.
     fn is_one_targets(&self, address: SocketAddr) -> bool {
-        let books = self.context.fleet.books();
-        let listed = books
+        let tables = self.context.fleet.tables();
+        let listed = tables
             .catalog
             .iter()
             .filter(|entry| entry.address == address);
@@ -333,9 +333,9 @@
         let own = &self.context.fleet.zone;
         let is_popular = {
             let now = clock::now();
-            let books = self.context.fleet.books();
-            books.demand.rate(&subject, now) >= books.policy.popular_per_s
-                || books.is_sought(&subject, now)
+            let tables = self.context.fleet.tables();
+            tables.demand.rate(&subject, now) >= tables.policy.popular_per_s
+                || tables.is_sought(&subject, now)
         };
         let has_adapter = split_subject(&subject).1.is_some();
         let mut zones = self.context.settings.zones.clone();
@@ -382,21 +382,21 @@
 
     /// Targets that want nothing from this VM now.
     fn resting(&self) -> Vec<TargetName> {
-        self.context.fleet.books().resting(clock::now())
+        self.context.fleet.tables().resting(clock::now())
     }
 
     /// When its caller should come back if every target of its service wants nothing from this VM. Callers are spread, as the
     /// first of them to come back finds out whether the targets take calls again.
     pub(super) fn rest_of_all(&self) -> Option<Duration> {
-        let books = self.context.fleet.books();
-        let rest = books.rest_of_all(&self.service.name, clock::now())?;
+        let tables = self.context.fleet.tables();
+        let rest = tables.shortest_rest(&self.service.name, clock::now())?;
         Some(rest + REST_SPREAD.mul_f64(rand::random()))
     }
 
     /// Whether targets ended under the request, as far as this VM knows.
     fn is_suspected(&self) -> bool {
-        let books = self.context.fleet.books();
-        books.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
+        let tables = self.context.fleet.tables();
+        tables.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
     }
 
     /// Asks for a trial unless one is granted already; says where the call goes if none is.
@@ -439,23 +439,23 @@
     /// Places a call without its holder: at a target that is listed with its adapter.
     fn place_alone(&self, zone: &AvailabilityZone) -> Option<Placing> {
         let subject = self.subject();
-        let mut books = self.context.fleet.books();
+        let mut tables = self.context.fleet.tables();
         // New weights of a base model bind no call: engines have them from their next start on.
         let has_adapter = split_subject(&subject).1.is_some();
-        let named = books.versions.get(&subject).filter(|_| has_adapter);
+        let named = tables.versions.get(&subject).filter(|_| has_adapter);
         let version = named.copied();
         let now = clock::now();
-        let entry = books
+        let entry = tables
             .catalog
             .ready(&self.service.name)
             .filter(|entry| entry.zone == *zone && !self.tried.contains(&entry.name))
-            .filter(|entry| !books.health.is_out(&entry.name, now))
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| !tables.health.is_out(&entry.name, now))
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .filter(|entry| holds(entry, &subject, version))
-            .min_by_key(|entry| books.in_flight.get(&entry.run()).copied().unwrap_or(0))
+            .min_by_key(|entry| tables.in_flight.get(&entry.run()).copied().unwrap_or(0))
             .cloned()?;
-        books.limits.take(&entry.name, now);
+        tables.limits.take(&entry.name, now);
         // The holder does not know of this call: it must not make memory that is taken for another version's.
         let version = version.or_else(|| listed_version(&entry, &subject));
         Some(Placing::At(entry, version, None))
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -78,7 +78,7 @@
 
 impl InFlightCount {
     fn new(fleet: &Arc<FleetState>, entry: &TargetEntry, trial: Option<TrialPermit>) -> Self {
-        *fleet.books().in_flight.entry(entry.run()).or_default() += 1;
+        *fleet.tables().in_flight.entry(entry.run()).or_default() += 1;
         Self {
             fleet: Arc::clone(fleet),
             run: entry.run(),
@@ -98,23 +98,23 @@
             trial.note_good();
         }
         let TargetRun { name, life } = &self.run;
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         // What an earlier life did says nothing about this one.
         if let Some(outcome) = end.health()
-            && books.catalog.life(name) == *life
+            && tables.catalog.life(name) == *life
         {
-            books.health.note(name, outcome, clock::now());
+            tables.health.note(name, outcome, clock::now());
         }
     }
 }
 
 impl Drop for InFlightCount {
     fn drop(&mut self) {
-        let mut books = self.fleet.books();
-        if let Some(count) = books.in_flight.get_mut(&self.run) {
+        let mut tables = self.fleet.tables();
+        if let Some(count) = tables.in_flight.get_mut(&self.run) {
             *count -= 1;
             if *count == 0 {
-                books.in_flight.remove(&self.run);
+                tables.in_flight.remove(&self.run);
             }
         }
     }
@@ -195,7 +195,7 @@
             }
         };
         if matches!(kind, AnswerKind::Success | AnswerKind::Failure) {
-            self.context.fleet.books().rests.answered(&entry.run());
+            self.context.fleet.tables().rests.answered(&entry.run());
         }
         let (parts, body) = response.into_parts();
         let open = |ticket, count| {
@@ -282,10 +282,10 @@
 impl CallState {
     /// Whether a target still takes new work from this VM: that may have changed while a connection to it was made.
     fn is_wanted(&self, entry: &TargetEntry) -> bool {
-        let mut books = self.context.fleet.books();
-        let known = books.catalog.get(&entry.name);
+        let mut tables = self.context.fleet.tables();
+        let known = tables.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && books.rests.admit(&entry.run(), clock::now())
+            && tables.rests.admit(&entry.run(), clock::now())
     }
 
     /// Notes what an answer says of its target's limit.
@@ -295,8 +295,8 @@
             rate,
         };
         let is_change = {
-            let mut books = self.context.fleet.books();
-            books.limits.note(&named, clock::now())
+            let mut tables = self.context.fleet.tables();
+            tables.limits.note(&named, clock::now())
         };
         if is_change {
             let rate = named.rate.map(RequestRate::as_f64);
@@ -312,7 +312,7 @@
         if notice.is_closing {
             return;
         }
-        let vms = self.context.fleet.books().vms.len();
+        let vms = self.context.fleet.tables().vms.len();
         let share = self.service.idle_share(vms);
         let pool = &self.context.pool;
         pool.give_back(connection, notice.idle, share);
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -4,7 +4,7 @@
     clock::{self, CLOCK_ERROR},
     direct::{
         access::ZoneAccess,
-        fleet::{FleetBooks, FleetState, zone_key},
+        fleet::{FleetState, FleetTables, zone_key},
         front::StopPhase,
         message::FeedTopic,
         settings::DirectSettings,
@@ -101,36 +101,36 @@
         };
         let rank = self.fleet.rank();
         let now = clock::now();
-        let mut books = self.fleet.books();
-        let is_read = books
+        let mut tables = self.fleet.tables();
+        let is_read = tables
             .fleet_end
-            .is_some_and(|end| Some(end.era()) >= books.store_era);
-        if !is_read || books.active.is_none() {
+            .is_some_and(|end| Some(end.era()) >= tables.store_era);
+        if !is_read || tables.active.is_none() {
             return false;
         }
         let holder = lease.as_ref().and_then(|lease| lease.vm.as_ref());
         let view = HolderView {
             contact,
             is_weaker: holder
-                .and_then(|vm| books.vms.get(vm))
+                .and_then(|vm| tables.vms.get(vm))
                 .is_some_and(|record| record.strength < self.fleet.strength),
             rank,
             waited: lease.as_ref().and_then(waited),
-            is_outdated: books.is_outdated(&self.fleet.zone),
+            is_outdated: tables.is_outdated(&self.fleet.zone),
             is_oneself: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
-            was_led: self.is_confirmed(&books)
-                && books
+            was_led: self.is_confirmed(&tables)
+                && tables
                     .fleet_read_at
                     .is_some_and(|read_at| now < read_at.after(self.settings.leases.turn)),
         };
-        let state = books.leases.entry(self.fleet.zone.clone()).or_default();
+        let state = tables.leases.entry(self.fleet.zone.clone()).or_default();
         let position = state.position;
         let step = state.step(&self.settings.leases, view, now);
         if let LeaseStep::Claim { quiet } = step {
-            books.claim_quiet = quiet;
-            books.leads_from = now.after(quiet);
+            tables.claim_delay = quiet;
+            tables.orders_from = now.after(quiet);
         }
-        drop(books);
+        drop(tables);
         if let (LeaseStep::AskFor, Some(lease)) = (step, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
             self.access.ask_for_lease(&self.fleet.zone, lease, position);
@@ -139,9 +139,9 @@
     }
 
     /// Whether this VM may give orders by the newest record of its zone's lease.
-    fn is_confirmed(&self, books: &FleetBooks) -> bool {
-        let state = books.leases.get(&self.fleet.zone);
-        state.is_some_and(|state| books.confirmed == Some(state.token()))
+    fn is_confirmed(&self, tables: &FleetTables) -> bool {
+        let state = tables.leases.get(&self.fleet.zone);
+        state.is_some_and(|state| tables.confirmed_token == Some(state.token()))
     }
 
     /// Confirms a claim after its turn by one more read: a log that came back from a copy may lack it, and another VM may hold the
@@ -149,26 +149,26 @@
     async fn confirm(&self, client: &mut StoreClient) {
         let now = clock::now();
         let lease = self.fleet.lease(&self.fleet.zone);
-        let (end, leads_from) = {
-            let books = self.fleet.books();
+        let (end, orders_from) = {
+            let tables = self.fleet.tables();
             let is_due = lease.is_some_and(|lease| self.is_own(&lease))
-                && !self.is_confirmed(&books)
-                && now >= books.leads_from;
-            let Some(end) = books.fleet_end.filter(|_| is_due) else {
+                && !self.is_confirmed(&tables)
+                && now >= tables.orders_from;
+            let Some(end) = tables.fleet_end.filter(|_| is_due) else {
                 return;
             };
-            (end, books.leads_from)
+            (end, tables.orders_from)
         };
         let is_read = self.read_on(client, end).await;
-        if !is_read && now < leads_from.after(self.settings.leases.turn) {
+        if !is_read && now < orders_from.after(self.settings.leases.turn) {
             return;
         }
         let lease = self.fleet.lease(&self.fleet.zone);
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         let is_held = lease.is_some_and(|lease| self.is_own(&lease));
-        if is_held && !books.is_outdated(&self.fleet.zone) {
-            let state = books.leases.get(&self.fleet.zone);
-            books.confirmed = state.map(LeaseState::token);
+        if is_held && !tables.is_outdated(&self.fleet.zone) {
+            let state = tables.leases.get(&self.fleet.zone);
+            tables.confirmed_token = state.map(LeaseState::token);
         }
     }
 
@@ -178,13 +178,13 @@
 
     /// What a claim says of the time that this VM waits before its first order.
     fn waits_since_ms(&self) -> Option<u64> {
-        let quiet = self.fleet.books().claim_quiet;
+        let quiet = self.fleet.tables().claim_delay;
         (!quiet.is_zero()).then(clock::wall_ms)
     }
 
     /// Appends a claim.
     async fn claim(&self, client: &mut StoreClient) -> ClaimResult {
-        let Some(end) = self.fleet.books().fleet_end else {
+        let Some(end) = self.fleet.tables().fleet_end else {
             return ClaimResult::Unanswered;
         };
         let lease = ZoneLease {
@@ -205,11 +205,11 @@
             Ok(position) => {
                 event!(Event::LeaseClaimed, "{} at {position}", self.fleet.zone);
                 {
-                    let mut books = self.fleet.books();
-                    let is_at_once = books.claim_quiet.is_zero();
-                    books.confirmed = is_at_once.then(|| position.token());
+                    let mut tables = self.fleet.tables();
+                    let is_at_once = tables.claim_delay.is_zero();
+                    tables.confirmed_token = is_at_once.then(|| position.token());
                 }
-                self.fleet.take_own(key, value, position);
+                self.fleet.apply_own_record(key, value, position);
                 self.fleet.note_fleet_read(began);
                 ClaimResult::Recorded
             }
@@ -232,7 +232,7 @@
         let within = self.settings.pace.platform_timeout;
         match client.read(FLEET_TOPIC, from, Duration::ZERO, within).await {
             Ok(batch) => {
-                self.fleet.take_records(FeedTopic::Fleet, from, &batch);
+                self.fleet.apply_records(FeedTopic::Fleet, from, &batch);
                 true
             }
             Err(error) => {
@@ -255,9 +255,9 @@
 
 /// Since when this VM waits before its first order in its zone, if it has not come to that.
 fn unfinished_wait(fleet: &FleetState) -> Option<u64> {
-    let books = fleet.books();
-    let state = books.leases.get(&fleet.zone)?;
-    let is_confirmed = books.confirmed == Some(state.token());
+    let tables = fleet.tables();
+    let state = tables.leases.get(&fleet.zone)?;
+    let is_confirmed = tables.confirmed_token == Some(state.token());
     state
         .lease
         .as_ref()
@@ -268,7 +268,7 @@
 /// Records that this VM gave its zone up, so that another claims it at once. Says whether that holds.
 pub async fn release_lease(fleet: &FleetState, platform: SocketAddr, within: Duration) -> bool {
     let mut client = StoreClient::new(platform);
-    let Some(mut end) = fleet.books().fleet_end else {
+    let Some(mut end) = fleet.tables().fleet_end else {
         return false;
     };
     let lease = ZoneLease {
@@ -292,7 +292,7 @@
             .await
         {
             Ok(position) => {
-                fleet.take_own(key, value, position);
+                fleet.apply_own_record(key, value, position);
                 return true;
             }
             Err(StoreError::EndMoved(moved)) => end = moved,
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -10,8 +10,8 @@
         front::{OpenConnections, StopPhase, accept_callers},
         links::accept_links,
         message::FeedTopic,
-        questions::{accept_questions, answer_metrics, answer_ready},
-        reach::StoreReach,
+        probes::{metrics_response, readiness_response, serve_probes},
+        reachability::StoreReachability,
         recorder::FleetRecorder,
         sender::ConnectionPool,
         settings::DirectSettings,
@@ -87,7 +87,7 @@
         let settings = Arc::new(settings);
         let incarnation = rand::random::<u64>() >> 16;
         let fleet = Arc::new(FleetState::new(&settings, incarnation));
-        fleet.books().own_addresses = vec![caller_address, ready_address, settings.peer_address];
+        fleet.tables().own_addresses = vec![caller_address, ready_address, settings.peer_address];
         let pool = Arc::new(ConnectionPool::default());
         let (zone, zone_receiver) = mpsc::channel(ZONE_EVENTS);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
@@ -227,20 +227,20 @@
     stop: watch::Receiver<StopPhase>,
 ) {
     let asked = Arc::clone(fleet);
-    tokio::spawn(accept_questions(questions, move |path| {
+    tokio::spawn(serve_probes(questions, move |path| {
         let is_up = asked.is_ready() && *stop.borrow() == StopPhase::Serving;
-        answer_ready(path, is_up)
+        readiness_response(path, is_up)
     }));
     if let Some(collectors) = collectors {
         let asked = Arc::clone(fleet);
-        tokio::spawn(accept_questions(collectors, move |path| {
-            answer_metrics(path, || asked.figures.page(&asked))
+        tokio::spawn(serve_probes(collectors, move |path| {
+            metrics_response(path, || asked.figures.page(&asked))
         }));
     }
 }
 
 fn start_feeds(settings: &Arc<DirectSettings>, fleet: &Arc<FleetState>, access: &Arc<ZoneAccess>) {
-    let reach = StoreReach::new();
+    let reachability = StoreReachability::new();
     let first_pause = first_pause(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
         let worker = FeedWorker {
@@ -249,7 +249,7 @@
             pace: settings.pace,
             fleet: Arc::clone(fleet),
             access: Arc::clone(access),
-            reach: reach.clone(),
+            reachability: reachability.clone(),
             first_pause,
             started: Instant::now(),
             failures: 0,
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -7,7 +7,7 @@
 use crate::{
     clock::{self, CLOCK_ERROR},
     direct::{
-        fleet::{FleetBooks, FleetState},
+        fleet::{FleetState, FleetTables},
         message::FeedTopic,
     },
     event,
@@ -47,7 +47,7 @@
     }
 }
 
-impl FleetBooks {
+impl FleetTables {
     /// Takes in what the log says of its era. One that names an earlier era came with the copy.
     pub(super) fn note_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
@@ -60,7 +60,8 @@
     pub(super) fn missing_era_record(&self) -> Option<EraRecord> {
         let era = self.store_era.filter(|era| !era.is_first())?;
         let is_recorded = self.era_record.is_some_and(|record| record.era == era);
-        let is_listed = self.ends.contains_key(&FeedTopic::Fleet) && self.listed_in == Some(era);
+        let is_listed =
+            self.known_ends.contains_key(&FeedTopic::Fleet) && self.listed_era == Some(era);
         (is_listed && !is_recorded).then(|| EraRecord::of(era))
     }
 
@@ -79,7 +80,7 @@
     /// Takes in the era that an answer of the log names; says whether the answer is of the newest history that is known.
     pub fn meet_era(&self, era: StoreEra) -> bool {
         self.learn_era(era);
-        let known = self.books().store_era;
+        let known = self.tables().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
             event!(Event::HistoryOver, "era {era}, known {known:?}");
@@ -97,7 +98,7 @@
     /// Whether a position is of the newest history that is known.
     #[must_use]
     pub fn is_current(&self, position: LogPosition) -> bool {
-        self.books()
+        self.tables()
             .store_era
             .is_none_or(|era| position.era() >= era)
     }
@@ -110,11 +111,11 @@
 
     fn learn_era(&self, era: StoreEra) {
         {
-            let mut books = self.books();
-            let Some(known) = books.store_era else {
-                books.store_era = Some(era);
+            let mut tables = self.tables();
+            let Some(known) = tables.store_era else {
+                tables.store_era = Some(era);
                 if !self.is_first_start {
-                    books.doubt_copy(era, self.rewrites);
+                    tables.doubt_copy(era, self.rewrites);
                 }
                 self.eras.send_replace(era);
                 return;
@@ -123,13 +124,13 @@
                 return;
             }
             event!(Event::HistoryChanged, "era {era} after {known}");
-            books.store_era = Some(era);
-            books.stored_version = 0;
-            books.doubt_copy(era, self.rewrites);
-            for run in books.catalog.log_restored(clock::now()) {
-                books.leaving.push(run);
+            tables.store_era = Some(era);
+            tables.stored_version = 0;
+            tables.doubt_copy(era, self.rewrites);
+            for run in tables.catalog.log_restored(clock::now()) {
+                tables.leaving.push(run);
             }
-            self.announce(&books);
+            self.announce(&tables);
         }
         self.eras.send_replace(era);
         self.signal();
--- a/crates/daemon/src/direct/events.rs
+++ b/crates/daemon/src/direct/events.rs
@@ -105,7 +105,7 @@
             let held = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
             fleet.figures.note_first_event(held);
-            fleet.books().streams.note_start(held, clock::now());
+            fleet.tables().streams.note_start(held, clock::now());
         }
         let Some(open) = self.open.as_ref().filter(|_| self.awaits_first) else {
             return;
@@ -129,9 +129,9 @@
             return;
         };
         let span = call.arrived.elapsed().saturating_sub(first);
-        let mut books = call.context.fleet.books();
+        let mut tables = call.context.fleet.tables();
         let most_output = call.head.most_output;
-        books
+        tables
             .streams
             .note_end(events, span, most_output, clock::now());
     }
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -4,8 +4,8 @@
     clock,
     direct::{
         fleet::FleetState,
-        intake::RecordSource,
-        message::{ContactReport, FeedTopic, PassedRecord, TopicEnd, TopicSpan},
+        ingest::RecordSource,
+        message::{ContactReport, FeedTopic, ForwardedRecord, TopicEnd, TopicSpan},
     },
     event,
     events::Event,
@@ -34,16 +34,16 @@
 
 impl FleetState {
     /// Folds records that another VM passed on.
-    pub fn take_passed(&self, passed: Vec<PassedRecord>) {
+    pub fn apply_forwarded(&self, passed: Vec<ForwardedRecord>) {
         self.take_told(passed, RecordSource::Passed);
     }
 
     /// Folds a record that this VM asked for before it knows the topic.
-    pub fn take_asked(&self, asked: PassedRecord) {
+    pub fn apply_requested(&self, asked: ForwardedRecord) {
         self.take_told(vec![asked], RecordSource::Asked);
     }
 
-    fn take_told(&self, passed: Vec<PassedRecord>, source: RecordSource) {
+    fn take_told(&self, passed: Vec<ForwardedRecord>, source: RecordSource) {
         self.learn_eras(passed.iter().map(|record| record.position));
         let now = clock::now();
         let mut has_news = false;
@@ -63,19 +63,19 @@
 
     /// The record of a target, for a VM that does not know the target list.
     #[must_use]
-    pub fn target_record(&self, target: &TargetName) -> Option<PassedRecord> {
-        self.books()
+    pub fn target_record(&self, target: &TargetName) -> Option<ForwardedRecord> {
+        self.tables()
             .records
             .passed(FeedTopic::Targets, target.as_str())
     }
 
     /// Folds a record of the fleet that this VM appended. Where it lies at the end that was known, nothing remains to be
     /// read before it.
-    pub fn take_own(&self, key: String, value: Vec<u8>, position: LogPosition) {
-        if self.books().fleet_end == Some(position) {
+    pub fn apply_own_record(&self, key: String, value: Vec<u8>, position: LogPosition) {
+        if self.tables().fleet_end == Some(position) {
             self.note_end(FeedTopic::Fleet, position.plus(1));
         }
-        self.take_passed(vec![PassedRecord {
+        self.apply_forwarded(vec![ForwardedRecord {
             topic: FeedTopic::Fleet,
             key,
             // A key without a value is dropped.
@@ -103,35 +103,35 @@
         &self,
         wanted: &[TopicEnd],
         is_turned_away: bool,
-    ) -> (Vec<PassedRecord>, Vec<TopicSpan>) {
+    ) -> (Vec<ForwardedRecord>, Vec<TopicSpan>) {
         let told = self.tellable_ends();
-        let books = self.books();
+        let tables = self.tables();
         let is_told = |(topic, from): &&TopicEnd| {
-            is_turned_away || from.0 > 0 || books.records.bytes(*topic) <= MOST_TOLD_BYTES
+            is_turned_away || from.0 > 0 || tables.records.bytes(*topic) <= MOST_TOLD_BYTES
         };
         let wanted: BTreeMap<FeedTopic, LogPosition> =
             wanted.iter().filter(is_told).copied().collect();
         let records = wanted
             .iter()
-            .flat_map(|(topic, from)| books.records.since(*topic, *from));
+            .flat_map(|(topic, from)| tables.records.since(*topic, *from));
         let spans = told
             .into_iter()
             .filter(|(topic, _)| wanted.contains_key(topic))
             .map(|(topic, end)| TopicSpan {
                 topic,
-                since: books.since.get(&topic).copied().unwrap_or(end),
+                since: tables.known_since.get(&topic).copied().unwrap_or(end),
                 end,
             });
         (records.collect(), spans.collect())
     }
 
     /// Folds what another VM answered, and with it the topics of which that one knows every key.
-    pub fn take_answer(&self, records: Vec<PassedRecord>, spans: &[TopicSpan]) {
+    pub fn take_answer(&self, records: Vec<ForwardedRecord>, spans: &[TopicSpan]) {
         self.learn_eras(spans.iter().map(|span| span.end));
-        self.take_passed(records);
+        self.apply_forwarded(records);
         let was_ready = self.is_ready();
         for span in spans {
-            let is_whole = self.books().note_told(*span);
+            let is_whole = self.tables().note_told(*span);
             if is_whole {
                 self.note_whole(*span, RecordSource::Passed);
             }
@@ -145,10 +145,10 @@
     /// Takes over up to where another VM, whose news this one has, knows everything.
     pub fn take_ends(&self, ends: &[TopicEnd]) {
         self.learn_eras(ends.iter().map(|(_, end)| *end));
-        let mut books = self.books();
+        let mut tables = self.tables();
         for (topic, end) in ends {
-            if !books.gaps.contains_key(topic) {
-                books.advance(*topic, *end);
+            if !tables.gaps.contains_key(topic) {
+                tables.advance(*topic, *end);
             }
         }
     }
@@ -157,10 +157,10 @@
     /// here, as that is passed on when it counts.
     #[must_use]
     pub fn tellable_ends(&self) -> Vec<TopicEnd> {
-        let books = self.books();
-        let doubted = books.catalog.first_doubted();
-        let ends = books
-            .ends
+        let tables = self.tables();
+        let doubted = tables.catalog.first_doubted();
+        let ends = tables
+            .known_ends
             .iter()
             .map(|(topic, end)| match (topic, doubted) {
                 (FeedTopic::Targets, Some(doubted)) => (*topic, doubted.min(*end)),
@@ -172,7 +172,7 @@
     /// How this VM's contact with the log stands, for others.
     #[must_use]
     pub fn log_report(&self) -> Option<ContactReport> {
-        let run = self.books().contact.run()?;
+        let run = self.tables().contact.run()?;
         let now = clock::now();
         Some(ContactReport {
             since_ms: age_ms(run.since, now),
@@ -189,20 +189,20 @@
             last: before(now, report.last_ms),
         });
         {
-            let mut books = self.books();
-            books.contact.take_report(vm, run);
-            books.note_return();
+            let mut tables = self.tables();
+            tables.contact.take_report(vm, run);
+            tables.note_return();
         }
         self.expire();
     }
 
     /// Another VM passes on its proof that the configuration is the newest.
     pub fn take_proof(&self, proof: &PassedProof, echo: &BeatEcho) {
-        let mut books = self.books();
-        let Some(known) = books.active.as_ref().map(|active| active.config.version) else {
+        let mut tables = self.tables();
+        let Some(known) = tables.active.as_ref().map(|active| active.config.version) else {
             return;
         };
-        books.proof.take_passed(proof, echo, known);
+        tables.proof.take_passed(proof, echo, known);
     }
 
     /// What this VM lacks, for the VMs that it asks: of a topic that it never knew whole, everything, unless its zone is
@@ -212,7 +212,7 @@
         let may_be_all = self.learns_from_holder();
         FeedTopic::ALL
             .into_iter()
-            .filter(|topic| may_be_all || self.knows_whole(*topic))
+            .filter(|topic| may_be_all || self.is_topic_known(*topic))
             .map(|topic| (topic, self.known_end(topic)))
             .collect()
     }
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -7,7 +7,7 @@
     clock,
     direct::{
         access::ZoneAccess, figures::LogOutcome, fleet::FleetState, listing::list_topic,
-        message::FeedTopic, reach::StoreReach, settings::PaceSettings,
+        message::FeedTopic, reachability::StoreReachability, settings::PaceSettings,
     },
     event,
     events::Event,
@@ -78,7 +78,7 @@
     /// Links to holders.
     pub access: Arc<ZoneAccess>,
     /// Shared by all feeds.
-    pub reach: StoreReach,
+    pub reachability: StoreReachability,
     /// Pause before the first listing.
     pub first_pause: Duration,
     /// When the process started.
@@ -116,7 +116,7 @@
             };
             self.note_back();
             let end = listing.end;
-            self.fleet.take_listing(self.topic, &listing);
+            self.fleet.apply_listing(self.topic, &listing);
             self.note_config_read(began);
             self.note_fleet_read(began);
             self.wait_for_link().await;
@@ -138,7 +138,7 @@
         let first = self.fleet.lease(&self.fleet.zone);
         let turn = self.fleet.rank().saturating_sub(LIST_AT_ONCE);
         let until = Instant::now() + (LIST_TURN * turn).min(LIST_LATEST);
-        while Instant::now() < until && !self.fleet.knows_whole(self.topic) {
+        while Instant::now() < until && !self.fleet.is_topic_known(self.topic) {
             let lease = self.fleet.lease(&self.fleet.zone);
             let lives_on = lease.is_some() && lease == first && self.hears_holder();
             if lives_on || self.is_holder() {
@@ -146,7 +146,7 @@
             }
             sleep(TELL_LOOK).await;
         }
-        self.fleet.knows_whole(self.topic)
+        self.fleet.is_topic_known(self.topic)
     }
 
     /// Waits until the zone's holder has told all of the topic; says whether it did. Where there is no holder, or it
@@ -155,10 +155,10 @@
         sleep(self.first_pause).await;
         let mut until = None;
         loop {
-            if self.fleet.knows_whole(self.topic) {
+            if self.fleet.is_topic_known(self.topic) {
                 return true;
             }
-            let knows_fleet = self.fleet.knows_whole(FeedTopic::Fleet);
+            let knows_fleet = self.fleet.is_topic_known(FeedTopic::Fleet);
             if knows_fleet && !(self.fleet.learns_from_holder() && self.may_be_told()) {
                 return false;
             }
@@ -210,17 +210,17 @@
     /// Reads records until those from the wanted position on are gone, or the log is of another history.
     async fn read_on(&mut self, client: &mut StoreClient, from: LogPosition) {
         let mut from = from;
-        let listed_in = from.era();
+        let listed_era = from.era();
         let topic = topic_name(self.topic);
         loop {
             self.wait_for_duty().await;
             // What was passed on meanwhile need not be read again.
             from = from.max(self.fleet.known_end(self.topic));
             let mut eras = self.fleet.watch_eras();
-            if !self.fleet.is_current(from) || from.era() != listed_in {
+            if !self.fleet.is_current(from) || from.era() != listed_era {
                 return;
             }
-            let mut returns = self.reach.watch();
+            let mut returns = self.reachability.watch();
             let began = clock::now();
             let wait = self.wait();
             let reading = client.read(topic, from, wait, self.pace.platform_timeout);
@@ -234,7 +234,7 @@
             match read {
                 Ok(batch) => {
                     self.note_back();
-                    self.fleet.take_records(self.topic, from, &batch);
+                    self.fleet.apply_records(self.topic, from, &batch);
                     if batch.next == batch.end {
                         self.note_config_read(began);
                         // Without a record the log has waited all the time that it was to.
@@ -265,7 +265,7 @@
     async fn wait_for_duty(&self) {
         let mut asked = self.fleet.watch_asked();
         while !self.has_duty() {
-            self.reach.stop_probing(self.topic);
+            self.reachability.stop_probing(self.topic);
             // The sender lives as long as the books.
             let _ = timeout(DUTY_LOOK, asked.changed()).await;
         }
@@ -357,14 +357,14 @@
         if self.failures > 0 {
             self.failures = 0;
             event!(Event::LogBack, "{:?}", self.topic);
-            self.reach.note_back();
+            self.reachability.note_back();
         }
     }
 
     /// Waits after a failed call: the worker that probes for a pause that grows, the others until it has the log back. The
     /// target list is probed in any case, as nothing else has to be known as soon.
     async fn wait_to_retry(&self) {
-        if self.reach.probes(self.topic) || self.topic == FeedTopic::Targets {
+        if self.reachability.probes(self.topic) || self.topic == FeedTopic::Targets {
             let pause = if self.failures > 1 {
                 RETRY_LONGEST
             } else {
@@ -373,7 +373,7 @@
             let part = rand::rng().random_range(0.75..1.25);
             sleep(pause.mul_f64(part)).await;
         } else {
-            let mut returns = self.reach.watch();
+            let mut returns = self.reachability.watch();
             // Whether it is back or this worker has waited long enough: it tries.
             let _ = timeout(PROBE_WAIT, returns.changed()).await;
         }
--- a/crates/daemon/src/direct/figures.rs
+++ b/crates/daemon/src/direct/figures.rs
@@ -392,25 +392,25 @@
     }
 
     fn take_books(&self, fleet: &FleetState) {
-        let books = fleet.books();
+        let tables = fleet.tables();
         for (stage, name) in [
             (TargetStage::Ready, "ready"),
             (TargetStage::Draining, "draining"),
         ] {
-            let count = books.catalog.iter().filter(|entry| entry.stage == stage);
+            let count = tables.catalog.iter().filter(|entry| entry.stage == stage);
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(signed(count.count() as u64));
         }
-        self.doubted.set(signed(books.catalog.doubted() as u64));
-        let in_flight: u32 = books.in_flight.values().sum();
+        self.doubted.set(signed(tables.catalog.doubted() as u64));
+        let in_flight: u32 = tables.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
-        let version = books
+        let version = tables
             .active
             .as_ref()
             .map_or(0, |active| active.config.version);
         self.config_version.set(signed(version));
-        self.vms.set(signed(books.vms.len() as u64));
-        let holder = books
+        self.vms.set(signed(tables.vms.len() as u64));
+        let holder = tables
             .leases
             .get(&fleet.zone)
             .and_then(|state| state.holder());
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -12,7 +12,7 @@
         notices::LeavingNews,
         records::RecordBook,
         settings::DirectSettings,
-        skipped::SkippedEntries,
+        skipped::EntryLogLimiter,
     },
 };
 use hoplanding_core::{
@@ -53,11 +53,11 @@
 /// Key of the record of the log's era.
 pub const ERA_KEY: &str = "era";
 /// Start of the keys of VM records.
-pub const VM_KEY: &str = "vm/";
+pub const VM_KEY_PREFIX: &str = "vm/";
 /// Start of the keys of suspects.
-pub const SUSPECT_KEY: &str = "suspect/";
+pub const SUSPECT_KEY_PREFIX: &str = "suspect/";
 /// Start of the keys of zone leases.
-pub const ZONE_KEY: &str = "zone/";
+pub const ZONE_KEY_PREFIX: &str = "zone/";
 /// Time for which an adapter that takes much of its home zone counts as at home everywhere. By then this VM's own count
 /// tells; it takes that long to rise after a shift of demand.
 const SOUGHT_FOR: Duration = Duration::from_secs(6);
@@ -88,7 +88,7 @@
 
 /// Everything that is known, behind one lock.
 #[derive(Debug)]
-pub struct FleetBooks {
+pub struct FleetTables {
     /// The configuration in force.
     pub active: Option<Arc<ActiveConfig>>,
     /// The targets.
@@ -104,16 +104,16 @@
     /// Version of the newest configuration that the log holds in that era, as far as is known.
     pub stored_version: u64,
     /// The era in which this VM listed the fleet's topic last.
-    pub listed_in: Option<StoreEra>,
+    pub listed_era: Option<StoreEra>,
     /// End of the fleet's topic as read.
     pub fleet_end: Option<LogPosition>,
     /// Time up to which all of the fleet's topic is known, and so the newest leases.
     pub fleet_read_at: Option<Instant>,
     /// The topics of which every key is known, by a listing of this VM's own or another's, and the position before which no
     /// record is missing.
-    pub ends: BTreeMap<FeedTopic, LogPosition>,
+    pub known_ends: BTreeMap<FeedTopic, LogPosition>,
     /// Of those topics the position from which on every record is known, removals too.
-    pub since: BTreeMap<FeedTopic, LogPosition>,
+    pub known_since: BTreeMap<FeedTopic, LogPosition>,
     /// Topics that this VM has to read itself up to a position, as a listing of another VM left removals out.
     pub gaps: BTreeMap<FeedTopic, LogPosition>,
     /// This VM's contact with the target list, and what others say of theirs.
@@ -147,22 +147,22 @@
     /// The newest records, to be passed on.
     pub records: RecordBook,
     /// Pause before the first order after the claim that is under way.
-    pub claim_quiet: Duration,
+    pub claim_delay: Duration,
     /// When the turn after this VM's last claim is over.
-    pub leads_from: Instant,
+    pub orders_from: Instant,
     /// Token of this VM's claim by which it may give orders.
-    pub confirmed: Option<FencingToken>,
+    pub confirmed_token: Option<FencingToken>,
     /// Entries of the target list that could not be used.
-    pub skipped: SkippedEntries,
+    pub skipped_entries: EntryLogLimiter,
     /// Headers in which targets tell of themselves that could not be read.
-    pub unread: SkippedEntries,
+    pub unreadable_headers: EntryLogLimiter,
     /// Targets that said in their answers that they leave, to be passed on.
     pub leaving: LeavingNews,
     /// Where this VM itself is reached.
     pub(super) own_addresses: Vec<SocketAddr>,
 }
 
-impl FleetBooks {
+impl FleetTables {
     /// Whether a VM of this fleet is reached at an address, so that it can be no target's. All VMs have the same ports.
     #[must_use]
     pub fn is_own_address(&self, address: SocketAddr) -> bool {
@@ -182,7 +182,7 @@
 
     /// No record of a topic that is known whole is missing before a position.
     pub(super) fn advance(&mut self, topic: FeedTopic, end: LogPosition) {
-        let Some(known) = self.ends.get_mut(&topic) else {
+        let Some(known) = self.known_ends.get_mut(&topic) else {
             return;
         };
         *known = end.max(*known);
@@ -194,7 +194,7 @@
     /// Another VM told all that it knows of a topic, but not what was removed before its listing: where this VM has listed the
     /// topic before that one, it has to read on itself. Says whether nothing is missing.
     pub(super) fn note_told(&mut self, span: TopicSpan) -> bool {
-        let known = self.ends.get(&span.topic);
+        let known = self.known_ends.get(&span.topic);
         let is_missing =
             |known: &LogPosition| !self.records.has_all(span.topic, *known, span.since);
         if known.is_some_and(is_missing) {
@@ -239,7 +239,7 @@
     /// Shares the retry budget, and what VMs without a holder send to limited targets, among the VMs that are known, once
     /// all of them are.
     pub(super) fn share_retries(&mut self) {
-        if self.ends.contains_key(&FeedTopic::Fleet) {
+        if self.known_ends.contains_key(&FeedTopic::Fleet) {
             let count = u32::try_from(self.vms.len()).unwrap_or(u32::MAX);
             self.retries.set_vms(count.max(FEWEST_SHARES));
             self.limits
@@ -256,7 +256,7 @@
 
     /// Time until the first target of a service may be sent to again; none unless all of them rest.
     #[must_use]
-    pub fn rest_of_all(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
+    pub fn shortest_rest(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         if self.rests.is_empty() {
             return None;
         }
@@ -303,7 +303,7 @@
     /// VMs of this zone that are linked to this one and could take its lease over.
     successors: Mutex<HashSet<VmName>>,
     stopping: watch::Sender<bool>,
-    books: Mutex<FleetBooks>,
+    tables: Mutex<FleetTables>,
     changes: watch::Sender<u64>,
     pub(super) pulls: watch::Sender<u64>,
     pub(super) asked: watch::Sender<Instant>,
@@ -330,7 +330,7 @@
             figures: DirectFigures::default(),
             successors: Mutex::default(),
             stopping: watch::channel(false).0,
-            books: Mutex::new(FleetBooks {
+            tables: Mutex::new(FleetTables {
                 active: None,
                 catalog: TargetCatalog::default(),
                 versions: HashMap::new(),
@@ -338,11 +338,11 @@
                 vms: HashMap::new(),
                 store_era: None,
                 stored_version: 0,
-                listed_in: None,
+                listed_era: None,
                 fleet_end: None,
                 fleet_read_at: None,
-                ends: BTreeMap::new(),
-                since: BTreeMap::new(),
+                known_ends: BTreeMap::new(),
+                known_since: BTreeMap::new(),
                 gaps: BTreeMap::new(),
                 contact: LogContact::default(),
                 health: HealthTable::default(),
@@ -359,11 +359,11 @@
                 limits: LimitTable::with_share(1.0 / f64::from(FEWEST_SHARES)),
                 rests: RestTable::default(),
                 records: RecordBook::default(),
-                claim_quiet: Duration::ZERO,
-                leads_from: Instant::default(),
-                confirmed: None,
-                skipped: SkippedEntries::default(),
-                unread: SkippedEntries::default(),
+                claim_delay: Duration::ZERO,
+                orders_from: Instant::default(),
+                confirmed_token: None,
+                skipped_entries: EntryLogLimiter::default(),
+                unreadable_headers: EntryLogLimiter::default(),
                 leaving: LeavingNews::default(),
                 own_addresses: Vec::new(),
             }),
@@ -379,15 +379,15 @@
     /// How long streams of this VM took lately.
     #[must_use]
     pub fn streams(&self) -> StreamPace {
-        self.books().streams
+        self.tables().streams
     }
 
     /// The books.
     ///
     /// # Panics
     /// If a holder of the lock panicked.
-    pub fn books(&self) -> MutexGuard<'_, FleetBooks> {
-        self.books.lock().expect("no holder of the lock panics")
+    pub fn tables(&self) -> MutexGuard<'_, FleetTables> {
+        self.tables.lock().expect("no holder of the lock panics")
     }
 
     /// Time since this process started.
@@ -431,23 +431,23 @@
     /// The configuration in force.
     #[must_use]
     pub fn active(&self) -> Option<Arc<ActiveConfig>> {
-        self.books().active.clone()
+        self.tables().active.clone()
     }
 
     /// Whether callers can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let books = self.books();
-        books.active.is_some()
-            && books.ends.contains_key(&FeedTopic::Targets)
-            && books.ends.contains_key(&FeedTopic::Fleet)
-            && books.may_trust_keys(self.revocation, clock::now())
+        let tables = self.tables();
+        tables.active.is_some()
+            && tables.known_ends.contains_key(&FeedTopic::Targets)
+            && tables.known_ends.contains_key(&FeedTopic::Fleet)
+            && tables.may_trust_keys(self.revocation, clock::now())
     }
 
     /// This VM's place in the order in which its zone's VMs take on duties, the strongest first.
     #[must_use]
     pub fn rank(&self) -> u32 {
-        self.books().rank(self)
+        self.tables().rank(self)
     }
 
     /// A signal that fires after changes.
@@ -464,35 +464,42 @@
     /// A holder said that an adapter takes much of its zone.
     pub fn note_sought(&self, adapter: &AdapterName) {
         let now = clock::now();
-        let mut books = self.books();
-        books.sought.retain(|_, until| now < *until);
-        books.sought.insert(adapter.clone(), now.after(SOUGHT_FOR));
+        let mut tables = self.tables();
+        tables.sought.retain(|_, until| now < *until);
+        tables.sought.insert(adapter.clone(), now.after(SOUGHT_FOR));
     }
 
     /// Offset up to which every record of a topic is known; 0 as long as it is not known whole.
     #[must_use]
     pub fn known_end(&self, topic: FeedTopic) -> LogPosition {
-        let books = self.books();
-        books.ends.get(&topic).copied().unwrap_or(LogPosition(0))
+        let tables = self.tables();
+        tables
+            .known_ends
+            .get(&topic)
+            .copied()
+            .unwrap_or(LogPosition(0))
     }
 
     /// Whether this VM has to read a topic itself, whoever else does.
     #[must_use]
     pub fn has_gap(&self, topic: FeedTopic) -> bool {
-        self.books().gaps.contains_key(&topic)
+        self.tables().gaps.contains_key(&topic)
     }
 
     /// Whether every key of a topic is known.
     #[must_use]
-    pub fn knows_whole(&self, topic: FeedTopic) -> bool {
-        self.books().ends.contains_key(&topic)
+    pub fn is_topic_known(&self, topic: FeedTopic) -> bool {
+        self.tables().known_ends.contains_key(&topic)
     }
 
     /// VMs recorded in this VM's zone.
     #[must_use]
     pub fn zone_vms(&self) -> usize {
-        let books = self.books();
-        let zone = books.vms.values().filter(|record| record.zone == self.zone);
+        let tables = self.tables();
+        let zone = tables
+            .vms
+            .values()
+            .filter(|record| record.zone == self.zone);
         zone.count()
     }
 
@@ -500,7 +507,7 @@
     #[must_use]
     pub fn is_leaving(&self, target: &str) -> bool {
         let name = TargetName::new(target);
-        self.books()
+        self.tables()
             .catalog
             .get(&name)
             .is_none_or(|entry| entry.stage == TargetStage::Draining)
@@ -509,40 +516,40 @@
     /// The holder of a zone by the newest record, and where it is reached.
     #[must_use]
     pub fn lease(&self, zone: &AvailabilityZone) -> Option<ZoneLease> {
-        self.books().leases.get(zone)?.lease.clone()
+        self.tables().leases.get(zone)?.lease.clone()
     }
 
     /// All of the operators' records that the log had when a read was sent are known. A copy that is older than the configuration in
     /// force proves nothing, nor does one that may lack the newest.
     pub fn note_config_read(&self, sent: Instant) {
-        let mut books = self.books();
-        let version = books.active.as_ref().map(|active| active.config.version);
-        let is_doubted = books.copy_doubt.remaining(sent).is_some();
-        if !is_doubted && version.is_none_or(|version| books.stored_version >= version) {
-            books.proof.note_read(sent);
+        let mut tables = self.tables();
+        let version = tables.active.as_ref().map(|active| active.config.version);
+        let is_doubted = tables.copy_doubt.remaining(sent).is_some();
+        if !is_doubted && version.is_none_or(|version| tables.stored_version >= version) {
+            tables.proof.note_read(sent);
         }
     }
 
     /// Whether keys are known to hold still.
     #[must_use]
     pub fn may_trust_keys(&self) -> bool {
-        self.books().may_trust_keys(self.revocation, clock::now())
+        self.tables().may_trust_keys(self.revocation, clock::now())
     }
 
     /// When it is worth coming back while keys are not known to hold still.
     #[must_use]
-    pub fn key_doubt(&self) -> Option<Duration> {
-        self.books().copy_doubt.remaining(clock::now())
+    pub fn key_retry_after(&self) -> Option<Duration> {
+        self.tables().copy_doubt.remaining(clock::now())
     }
 
     /// All of the fleet's topic is known as of then.
     pub fn note_fleet_read(&self, known_at: Instant) {
-        let mut books = self.books();
+        let mut tables = self.tables();
         // Claims may be lost until this zone is claimed in the present history.
-        if books.is_outdated(&self.zone) {
+        if tables.is_outdated(&self.zone) {
             return;
         }
-        let known = books.fleet_read_at.get_or_insert(known_at);
+        let known = tables.fleet_read_at.get_or_insert(known_at);
         *known = known_at.max(*known);
     }
 
@@ -553,7 +560,7 @@
         service: &ServiceName,
         zone: &AvailabilityZone,
     ) -> Vec<Arc<TargetEntry>> {
-        self.books()
+        self.tables()
             .catalog
             .iter()
             .filter(|entry| entry.service == *service && entry.zone == *zone)
@@ -571,17 +578,17 @@
 /// Key of a VM's record.
 #[must_use]
 pub fn vm_key(vm: &VmName) -> String {
-    format!("{VM_KEY}{vm}")
+    format!("{VM_KEY_PREFIX}{vm}")
 }
 
 /// Key of a suspect.
 #[must_use]
 pub fn suspect_key(fingerprint: RequestFingerprint) -> String {
-    format!("{SUSPECT_KEY}{:016x}", fingerprint.0)
+    format!("{SUSPECT_KEY_PREFIX}{:016x}", fingerprint.0)
 }
 
 /// Key of a zone's lease.
 #[must_use]
 pub fn zone_key(zone: &AvailabilityZone) -> String {
-    format!("{ZONE_KEY}{zone}")
+    format!("{ZONE_KEY_PREFIX}{zone}")
 }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -5,8 +5,10 @@
 
 use crate::{
     direct::{
-        fleet::{ActiveConfig, ERA_KEY, FleetBooks, SUSPECT_KEY, VM_KEY, ZONE_KEY},
-        intake::RecordSource,
+        fleet::{
+            ActiveConfig, ERA_KEY, FleetTables, SUSPECT_KEY_PREFIX, VM_KEY_PREFIX, ZONE_KEY_PREFIX,
+        },
+        ingest::RecordSource,
         message::FeedTopic,
         suspect_records::{fold_suspect, suspect_of},
     },
@@ -50,28 +52,28 @@
 
 /// Whether a record is newer than what is known by an order that does not come from the log: the life of a target, or a version.
 /// Each record comes from several VMs, so one that is kept already is not decoded again.
-pub fn is_newer_by_itself(books: &FleetBooks, topic: FeedTopic, record: &KeyedRecord) -> bool {
+pub fn is_newer_by_itself(tables: &FleetTables, topic: FeedTopic, record: &KeyedRecord) -> bool {
     let Some(value) = &record.value else {
         return false;
     };
     let key = &record.key;
-    if books.records.is_kept(topic, key, record.position)
-        && books.records.value(topic, key) == Some(&**value)
+    if tables.records.is_kept(topic, key, record.position)
+        && tables.records.value(topic, key) == Some(&**value)
     {
         return false;
     }
     match topic {
         FeedTopic::Targets => {
-            let known = books.catalog.life(&TargetName::new(key));
+            let known = tables.catalog.life(&TargetName::new(key));
             decode_target(key, value).is_ok_and(|entry| entry.life > known)
         }
         FeedTopic::Operators if key == CONFIG_KEY => {
-            let known = books.active.as_ref().map(|active| active.config.version);
+            let known = tables.active.as_ref().map(|active| active.config.version);
             decode_config(value).is_ok_and(|config| Some(config.version) > known)
         }
         FeedTopic::Operators if key.starts_with(VERSION_KEY) => {
             decode_version(value).is_ok_and(|(subject, version)| {
-                books
+                tables
                     .versions
                     .get(&subject)
                     .is_none_or(|known| *known < version)
@@ -83,25 +85,25 @@
 
 /// Folds a target's entry.
 pub fn fold_target_record(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     record: &KeyedRecord,
     source: RecordSource,
     now: Instant,
 ) -> FoldedRecord {
     let name = TargetName::new(&record.key);
-    let was_ready = is_ready(&books.catalog, &name);
+    let was_ready = is_ready(&tables.catalog, &name);
     let is_news = match &record.value {
-        None if source == RecordSource::Passed => books.catalog.settle(&name, record.position),
-        None => books.catalog.apply(&name, record.position, None, now),
+        None if source == RecordSource::Passed => tables.catalog.settle(&name, record.position),
+        None => tables.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
-            Ok(entry) if books.is_own_address(entry.address) => {
+            Ok(entry) if tables.is_own_address(entry.address) => {
                 let error = DecodeError::Field {
                     field: "address",
                     value: entry.address.to_string(),
                 };
-                return fold_unusable(books, record, &error, now);
+                return fold_unusable(tables, record, &error, now);
             }
-            Ok(entry) if is_gone_since(books, record, &entry, source) => {
+            Ok(entry) if is_gone_since(tables, record, &entry, source) => {
                 event!(
                     Event::EntryOutlived,
                     "{name} at position {}, removed in an earlier era",
@@ -109,14 +111,14 @@
                 );
                 return FoldedRecord::Outlived;
             }
-            Ok(entry) => match fold_entry(books, record, entry, now) {
+            Ok(entry) => match fold_entry(tables, record, entry, now) {
                 Some(is_news) => is_news,
                 None => return FoldedRecord::Outlived,
             },
-            Err(error) => return fold_unusable(books, record, &error, now),
+            Err(error) => return fold_unusable(tables, record, &error, now),
         },
     };
-    if books.catalog.is_doubted(&name) {
+    if tables.catalog.is_doubted(&name) {
         event!(
             Event::RemovalDoubted,
             "{name} at position {}, {source:?}",
@@ -124,7 +126,7 @@
         );
         return FoldedRecord::Doubted;
     }
-    if was_ready && !is_ready(&books.catalog, &name) {
+    if was_ready && !is_ready(&tables.catalog, &name) {
         event!(
             Event::TargetLeft,
             "{name} at position {}, {source:?}",
@@ -141,31 +143,31 @@
 /// Whether an entry came with a copy of the log that lacks the target's removal: its target is gone since. One that is written
 /// after the log's return counts.
 fn is_gone_since(
-    books: &FleetBooks,
+    tables: &FleetTables,
     record: &KeyedRecord,
     entry: &TargetEntry,
     source: RecordSource,
 ) -> bool {
     let topic = FeedTopic::Targets;
     let era = record.position.era();
-    let removed = books.records.position(topic, &record.key);
+    let removed = tables.records.position(topic, &record.key);
     let was_removed = removed.is_some_and(|removed| removed.era() < era)
-        && books.records.value(topic, &record.key).is_none();
-    let listed = books.since.get(&topic);
+        && tables.records.value(topic, &record.key).is_none();
+    let listed = tables.known_since.get(&topic);
     let is_copied = source == RecordSource::Listed
         || listed.is_some_and(|listed| listed.era() == era && record.position < *listed);
-    was_removed && is_copied && entry.life <= books.catalog.life(&entry.name)
+    was_removed && is_copied && entry.life <= tables.catalog.life(&entry.name)
 }
 
 /// Folds an entry; says whether it changes where calls may go, or nothing if its life is over.
 fn fold_entry(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     record: &KeyedRecord,
     entry: TargetEntry,
     now: Instant,
 ) -> Option<bool> {
     let name = entry.name.clone();
-    let known = books.catalog.life(&name);
+    let known = tables.catalog.life(&name);
     if entry.life < known {
         event!(
             Event::EntryOutlived,
@@ -174,16 +176,16 @@
         );
         return None;
     }
-    if entry.life > known && books.catalog.get(&name).is_some() {
+    if entry.life > known && tables.catalog.get(&name).is_some() {
         event!(
             Event::TargetReborn,
             "{name} at position {}",
             record.position
         );
-        books.health.forget(&name);
+        tables.health.forget(&name);
     }
     Some(
-        books
+        tables
             .catalog
             .apply(&name, record.position, Some(entry), now),
     )
@@ -191,14 +193,14 @@
 
 /// Folds an entry that can't be used: its target is taken for gone.
 fn fold_unusable(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     record: &KeyedRecord,
     error: &DecodeError,
     now: Instant,
 ) -> FoldedRecord {
     let name = TargetName::new(&record.key);
-    let is_change = books.catalog.settle(&name, record.position);
-    if let Some(untold) = books.skipped.note(now) {
+    let is_change = tables.catalog.settle(&name, record.position);
+    if let Some(untold) = tables.skipped_entries.note(now) {
         let key: String = record.key.escape_debug().take(SHOWN_CHARS).collect();
         event!(
             Event::EntryUnusable,
@@ -224,20 +226,20 @@
 }
 
 /// Folds a configuration or a named version.
-pub fn fold_operator_record(books: &mut FleetBooks, record: &KeyedRecord) -> FoldedRecord {
+pub fn fold_operator_record(tables: &mut FleetTables, record: &KeyedRecord) -> FoldedRecord {
     // A dropped key takes nothing back: what was in force stays until something newer comes.
     let Some(value) = &record.value else {
         return FoldedRecord::News;
     };
     if record.key == CONFIG_KEY {
-        return fold_config(books, record, value);
+        return fold_config(tables, record, value);
     }
     if !record.key.starts_with(VERSION_KEY) {
         return FoldedRecord::News;
     }
     match decode_version(value) {
         Ok((subject, version)) => {
-            let known = books.versions.entry(subject).or_default();
+            let known = tables.versions.entry(subject).or_default();
             if *known > version {
                 return FoldedRecord::Outlived;
             }
@@ -251,7 +253,7 @@
 }
 
 /// Folds a configuration. Its version orders it, as a copy of the log may hold one that is no longer in force.
-fn fold_config(books: &mut FleetBooks, record: &KeyedRecord, value: &[u8]) -> FoldedRecord {
+fn fold_config(tables: &mut FleetTables, record: &KeyedRecord, value: &[u8]) -> FoldedRecord {
     let config = match decode_config(value) {
         Ok(config) => config,
         Err(error) => {
@@ -263,10 +265,10 @@
             return FoldedRecord::News;
         }
     };
-    if Some(record.position.era()) == books.store_era {
-        books.stored_version = config.version.max(books.stored_version);
+    if Some(record.position.era()) == tables.store_era {
+        tables.stored_version = config.version.max(tables.stored_version);
     }
-    let known = books.active.as_ref().map(|active| active.config.version);
+    let known = tables.active.as_ref().map(|active| active.config.version);
     if known > Some(config.version) {
         event!(
             Event::ConfigOutdated,
@@ -277,7 +279,7 @@
         return FoldedRecord::Outlived;
     }
     if known == Some(config.version)
-        && books.records.value(FeedTopic::Operators, CONFIG_KEY) == Some(value)
+        && tables.records.value(FeedTopic::Operators, CONFIG_KEY) == Some(value)
     {
         return FoldedRecord::Kept;
     }
@@ -289,31 +291,31 @@
         config.routes.len()
     );
     let routes = RouteTable::new(&config);
-    books.active = Some(Arc::new(ActiveConfig { config, routes }));
+    tables.active = Some(Arc::new(ActiveConfig { config, routes }));
     FoldedRecord::News
 }
 
 /// Folds a VM's record, a suspect's or a zone's lease.
 pub fn fold_fleet_record(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     record: &KeyedRecord,
     rewrites: RewriteRule,
     now: Instant,
 ) -> FoldedRecord {
-    let known = books.records.value(FeedTopic::Fleet, &record.key);
+    let known = tables.records.value(FeedTopic::Fleet, &record.key);
     let is_change = record.value.is_none() || known != record.value.as_deref();
-    if let Some(vm) = record.key.strip_prefix(VM_KEY) {
-        fold_vm(books, vm, record);
+    if let Some(vm) = record.key.strip_prefix(VM_KEY_PREFIX) {
+        fold_vm(tables, vm, record);
     } else if record.key == ERA_KEY {
-        fold_era(books, record, rewrites);
+        fold_era(tables, record, rewrites);
     } else if let Some(fingerprint) = suspect_of(&record.key) {
-        if let Err(error) = fold_suspect(books, fingerprint, record.value.as_deref(), now) {
+        if let Err(error) = fold_suspect(tables, fingerprint, record.value.as_deref(), now) {
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
-    } else if record.key.starts_with(SUSPECT_KEY) {
+    } else if record.key.starts_with(SUSPECT_KEY_PREFIX) {
         event!(Event::RecordSkipped, "{}: no fingerprint", record.key);
-    } else if let Some(zone) = record.key.strip_prefix(ZONE_KEY) {
-        return fold_lease(books, zone, record);
+    } else if let Some(zone) = record.key.strip_prefix(ZONE_KEY_PREFIX) {
+        return fold_lease(tables, zone, record);
     }
     if is_change {
         FoldedRecord::News
@@ -322,30 +324,30 @@
     }
 }
 
-fn fold_vm(books: &mut FleetBooks, vm: &str, record: &KeyedRecord) {
+fn fold_vm(tables: &mut FleetTables, vm: &str, record: &KeyedRecord) {
     let Some(value) = &record.value else {
         return;
     };
     match serde_json::from_slice(value) {
         Ok(recorded) => {
-            books.vms.insert(VmName::new(vm), recorded);
-            books.share_retries();
+            tables.vms.insert(VmName::new(vm), recorded);
+            tables.share_retries();
         }
         Err(error) => event!(Event::RecordSkipped, "VM {vm}: {error}"),
     }
 }
 
-fn fold_era(books: &mut FleetBooks, record: &KeyedRecord, rewrites: RewriteRule) {
+fn fold_era(tables: &mut FleetTables, record: &KeyedRecord, rewrites: RewriteRule) {
     let Some(value) = &record.value else {
         return;
     };
     match serde_json::from_slice(value) {
-        Ok(recorded) => books.note_era_record(recorded, rewrites),
+        Ok(recorded) => tables.note_era_record(recorded, rewrites),
         Err(error) => event!(Event::RecordSkipped, "era: {error}"),
     }
 }
 
-fn fold_lease(books: &mut FleetBooks, zone: &str, record: &KeyedRecord) -> FoldedRecord {
+fn fold_lease(tables: &mut FleetTables, zone: &str, record: &KeyedRecord) -> FoldedRecord {
     let lease = record
         .value
         .as_ref()
@@ -356,7 +358,10 @@
                 None
             }
         });
-    let state = books.leases.entry(AvailabilityZone::new(zone)).or_default();
+    let state = tables
+        .leases
+        .entry(AvailabilityZone::new(zone))
+        .or_default();
     if !state.apply(record.position, lease) {
         return FoldedRecord::Outlived;
     }
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -16,7 +16,7 @@
 };
 
 /// What a holder is asked.
-pub(super) enum HolderQuestion {
+pub(super) enum HolderRequest {
     /// Where a call goes.
     Place(Box<PlacementAsk>),
     /// Where a call of a plain service goes.
@@ -29,7 +29,7 @@
     Target(TargetName),
 }
 
-impl HolderQuestion {
+impl HolderRequest {
     pub(super) fn into_event(self, key: CallKey, reply: ReplyTo) -> ZoneEvent {
         match self {
             Self::Place(ask) => ZoneEvent::Place(key, ask, reply),
--- a/crates/daemon/src/direct/intake.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -3,7 +3,7 @@
 use crate::{
     clock,
     direct::{
-        fleet::{FleetBooks, FleetState},
+        fleet::{FleetState, FleetTables},
         folding::{
             FoldedRecord, fold_fleet_record, fold_operator_record, fold_target_record,
             is_newer_by_itself,
@@ -39,30 +39,30 @@
     /// A read or listing of the target list was answered, or failed.
     pub fn note_list_call(&self, is_answered: bool) {
         let now = clock::now();
-        let mut books = self.books();
+        let mut tables = self.tables();
         if is_answered {
-            books.contact.answered(now);
+            tables.contact.answered(now);
         } else {
-            books.contact.failed(now);
+            tables.contact.failed(now);
         }
-        books.note_return();
+        tables.note_return();
     }
 
     /// Folds a listing of the newest record of each key.
-    pub fn take_listing(&self, topic: FeedTopic, listing: &ReadBatch) {
+    pub fn apply_listing(&self, topic: FeedTopic, listing: &ReadBatch) {
         let now = clock::now();
-        if self.knows_whole(topic) && listing.end < self.known_end(topic) {
+        if self.is_topic_known(topic) && listing.end < self.known_end(topic) {
             // It may hold what was removed since, and whose removal is not kept.
             return;
         }
         self.fold(topic, &listing.records, RecordSource::Listed, now);
         if topic == FeedTopic::Targets {
             let listed = listing.records.iter().map(|record| record.key.as_str());
-            let mut books = self.books();
-            let gone = books
+            let mut tables = self.tables();
+            let gone = tables
                 .catalog
                 .remove_unlisted(&listed.collect(), listing.end, now);
-            self.pass_removals(&mut books, gone, "not listed any more");
+            self.pass_removals(&mut tables, gone, "not listed any more");
         }
         let span = TopicSpan {
             topic,
@@ -72,7 +72,7 @@
         self.note_whole(span, RecordSource::Listed);
         self.note_end(topic, listing.end);
         if topic == FeedTopic::Fleet {
-            self.books().listed_in = Some(listing.end.era());
+            self.tables().listed_era = Some(listing.end.era());
         }
         self.signal();
     }
@@ -81,22 +81,26 @@
     pub(super) fn note_whole(&self, span: TopicSpan, source: RecordSource) {
         let TopicSpan { topic, since, end } = span;
         let whole = {
-            let mut books = self.books();
-            if !books.ends.contains_key(&topic) {
+            let mut tables = self.tables();
+            if !tables.known_ends.contains_key(&topic) {
                 event!(
                     Event::TopicKnown,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
-                    books.records.bytes(topic),
+                    tables.records.bytes(topic),
                     self.age()
                 );
             }
-            if books.ends.get(&topic).is_none_or(|known| *known < since) {
-                books.since.insert(topic, since);
+            if tables
+                .known_ends
+                .get(&topic)
+                .is_none_or(|known| *known < since)
+            {
+                tables.known_since.insert(topic, since);
             }
-            books.ends.entry(topic).or_insert(end);
-            books.advance(topic, end);
-            books.share_retries();
-            books.ends.len()
+            tables.known_ends.entry(topic).or_insert(end);
+            tables.advance(topic, end);
+            tables.share_retries();
+            tables.known_ends.len()
         };
         self.whole.send_if_modified(|known| {
             let is_more = *known != whole;
@@ -106,11 +110,11 @@
     }
 
     /// Folds the records of a read that began at `from`, in the order of their positions.
-    pub fn take_records(&self, topic: FeedTopic, from: LogPosition, batch: &ReadBatch) {
+    pub fn apply_records(&self, topic: FeedTopic, from: LogPosition, batch: &ReadBatch) {
         let has_news = self.fold(topic, &batch.records, RecordSource::Read, clock::now());
         self.note_end(topic, batch.end);
         if from <= self.known_end(topic) {
-            self.books().advance(topic, batch.next);
+            self.tables().advance(topic, batch.next);
         }
         if has_news {
             self.signal();
@@ -120,8 +124,8 @@
     /// The fleet's topic was read up to a position.
     pub(super) fn note_end(&self, topic: FeedTopic, end: LogPosition) {
         if topic == FeedTopic::Fleet {
-            let mut books = self.books();
-            books.fleet_end = books.fleet_end.max(Some(end));
+            let mut tables = self.tables();
+            tables.fleet_end = tables.fleet_end.max(Some(end));
         }
     }
 
@@ -134,26 +138,26 @@
         now: Instant,
     ) -> bool {
         let mut has_news = false;
-        let mut books = self.books();
+        let mut tables = self.tables();
         // What a VM takes in before it knows a topic, every VM lists or is told as well.
         let is_own = matches!(source, RecordSource::Listed | RecordSource::Asked);
-        let is_first = is_own && !books.ends.contains_key(&topic);
+        let is_first = is_own && !tables.known_ends.contains_key(&topic);
         for record in records {
-            let is_newer = books.records.is_newer(topic, &record.key, record.position);
+            let is_newer = tables.records.is_newer(topic, &record.key, record.position);
             // It may be newer by an order of its own than what came behind it.
-            if !is_newer && !is_newer_by_itself(&books, topic, record) {
+            if !is_newer && !is_newer_by_itself(&tables, topic, record) {
                 continue;
             }
             let folded = match topic {
                 FeedTopic::Operators => {
                     let is_written = source == RecordSource::Read && record.key == CONFIG_KEY;
-                    if is_written && Some(record.position.era()) == books.store_era {
-                        books.copy_doubt.note_written(now);
+                    if is_written && Some(record.position.era()) == tables.store_era {
+                        tables.copy_doubt.note_written(now);
                     }
-                    fold_operator_record(&mut books, record)
+                    fold_operator_record(&mut tables, record)
                 }
-                FeedTopic::Targets => fold_target_record(&mut books, record, source, now),
-                FeedTopic::Fleet => fold_fleet_record(&mut books, record, self.rewrites, now),
+                FeedTopic::Targets => fold_target_record(&mut tables, record, source, now),
+                FeedTopic::Fleet => fold_fleet_record(&mut tables, record, self.rewrites, now),
             };
             // A removal in doubt is kept, and passed on, when it counts; what is older by an order of its own is not kept at
             // all, so that whoever is told everything is told of the newer one.
@@ -168,18 +172,18 @@
                 .as_ref()
                 .filter(|_| folded != FoldedRecord::Unusable);
             let key = &record.key;
-            books
+            tables
                 .records
                 .keep(topic, key, record.position, value, is_news);
             has_news |= is_news;
         }
-        self.announce(&books);
+        self.announce(&tables);
         has_news
     }
 
     /// Tells the links how far the news goes.
-    pub(super) fn announce(&self, books: &FleetBooks) {
-        let head = books.records.head() + books.leaving.head();
+    pub(super) fn announce(&self, tables: &FleetTables) {
+        let head = tables.records.head() + tables.leaving.head();
         self.news.send_if_modified(|known| {
             let is_more = *known != head;
             *known = head;
@@ -188,27 +192,27 @@
     }
 
     /// Keeps removals that count now as news for others.
-    fn pass_removals(&self, books: &mut FleetBooks, gone: Vec<CountedRemoval>, why: &str) {
+    fn pass_removals(&self, tables: &mut FleetTables, gone: Vec<CountedRemoval>, why: &str) {
         for (name, position) in gone {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
-            books
+            tables
                 .records
                 .keep(topic, name.as_str(), position, None, true);
         }
-        self.announce(books);
+        self.announce(tables);
     }
 
     /// Removes targets whose removal is no longer in doubt.
     pub fn expire(&self) {
-        let mut books = self.books();
-        let FleetBooks {
+        let mut tables = self.tables();
+        let FleetTables {
             catalog,
             limits,
             leaving,
             rests,
             ..
-        } = &mut *books;
+        } = &mut *tables;
         limits.retain(|run| catalog.get(&run.name).is_some());
         leaving.retain(|run| catalog.get(&run.name).is_some());
         rests.retain(|run| catalog.get(&run.name).is_some());
@@ -216,8 +220,8 @@
         if gone.is_empty() {
             return;
         }
-        self.pass_removals(&mut books, gone, "doubt over");
-        drop(books);
+        self.pass_removals(&mut tables, gone, "doubt over");
+        drop(tables);
         self.signal();
     }
 }
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/ledger.rs
@@ -71,8 +71,8 @@
 
     /// Takes over what the books say of quotas and targets.
     pub fn refresh(&mut self, fleet: &FleetState, now: Instant) {
-        let books = fleet.books();
-        if let Some(active) = &books.active
+        let tables = fleet.tables();
+        if let Some(active) = &tables.active
             && self.declared != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
@@ -80,7 +80,7 @@
             self.declared = Some(active.config.version);
         }
         self.plain
-            .retain(|run| books.catalog.get(&run.name).is_some());
+            .retain(|run| tables.catalog.get(&run.name).is_some());
     }
 
     /// Until then it is known that no other VM was the zone's holder.
@@ -125,7 +125,7 @@
         ask: &PlainAsk,
         now: Instant,
     ) -> PlacementAnswer {
-        let suspicion = fleet.books().suspects.suspicion(ask.fingerprint, now);
+        let suspicion = fleet.tables().suspects.suspicion(ask.fingerprint, now);
         if !ask.is_trial && suspicion != Suspicion::Clear {
             return PlacementAnswer::Refuse {
                 retry_after_ms: 0,
@@ -136,8 +136,8 @@
             return refusal;
         }
         let targets: Vec<_> = {
-            let books = fleet.books();
-            books.catalog.ready(&ask.service).cloned().collect()
+            let tables = fleet.tables();
+            tables.catalog.ready(&ask.service).cloned().collect()
         };
         let answer = self.plain.place(key, ask, &targets, now);
         if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
@@ -161,9 +161,9 @@
         key: CallKey,
         now: Instant,
     ) -> TrialAnswer {
-        let mut books = fleet.books();
-        books.suspects.note_return(fingerprint, now);
-        self.trials.ask(&books.suspects, fingerprint, key, now)
+        let mut tables = fleet.tables();
+        tables.suspects.note_return(fingerprint, now);
+        self.trials.ask(&tables.suspects, fingerprint, key, now)
     }
 
     /// A trial ended.
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -54,7 +54,7 @@
 
 /// How the contact with a VM stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkContact {
+pub enum LinkStatus {
     /// Being dialled.
     Dialling,
     /// Up.
@@ -70,7 +70,7 @@
 
 #[derive(Debug)]
 struct LinkState {
-    contact: LinkContact,
+    contact: LinkStatus,
     /// When the VM was last heard.
     heard: Instant,
     waiting: HashMap<u64, oneshot::Sender<PlaceReply>>,
@@ -102,7 +102,7 @@
         let heard = earlier.map_or_else(clock::now, Self::heard);
         let (outbound, receiver) = mpsc::channel(OUTBOUND);
         let state = Arc::new(Mutex::new(LinkState {
-            contact: LinkContact::Dialling,
+            contact: LinkStatus::Dialling,
             heard,
             waiting: HashMap::new(),
         }));
@@ -140,7 +140,7 @@
     /// # Panics
     /// If a holder of the lock panicked.
     #[must_use]
-    pub fn contact(&self) -> LinkContact {
+    pub fn contact(&self) -> LinkStatus {
         self.state
             .lock()
             .expect("no holder of the lock panics")
@@ -164,7 +164,7 @@
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self.state.lock().expect("no holder of the lock panics");
-            if matches!(state.contact, LinkContact::Ended { .. }) {
+            if matches!(state.contact, LinkStatus::Ended { .. }) {
                 return None;
             }
             state.waiting.insert(number, sender);
@@ -196,7 +196,7 @@
             Ok(Ok(mut socket)) => {
                 event!(Event::LinkUp, "{}", self.vm);
                 self.note_heard(clock::now());
-                self.set_contact(LinkContact::Up);
+                self.set_contact(LinkStatus::Up);
                 for message in first {
                     if send(&mut socket, &message).await.is_err() {
                         break;
@@ -209,7 +209,7 @@
             Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
             Err(_) => false,
         };
-        self.set_contact(LinkContact::Ended {
+        self.set_contact(LinkStatus::Ended {
             is_process_gone,
             at: clock::now(),
         });
@@ -228,7 +228,7 @@
             .heard = heard;
     }
 
-    fn set_contact(&self, contact: LinkContact) {
+    fn set_contact(&self, contact: LinkStatus) {
         self.state
             .lock()
             .expect("no holder of the lock panics")
@@ -268,11 +268,11 @@
     /// Passes messages until the link breaks.
     async fn pass(&self, mut socket: Socket, outbound: &mut mpsc::Receiver<VmMessage>) {
         let mut heard = clock::now();
-        let mut beat = interval(BEAT);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut heartbeat = interval(BEAT);
+        heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let is_same_zone = self.zone == self.fleet.zone;
         let mut sharing = RecordSharing::new(&self.fleet, is_same_zone);
-        if let Some(question) = sharing.first_question()
+        if let Some(question) = sharing.initial_request()
             && send(&mut socket, &question).await.is_err()
         {
             return;
@@ -309,9 +309,9 @@
                     }
                     Ok(None) | Err(_) => return,
                 },
-                _ = beat.tick() => {
+                _ = heartbeat.tick() => {
                     if clock::now().since(heard) > SILENCE
-                        || send(&mut socket, &sharing.beat()).await.is_err()
+                        || send(&mut socket, &sharing.heartbeat()).await.is_err()
                     {
                         return;
                     }
@@ -406,8 +406,8 @@
     fleet.note_successor(&vm, is_same_zone);
     let (outbound, mut replies) = mpsc::channel(OUTBOUND);
     let mut heard = clock::now();
-    let mut beat = interval(BEAT);
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut heartbeat = interval(BEAT);
+    heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let ended = loop {
         tokio::select! {
             message = sharing.next() => {
@@ -438,11 +438,11 @@
                 Ok(None) => break Ok(()),
                 Err(error) => break Err(error),
             },
-            _ = beat.tick() => {
+            _ = heartbeat.tick() => {
                 if clock::now().since(heard) > SILENCE {
                     break Err(io::ErrorKind::TimedOut.into());
                 }
-                if let Err(error) = send(&mut socket, &sharing.beat()).await {
+                if let Err(error) = send(&mut socket, &sharing.heartbeat()).await {
                     break Err(error);
                 }
             }
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -22,7 +22,7 @@
 
 /// How a call ended at a target, for the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallEnding {
+pub struct CompletedCall {
     /// The gateway's number of the call.
     pub number: u64,
     /// The target that it was sent to.
@@ -70,7 +70,7 @@
 
 /// A record of the platform's log that one VM passes on to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedRecord {
+pub struct ForwardedRecord {
     /// Its topic.
     pub topic: FeedTopic,
     /// Its key.
@@ -166,7 +166,7 @@
     /// if the answer tells it.
     Begun(u64, TargetName, Option<u64>),
     /// A call ended.
-    Ended(CallEnding),
+    Ended(CompletedCall),
     /// The gateway no longer wants a placement.
     Withdrawn(u64),
     /// Pay a call's charge out of the receiver's part of its organisation's quota.
@@ -194,15 +194,15 @@
     /// Tell the record of a target: the sender does not know the target list yet.
     TargetWanted(u64, TargetName),
     /// The record of a target that is known.
-    TargetTold(u64, Option<PassedRecord>),
+    TargetTold(u64, Option<ForwardedRecord>),
     /// Records that may be news.
-    Records(Vec<PassedRecord>),
+    Records(Vec<ForwardedRecord>),
     /// Targets that said in their answers that they leave.
     Leaving(Vec<TargetRun>),
     /// The records that were asked for.
     Answer {
         /// Every record of the topics from the wanted positions on.
-        records: Vec<PassedRecord>,
+        records: Vec<ForwardedRecord>,
         /// Of the wanted topics those of which the sender knows every key, and so the receiver does now.
         spans: Vec<TopicSpan>,
     },
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -30,7 +30,6 @@
 //! | [`claims`] | claims of a zone's lease |
 
 pub mod access;
-mod asking;
 pub mod call;
 pub mod claims;
 pub mod cutter;
@@ -44,14 +43,15 @@
 pub mod fleet;
 pub mod folding;
 pub mod front;
-pub mod intake;
+mod holder_requests;
+pub mod ingest;
 pub mod ledger;
 pub mod links;
 pub mod listing;
 pub mod message;
 pub mod notices;
-pub mod questions;
-pub mod reach;
+pub mod probes;
+pub mod reachability;
 pub mod recorder;
 pub mod records;
 pub mod reload;
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -62,7 +62,7 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.faults {
-            if let Some(untold) = self.books().unread.note(now) {
+            if let Some(untold) = self.tables().unreadable_headers.note(now) {
                 event!(
                     Event::NoticeUnreadable,
                     "{}: {fault}; {untold} more before it",
@@ -75,7 +75,7 @@
             self.take_leaving(slice::from_ref(run), "by its own answer");
         }
         if let Some(rest) = notice.rest {
-            let kept = self.books().rests.note(run, rest, now);
+            let kept = self.tables().rests.note(run, rest, now);
             event!(
                 Event::RestAsked,
                 "{} for {rest:?}, kept for {kept:?}",
@@ -89,24 +89,24 @@
     #[must_use]
     pub fn is_resting(&self, run: &TargetRun) -> bool {
         let now = clock::now();
-        self.books().rests.remaining(run, now).is_some()
+        self.tables().rests.remaining(run, now).is_some()
     }
 
     /// Takes in that targets said that they leave.
     pub fn take_leaving(&self, runs: &[TargetRun], source: &str) {
-        let mut books = self.books();
-        let head = books.leaving.head();
+        let mut tables = self.tables();
+        let head = tables.leaving.head();
         for run in runs {
-            if books.catalog.note_leaving(run) {
+            if tables.catalog.note_leaving(run) {
                 event!(Event::TargetLeaving, "{}, {source}", run.name);
-                books.leaving.push(run.clone());
+                tables.leaving.push(run.clone());
             }
         }
-        if books.leaving.head() == head {
+        if tables.leaving.head() == head {
             return;
         }
-        self.announce(&books);
-        drop(books);
+        self.announce(&tables);
+        drop(tables);
         self.signal();
     }
 }
--- a/crates/daemon/src/direct/questions.rs
+++ b/crates/daemon/src/direct/probes.rs
@@ -19,7 +19,7 @@
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Answers questions by their path until the process ends.
-pub async fn accept_questions(
+pub async fn serve_probes(
     listener: TcpListener,
     answer: impl Fn(&str) -> Response<AnswerBody> + Clone + Send + Sync + 'static,
 ) {
@@ -45,7 +45,7 @@
 
 /// The answer to the balancer.
 #[must_use]
-pub fn answer_ready(path: &str, is_up: bool) -> Response<AnswerBody> {
+pub fn readiness_response(path: &str, is_up: bool) -> Response<AnswerBody> {
     match (path, is_up) {
         (READY_PATH, true) => Response::new(full(Bytes::from_static(b"ready"))),
         (READY_PATH, false) => own_answer("", StatusCode::SERVICE_UNAVAILABLE, None),
@@ -58,7 +58,7 @@
 /// # Panics
 /// Never: the content type is a header value.
 #[must_use]
-pub fn answer_metrics(path: &str, page: impl FnOnce() -> String) -> Response<AnswerBody> {
+pub fn metrics_response(path: &str, page: impl FnOnce() -> String) -> Response<AnswerBody> {
     if path != METRICS_PATH {
         return own_answer("", StatusCode::NOT_FOUND, None);
     }
--- a/crates/daemon/src/direct/reach.rs
+++ b/crates/daemon/src/direct/reachability.rs
@@ -6,14 +6,14 @@
 
 /// Whether the log is in reach.
 #[derive(Clone, Debug)]
-pub struct StoreReach {
+pub struct StoreReachability {
     /// Counted up at each return.
     returns: watch::Sender<u64>,
     /// The topic whose worker tries while the log is out of reach.
     prober: Arc<Mutex<Option<FeedTopic>>>,
 }
 
-impl StoreReach {
+impl StoreReachability {
     /// A log that was never out of reach.
     #[must_use]
     pub fn new() -> Self {
@@ -60,7 +60,7 @@
     }
 }
 
-impl Default for StoreReach {
+impl Default for StoreReachability {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     direct::{
-        fleet::{ERA_KEY, FleetBooks, FleetState, VmRecord, vm_key},
+        fleet::{ERA_KEY, FleetState, FleetTables, VmRecord, vm_key},
         message::FeedTopic,
         settings::DirectSettings,
         suspect_records::{keeps_record, suspect_of},
@@ -89,25 +89,25 @@
             return Err(StoreError::OtherEra(position.era()));
         }
         self.fleet
-            .take_own(key.to_owned(), value.to_vec(), position);
+            .apply_own_record(key.to_owned(), value.to_vec(), position);
         Ok(())
     }
 
     /// A record that the log lacks and this VM has to write, and its value.
     fn next_missing(&mut self) -> Option<(String, Bytes)> {
         let fleet = Arc::clone(&self.fleet);
-        let books = fleet.books();
-        if !books.ends.contains_key(&FeedTopic::Fleet) {
+        let tables = fleet.tables();
+        if !tables.known_ends.contains_key(&FeedTopic::Fleet) {
             return None;
         }
-        if self.lacks_own(&books) {
+        if self.lacks_own(&tables) {
             let value = serde_json::to_vec(&self.own_record()).expect("a record has a JSON form");
             return Some((vm_key(&fleet.vm), value.into()));
         }
-        let state = books.leases.get(&fleet.zone);
+        let state = tables.leases.get(&fleet.zone);
         let is_holder = state.is_some_and(|state| state.holder() == Some(&fleet.vm));
-        if let Some(record) = books.missing_era_record()
-            && (is_holder || books.rank(&fleet) == 0)
+        if let Some(record) = tables.missing_era_record()
+            && (is_holder || tables.rank(&fleet) == 0)
         {
             let value = serde_json::to_vec(&record).expect("a record has a JSON form");
             return Some((ERA_KEY.to_owned(), value.into()));
@@ -115,18 +115,18 @@
         if !is_holder {
             return None;
         }
-        self.due_suspect(&books)
-            .or_else(|| self.lost_suspect(&books))
+        self.due_suspect(&tables)
+            .or_else(|| self.lost_suspect(&tables))
     }
 
     /// A record of a suspect that differs from what is known, and its value. All of them are looked at, so that is done
     /// now and then.
-    fn due_suspect(&mut self, books: &FleetBooks) -> Option<(String, Bytes)> {
+    fn due_suspect(&mut self, tables: &FleetTables) -> Option<(String, Bytes)> {
         let now = Instant::now();
         if now < self.suspects_at {
             return None;
         }
-        let due = books.due_suspect(&self.fleet.zone, &self.settings.zones);
+        let due = tables.due_suspect(&self.fleet.zone, &self.settings.zones);
         if due.is_none() {
             self.suspects_at = now + LOOK_EVERY;
         }
@@ -134,29 +134,29 @@
     }
 
     /// A record of a suspect that a copy of the log lacks, and its value.
-    fn lost_suspect(&self, books: &FleetBooks) -> Option<(String, Bytes)> {
-        let era = books
-            .listed_in
-            .filter(|era| Some(*era) == books.store_era)?;
-        let mut lost = books.records.before_era(FeedTopic::Fleet, era);
+    fn lost_suspect(&self, tables: &FleetTables) -> Option<(String, Bytes)> {
+        let era = tables
+            .listed_era
+            .filter(|era| Some(*era) == tables.store_era)?;
+        let mut lost = tables.records.before_era(FeedTopic::Fleet, era);
         lost.find(|(key, _)| self.is_ours(key))
             .map(|(key, value)| (key.to_owned(), value.clone()))
     }
 
     /// Whether the log lacks this VM's record, or may lack it for so long that it is written once more.
-    fn lacks_own(&mut self, books: &FleetBooks) -> bool {
-        if books.vms.get(&self.fleet.vm) != Some(&self.own_record()) {
+    fn lacks_own(&mut self, tables: &FleetTables) -> bool {
+        if tables.vms.get(&self.fleet.vm) != Some(&self.own_record()) {
             return true;
         }
         let key = vm_key(&self.fleet.vm);
-        let recorded = books.records.position(FeedTopic::Fleet, &key);
-        let Some(era) = books.store_era else {
+        let recorded = tables.records.position(FeedTopic::Fleet, &key);
+        let Some(era) = tables.store_era else {
             return false;
         };
         if recorded.is_none_or(|position| position.era() >= era) {
             return false;
         }
-        if books.listed_in == Some(era) {
+        if tables.listed_era == Some(era) {
             return true;
         }
         let now = Instant::now();
--- a/crates/daemon/src/direct/records.rs
+++ b/crates/daemon/src/direct/records.rs
@@ -6,7 +6,7 @@
 //! News has an order of its own, and each link keeps its place in it. A link that lags finds the newest record of each
 //! key when it goes on, so nothing is dropped and nothing is queued for it.
 
-use crate::direct::message::{FeedTopic, PassedRecord};
+use crate::direct::message::{FeedTopic, ForwardedRecord};
 use bytes::Bytes;
 use hoplanding_core::ids::{LogPosition, StoreEra};
 use std::{collections::BTreeMap, mem};
@@ -66,7 +66,7 @@
 
     /// The record that is kept of a key, to be passed on; none where it has no value.
     #[must_use]
-    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<PassedRecord> {
+    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<ForwardedRecord> {
         let key = (topic, key.to_owned());
         let kept = self.records.get(&key)?;
         kept.value.is_some().then(|| passed(&key, kept))
@@ -120,7 +120,7 @@
 
     /// News from a place on, as much as goes into one message, and the place behind it.
     #[must_use]
-    pub fn news_from(&self, place: u64) -> (Vec<PassedRecord>, u64) {
+    pub fn news_from(&self, place: u64) -> (Vec<ForwardedRecord>, u64) {
         let mut load = MessageLoad::default();
         for (place, key) in self.news.range(place..) {
             if load.is_full() {
@@ -171,7 +171,7 @@
 
     /// Records of a topic from a position on, and those of earlier eras, which the log may lack since.
     #[must_use]
-    pub fn since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
+    pub fn since(&self, topic: FeedTopic, from: LogPosition) -> Vec<ForwardedRecord> {
         self.records
             .iter()
             .filter(|((kept, _), record)| {
@@ -185,7 +185,7 @@
 /// Records that go into one message.
 #[derive(Debug, Default)]
 struct MessageLoad {
-    records: Vec<PassedRecord>,
+    records: Vec<ForwardedRecord>,
     bytes: usize,
 }
 
@@ -194,7 +194,7 @@
         self.records.len() == MESSAGE_RECORDS || self.bytes >= MESSAGE_BYTES
     }
 
-    fn add(&mut self, record: PassedRecord) {
+    fn add(&mut self, record: ForwardedRecord) {
         self.bytes += record.value.as_ref().map_or(0, Bytes::len);
         self.records.push(record);
     }
@@ -202,7 +202,7 @@
 
 /// Records in loads of one message each.
 #[must_use]
-pub fn in_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
+pub fn in_messages(records: Vec<ForwardedRecord>) -> Vec<Vec<ForwardedRecord>> {
     let mut loads = Vec::new();
     let mut load = MessageLoad::default();
     for record in records {
@@ -215,8 +215,8 @@
     loads
 }
 
-fn passed((topic, key): &RecordKey, kept: &KeptRecord) -> PassedRecord {
-    PassedRecord {
+fn passed((topic, key): &RecordKey, kept: &KeptRecord) -> ForwardedRecord {
+    ForwardedRecord {
         topic: *topic,
         key: key.clone(),
         value: kept.value.clone(),
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -79,9 +79,9 @@
     /// Takes over what can change in a running process.
     pub fn take_over(&self, settings: &DirectSettings) {
         {
-            let mut books = self.fleet().books();
-            books.retries.set_rule(settings.retries);
-            books.policy = settings.policy;
+            let mut tables = self.fleet().tables();
+            tables.retries.set_rule(settings.retries);
+            tables.policy = settings.policy;
         }
         // The line about the change is written whatever the level was and will be.
         set_level("info");
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -10,7 +10,7 @@
     direct::{
         figures::PassReason,
         fleet::FleetState,
-        message::{FeedTopic, PassedRecord, TopicEnd, VmMessage},
+        message::{FeedTopic, ForwardedRecord, TopicEnd, VmMessage},
         records::in_messages,
     },
 };
@@ -57,7 +57,7 @@
         Self {
             fleet: Arc::clone(fleet),
             is_same_zone,
-            place: fleet.books().records.head(),
+            place: fleet.tables().records.head(),
             leaving_place: 0,
             news: fleet.watch_news(),
             pulls: fleet.watch_pulls(),
@@ -114,13 +114,13 @@
         if self.asked_with? >= whole {
             return None;
         }
-        self.first_question()
+        self.initial_request()
     }
 
     /// The news since this link's place that is worth passing on, as much as goes into one message.
-    fn take_news(&mut self) -> Option<Vec<PassedRecord>> {
+    fn take_news(&mut self) -> Option<Vec<ForwardedRecord>> {
         while !self.is_drained() {
-            let (mut records, place) = self.fleet.books().records.news_from(self.place);
+            let (mut records, place) = self.fleet.tables().records.news_from(self.place);
             self.place = place;
             records.retain(|record| self.is_worth(record) && !self.is_heard(record));
             if !records.is_empty() {
@@ -132,21 +132,21 @@
 
     /// Targets that leave, as many as go into one message, of which the other side has not been told.
     fn take_leaving(&mut self) -> Option<Vec<TargetRun>> {
-        let (runs, place) = self.fleet.books().leaving.after(self.leaving_place);
+        let (runs, place) = self.fleet.tables().leaving.after(self.leaving_place);
         self.leaving_place = place;
         (!runs.is_empty()).then_some(runs)
     }
 
     fn is_drained(&self) -> bool {
-        self.place >= self.fleet.books().records.head()
+        self.place >= self.fleet.tables().records.head()
     }
 
     /// A sign of life, with how this VM's contact with the log stands. In the same zone it says up to where the other
     /// side knows everything, once all news is passed on.
-    pub fn beat(&self) -> VmMessage {
+    pub fn heartbeat(&self) -> VmMessage {
         let is_whole = self.is_same_zone && self.is_drained() && self.replies.is_empty();
         let now = clock::now();
-        let proof = self.fleet.books().passed_proof(now);
+        let proof = self.fleet.tables().passed_proof(now);
         VmMessage::Beat {
             contact: self.fleet.log_report(),
             ends: if is_whole {
@@ -172,7 +172,7 @@
 
     /// The question of the side that dialled: what was recorded since this VM last read, and before the other side began to
     /// pass its news on here.
-    pub fn first_question(&mut self) -> Option<VmMessage> {
+    pub fn initial_request(&mut self) -> Option<VmMessage> {
         if !self.is_same_zone {
             return None;
         }
@@ -184,7 +184,7 @@
     }
 
     /// Within a zone everything is passed on; between zones bytes have a price, so only what is small and urgent.
-    fn is_worth(&self, record: &PassedRecord) -> bool {
+    fn is_worth(&self, record: &ForwardedRecord) -> bool {
         self.is_same_zone
             || match record.topic {
                 FeedTopic::Targets => self.fleet.is_leaving(&record.key),
@@ -196,13 +196,13 @@
     }
 
     /// Whether the other side told of a record itself.
-    fn is_heard(&self, record: &PassedRecord) -> bool {
+    fn is_heard(&self, record: &ForwardedRecord) -> bool {
         let key = (record.topic, record.key.clone());
         self.heard.get(&key) == Some(&record.position)
     }
 
     /// Notes records that the other side tells of.
-    fn note_heard(&mut self, records: &[PassedRecord]) {
+    fn note_heard(&mut self, records: &[ForwardedRecord]) {
         if self.is_drained() {
             self.heard.clear();
         }
@@ -224,7 +224,7 @@
             self.fleet.note_asked();
         }
         for (topic, position) in from {
-            if self.fleet.knows_whole(*topic) {
+            if self.fleet.is_topic_known(*topic) {
                 self.open.remove(topic);
             } else {
                 self.open.insert(*topic, *position);
@@ -237,7 +237,7 @@
     fn answer_open(&mut self) {
         let open = self.open.iter().map(|(topic, from)| (*topic, *from));
         let due: Vec<TopicEnd> = open
-            .filter(|(topic, _)| self.fleet.knows_whole(*topic))
+            .filter(|(topic, _)| self.fleet.is_topic_known(*topic))
             .collect();
         self.open
             .retain(|topic, _| due.iter().all(|(answered, _)| answered != topic));
@@ -262,7 +262,7 @@
         match message {
             VmMessage::Records(records) => {
                 self.note_heard(&records);
-                self.fleet.take_passed(records);
+                self.fleet.apply_forwarded(records);
             }
             VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "by another VM's word"),
             VmMessage::Answer { records, spans } => {
--- a/crates/daemon/src/direct/skipped.rs
+++ b/crates/daemon/src/direct/skipped.rs
@@ -12,14 +12,14 @@
 
 /// Entries that could not be used.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SkippedEntries {
+pub struct EntryLogLimiter {
     total: u64,
     began: Instant,
     told: u32,
     untold: u64,
 }
 
-impl SkippedEntries {
+impl EntryLogLimiter {
     /// Counts an entry; gives how many were passed over in silence since the last line if this one may be told.
     pub fn note(&mut self, now: Instant) -> Option<u64> {
         self.total += 1;
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -10,7 +10,7 @@
 use crate::{
     clock,
     direct::{
-        fleet::{FleetBooks, FleetState, SUSPECT_KEY, suspect_key},
+        fleet::{FleetState, FleetTables, SUSPECT_KEY_PREFIX, suspect_key},
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -111,7 +111,7 @@
 /// The request that a key of the fleet's topic is about; none if it is about none.
 #[must_use]
 pub fn suspect_of(key: &str) -> Option<RequestFingerprint> {
-    let text = key.strip_prefix(SUSPECT_KEY)?;
+    let text = key.strip_prefix(SUSPECT_KEY_PREFIX)?;
     let number = u64::from_str_radix(text, 16).ok()?;
     Some(RequestFingerprint(number))
 }
@@ -126,7 +126,7 @@
     trial_zones(fingerprint, zones).first() == Some(zone)
 }
 
-impl FleetBooks {
+impl FleetTables {
     /// The value that the record of a request should have, if the log has another; an empty one drops the record.
     fn due_record(&self, fingerprint: RequestFingerprint) -> Option<Bytes> {
         let now = clock::now();
@@ -159,7 +159,9 @@
         zones: &[AvailabilityZone],
     ) -> Option<(String, Bytes)> {
         let now = clock::now();
-        let recorded = self.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
+        let recorded = self
+            .records
+            .keys_with_value(FeedTopic::Fleet, SUSPECT_KEY_PREFIX);
         let recorded = recorded.filter_map(suspect_of);
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
@@ -280,10 +282,10 @@
     async fn write(&mut self) -> Result<(), StoreError> {
         let written: Vec<_> = self.due.iter().take(APPEND_RECORDS).copied().collect();
         let records: Vec<_> = {
-            let books = self.fleet.books();
+            let tables = self.fleet.tables();
             let due = written.iter();
             due.filter_map(|fingerprint| {
-                let value = books.due_record(*fingerprint)?;
+                let value = tables.due_record(*fingerprint)?;
                 Some((suspect_key(*fingerprint), value))
             })
             .collect()
@@ -312,7 +314,7 @@
         }
         for (place, (key, value)) in (0..).zip(records) {
             let position = first.plus(place);
-            self.fleet.take_own(key, value.to_vec(), position);
+            self.fleet.apply_own_record(key, value.to_vec(), position);
         }
         Ok(())
     }
@@ -320,17 +322,17 @@
 
 /// Folds the record of a suspect, or the end of its suspicion.
 pub(super) fn fold_suspect(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     fingerprint: RequestFingerprint,
     value: Option<&[u8]>,
     now: Instant,
 ) -> serde_json::Result<()> {
     let Some(value) = value else {
         let key = suspect_key(fingerprint);
-        let dropped = books.records.value(FeedTopic::Fleet, &key);
+        let dropped = tables.records.value(FeedTopic::Fleet, &key);
         if let Some(Ok(record)) = dropped.map(SuspectRecord::decode) {
             // An end that came meanwhile still counts.
-            books.suspects.pardon_ends(fingerprint, &record.ended);
+            tables.suspects.pardon_ends(fingerprint, &record.ended);
         }
         return Ok(());
     };
@@ -338,7 +340,7 @@
     let until = record.until();
     for run in record.ended {
         let ended = EndedUnder { fingerprint, run };
-        books.suspects.note_until(&ended, until, now);
+        tables.suspects.note_until(&ended, until, now);
     }
     Ok(())
 }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -64,11 +64,11 @@
     /// Notes that a target ended under a request; says whether that is news.
     pub fn note_ended_under(&self, ended: &EndedUnder) -> bool {
         let now = clock::now();
-        let mut books = self.books();
-        if !books.suspects.note_ended(ended, now) {
+        let mut tables = self.tables();
+        if !tables.suspects.note_ended(ended, now) {
             return false;
         }
-        let (suspected, quarantined) = books.suspects.counts(now);
+        let (suspected, quarantined) = tables.suspects.counts(now);
         event!(
             Event::RequestSuspected,
             "{:016x}: {} ended under it, {suspected} suspected, {quarantined} quarantined",
@@ -80,7 +80,7 @@
 
     /// Notes that a trial of a request was answered well.
     pub fn pardon(&self, fingerprint: RequestFingerprint) {
-        if self.books().suspects.pardon(fingerprint) {
+        if self.tables().suspects.pardon(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
         }
     }
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -9,7 +9,7 @@
         engine_calls::{give_order, read_report},
         fleet::FleetState,
         ledger::{LeaseOrigin, ZoneLedger},
-        message::{CallEnd, CallEnding, PassedRecord, VmMessage},
+        message::{CallEnd, CompletedCall, ForwardedRecord, VmMessage},
         sender::ConnectionPool,
         settings::DirectSettings,
     },
@@ -56,7 +56,7 @@
     /// Whether a trial is granted.
     Trial(TrialAnswer),
     /// The record of a target that is known.
-    Target(Option<PassedRecord>),
+    Target(Option<ForwardedRecord>),
     /// The VM asked does not hold the zone.
     NotHolder,
 }
@@ -94,7 +94,7 @@
     /// The first event of a call came from this target, made by this version of the base model.
     Begun(CallKey, TargetName, Option<u64>),
     /// A call ended.
-    Ended(VmName, CallEnding),
+    Ended(VmName, CompletedCall),
     /// A placement is no longer wanted.
     Withdrawn(CallKey),
     /// A call was open before.
@@ -210,7 +210,7 @@
                         ledger.lead_until(led_until);
                     }
                     self.sync_suspects();
-                    let confirmed = self.fleet.books().confirmed;
+                    let confirmed = self.fleet.tables().confirmed_token;
                     if let Some(held) = &mut self.held {
                         if confirmed != Some(held.token) {
                             held.planner.hold_orders(clock::now().after(2 * TICK));
@@ -379,7 +379,7 @@
                 None
             }
             ZoneEvent::LimitNamed(named) => {
-                self.fleet.books().limits.note(&named, now);
+                self.fleet.tables().limits.note(&named, now);
                 ledger.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
                     held.planner.note_limit(&named, now);
@@ -424,17 +424,17 @@
         let Some(held) = &mut self.held else {
             return;
         };
-        let books = self.fleet.books();
-        let revision = books.suspects.revision();
+        let tables = self.fleet.tables();
+        let revision = tables.suspects.revision();
         if held.synced != Some(revision) {
             held.synced = Some(revision);
-            held.planner.set_suspects(books.suspects.clone());
+            held.planner.set_suspects(tables.suspects.clone());
         }
     }
 
     /// A successor gives no order for a turn after it has claimed the zone, unless this VM has given it up or ended.
     fn led_until(&self) -> Instant {
-        let read_at = self.fleet.books().fleet_read_at;
+        let read_at = self.fleet.tables().fleet_read_at;
         read_at.unwrap_or_default().after(self.settings.leases.turn)
     }
 
@@ -502,8 +502,8 @@
         let figures = &self.fleet.figures;
         if let Some(ledger) = &self.ledger {
             figures.tell_quotas(ledger.counts());
-            let books = self.fleet.books();
-            figures.tell_suspects(books.suspects.counts(clock::now()));
+            let tables = self.fleet.tables();
+            figures.tell_suspects(tables.suspects.counts(clock::now()));
         }
     }
 
@@ -511,8 +511,8 @@
     fn refresh(&mut self) {
         let now = clock::now();
         let led_until = self.led_until();
-        let books = self.fleet.books();
-        let lease = books.leases.get(&self.fleet.zone).filter(|state| {
+        let tables = self.fleet.tables();
+        let lease = tables.leases.get(&self.fleet.zone).filter(|state| {
             state.lease.as_ref().is_some_and(|lease| {
                 lease.vm.as_ref() == Some(&self.fleet.vm)
                     && lease.incarnation == self.fleet.incarnation
@@ -521,14 +521,14 @@
         let token = lease.map(LeaseState::token);
         let is_copied = lease.is_some_and(|state| state.is_copied);
         let renewed = lease.and_then(|state| state.renewed);
-        let had_holder = books
+        let had_holder = tables
             .leases
             .get(&self.fleet.zone)
             .is_some_and(|state| state.had_holder);
-        let quiet = books.claim_quiet;
-        let is_confirmed = token.is_some() && books.confirmed == token;
-        let policy = books.policy;
-        let service = books.active.as_ref().and_then(|active| {
+        let quiet = tables.claim_delay;
+        let is_confirmed = token.is_some() && tables.confirmed_token == token;
+        let policy = tables.policy;
+        let service = tables.active.as_ref().and_then(|active| {
             let service = active
                 .config
                 .services
@@ -536,13 +536,13 @@
                 .find(|service| service.engine.is_some())?;
             Some((service.name.clone(), service.engine.clone()?))
         });
-        let versions: Vec<_> = books
+        let versions: Vec<_> = tables
             .versions
             .iter()
             .map(|(subject, version)| (subject.clone(), *version))
             .collect();
-        let named_limits: Vec<_> = books.limits.told().collect();
-        drop(books);
+        let named_limits: Vec<_> = tables.limits.told().collect();
+        drop(tables);
         let held = self.ledger.as_ref().map(|ledger| ledger.token);
         // Nobody begins to hold a zone by a claim of an earlier history.
         let token = token.filter(|token| !is_copied || held == Some(*token));
--- a/crates/daemon/tests/direct/connections.rs
+++ b/crates/daemon/tests/direct/connections.rs
@@ -47,9 +47,9 @@
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
         wait_for("the bound and all VMs known", async || {
-            let books = daemon.fleet().books();
-            let version = books.active.as_ref().map(|active| active.config.version);
-            version == Some(2) && books.vms.len() == VMS
+            let tables = daemon.fleet().tables();
+            let version = tables.active.as_ref().map(|active| active.config.version);
+            version == Some(2) && tables.vms.len() == VMS
         })
         .await;
     }
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -177,7 +177,7 @@
         .collect();
     let daemon = site(&log, &targets).await;
     assert_eq!(log.listings("keyed.servers"), 1);
-    assert_eq!(daemon.fleet().books().catalog.iter().count(), 18);
+    assert_eq!(daemon.fleet().tables().catalog.iter().count(), 18);
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/direct/foreign.rs
+++ b/crates/daemon/tests/direct/foreign.rs
@@ -6,13 +6,13 @@
 use crate::support::{ask, entry, good, is_ready, post, site, wait_for};
 use hoplanding_core::ids::{Instant, TargetName};
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget};
-use hoplandingd::direct::{daemon::DirectDaemon, skipped::SkippedEntries};
+use hoplandingd::direct::{daemon::DirectDaemon, skipped::EntryLogLimiter};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
 fn is_listed(daemon: &DirectDaemon, name: &str) -> bool {
-    let books = daemon.fleet().books();
-    books.catalog.get(&TargetName::new(name)).is_some()
+    let tables = daemon.fleet().tables();
+    tables.catalog.get(&TargetName::new(name)).is_some()
 }
 
 async fn pass_by(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
@@ -131,14 +131,14 @@
     }
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
     assert!(is_ready(&daemon).await);
-    assert_eq!(daemon.fleet().books().skipped.total(), 40);
+    assert_eq!(daemon.fleet().tables().skipped_entries.total(), 40);
     let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
 #[test]
 fn a_flood_of_unusable_entries_is_counted_and_not_told_line_by_line() {
-    let mut skipped = SkippedEntries::default();
+    let mut skipped = EntryLogLimiter::default();
     let told: Vec<_> = (0..10_000)
         .filter_map(|number| skipped.note(Instant(5_000_000 + number * 100)))
         .collect();
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -18,7 +18,7 @@
 use hoplandingd::direct::{
     daemon::DirectDaemon,
     fleet::FleetState,
-    message::{FeedTopic, PassedRecord, VmMessage},
+    message::{FeedTopic, ForwardedRecord, VmMessage},
     sharing::RecordSharing,
 };
 use std::{sync::Arc, time::Duration};
@@ -85,7 +85,7 @@
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
         wait_for("all known", async || {
-            daemon.fleet().books().vms.len() == fleet.len()
+            daemon.fleet().tables().vms.len() == fleet.len()
         })
         .await;
     }
@@ -111,27 +111,27 @@
     let log = KeyedLog::start().await.expect("a log");
     let address = log.address();
     let fleet = Arc::new(FleetState::new(&settings("vm-1", &log), 1));
-    let record = |number: u64, state: &str, position: u64| PassedRecord {
+    let record = |number: u64, state: &str, position: u64| ForwardedRecord {
         topic: FeedTopic::Targets,
         key: format!("i-{number}"),
         value: Some(entry("ledger", address, state, &[]).into()),
         position: LogPosition(position),
     };
     let ready = (1..=600).map(|number| record(number, "ready", number));
-    fleet.take_passed(ready.collect());
+    fleet.apply_forwarded(ready.collect());
     let mut sharing = RecordSharing::new(&fleet, true);
     for number in 1..=600 {
-        fleet.take_passed(vec![record(number, "draining", 600 + number)]);
+        fleet.apply_forwarded(vec![record(number, "draining", 600 + number)]);
     }
     let other = FleetState::new(&settings("vm-2", &log), 2);
-    other.take_passed(
+    other.apply_forwarded(
         (1..=600)
             .map(|number| record(number, "ready", number))
             .collect(),
     );
     while let Some(message) = sharing.next().now_or_never() {
         if let VmMessage::Records(records) = message {
-            other.take_passed(records);
+            other.apply_forwarded(records);
         }
     }
     let kept: Vec<_> = (1..=600)
@@ -141,7 +141,7 @@
     assert!(kept.is_empty(), "{} targets kept as ready", kept.len());
     assert!(
         other
-            .books()
+            .tables()
             .catalog
             .get(&TargetName::new("i-600"))
             .is_some()
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -11,7 +11,7 @@
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget};
 use hoplandingd::direct::{
     daemon::DirectDaemon,
-    message::{FeedTopic, PassedRecord},
+    message::{FeedTopic, ForwardedRecord},
 };
 use std::net::SocketAddr;
 
@@ -24,8 +24,8 @@
 }
 
 fn stage(daemon: &DirectDaemon, name: &str) -> Option<TargetStage> {
-    let books = daemon.fleet().books();
-    let entry = books.catalog.get(&TargetName::new(name))?;
+    let tables = daemon.fleet().tables();
+    let entry = tables.catalog.get(&TargetName::new(name))?;
     Some(entry.stage)
 }
 
@@ -69,7 +69,7 @@
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
     let daemon = site(&log, &[("i-1", "ledger", address)]).await;
-    let record = |position: u64, text: String| PassedRecord {
+    let record = |position: u64, text: String| ForwardedRecord {
         topic: FeedTopic::Targets,
         key: "i-9".to_owned(),
         value: Some(text.into_bytes().into()),
@@ -78,9 +78,11 @@
     // Passed on by others: what was written last is of the life before.
     let late = record(1_012, born_entry(address, "draining", 1_000));
     let new = record(1_010, born_entry(address, "ready", 2_000));
-    daemon.fleet().take_passed(vec![late.clone(), new.clone()]);
+    daemon
+        .fleet()
+        .apply_forwarded(vec![late.clone(), new.clone()]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
-    daemon.fleet().take_passed(vec![late]);
+    daemon.fleet().apply_forwarded(vec![late]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
     // Whoever is told everything is told of the newer life.
     let told = daemon
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -46,9 +46,9 @@
         }
     }
 
-    fn beat(&mut self) {
-        let beat = self.sharing.beat();
-        self.sent.push_back(beat);
+    fn heartbeat(&mut self) {
+        let heartbeat = self.sharing.heartbeat();
+        self.sent.push_back(heartbeat);
     }
 
     /// Takes the oldest message of the other side; says whether there was one.
@@ -97,7 +97,7 @@
         let listing = world.batch(0);
         let hub = Arc::clone(&world.hub);
         for fleet in world.others.iter().chain([&hub]) {
-            fleet.take_listing(FeedTopic::Targets, &listing);
+            fleet.apply_listing(FeedTopic::Targets, &listing);
         }
         world.links = world
             .others
@@ -124,7 +124,7 @@
     fn read(&self, fleet: &FleetState) {
         let from = fleet.known_end(FeedTopic::Targets);
         fleet.note_list_call(true);
-        fleet.take_records(FeedTopic::Targets, from, &self.batch(from.0 as usize));
+        fleet.apply_records(FeedTopic::Targets, from, &self.batch(from.0 as usize));
     }
 
     fn list(&self, fleet: &FleetState) {
@@ -144,7 +144,7 @@
             .collect();
         listing.records = kept;
         fleet.note_list_call(true);
-        fleet.take_listing(FeedTopic::Targets, &listing);
+        fleet.apply_listing(FeedTopic::Targets, &listing);
     }
 
     fn step(&mut self) {
@@ -162,8 +162,8 @@
             46..50 => self.hub.note_list_call(false),
             50..52 => self.others[at].note_list_call(false),
             52..55 => self.links[at] = linked(&self.hub, &self.others[at]),
-            55..60 => self.links[at].0.beat(),
-            60..63 => self.links[at].1.beat(),
+            55..60 => self.links[at].0.heartbeat(),
+            60..63 => self.links[at].1.heartbeat(),
             63..75 => self.links[at].0.push(),
             75..80 => self.links[at].1.push(),
             80..92 => {
@@ -205,7 +205,7 @@
         (0..TARGETS)
             .filter(|target| {
                 let name = TargetName::new(&format!("i-{target}"));
-                let known = fleet.books().catalog.get(&name).map(|entry| entry.stage);
+                let known = fleet.tables().catalog.get(&name).map(|entry| entry.stage);
                 let said = newest(*target).map(|state| state == "draining");
                 known.map(|stage| format!("{stage:?}") == "Draining") != said
             })
@@ -217,7 +217,7 @@
 /// A new link that the other VM dials: what was on its way over the one before is lost.
 fn linked(hub: &Arc<FleetState>, other: &Arc<FleetState>) -> (LinkSide, LinkSide) {
     let (hub, mut other) = (LinkSide::new(hub), LinkSide::new(other));
-    other.sent.extend(other.sharing.first_question());
+    other.sent.extend(other.sharing.initial_request());
     (hub, other)
 }
 
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -235,7 +235,7 @@
     let third = DirectDaemon::start(settings("vm-3", &log));
     let third = third.await.expect("the daemon starts");
     wait_for("word at a new VM", async || {
-        third.fleet().books().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
+        third.fleet().tables().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
     })
     .await;
 }
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -16,7 +16,7 @@
     clock,
     direct::{
         daemon::DirectDaemon,
-        fleet::{SUSPECT_KEY, suspect_key},
+        fleet::{SUSPECT_KEY_PREFIX, suspect_key},
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -276,7 +276,7 @@
     let successor = DirectDaemon::start(settings("vm-2", &log)).await;
     let successor = successor.expect("the daemon starts");
     wait_for("both known", async || {
-        is_ready(&successor).await && successor.fleet().books().vms.len() == 2
+        is_ready(&successor).await && successor.fleet().tables().vms.len() == 2
     })
     .await;
     serves_streams(&holder).await;
@@ -286,8 +286,8 @@
     }
     assert_eq!(poisoned(&engines), 2);
     wait_for("the record of the quarantine", async || {
-        let books = successor.fleet().books();
-        books.suspects.counts(clock::now()).1 == 1
+        let tables = successor.fleet().tables();
+        tables.suspects.counts(clock::now()).1 == 1
     })
     .await;
     killed.shutdown_background();
@@ -419,15 +419,17 @@
     }
     let fleet = daemon.fleet();
     let suspects = || {
-        let books = fleet.books();
-        let suspected = books.suspects.suspected(clock::now());
+        let tables = fleet.tables();
+        let suspected = tables.suspects.suspected(clock::now());
         let mut keys: Vec<_> = suspected.map(suspect_key).collect();
         keys.sort();
         keys
     };
     let recorded = || {
-        let books = fleet.books();
-        let keys = books.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
+        let tables = fleet.tables();
+        let keys = tables
+            .records
+            .keys_with_value(FeedTopic::Fleet, SUSPECT_KEY_PREFIX);
         keys.map(str::to_owned).collect::<Vec<_>>()
     };
     wait_for("records of the suspects alone", async || {
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/repeats.rs
@@ -90,6 +90,6 @@
     let log = KeyedLog::start().await.expect("a log");
     let fleet = FleetState::new(&settings("vm-1", &log), 1);
     let service = ServiceName::new("ledger");
-    let is_allowed = fleet.books().retries.try_repeat(&service, clock::now());
+    let is_allowed = fleet.tables().retries.try_repeat(&service, clock::now());
     assert!(!is_allowed);
 }
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -52,7 +52,7 @@
     wait_for("three known", async || {
         [&first, &second, &third]
             .iter()
-            .all(|vm| vm.fleet().books().vms.len() == 3)
+            .all(|vm| vm.fleet().tables().vms.len() == 3)
     })
     .await;
     for number in 2..=6 {
@@ -239,8 +239,8 @@
     log.restore(&[(TARGETS, 1)]);
     for vm in &vms {
         wait_for("the copy", async || {
-            let books = vm.fleet().books();
-            let since = books.since.get(&FeedTopic::Targets);
+            let tables = vm.fleet().tables();
+            let since = tables.known_since.get(&FeedTopic::Targets);
             since.is_some_and(|since| since.era() == StoreEra(2))
         })
         .await;
@@ -376,8 +376,8 @@
     log.put(FLEET, key, Some(quarantine));
     for vm in &vms {
         wait_for("the quarantine", async || {
-            let books = vm.fleet().books();
-            books.suspects.quarantine(fingerprint).is_some()
+            let tables = vm.fleet().tables();
+            tables.suspects.quarantine(fingerprint).is_some()
         })
         .await;
     }
@@ -396,7 +396,7 @@
     assert!(
         vms[0]
             .fleet()
-            .books()
+            .tables()
             .vms
             .contains_key(&VmName::new("vm-3"))
     );
@@ -468,8 +468,8 @@
     log.restore(&[]);
     log.set_faults(|faults| faults.delayed_key = None);
     wait_for("a claim of the new history", async || {
-        let books = daemon.fleet().books();
-        let state = books.leases.get(&daemon.fleet().zone);
+        let tables = daemon.fleet().tables();
+        let state = tables.leases.get(&daemon.fleet().zone);
         state.is_some_and(|state| state.position.era() == StoreEra(2))
     })
     .await;
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -42,7 +42,7 @@
             names: [holder.vm.clone(), dialler.vm.clone()],
             passed: 0,
         };
-        if let Some(question) = link.dialler.first_question() {
+        if let Some(question) = link.dialler.initial_request() {
             link.holder.answer(&question);
         }
         link.settle();
@@ -68,7 +68,7 @@
         to.answer(&message);
         to.take(vm, message);
     }
-    to.take(vm, from.beat());
+    to.take(vm, from.heartbeat());
     passed
 }
 
@@ -116,7 +116,7 @@
             strength: 250,
         };
         let vm = VmName::new(&format!("vm-{number}"));
-        fleet.books().vms.insert(vm, record);
+        fleet.tables().vms.insert(vm, record);
     }
     fleet
 }
@@ -129,11 +129,11 @@
         let dialler = fleet("vm-1", &log, zone_vms);
         // The link is up before either list is there.
         let mut link = StartLink::new(&holder, &dialler);
-        holder.take_listing(
+        holder.apply_listing(
             FeedTopic::Targets,
             &listing(log.address(), TARGETS, &[3, 5, 7]),
         );
-        dialler.take_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[3]));
+        dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[3]));
         link.settle();
         assert!(dialler.is_leaving("i-5") && dialler.is_leaving("i-7"));
         assert_eq!(dialler.known_end(FeedTopic::Targets).0, TARGETS + 3);
@@ -154,17 +154,17 @@
     let dialler = fleet("vm-1", &log, 100);
     let mut link = StartLink::new(&holder, &dialler);
     for vm in [&holder, &dialler] {
-        vm.take_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
+        vm.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     }
     link.settle();
     let before = link.passed;
     let mut added = listing(log.address(), 250, &[]);
     added.records.retain(|record| record.position.0 >= 50);
-    holder.take_records(FeedTopic::Targets, LogPosition(50), &added);
+    holder.apply_records(FeedTopic::Targets, LogPosition(50), &added);
     link.settle();
     assert_eq!(link.passed - before, 200);
     let later = listing_of_one(log.address(), 251);
-    dialler.take_records(FeedTopic::Targets, LogPosition(251), &later);
+    dialler.apply_records(FeedTopic::Targets, LogPosition(251), &later);
     link.settle();
     assert!(!holder.is_leaving("i-251"));
     assert_eq!(link.passed - before, 201);
@@ -178,14 +178,14 @@
     let log = KeyedLog::start().await.expect("a log");
     for zone_vms in [10, 100] {
         let holder = fleet("vm-0", &log, zone_vms);
-        holder.take_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
+        holder.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
         let dialler = fleet("vm-1", &log, zone_vms);
         let begun = listing(log.address(), 50, &[]);
         let mut read = listing(log.address(), 50, &[5]);
         read.records.retain(|record| record.position.0 >= 50);
-        holder.take_records(FeedTopic::Targets, LogPosition(50), &read);
+        holder.apply_records(FeedTopic::Targets, LogPosition(50), &read);
         let mut link = StartLink::new(&holder, &dialler);
-        dialler.take_listing(FeedTopic::Targets, &begun);
+        dialler.apply_listing(FeedTopic::Targets, &begun);
         link.settle();
         assert!(dialler.is_leaving("i-5"), "{zone_vms} VMs");
     }
@@ -198,10 +198,10 @@
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
-    assert!(!dialler.knows_whole(FeedTopic::Targets));
-    holder.take_listing(FeedTopic::Targets, &listing(log.address(), 100, &[5]));
+    assert!(!dialler.is_topic_known(FeedTopic::Targets));
+    holder.apply_listing(FeedTopic::Targets, &listing(log.address(), 100, &[5]));
     link.settle();
-    assert!(dialler.knows_whole(FeedTopic::Targets));
+    assert!(dialler.is_topic_known(FeedTopic::Targets));
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
@@ -211,7 +211,7 @@
 async fn a_long_answer_goes_out_in_parts() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
-    holder.take_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[]));
+    holder.apply_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[]));
     let mut sharing = RecordSharing::new(&holder, true);
     sharing.answer(&VmMessage::Wanted {
         from: vec![(FeedTopic::Targets, LogPosition(0))],
@@ -236,8 +236,8 @@
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
-    dialler.take_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
-    holder.take_listing(FeedTopic::Targets, &listing_without_one(log.address()));
+    dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
+    holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
     link.settle();
     let reads_on_from = dialler.known_end(FeedTopic::Targets);
     assert!(
@@ -253,8 +253,8 @@
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
-    dialler.take_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
-    holder.take_listing(FeedTopic::Targets, &listing_without_one(log.address()));
+    dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
+    holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
     link.settle();
     assert!(dialler.has_gap(FeedTopic::Targets));
     let removal = ReadBatch {
@@ -266,7 +266,7 @@
         next: LogPosition(51),
         end: LogPosition(51),
     };
-    dialler.take_records(FeedTopic::Targets, LogPosition(50), &removal);
+    dialler.apply_records(FeedTopic::Targets, LogPosition(50), &removal);
     assert!(dialler.is_leaving("i-5"));
     assert!(!dialler.has_gap(FeedTopic::Targets));
 }
@@ -277,10 +277,10 @@
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
-    holder.take_listing(FeedTopic::Targets, &listing_without_one(log.address()));
+    holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
     link.settle();
-    assert!(dialler.knows_whole(FeedTopic::Targets));
-    dialler.take_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
+    assert!(dialler.is_topic_known(FeedTopic::Targets));
+    dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
@@ -318,7 +318,7 @@
         })
         .await;
     }
-    assert!(!blind.fleet().knows_whole(FeedTopic::Targets));
+    assert!(!blind.fleet().is_topic_known(FeedTopic::Targets));
 }
 
 #[tokio::test]
@@ -329,7 +329,7 @@
     let daemon = DirectDaemon::start(settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("the fleet's records", async || {
-        daemon.fleet().knows_whole(FeedTopic::Fleet)
+        daemon.fleet().is_topic_known(FeedTopic::Fleet)
     })
     .await;
     assert_eq!(log.listings("keyed.servers"), 0);
--- a/crates/daemon/tests/direct/support.rs
+++ b/crates/daemon/tests/direct/support.rs
@@ -345,6 +345,9 @@
         .await
         .expect("the daemon starts");
     wait_for("both ready", async || is_ready(&second).await).await;
-    wait_for("both known", async || second.fleet().books().vms.len() == 2).await;
+    wait_for("both known", async || {
+        second.fleet().tables().vms.len() == 2
+    })
+    .await;
     (second, relay)
 }
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -115,7 +115,7 @@
         let text = text.replace("\"version\":1", &format!("\"version\":{base}"));
         log.put("keyed.servers", "i-2", Some(&text));
         wait_for("both engines", async || {
-            let engines = daemon.fleet().books().catalog.iter().count();
+            let engines = daemon.fleet().tables().catalog.iter().count();
             engines == 2
         })
         .await;
@@ -205,7 +205,7 @@
     name_version(&site.log, yard, 3);
     let subject = AdapterName::new("base/a1");
     wait_for("version 3 at the VM", async || {
-        site.daemon.fleet().books().versions.get(&subject) == Some(&3)
+        site.daemon.fleet().tables().versions.get(&subject) == Some(&3)
     })
     .await;
     let others = (2..2 + OTHERS).map(|number| served(address, number, SHORT_ANSWER));
@@ -426,7 +426,7 @@
         .put("keyed.op", "version/base", Some(&record.to_string()));
     let subject = AdapterName::new("base");
     wait_for("the version at the VM", async || {
-        site.daemon.fleet().books().versions.get(&subject) == Some(&7)
+        site.daemon.fleet().tables().versions.get(&subject) == Some(&7)
     })
     .await;
     let request = request(0, SHORT_ANSWER).replace("base/a1", "base");
