--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -158,7 +158,8 @@
                 && copy.known_version.is_none()
                 && copy.state == CopyState::Loaded
             {
-                copy.known_version = ObservedVersion::observe(resident.version, VersionSource::List, now);
+                copy.known_version =
+                    ObservedVersion::observe(resident.version, VersionSource::List, now);
             }
         }
     }
@@ -255,12 +256,7 @@
     /// Whether a call may use memory with this mark here. Where nobody knows the version of the adapter here, the call has to
     /// name the one that it expects: the engine turns it away if it has another, and then its report comes first.
     #[must_use]
-    pub fn can_use_cache(
-        &self,
-        mark: CacheTag,
-        subject: &AdapterName,
-        named: Option<u64>,
-    ) -> bool {
+    pub fn can_use_cache(&self, mark: CacheTag, subject: &AdapterName, named: Option<u64>) -> bool {
         let own = self.copies.get(subject).and_then(|copy| copy.known_version);
         let is_fit = match (
             mark.adapter,
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -144,7 +144,8 @@
             })
             .collect();
         for resident in &entry.adapters {
-            let known_version = ObservedVersion::observe(resident.version, VersionSource::List, now);
+            let known_version =
+                ObservedVersion::observe(resident.version, VersionSource::List, now);
             let generation = engine.next_generation();
             let mut copy = AdapterCopy::new(CopyState::Loaded, known_version, generation, now);
             copy.hold_for_unknown(now);
@@ -294,7 +295,8 @@
         let known_sight = known
             .known_version
             .filter(|known| known.source != VersionSource::List);
-        let is_other = VersionMatch::of(known.known_version, known_version) == VersionMatch::Different
+        let is_other = VersionMatch::of(known.known_version, known_version)
+            == VersionMatch::Different
             || (known.known_version != known_sight && known_version.is_none());
         let generation = if is_other {
             self.next_generation()
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -120,7 +120,8 @@
             return alone;
         }
         let tokens = ask.prompt_tokens.saturating_sub(source.tokens);
-        let time = engine.prompts.prefill_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
+        let time =
+            engine.prompts.prefill_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
         if time + self.policy.min_fetch_saving > alone.time {
             return alone;
         }
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -78,7 +78,7 @@
 
 impl InFlightGuard {
     fn new(fleet: &Arc<FleetState>, entry: &TargetEntry, trial: Option<TrialPermit>) -> Self {
-        *fleet.books().in_flight.entry(entry.run()).or_default() += 1;
+        *fleet.tables().in_flight.entry(entry.run()).or_default() += 1;
         Self {
             fleet: Arc::clone(fleet),
             run: entry.run(),
@@ -98,23 +98,23 @@
             trial.note_good();
         }
         let TargetRun { name, life } = &self.run;
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         // What an earlier life did says nothing about this one.
         if let Some(outcome) = end.health()
-            && books.catalog.life(name) == *life
+            && tables.catalog.life(name) == *life
         {
-            books.health.record(name, outcome, clock::now());
+            tables.health.record(name, outcome, clock::now());
         }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut books = self.fleet.books();
-        if let Some(count) = books.in_flight.get_mut(&self.run) {
+        let mut tables = self.fleet.tables();
+        if let Some(count) = tables.in_flight.get_mut(&self.run) {
             *count -= 1;
             if *count == 0 {
-                books.in_flight.remove(&self.run);
+                tables.in_flight.remove(&self.run);
             }
         }
     }
@@ -196,7 +196,11 @@
             }
         };
         if matches!(kind, AnswerKind::Success | AnswerKind::Failure) {
-            self.context.fleet.books().rests.record_answer(&entry.run());
+            self.context
+                .fleet
+                .tables()
+                .rests
+                .record_answer(&entry.run());
         }
         let (parts, body) = response.into_parts();
         let open = |placed_call, in_flight| {
@@ -283,10 +287,10 @@
 impl CallState {
     /// Whether a target still takes new work from this VM: that may have changed while a connection to it was made.
     fn is_wanted(&self, entry: &TargetEntry) -> bool {
-        let mut books = self.context.fleet.books();
-        let known = books.catalog.get(&entry.name);
+        let mut tables = self.context.fleet.tables();
+        let known = tables.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && books.rests.try_admit(&entry.run(), clock::now())
+            && tables.rests.try_admit(&entry.run(), clock::now())
     }
 
     /// Notes what an answer says of its target's limit.
@@ -296,8 +300,8 @@
             rate,
         };
         let is_change = {
-            let mut books = self.context.fleet.books();
-            books.limits.record(&named, clock::now())
+            let mut tables = self.context.fleet.tables();
+            tables.limits.record(&named, clock::now())
         };
         if is_change {
             let rate = named.rate.map(RequestRate::as_f64);
@@ -313,7 +317,7 @@
         if notice.is_closing {
             return;
         }
-        let vms = self.context.fleet.books().vms.len();
+        let vms = self.context.fleet.tables().vms.len();
         let share = self.service.max_idle_connections(vms);
         let pool = &self.context.pool;
         pool.put_back(connection, notice.idle_timeout, share);
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -29,7 +29,6 @@
 //! | [`suspect_records`] | records of suspects in the platform's log |
 //! | [`claims`] | claims of a zone's lease |
 
-mod asking;
 pub mod buffered_answer;
 pub mod call;
 pub mod caller_connections;
@@ -44,15 +43,16 @@
 pub mod fleet;
 pub mod folding;
 pub mod holder_client;
+mod holder_requests;
 pub mod holder_state;
-pub mod intake;
+pub mod ingest;
 pub mod links;
 pub mod listing;
 pub mod message;
 pub mod metrics;
 pub mod notices;
-pub mod questions;
-pub mod reach;
+pub mod probes;
+pub mod reachability;
 pub mod recorder;
 pub mod records;
 pub mod reload;
