--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/access.rs
@@ -8,7 +8,7 @@
         links::{LinkContact, VmLink},
         message::{CallEnd, CallEnding, VmMessage},
         trials::TrialPermit,
-        zone::{PlaceReply, ReplyTo, ZoneEvent},
+        zone::{HolderReply, ReplySender, ZoneEvent},
     },
 };
 use hoplanding_core::{
@@ -132,12 +132,12 @@
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let question = HolderQuestion::Pay(charge);
         match self.question(zone, &lease, number, question).await? {
-            PlaceReply::Paid(None) => Some(Ok(())),
-            PlaceReply::Paid(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
-            PlaceReply::Answer(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_)
-            | PlaceReply::NotHolder => None,
+            HolderReply::Charged(None) => Some(Ok(())),
+            HolderReply::Charged(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
+            HolderReply::Placement(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_)
+            | HolderReply::NotHolder => None,
         }
     }
 
@@ -156,7 +156,7 @@
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
             let question = HolderQuestion::Trial(fingerprint);
             let asked = self.question(&zone, &lease, number, question);
-            if let Ok(Some(PlaceReply::Trial(answer))) = timeout(TRIAL_WAIT, asked).await {
+            if let Ok(Some(HolderReply::Trial(answer))) = timeout(TRIAL_WAIT, asked).await {
                 return Some((answer, permit));
             }
         }
@@ -171,7 +171,7 @@
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let question = HolderQuestion::Target(target.clone());
         let asked = self.question(zone, &lease, number, question);
-        if let Ok(Some(PlaceReply::Target(Some(record)))) = timeout(TARGET_WAIT, asked).await {
+        if let Ok(Some(HolderReply::Target(Some(record)))) = timeout(TARGET_WAIT, asked).await {
             self.fleet.take_asked(record);
         }
     }
@@ -207,10 +207,10 @@
         lease: &ZoneLease,
         number: u64,
         question: HolderQuestion,
-    ) -> Option<PlaceReply> {
+    ) -> Option<HolderReply> {
         if self.is_mine(lease) {
             let (sender, receiver) = oneshot::channel();
-            let event = question.into_event(self.key(number), ReplyTo::Local(sender));
+            let event = question.into_event(self.key(number), ReplySender::Local(sender));
             self.zone.send(event).await.ok()?;
             return receiver.await.ok();
         }
@@ -232,15 +232,15 @@
         zone: &AvailabilityZone,
         number: u64,
         subject: AdapterName,
-        reply: PlaceReply,
+        reply: HolderReply,
     ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
         withdrawal.is_settled = true;
         match reply {
-            PlaceReply::NotHolder
-            | PlaceReply::Paid(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_) => None,
-            PlaceReply::Answer(answer) => {
+            HolderReply::NotHolder
+            | HolderReply::Charged(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_) => None,
+            HolderReply::Placement(answer) => {
                 let ticket = match &answer {
                     PlacementAnswer::Send { target, life, .. } => {
                         let call = OpenCall {
@@ -418,7 +418,7 @@
             return;
         };
         if self.is_mine(&lease) {
-            let event = ZoneEvent::Ended(self.fleet.vm.clone(), ending);
+            let event = ZoneEvent::CallEnded(self.fleet.vm.clone(), ending);
             if let Err(mpsc::error::TrySendError::Full(event)) = self.zone.try_send(event) {
                 let zone = self.zone.clone();
                 tokio::spawn(async move {
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/asking.rs
@@ -2,7 +2,7 @@
 
 use crate::direct::{
     message::VmMessage,
-    zone::{ReplyTo, ZoneEvent},
+    zone::{ReplySender, ZoneEvent},
 };
 use hoplanding_core::{
     direct::{
@@ -30,13 +30,13 @@
 }
 
 impl HolderQuestion {
-    pub(super) fn into_event(self, key: CallKey, reply: ReplyTo) -> ZoneEvent {
+    pub(super) fn into_event(self, key: CallKey, reply: ReplySender) -> ZoneEvent {
         match self {
             Self::Place(ask) => ZoneEvent::Place(key, ask, reply),
             Self::Plain(ask) => ZoneEvent::PlacePlain(key, ask, reply),
-            Self::Pay(charge) => ZoneEvent::Pay(key, charge, reply),
-            Self::Trial(fingerprint) => ZoneEvent::Trial(key, fingerprint, reply),
-            Self::Target(target) => ZoneEvent::Target(key, target, reply),
+            Self::Pay(charge) => ZoneEvent::ChargeQuota(key, charge, reply),
+            Self::Trial(fingerprint) => ZoneEvent::RequestTrial(key, fingerprint, reply),
+            Self::Target(target) => ZoneEvent::LookUpTarget(key, target, reply),
         }
     }
 
@@ -74,11 +74,13 @@
             number,
         };
         match self {
-            Self::Begun(number, target, version) => ZoneEvent::Begun(key(number), target, version),
-            Self::Withdrawn(number) => ZoneEvent::Withdrawn(key(number)),
-            Self::GiveBack(charge) => ZoneEvent::GiveBack(charge),
-            Self::EndedUnder(ended) => ZoneEvent::EndedUnder(ended),
-            Self::LimitNamed(named) => ZoneEvent::LimitNamed(named),
+            Self::Begun(number, target, version) => {
+                ZoneEvent::FirstEvent(key(number), target, version)
+            }
+            Self::Withdrawn(number) => ZoneEvent::PlacementWithdrawn(key(number)),
+            Self::GiveBack(charge) => ZoneEvent::RefundQuota(charge),
+            Self::EndedUnder(ended) => ZoneEvent::TargetEnded(ended),
+            Self::LimitNamed(named) => ZoneEvent::TargetLimit(named),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 ZoneEvent::TrialEnded(key(number), fingerprint, is_good)
             }
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -40,12 +40,12 @@
             answers::{passed_answer, refusal},
             ends::request_fingerprint,
         },
-        events::relay_events,
+        event_relay::relay_events,
         figures::{RequestKind, RequestOutcome},
         fleet::{ActiveConfig, FleetState},
         sender::ConnectionPool,
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
         trials::TrialPermit,
         whole::take_whole,
     },
@@ -94,7 +94,7 @@
     /// Connections to targets.
     pub pool: Arc<ConnectionPool>,
     /// Records of targets that ended under calls.
-    pub records: EndRecords,
+    pub records: SuspectRecorder,
     /// Settings.
     pub settings: Arc<DirectSettings>,
     /// The planned stop, once it has begun.
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -196,7 +196,7 @@
         };
         let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
         let key = zone_key(&self.fleet.zone);
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         let began = clock::now();
         let appended = client
             .append(FLEET_TOPIC, &key, &value, Some(end), within)
@@ -219,7 +219,7 @@
             Err(StoreError::EndMoved(_)) => ClaimResult::Unanswered,
             Err(error) => {
                 if let StoreError::OtherEra(era) = error {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
                 ClaimResult::Unanswered
@@ -229,7 +229,7 @@
 
     /// Reads the fleet's records from a position on; says whether that went well.
     async fn read_on(&self, client: &mut StoreClient, from: LogPosition) -> bool {
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         match client.read(FLEET_TOPIC, from, Duration::ZERO, within).await {
             Ok(batch) => {
                 self.fleet.take_records(FeedTopic::Fleet, from, &batch);
@@ -237,7 +237,7 @@
             }
             Err(error) => {
                 if let StoreError::OtherEra(era) = error {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
                 false
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -15,7 +15,7 @@
         recorder::FleetRecorder,
         sender::ConnectionPool,
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
         zone::{ZoneEvent, ZoneWorker},
     },
     event,
@@ -126,7 +126,7 @@
             fleet: Arc::clone(&fleet),
             access,
             pool,
-            records: EndRecords::start(&fleet, &settings),
+            records: SuspectRecorder::start(&fleet, &settings),
             settings: Arc::clone(&settings),
         });
         tokio::spawn(accept_callers(
@@ -164,8 +164,8 @@
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
         let begun = Instant::now();
-        let bound = begun + self.settings.pace.stop_bound;
-        let choosy_from = begun + self.settings.pace.stop_notice;
+        let bound = begun + self.settings.timing.stop_timeout;
+        let choosy_from = begun + self.settings.timing.drain_delay;
         let plan = StopPlan {
             choosy_from,
             exit: bound,
@@ -198,10 +198,10 @@
     /// Gives the zone up, so that another VM gives the orders from here on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
-        if self.zone.send(ZoneEvent::Release(done)).await.is_err() {
+        if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
             return;
         }
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         if let Ok(Ok(true)) = timeout(within, released).await {
             // Where it fails, the others find this process ended and claim the zone.
             let _ = release_lease(&self.fleet, self.settings.platform_address, within).await;
@@ -246,7 +246,7 @@
         let worker = FeedWorker {
             topic,
             address: settings.platform_address,
-            pace: settings.pace,
+            pace: settings.timing,
             fleet: Arc::clone(fleet),
             access: Arc::clone(access),
             reach: reach.clone(),
@@ -261,7 +261,7 @@
 /// Pause before the first listing. At the first start of a whole fleet nobody is served yet, so weak VMs let the strong
 /// ones claim their zones, and learn from them what they would each have to list.
 fn first_pause(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.strength < WEAK_BELOW {
+    if settings.is_first_start && settings.cpu_millicores < WEAK_BELOW {
         WEAK_PAUSE.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -49,7 +49,7 @@
 
 impl FleetBooks {
     /// Takes in what the log says of its era. One that names an earlier era came with the copy.
-    pub(super) fn note_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
+    pub(super) fn apply_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
         if Some(record.era) == self.store_era && record.is_settled(rule) {
             self.copy_doubt.end();
@@ -70,14 +70,14 @@
         let proven = self.proof.age(now);
         self.copy_doubt.enter(era, proven, rule, now);
         if let Some(record) = self.era_record {
-            self.note_era_record(record, rule);
+            self.apply_era_record(record, rule);
         }
     }
 }
 
 impl FleetState {
     /// Takes in the era that an answer of the log names; says whether the answer is of the newest history that is known.
-    pub fn meet_era(&self, era: StoreEra) -> bool {
+    pub fn observe_era(&self, era: StoreEra) -> bool {
         self.learn_era(era);
         let known = self.books().store_era;
         let is_newest = known <= Some(era);
@@ -88,7 +88,7 @@
     }
 
     /// Takes in the eras of positions that another VM tells of.
-    pub fn learn_eras(&self, positions: impl Iterator<Item = LogPosition>) {
+    pub fn observe_positions(&self, positions: impl Iterator<Item = LogPosition>) {
         if let Some(position) = positions.max() {
             self.learn_era(position.era());
         }
@@ -96,7 +96,7 @@
 
     /// Whether a position is of the newest history that is known.
     #[must_use]
-    pub fn is_current(&self, position: LogPosition) -> bool {
+    pub fn is_current_era(&self, position: LogPosition) -> bool {
         self.books()
             .store_era
             .is_none_or(|era| position.era() >= era)
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -44,7 +44,7 @@
     }
 
     fn take_told(&self, passed: Vec<PassedRecord>, source: RecordSource) {
-        self.learn_eras(passed.iter().map(|record| record.position));
+        self.observe_positions(passed.iter().map(|record| record.position));
         let now = clock::now();
         let mut has_news = false;
         for record in passed {
@@ -107,13 +107,13 @@
         let told = self.tellable_ends();
         let books = self.books();
         let is_told = |(topic, from): &&TopicEnd| {
-            is_turned_away || from.0 > 0 || books.records.bytes(*topic) <= MOST_TOLD_BYTES
+            is_turned_away || from.0 > 0 || books.records.size_bytes(*topic) <= MOST_TOLD_BYTES
         };
         let wanted: BTreeMap<FeedTopic, LogPosition> =
             wanted.iter().filter(is_told).copied().collect();
         let records = wanted
             .iter()
-            .flat_map(|(topic, from)| books.records.since(*topic, *from));
+            .flat_map(|(topic, from)| books.records.records_since(*topic, *from));
         let spans = told
             .into_iter()
             .filter(|(topic, _)| wanted.contains_key(topic))
@@ -127,7 +127,7 @@
 
     /// Folds what another VM answered, and with it the topics of which that one knows every key.
     pub fn take_answer(&self, records: Vec<PassedRecord>, spans: &[TopicSpan]) {
-        self.learn_eras(spans.iter().map(|span| span.end));
+        self.observe_positions(spans.iter().map(|span| span.end));
         self.take_passed(records);
         let was_ready = self.is_ready();
         for span in spans {
@@ -144,7 +144,7 @@
 
     /// Takes over up to where another VM, whose news this one has, knows everything.
     pub fn take_ends(&self, ends: &[TopicEnd]) {
-        self.learn_eras(ends.iter().map(|(_, end)| *end));
+        self.observe_positions(ends.iter().map(|(_, end)| *end));
         let mut books = self.books();
         for (topic, end) in ends {
             if !books.gaps.contains_key(topic) {
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -7,7 +7,7 @@
     clock,
     direct::{
         access::ZoneAccess, figures::LogOutcome, fleet::FleetState, listing::list_topic,
-        message::FeedTopic, reach::StoreReach, settings::PaceSettings,
+        message::FeedTopic, reach::StoreReach, settings::TimingSettings,
     },
     event,
     events::Event,
@@ -72,7 +72,7 @@
     /// The platform's log.
     pub address: SocketAddr,
     /// Pauses and bounds.
-    pub pace: PaceSettings,
+    pub pace: TimingSettings,
     /// The books.
     pub fleet: Arc<FleetState>,
     /// Links to holders.
@@ -102,7 +102,7 @@
             let began = clock::now();
             let listing = list_topic(&mut client, topic, self.pace.platform_timeout).await;
             let listing = match listing {
-                Ok(listing) if self.fleet.meet_era(listing.end.era()) => listing,
+                Ok(listing) if self.fleet.observe_era(listing.end.era()) => listing,
                 Ok(listing) => {
                     self.note_out(&StoreError::OtherEra(listing.end.era()));
                     self.wait_to_retry().await;
@@ -217,7 +217,7 @@
             // What was passed on meanwhile need not be read again.
             from = from.max(self.fleet.known_end(self.topic));
             let mut eras = self.fleet.watch_eras();
-            if !self.fleet.is_current(from) || from.era() != listed_in {
+            if !self.fleet.is_current_era(from) || from.era() != listed_in {
                 return;
             }
             let mut returns = self.reach.watch();
@@ -250,7 +250,7 @@
                 }
                 Err(StoreError::Expired(_)) => return,
                 Err(StoreError::OtherEra(era)) => {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                     return;
                 }
                 Err(error) => {
@@ -321,7 +321,7 @@
             FeedTopic::Targets => LIST_WAIT,
             FeedTopic::Operators if self.fleet.revocation.is_some() => PROOF_WAIT,
             // What a holder reads it passes on, so its zone need not ask as often.
-            FeedTopic::Operators if self.is_holder() => self.pace.config_wait,
+            FeedTopic::Operators if self.is_holder() => self.pace.max_config_wait,
             FeedTopic::Fleet if self.is_holder() => HOLDER_WAIT,
             FeedTopic::Operators | FeedTopic::Fleet => READ_WAIT,
         }
@@ -329,9 +329,9 @@
 
     fn pause_between(&self) -> Duration {
         match self.topic {
-            FeedTopic::Targets => self.pace.list_every,
-            FeedTopic::Operators => self.pace.config_every,
-            FeedTopic::Fleet => FLEET_EVERY.min(self.pace.list_every),
+            FeedTopic::Targets => self.pace.list_interval,
+            FeedTopic::Operators => self.pace.min_config_interval,
+            FeedTopic::Fleet => FLEET_EVERY.min(self.pace.list_interval),
         }
     }
 
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -10,7 +10,7 @@
         figures::DirectFigures,
         message::{FeedTopic, TopicSpan},
         notices::LeavingNews,
-        records::RecordBook,
+        record_cache::RecordCache,
         settings::DirectSettings,
         skipped::SkippedEntries,
     },
@@ -145,7 +145,7 @@
     /// Rests that targets asked this VM for.
     pub rests: RestTable,
     /// The newest records, to be passed on.
-    pub records: RecordBook,
+    pub records: RecordCache,
     /// Pause before the first order after the claim that is under way.
     pub claim_quiet: Duration,
     /// When the turn after this VM's last claim is over.
@@ -196,7 +196,7 @@
     pub(super) fn note_told(&mut self, span: TopicSpan) -> bool {
         let known = self.ends.get(&span.topic);
         let is_missing =
-            |known: &LogPosition| !self.records.has_all(span.topic, *known, span.since);
+            |known: &LogPosition| !self.records.has_all_between(span.topic, *known, span.since);
         if known.is_some_and(is_missing) {
             let gap = self.gaps.entry(span.topic).or_insert(span.since);
             *gap = span.since.max(*gap);
@@ -325,8 +325,8 @@
             is_first_start: settings.is_first_start,
             zone: settings.zone.clone(),
             revocation: settings.revocation,
-            rewrites: settings.rewrites,
-            strength: settings.strength,
+            rewrites: settings.recovery,
+            strength: settings.cpu_millicores,
             figures: DirectFigures::default(),
             successors: Mutex::default(),
             stopping: watch::channel(false).0,
@@ -358,7 +358,7 @@
                 suspects: SuspectTable::default(),
                 limits: LimitTable::with_share(1.0 / f64::from(FEWEST_SHARES)),
                 rests: RestTable::default(),
-                records: RecordBook::default(),
+                records: RecordCache::default(),
                 claim_quiet: Duration::ZERO,
                 leads_from: Instant::default(),
                 confirmed: None,
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -8,7 +8,7 @@
         fleet::{ActiveConfig, ERA_KEY, FleetBooks, SUSPECT_KEY, VM_KEY, ZONE_KEY},
         intake::RecordSource,
         message::FeedTopic,
-        suspect_records::{fold_suspect, suspect_of},
+        suspect_records::{apply_suspect_record, suspect_fingerprint},
     },
     event,
     events::Event,
@@ -55,7 +55,7 @@
         return false;
     };
     let key = &record.key;
-    if books.records.is_kept(topic, key, record.position)
+    if books.records.contains(topic, key, record.position)
         && books.records.value(topic, key) == Some(&**value)
     {
         return false;
@@ -306,8 +306,8 @@
         fold_vm(books, vm, record);
     } else if record.key == ERA_KEY {
         fold_era(books, record, rewrites);
-    } else if let Some(fingerprint) = suspect_of(&record.key) {
-        if let Err(error) = fold_suspect(books, fingerprint, record.value.as_deref(), now) {
+    } else if let Some(fingerprint) = suspect_fingerprint(&record.key) {
+        if let Err(error) = apply_suspect_record(books, fingerprint, record.value.as_deref(), now) {
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
     } else if record.key.starts_with(SUSPECT_KEY) {
@@ -340,7 +340,7 @@
         return;
     };
     match serde_json::from_slice(value) {
-        Ok(recorded) => books.note_era_record(recorded, rewrites),
+        Ok(recorded) => books.apply_era_record(recorded, rewrites),
         Err(error) => event!(Event::RecordSkipped, "era: {error}"),
     }
 }
--- a/crates/daemon/src/direct/intake.rs
+++ b/crates/daemon/src/direct/intake.rs
@@ -86,7 +86,7 @@
                 event!(
                     Event::TopicKnown,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
-                    books.records.bytes(topic),
+                    books.records.size_bytes(topic),
                     self.age()
                 );
             }
@@ -170,7 +170,7 @@
             let key = &record.key;
             books
                 .records
-                .keep(topic, key, record.position, value, is_news);
+                .insert(topic, key, record.position, value, is_news);
             has_news |= is_news;
         }
         self.announce(&books);
@@ -179,7 +179,7 @@
 
     /// Tells the links how far the news goes.
     pub(super) fn announce(&self, books: &FleetBooks) {
-        let head = books.records.head() + books.leaving.head();
+        let head = books.records.next_sequence() + books.leaving.head();
         self.news.send_if_modified(|known| {
             let is_more = *known != head;
             *known = head;
@@ -194,7 +194,7 @@
             let topic = FeedTopic::Targets;
             books
                 .records
-                .keep(topic, name.as_str(), position, None, true);
+                .insert(topic, name.as_str(), position, None, true);
         }
         self.announce(books);
     }
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -9,7 +9,7 @@
         fleet::FleetState,
         message::{MESSAGE_VERSION, VmMessage},
         sharing::RecordSharing,
-        zone::{PlaceReply, ReplyTo, ZoneEvent},
+        zone::{HolderReply, ReplySender, ZoneEvent},
     },
     event,
     events::Event,
@@ -73,7 +73,7 @@
     contact: LinkContact,
     /// When the VM was last heard.
     heard: Instant,
-    waiting: HashMap<u64, oneshot::Sender<PlaceReply>>,
+    waiting: HashMap<u64, oneshot::Sender<HolderReply>>,
 }
 
 /// The dialling side of a link to one run of a VM.
@@ -160,7 +160,7 @@
     ///
     /// # Panics
     /// If a holder of the lock panicked.
-    pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<PlaceReply>> {
+    pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<HolderReply>> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self.state.lock().expect("no holder of the lock panics");
@@ -322,11 +322,11 @@
 
     fn take(&self, message: VmMessage) {
         let (number, reply) = match message {
-            VmMessage::Placed(number, answer) => (number, PlaceReply::Answer(answer)),
-            VmMessage::Paid(number, after_ms) => (number, PlaceReply::Paid(after_ms)),
-            VmMessage::TrialAnswered(number, answer) => (number, PlaceReply::Trial(answer)),
-            VmMessage::TargetTold(number, record) => (number, PlaceReply::Target(record)),
-            VmMessage::NotHolder(number) => (number, PlaceReply::NotHolder),
+            VmMessage::Placed(number, answer) => (number, HolderReply::Placement(answer)),
+            VmMessage::Paid(number, after_ms) => (number, HolderReply::Charged(after_ms)),
+            VmMessage::TrialAnswered(number, answer) => (number, HolderReply::Trial(answer)),
+            VmMessage::TargetTold(number, record) => (number, HolderReply::Target(record)),
+            VmMessage::NotHolder(number) => (number, HolderReply::NotHolder),
             _ => return,
         };
         let waiting = self
@@ -450,7 +450,7 @@
     };
     fleet.note_successor(&vm, false);
     // The worker ends with the process.
-    let _ = zone.send(ZoneEvent::GatewayGone(vm)).await;
+    let _ = zone.send(ZoneEvent::GatewayLost(vm)).await;
     ended
 }
 
@@ -467,43 +467,45 @@
         VmMessage::Place(number, ask) => Some(ZoneEvent::Place(
             key(number),
             ask,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::PlacePlain(number, ask) => Some(ZoneEvent::PlacePlain(
             key(number),
             ask,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::Pay(number, charge) => Some(ZoneEvent::Pay(
+        VmMessage::Pay(number, charge) => Some(ZoneEvent::ChargeQuota(
             key(number),
             charge,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::GiveBack(charge) => Some(ZoneEvent::GiveBack(charge)),
-        VmMessage::LimitNamed(named) => Some(ZoneEvent::LimitNamed(named)),
-        VmMessage::EndedUnder(ended) => Some(ZoneEvent::EndedUnder(ended)),
-        VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::Trial(
+        VmMessage::GiveBack(charge) => Some(ZoneEvent::RefundQuota(charge)),
+        VmMessage::LimitNamed(named) => Some(ZoneEvent::TargetLimit(named)),
+        VmMessage::EndedUnder(ended) => Some(ZoneEvent::TargetEnded(ended)),
+        VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::RequestTrial(
             key(number),
             fingerprint,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::TrialEnded(number, fingerprint, is_good) => {
             Some(ZoneEvent::TrialEnded(key(number), fingerprint, is_good))
         }
-        VmMessage::TargetWanted(number, target) => Some(ZoneEvent::Target(
+        VmMessage::TargetWanted(number, target) => Some(ZoneEvent::LookUpTarget(
             key(number),
             target,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::Begun(number, target, version) => {
-            Some(ZoneEvent::Begun(key(number), target, version))
+            Some(ZoneEvent::FirstEvent(key(number), target, version))
         }
-        VmMessage::Ended(ending) => Some(ZoneEvent::Ended(vm.clone(), ending)),
-        VmMessage::Withdrawn(number) => Some(ZoneEvent::Withdrawn(key(number))),
+        VmMessage::Ended(ending) => Some(ZoneEvent::CallEnded(vm.clone(), ending)),
+        VmMessage::Withdrawn(number) => Some(ZoneEvent::PlacementWithdrawn(key(number))),
         VmMessage::Open(number, target, life, subject) => {
-            Some(ZoneEvent::Open(key(number), target, life, subject))
+            Some(ZoneEvent::OpenCall(key(number), target, life, subject))
+        }
+        VmMessage::LeaseWanted(position) => {
+            Some(ZoneEvent::LeaseWanted(vm.clone(), position.token()))
         }
-        VmMessage::LeaseWanted(position) => Some(ZoneEvent::Wanted(vm.clone(), position.token())),
         _ => None,
     }
 }
--- a/crates/daemon/src/direct/records.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -28,14 +28,14 @@
 
 /// The newest record of each key, as read from the log or passed on.
 #[derive(Debug, Default)]
-pub struct RecordBook {
+pub struct RecordCache {
     records: BTreeMap<RecordKey, KeptRecord>,
     news: BTreeMap<u64, RecordKey>,
     /// Place behind the newest news.
     head: u64,
 }
 
-impl RecordBook {
+impl RecordCache {
     /// Whether a record is newer than what is kept of its key.
     #[must_use]
     pub fn is_newer(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
@@ -45,7 +45,7 @@
 
     /// Whether a record is the one that is kept of its key.
     #[must_use]
-    pub fn is_kept(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
+    pub fn contains(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
         let kept = self.records.get(&(topic, key.to_owned()));
         kept.is_some_and(|kept| kept.position == position)
     }
@@ -74,7 +74,12 @@
 
     /// Whether a record is kept of each position of a topic from one on and before another.
     #[must_use]
-    pub fn has_all(&self, topic: FeedTopic, from: LogPosition, before: LogPosition) -> bool {
+    pub fn has_all_between(
+        &self,
+        topic: FeedTopic,
+        from: LogPosition,
+        before: LogPosition,
+    ) -> bool {
         let records = self.records.iter();
         let kept = records.filter(|((kept, _), record)| {
             *kept == topic && from <= record.position && record.position < before
@@ -84,7 +89,7 @@
 
     /// Keeps a record, which is newer than what is kept of its key. One that is no news takes the place of news that is
     /// still to be passed on.
-    pub fn keep(
+    pub fn insert(
         &mut self,
         topic: FeedTopic,
         key: &str,
@@ -114,13 +119,13 @@
 
     /// Place behind the newest news.
     #[must_use]
-    pub fn head(&self) -> u64 {
+    pub fn next_sequence(&self) -> u64 {
         self.head
     }
 
     /// News from a place on, as much as goes into one message, and the place behind it.
     #[must_use]
-    pub fn news_from(&self, place: u64) -> (Vec<PassedRecord>, u64) {
+    pub fn updates_from(&self, place: u64) -> (Vec<PassedRecord>, u64) {
         let mut load = MessageLoad::default();
         for (place, key) in self.news.range(place..) {
             if load.is_full() {
@@ -134,7 +139,7 @@
     }
 
     /// Records of a topic that have a value, and were read in an earlier era only.
-    pub fn before_era(
+    pub fn from_earlier_eras(
         &self,
         topic: FeedTopic,
         era: StoreEra,
@@ -161,7 +166,7 @@
 
     /// Bytes of a topic's records.
     #[must_use]
-    pub fn bytes(&self, topic: FeedTopic) -> usize {
+    pub fn size_bytes(&self, topic: FeedTopic) -> usize {
         let records = self.records.iter();
         records
             .filter(|((kept, _), _)| *kept == topic)
@@ -171,7 +176,7 @@
 
     /// Records of a topic from a position on, and those of earlier eras, which the log may lack since.
     #[must_use]
-    pub fn since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
+    pub fn records_since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
         self.records
             .iter()
             .filter(|((kept, _), record)| {
@@ -202,7 +207,7 @@
 
 /// Records in loads of one message each.
 #[must_use]
-pub fn in_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
+pub fn split_into_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
     let mut loads = Vec::new();
     let mut load = MessageLoad::default();
     for record in records {
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -9,7 +9,7 @@
         fleet::{ERA_KEY, FleetBooks, FleetState, VmRecord, vm_key},
         message::FeedTopic,
         settings::DirectSettings,
-        suspect_records::{keeps_record, suspect_of},
+        suspect_records::{is_record_owner, suspect_fingerprint},
     },
     event,
     events::Event,
@@ -83,9 +83,9 @@
         key: &str,
         value: &Bytes,
     ) -> Result<(), StoreError> {
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         let position = client.append(FLEET_TOPIC, key, value, None, within).await?;
-        if !self.fleet.meet_era(position.era()) {
+        if !self.fleet.observe_era(position.era()) {
             return Err(StoreError::OtherEra(position.era()));
         }
         self.fleet
@@ -126,7 +126,7 @@
         if now < self.suspects_at {
             return None;
         }
-        let due = books.due_suspect(&self.fleet.zone, &self.settings.zones);
+        let due = books.due_suspect_record(&self.fleet.zone, &self.settings.zones);
         if due.is_none() {
             self.suspects_at = now + LOOK_EVERY;
         }
@@ -138,7 +138,7 @@
         let era = books
             .listed_in
             .filter(|era| Some(*era) == books.store_era)?;
-        let mut lost = books.records.before_era(FeedTopic::Fleet, era);
+        let mut lost = books.records.from_earlier_eras(FeedTopic::Fleet, era);
         lost.find(|(key, _)| self.is_ours(key))
             .map(|(key, value)| (key.to_owned(), value.clone()))
     }
@@ -169,9 +169,9 @@
 
     /// Whether a record is one of a suspect that this zone's holder has to keep.
     fn is_ours(&self, key: &str) -> bool {
-        let fingerprint = suspect_of(key);
+        let fingerprint = suspect_fingerprint(key);
         fingerprint.is_some_and(|fingerprint| {
-            keeps_record(&self.fleet.zone, &self.settings.zones, fingerprint)
+            is_record_owner(&self.fleet.zone, &self.settings.zones, fingerprint)
         })
     }
 
@@ -179,7 +179,7 @@
         VmRecord {
             zone: self.settings.zone.clone(),
             address: self.settings.peer_address,
-            strength: self.settings.strength,
+            strength: self.settings.cpu_millicores,
         }
     }
 }
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// When it can't be read, or the settings are wrong; the same text is not complained about twice.
-    pub fn changed(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
+    pub fn read_changes(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
         let text = read_text(&self.path)?;
         if text == self.text {
             return Ok(None);
@@ -60,7 +60,7 @@
 
 impl DirectDaemon {
     /// Takes over changes of the settings file until the future is dropped.
-    pub async fn follow(&self, mut file: SettingsFile, mut hang_up: Signal) {
+    pub async fn watch_settings(&self, mut file: SettingsFile, mut hang_up: Signal) {
         let mut look = interval(LOOK_EVERY);
         look.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -68,8 +68,8 @@
                 _ = hang_up.recv() => event!(Event::HangUp),
                 _ = look.tick() => {}
             }
-            match file.changed() {
-                Ok(Some(settings)) => self.take_over(&settings),
+            match file.read_changes() {
+                Ok(Some(settings)) => self.apply_settings(&settings),
                 Ok(None) => {}
                 Err(error) => event!(Event::SettingsKept, "{error}"),
             }
@@ -77,7 +77,7 @@
     }
 
     /// Takes over what can change in a running process.
-    pub fn take_over(&self, settings: &DirectSettings) {
+    pub fn apply_settings(&self, settings: &DirectSettings) {
         {
             let mut books = self.fleet().books();
             books.retries.set_rule(settings.retries);
@@ -85,7 +85,7 @@
         }
         // The line about the change is written whatever the level was and will be.
         set_level("info");
-        let waiting = self.settings().needs_restart(settings);
+        let waiting = self.settings().keys_needing_restart(settings);
         if waiting.is_empty() {
             event!(Event::SettingsChanged, "all of it");
         } else {
@@ -102,12 +102,12 @@
 impl DirectSettings {
     /// Keys whose changes wait for a restart.
     #[must_use]
-    pub fn needs_restart(&self, new: &Self) -> Vec<&'static str> {
+    pub fn keys_needing_restart(&self, new: &Self) -> Vec<&'static str> {
         let differs = [
             ("vm", self.vm != new.vm),
             ("zone", self.zone != new.zone),
             ("zones", self.zones != new.zones),
-            ("cores", self.strength != new.strength),
+            ("cores", self.cpu_millicores != new.cpu_millicores),
             ("caller_address", self.caller_address != new.caller_address),
             ("ready_address", self.ready_address != new.ready_address),
             (
@@ -123,9 +123,9 @@
             ("leases", self.leases != new.leases),
             (
                 "orders_fenced",
-                self.are_orders_fenced != new.are_orders_fenced,
+                self.has_order_fencing != new.has_order_fencing,
             ),
-            ("pace", self.pace != new.pace),
+            ("pace", self.timing != new.timing),
             ("log.file", self.log.file != new.log.file),
         ];
         differs
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -25,7 +25,7 @@
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Thousandths of a core that this VM has.
-    pub strength: u32,
+    pub cpu_millicores: u32,
     /// Where callers connect.
     pub caller_address: SocketAddr,
     /// Where the balancer asks whether the VM takes callers.
@@ -45,7 +45,7 @@
     /// How long a key that was taken away may still be served; none where a VM that is out of touch need not know.
     pub revocation: Option<RevocationRule>,
     /// How long operators take to write again what a copy of the log lacks.
-    pub rewrites: RewriteRule,
+    pub recovery: RewriteRule,
     /// How exactly quotas are kept.
     pub quotas: QuotaBounds,
     /// Pauses before trials of requests under which targets ended.
@@ -53,36 +53,36 @@
     /// Spans that decide about claims.
     pub leases: LeaseTimes,
     /// Whether engines refuse orders with an older fencing token than one that they have seen.
-    pub are_orders_fenced: bool,
+    pub has_order_fencing: bool,
     /// What decisions weigh.
     pub policy: PlacementPolicy,
     /// Pauses and bounds.
-    pub pace: PaceSettings,
+    pub timing: TimingSettings,
     /// Logs.
     pub log: LogSettings,
 }
 
 /// Pauses and bounds of the direct mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PaceSettings {
+pub struct TimingSettings {
     /// Pause between two reads of the target list.
-    pub list_every: Duration,
+    pub list_interval: Duration,
     /// Shortest pause between two reads of the configuration.
-    pub config_every: Duration,
+    pub min_config_interval: Duration,
     /// Longest time that a holder's read of the configuration waits for a change.
-    pub config_wait: Duration,
+    pub max_config_wait: Duration,
     /// Time after which a call to the log counts as unanswered.
     pub platform_timeout: Duration,
     /// Time from the stop signal until open connections are told to end.
-    pub stop_notice: Duration,
+    pub drain_delay: Duration,
     /// Time from the stop signal to the exit.
-    pub stop_bound: Duration,
+    pub stop_timeout: Duration,
 }
 
 impl DirectSettings {
     /// Whether a settings file asks for the direct mode.
     #[must_use]
-    pub fn is_asked_for(text: &str) -> bool {
+    pub fn is_direct_mode(text: &str) -> bool {
         serde_json::from_str::<Value>(text)
             .is_ok_and(|value| value.get("mode").and_then(Value::as_str) == Some("direct"))
     }
@@ -101,7 +101,7 @@
     DirectSettings {
         vm: VmName::new(&root.text("vm", "write the name of this VM")),
         zone: AvailabilityZone::new(&root.text("zone", "write the name of its availability zone")),
-        strength: (root.fraction("cores", 1.0, 0.001, 1024.0) * 1000.0) as u32,
+        cpu_millicores: (root.fraction("cores", 1.0, 0.001, 1024.0) * 1000.0) as u32,
         caller_address: root.address("caller_address"),
         ready_address: root.address("ready_address"),
         peer_address: root.address("peer_address"),
@@ -115,13 +115,13 @@
         is_first_start: root.flag("first_start"),
         retries: root.section("retries", read_retries),
         revocation: root.section("revocation", read_revocation),
-        rewrites: root.section("recovery", read_rewrites),
+        recovery: root.section("recovery", read_recovery),
         quotas: root.section("quotas", read_quotas),
         trials: root.section("trials", read_trials),
         leases: root.section("leases", read_leases),
-        are_orders_fenced: root.flag("orders_fenced"),
+        has_order_fencing: root.flag("orders_fenced"),
         policy: root.section("policy", read_policy),
-        pace: root.section("pace", read_pace),
+        timing: root.section("pace", read_timing),
         log: root.section("log", read_log),
     }
 }
@@ -139,7 +139,7 @@
     section.flag("strict").then_some(RevocationRule { bound })
 }
 
-fn read_rewrites(section: &SectionReader<'_>) -> RewriteRule {
+fn read_recovery(section: &SectionReader<'_>) -> RewriteRule {
     let recovered = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
     RewriteRule {
         rewrite: recovered.saturating_sub(START_TIME),
@@ -205,15 +205,15 @@
     }
 }
 
-fn read_pace(section: &SectionReader<'_>) -> PaceSettings {
-    PaceSettings {
-        list_every: section.span("list_every_ms", 1000, 10, 60_000),
-        config_every: section.span("config_every_ms", 200, 0, 60_000),
-        config_wait: section
+fn read_timing(section: &SectionReader<'_>) -> TimingSettings {
+    TimingSettings {
+        list_interval: section.span("list_every_ms", 1000, 10, 60_000),
+        min_config_interval: section.span("config_every_ms", 200, 0, 60_000),
+        max_config_wait: section
             .span("config_bound_ms", 2000, 0, 86_400_000)
             .saturating_sub(CONFIG_MARGIN),
         platform_timeout: section.span("platform_timeout_ms", 900, 10, 60_000),
-        stop_notice: section.span("stop_notice_ms", 2500, 0, 60_000),
-        stop_bound: section.span("stop_bound_ms", 7700, 100, 3_600_000),
+        drain_delay: section.span("stop_notice_ms", 2500, 0, 60_000),
+        stop_timeout: section.span("stop_bound_ms", 7700, 100, 3_600_000),
     }
 }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -11,7 +11,7 @@
         figures::PassReason,
         fleet::FleetState,
         message::{FeedTopic, PassedRecord, TopicEnd, VmMessage},
-        records::in_messages,
+        record_cache::split_into_messages,
     },
 };
 use hoplanding_core::{
@@ -57,7 +57,7 @@
         Self {
             fleet: Arc::clone(fleet),
             is_same_zone,
-            place: fleet.books().records.head(),
+            place: fleet.books().records.next_sequence(),
             leaving_place: 0,
             news: fleet.watch_news(),
             pulls: fleet.watch_pulls(),
@@ -120,7 +120,7 @@
     /// The news since this link's place that is worth passing on, as much as goes into one message.
     fn take_news(&mut self) -> Option<Vec<PassedRecord>> {
         while !self.is_drained() {
-            let (mut records, place) = self.fleet.books().records.news_from(self.place);
+            let (mut records, place) = self.fleet.books().records.updates_from(self.place);
             self.place = place;
             records.retain(|record| self.is_worth(record) && !self.is_heard(record));
             if !records.is_empty() {
@@ -138,7 +138,7 @@
     }
 
     fn is_drained(&self) -> bool {
-        self.place >= self.fleet.books().records.head()
+        self.place >= self.fleet.books().records.next_sequence()
     }
 
     /// A sign of life, with how this VM's contact with the log stands. In the same zone it says up to where the other
@@ -250,7 +250,7 @@
         let (records, spans) = self.fleet.records_since(from, is_turned_away);
         let figures = &self.fleet.figures;
         figures.count_passed(PassReason::Answer, records.len());
-        let mut parts = in_messages(records);
+        let mut parts = split_into_messages(records);
         let records = parts.pop().unwrap_or_default();
         self.replies
             .extend(parts.into_iter().map(VmMessage::Records));
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -110,7 +110,7 @@
 
 /// The request that a key of the fleet's topic is about; none if it is about none.
 #[must_use]
-pub fn suspect_of(key: &str) -> Option<RequestFingerprint> {
+pub fn suspect_fingerprint(key: &str) -> Option<RequestFingerprint> {
     let text = key.strip_prefix(SUSPECT_KEY)?;
     let number = u64::from_str_radix(text, 16).ok()?;
     Some(RequestFingerprint(number))
@@ -118,7 +118,7 @@
 
 /// Whether a zone's holder keeps the record of a request: it grants the request's trials.
 #[must_use]
-pub fn keeps_record(
+pub fn is_record_owner(
     zone: &AvailabilityZone,
     zones: &[AvailabilityZone],
     fingerprint: RequestFingerprint,
@@ -153,20 +153,20 @@
 
     /// A record of a suspect that a zone's holder has to write or drop, and its value.
     #[must_use]
-    pub fn due_suspect(
+    pub fn due_suspect_record(
         &self,
         zone: &AvailabilityZone,
         zones: &[AvailabilityZone],
     ) -> Option<(String, Bytes)> {
         let now = clock::now();
         let recorded = self.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
-        let recorded = recorded.filter_map(suspect_of);
+        let recorded = recorded.filter_map(suspect_fingerprint);
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
             let standing = self.suspects.standing(fingerprint, now);
             let is_gateways =
                 standing.is_some_and(|standing| now.since(standing.since) < GATEWAY_TIME);
-            if is_gateways || !keeps_record(zone, zones, fingerprint) {
+            if is_gateways || !is_record_owner(zone, zones, fingerprint) {
                 return None;
             }
             let value = self.due_record(fingerprint)?;
@@ -183,18 +183,18 @@
 
 /// The way of calls to the writer of suspects' records.
 #[derive(Clone, Debug)]
-pub struct EndRecords {
+pub struct SuspectRecorder {
     due: mpsc::Sender<DueRecord>,
     is_failing: Arc<AtomicBool>,
 }
 
-impl EndRecords {
+impl SuspectRecorder {
     /// Starts the writer, which ends with the last of its senders.
     #[must_use]
     pub fn start(fleet: &Arc<FleetState>, settings: &Arc<DirectSettings>) -> Self {
         let (due, receiver) = mpsc::channel(ENDS_DUE);
         let is_failing = Arc::new(AtomicBool::new(false));
-        let writer = EndWriter {
+        let writer = SuspectWriter {
             fleet: Arc::clone(fleet),
             settings: Arc::clone(settings),
             client: StoreClient::new(settings.platform_address),
@@ -232,7 +232,7 @@
 }
 
 /// Writes the records of suspects whose targets ended under calls of this VM.
-struct EndWriter {
+struct SuspectWriter {
     fleet: Arc<FleetState>,
     settings: Arc<DirectSettings>,
     client: StoreClient,
@@ -241,7 +241,7 @@
     is_failing: Arc<AtomicBool>,
 }
 
-impl EndWriter {
+impl SuspectWriter {
     async fn run(mut self, mut receiver: mpsc::Receiver<DueRecord>) {
         loop {
             if self.due.is_empty() {
@@ -298,7 +298,7 @@
     }
 
     async fn append(&mut self, records: Vec<(String, Bytes)>) -> Result<(), StoreError> {
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         let encoded: Vec<(&str, &[u8])> = records
             .iter()
             .map(|(key, value)| (key.as_str(), &**value))
@@ -307,7 +307,7 @@
             .client
             .append_all(FLEET_TOPIC, &encoded, within)
             .await?;
-        if !self.fleet.meet_era(first.era()) {
+        if !self.fleet.observe_era(first.era()) {
             return Err(StoreError::OtherEra(first.era()));
         }
         for (place, (key, value)) in (0..).zip(records) {
@@ -319,7 +319,7 @@
 }
 
 /// Folds the record of a suspect, or the end of its suspicion.
-pub(super) fn fold_suspect(
+pub(super) fn apply_suspect_record(
     books: &mut FleetBooks,
     fingerprint: RequestFingerprint,
     value: Option<&[u8]>,
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -48,11 +48,11 @@
 const LIST_LOOK: Duration = Duration::from_millis(500);
 /// What a gateway gets for its question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaceReply {
+pub enum HolderReply {
     /// The holder's answer.
-    Answer(PlacementAnswer),
+    Placement(PlacementAnswer),
     /// A charge is paid, or there will be enough after so many milliseconds.
-    Paid(Option<u32>),
+    Charged(Option<u32>),
     /// Whether a trial is granted.
     Trial(TrialAnswer),
     /// The record of a target that is known.
@@ -63,54 +63,54 @@
 
 /// Where a reply goes.
 #[derive(Debug)]
-pub enum ReplyTo {
+pub enum ReplySender {
     /// A call of this VM.
-    Local(oneshot::Sender<PlaceReply>),
+    Local(oneshot::Sender<HolderReply>),
     /// A gateway on another VM.
-    Link(mpsc::Sender<VmMessage>),
+    Peer(mpsc::Sender<VmMessage>),
 }
 
 /// What happens to a zone.
 #[derive(Debug)]
 pub enum ZoneEvent {
     /// Place a call.
-    Place(CallKey, Box<PlacementAsk>, ReplyTo),
+    Place(CallKey, Box<PlacementAsk>, ReplySender),
     /// Place a call of a plain service.
-    PlacePlain(CallKey, Box<PlainAsk>, ReplyTo),
+    PlacePlain(CallKey, Box<PlainAsk>, ReplySender),
     /// Pay a charge.
-    Pay(CallKey, QuotaCharge, ReplyTo),
+    ChargeQuota(CallKey, QuotaCharge, ReplySender),
     /// A call that was paid for did not run.
-    GiveBack(QuotaCharge),
+    RefundQuota(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    TargetEnded(EndedUnder),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    TargetLimit(NamedLimit),
     /// Grant a trial of a suspect.
-    Trial(CallKey, RequestFingerprint, ReplyTo),
+    RequestTrial(CallKey, RequestFingerprint, ReplySender),
     /// Tell the record of a target.
-    Target(CallKey, TargetName, ReplyTo),
+    LookUpTarget(CallKey, TargetName, ReplySender),
     /// A trial ended, answered well or not.
     TrialEnded(CallKey, RequestFingerprint, bool),
     /// The first event of a call came from this target, made by this version of the base model.
-    Begun(CallKey, TargetName, Option<u64>),
+    FirstEvent(CallKey, TargetName, Option<u64>),
     /// A call ended.
-    Ended(VmName, CallEnding),
+    CallEnded(VmName, CallEnding),
     /// A placement is no longer wanted.
-    Withdrawn(CallKey),
+    PlacementWithdrawn(CallKey),
     /// A call was open before.
-    Open(CallKey, TargetName, TargetLife, AdapterName),
+    OpenCall(CallKey, TargetName, TargetLife, AdapterName),
     /// A gateway can't be reached.
-    GatewayGone(VmName),
+    GatewayLost(VmName),
     /// An order to a life of a target ended.
     OrderEnded(TargetName, TargetLife, OrderOutcome),
     /// A report came, or did not.
-    Reported(TargetName, Option<EngineReport>),
+    ReportReceived(TargetName, Option<EngineReport>),
     /// The VM stops: give no further orders, and say when that holds.
-    Release(oneshot::Sender<bool>),
+    ReleaseLease(oneshot::Sender<bool>),
     /// A stronger VM asks for the lease with this token.
-    Wanted(VmName, FencingToken),
+    LeaseWanted(VmName, FencingToken),
     /// The lease with this token could not be given up: it is held again.
-    Kept(FencingToken),
+    LeaseRetained(FencingToken),
 }
 
 struct HeldZone {
@@ -144,7 +144,7 @@
 
 /// A call that waits for a place.
 struct PendingAsk {
-    reply: ReplyTo,
+    reply: ReplySender,
     /// What was paid for it.
     charge: Option<QuotaCharge>,
 }
@@ -228,9 +228,9 @@
 
     fn take(&mut self, event: ZoneEvent) {
         let now = clock::now();
-        if let ZoneEvent::Target(key, target, reply) = event {
+        if let ZoneEvent::LookUpTarget(key, target, reply) = event {
             let record = self.fleet.target_record(&target);
-            send_reply(&key, reply, PlaceReply::Target(record));
+            send_reply(&key, reply, HolderReply::Target(record));
             return;
         }
         let Some(event) = self.take_for_ledger(event, now) else {
@@ -238,13 +238,13 @@
         };
         let Some(held) = &mut self.held else {
             match event {
-                ZoneEvent::Place(key, _, reply) => send_reply(&key, reply, PlaceReply::NotHolder),
-                ZoneEvent::Release(done) => {
+                ZoneEvent::Place(key, _, reply) => send_reply(&key, reply, HolderReply::NotHolder),
+                ZoneEvent::ReleaseLease(done) => {
                     self.is_released = true;
                     // Whoever asked may have ended since.
                     let _ = done.send(false);
                 }
-                ZoneEvent::Kept(token) if self.refused == Some(token) => {
+                ZoneEvent::LeaseRetained(token) if self.refused == Some(token) => {
                     self.refused = None;
                     self.refresh();
                 }
@@ -260,17 +260,17 @@
                     .as_mut()
                     .map_or(Ok(()), |ledger| ledger.pay_for_place(charge.as_ref(), now));
                 if let Err(refusal) = paid {
-                    send_reply(&key, reply, PlaceReply::Answer(refusal));
+                    send_reply(&key, reply, HolderReply::Placement(refusal));
                     return;
                 }
                 let pending = PendingAsk { reply, charge };
                 self.pending.insert(key.clone(), pending);
                 held.planner.place(key, *ask, now);
             }
-            ZoneEvent::Begun(key, target, version) => {
+            ZoneEvent::FirstEvent(key, target, version) => {
                 held.planner.begun(&key, &target, version, now);
             }
-            ZoneEvent::Ended(vm, ending) => {
+            ZoneEvent::CallEnded(vm, ending) => {
                 let key = CallKey {
                     vm,
                     number: ending.number,
@@ -284,7 +284,7 @@
                 }
                 held.planner.ended(&key, Some(&ending.target), health, now);
             }
-            ZoneEvent::Withdrawn(key) => {
+            ZoneEvent::PlacementWithdrawn(key) => {
                 let pending = self.pending.remove(&key);
                 if let (Some(charge), Some(ledger)) =
                     (pending.and_then(|pending| pending.charge), &mut self.ledger)
@@ -293,12 +293,12 @@
                 }
                 held.planner.ended(&key, None, None, now);
             }
-            ZoneEvent::Open(key, target, life, subject) => {
+            ZoneEvent::OpenCall(key, target, life, subject) => {
                 if held.planner.knows_life(&target, life) {
                     held.planner.adopt(key, &target, &subject);
                 }
             }
-            ZoneEvent::GatewayGone(vm) => {
+            ZoneEvent::GatewayLost(vm) => {
                 self.pending.retain(|key, _| key.vm != vm);
                 held.planner.forget_gateway(&vm, now);
             }
@@ -313,29 +313,29 @@
                     held.planner.order_ended(&target, outcome, now);
                 }
             }
-            ZoneEvent::Reported(target, report) => {
+            ZoneEvent::ReportReceived(target, report) => {
                 held.planner.report_came(&target, report.as_ref(), now);
             }
-            ZoneEvent::Release(done) => {
+            ZoneEvent::ReleaseLease(done) => {
                 self.is_released = true;
                 self.give_up();
                 let _ = done.send(true);
             }
-            ZoneEvent::Wanted(vm, token) if held.token == token && !held.is_yielding => {
+            ZoneEvent::LeaseWanted(vm, token) if held.token == token && !held.is_yielding => {
                 event!(Event::LeaseYielded, "{} to {vm}", self.fleet.zone);
                 held.is_yielding = true;
                 held.planner.stop_orders();
             }
             // Asked for by an older record, or a second time.
-            ZoneEvent::Wanted(..)
-            | ZoneEvent::Kept(_)
+            ZoneEvent::LeaseWanted(..)
+            | ZoneEvent::LeaseRetained(_)
             | ZoneEvent::PlacePlain(..)
-            | ZoneEvent::Pay(..)
-            | ZoneEvent::GiveBack(_)
-            | ZoneEvent::EndedUnder(_)
-            | ZoneEvent::LimitNamed(_)
-            | ZoneEvent::Trial(..)
-            | ZoneEvent::Target(..)
+            | ZoneEvent::ChargeQuota(..)
+            | ZoneEvent::RefundQuota(_)
+            | ZoneEvent::TargetEnded(_)
+            | ZoneEvent::TargetLimit(_)
+            | ZoneEvent::RequestTrial(..)
+            | ZoneEvent::LookUpTarget(..)
             | ZoneEvent::TrialEnded(..) => {}
         }
     }
@@ -344,28 +344,28 @@
     fn take_for_ledger(&mut self, event: ZoneEvent, now: Instant) -> Option<ZoneEvent> {
         let Some(ledger) = &mut self.ledger else {
             return match event {
-                ZoneEvent::Pay(key, _, reply)
+                ZoneEvent::ChargeQuota(key, _, reply)
                 | ZoneEvent::PlacePlain(key, _, reply)
-                | ZoneEvent::Trial(key, _, reply) => {
-                    send_reply(&key, reply, PlaceReply::NotHolder);
+                | ZoneEvent::RequestTrial(key, _, reply) => {
+                    send_reply(&key, reply, HolderReply::NotHolder);
                     None
                 }
                 other => Some(other),
             };
         };
         match event {
-            ZoneEvent::Pay(key, charge, reply) => {
+            ZoneEvent::ChargeQuota(key, charge, reply) => {
                 let short = ledger.pay(&charge, now).err();
-                send_reply(&key, reply, PlaceReply::Paid(short.map(millis)));
+                send_reply(&key, reply, HolderReply::Charged(short.map(millis)));
                 None
             }
-            ZoneEvent::GiveBack(charge) => {
+            ZoneEvent::RefundQuota(charge) => {
                 ledger.give_back(&charge, now);
                 None
             }
-            ZoneEvent::Trial(key, fingerprint, reply) => {
+            ZoneEvent::RequestTrial(key, fingerprint, reply) => {
                 let answer = ledger.ask_trial(&self.fleet, fingerprint, key.clone(), now);
-                send_reply(&key, reply, PlaceReply::Trial(answer));
+                send_reply(&key, reply, HolderReply::Trial(answer));
                 None
             }
             ZoneEvent::TrialEnded(key, fingerprint, is_good) => {
@@ -378,7 +378,7 @@
                 }
                 None
             }
-            ZoneEvent::LimitNamed(named) => {
+            ZoneEvent::TargetLimit(named) => {
                 self.fleet.books().limits.note(&named, now);
                 ledger.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
@@ -386,7 +386,7 @@
                 }
                 None
             }
-            ZoneEvent::EndedUnder(ended) => {
+            ZoneEvent::TargetEnded(ended) => {
                 self.fleet.note_ended_under(&ended);
                 if let Some(held) = &mut self.held {
                     held.planner.target_ended(&ended, now);
@@ -395,14 +395,14 @@
             }
             ZoneEvent::PlacePlain(key, ask, reply) => {
                 let answer = ledger.place_plain(&self.fleet, key.clone(), &ask, now);
-                send_reply(&key, reply, PlaceReply::Answer(answer));
+                send_reply(&key, reply, HolderReply::Placement(answer));
                 None
             }
-            ZoneEvent::Withdrawn(ref key) => {
+            ZoneEvent::PlacementWithdrawn(ref key) => {
                 let is_plain = ledger.end_plain(key, None, now);
                 (!is_plain).then_some(event)
             }
-            ZoneEvent::Ended(ref vm, ref ending) => {
+            ZoneEvent::CallEnded(ref vm, ref ending) => {
                 let key = CallKey {
                     vm: vm.clone(),
                     number: ending.number,
@@ -411,7 +411,7 @@
                 let is_plain = ledger.end_plain(&key, outcome, now);
                 (!is_plain).then_some(event)
             }
-            ZoneEvent::GatewayGone(ref vm) => {
+            ZoneEvent::GatewayLost(ref vm) => {
                 ledger.forget_gateway(vm, now);
                 Some(event)
             }
@@ -453,12 +453,12 @@
         let settings = Arc::clone(&self.settings);
         let events = self.events.clone();
         tokio::spawn(async move {
-            let within = settings.pace.platform_timeout;
+            let within = settings.timing.platform_timeout;
             if !release_lease(&fleet, settings.platform_address, within).await {
                 // It may be recorded yet, and a successor may act on that: the zone rests for a turn.
                 sleep(settings.leases.turn).await;
                 // The worker ends with the process.
-                let _ = events.send(ZoneEvent::Kept(token)).await;
+                let _ = events.send(ZoneEvent::LeaseRetained(token)).await;
             }
         });
     }
@@ -470,7 +470,7 @@
         }
         self.ledger = None;
         for (key, pending) in self.pending.drain() {
-            send_reply(&key, pending.reply, PlaceReply::NotHolder);
+            send_reply(&key, pending.reply, HolderReply::NotHolder);
         }
     }
 
@@ -596,7 +596,7 @@
         held.service.clone_from(&service);
         held.planner.set_limits(limits);
         held.planner.set_policy(policy);
-        held.planner.set_fenced(self.settings.are_orders_fenced);
+        held.planner.set_fenced(self.settings.has_order_fencing);
         held.planner.lead_until(led_until);
         held.planner
             .set_targets(self.fleet.zone_targets(&service, &self.fleet.zone), now);
@@ -627,7 +627,7 @@
                     {
                         ledger.give_back(charge, clock::now());
                     }
-                    send_reply(&key, pending.reply, PlaceReply::Answer(answer));
+                    send_reply(&key, pending.reply, HolderReply::Placement(answer));
                 }
                 // An engine that wants nothing from this VM is as good as out of reach for it.
                 PlannerAction::Order(entry, _) if self.fleet.is_resting(&entry.run()) => {
@@ -663,7 +663,7 @@
                     tokio::spawn(async move {
                         let report = read_report(&fleet, &pool, &entry).await;
                         let _ = events
-                            .send(ZoneEvent::Reported(entry.name.clone(), report))
+                            .send(ZoneEvent::ReportReceived(entry.name.clone(), report))
                             .await;
                     });
                 }
@@ -693,17 +693,17 @@
     }
 }
 
-fn send_reply(key: &CallKey, reply: ReplyTo, answer: PlaceReply) {
+fn send_reply(key: &CallKey, reply: ReplySender, answer: HolderReply) {
     match reply {
         // A caller that left needs no reply.
-        ReplyTo::Local(sender) => drop(sender.send(answer)),
-        ReplyTo::Link(sender) => {
+        ReplySender::Local(sender) => drop(sender.send(answer)),
+        ReplySender::Peer(sender) => {
             let message = match answer {
-                PlaceReply::Answer(answer) => VmMessage::Placed(key.number, answer),
-                PlaceReply::Paid(after_ms) => VmMessage::Paid(key.number, after_ms),
-                PlaceReply::Trial(answer) => VmMessage::TrialAnswered(key.number, answer),
-                PlaceReply::Target(record) => VmMessage::TargetTold(key.number, record),
-                PlaceReply::NotHolder => VmMessage::NotHolder(key.number),
+                HolderReply::Placement(answer) => VmMessage::Placed(key.number, answer),
+                HolderReply::Charged(after_ms) => VmMessage::Paid(key.number, after_ms),
+                HolderReply::Trial(answer) => VmMessage::TrialAnswered(key.number, answer),
+                HolderReply::Target(record) => VmMessage::TargetTold(key.number, record),
+                HolderReply::NotHolder => VmMessage::NotHolder(key.number),
             };
             // A full or closed link: the gateway's own timeout takes it from here.
             drop(sender.try_send(message));
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -81,7 +81,7 @@
     let daemon = DirectDaemon::start(settings).await?;
     let hang_up = signal(SignalKind::hangup())?;
     tokio::select! {
-        () = daemon.follow(file, hang_up) => {}
+        () = daemon.watch_settings(file, hang_up) => {}
         stopped = stop_signal() => stopped?,
     }
     let left = daemon.stop().await;
--- a/crates/daemon/src/options/mode.rs
+++ b/crates/daemon/src/options/mode.rs
@@ -20,7 +20,7 @@
     /// # Errors
     /// Lists every fault with its key, value and remedy.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        if DirectSettings::is_asked_for(text) {
+        if DirectSettings::is_direct_mode(text) {
             DirectSettings::parse(text).map(|settings| Self::Direct(Box::new(settings)))
         } else {
             Settings::parse(text).map(|settings| Self::Held(Box::new(settings)))
--- a/crates/daemon/tests/direct/calls.rs
+++ b/crates/daemon/tests/direct/calls.rs
@@ -1,8 +1,9 @@
 //! Calls and their answers.
 
 use crate::support::{
-    HOST, ask, config, entry, event, good, is_ready, model, post, sealed, settings, site, stream,
-    unchunk, wait_for,
+    HOST, config_json, decode_chunked, good_answer, is_ready, model_headers, post_request,
+    seal_headers, send_request, start_daemon, stream_answer, stream_event, target_entry,
+    vm_settings, wait_for,
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -33,27 +34,27 @@
 #[tokio::test]
 async fn a_vm_without_a_configuration_promises_and_never_denies() {
     let log = KeyedLog::start().await.expect("a log");
-    let daemon = DirectDaemon::start(settings("vm-1", &log))
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log))
         .await
         .expect("the daemon starts");
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 503);
-    assert!(answer.has("retry-after"));
+    assert!(answer.has_header("retry-after"));
     assert!(!is_ready(&daemon).await);
 }
 
 #[tokio::test]
 async fn a_call_reaches_its_service_unchanged_and_its_answer_the_caller() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let answer = ask(
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let answer = send_request(
         daemon.caller_address,
-        &post("/scan/x%20y?q=1", "r1", "X-Own: 7\r\n"),
+        &post_request("/scan/x%20y?q=1", "r1", "X-Own: 7\r\n"),
     )
     .await;
     assert_eq!((answer.status, answer.body.as_slice()), (200, &b"done"[..]));
-    assert!(answer.has("hoplanding-server-seal: seal"));
+    assert!(answer.has_header("hoplanding-server-seal: seal"));
     let seen = target.requests();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].line(), "POST /scan/x%20y?q=1 HTTP/1.1");
@@ -70,24 +71,24 @@
 #[tokio::test]
 async fn the_metrics_page_counts_what_became_of_requests() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("ledger", target.address, "ready", &[])),
+        Some(&target_entry("ledger", target.address, "ready", &[])),
     );
-    log.put("keyed.op", "config", Some(&config(7)));
-    let mut settings = settings("vm-1", &log);
+    log.put("keyed.op", "config", Some(&config_json(7)));
+    let mut settings = vm_settings("vm-1", &log);
     settings.metrics_address = Some("127.0.0.1:0".parse().expect("an address"));
     let daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
-    ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
-    ask(daemon.caller_address, &post("/nowhere/1", "r2", "")).await;
+    send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
+    send_request(daemon.caller_address, &post_request("/nowhere/1", "r2", "")).await;
     let metrics = daemon.metrics_address.expect("an address");
     let request = "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
-    let answer = ask(metrics, request).await;
+    let answer = send_request(metrics, request).await;
     let page = String::from_utf8_lossy(&answer.body).into_owned();
     for line in [
         "hoplanding_requests_total{kind=\"Once\",outcome=\"Answered\"} 1",
@@ -99,40 +100,53 @@
     ] {
         assert!(page.contains(line), "{line} is missing in\n{page}");
     }
-    assert!(answer.has("openmetrics-text"));
+    assert!(answer.has_header("openmetrics-text"));
 }
 
 #[tokio::test]
 async fn unknown_hosts_large_bodies_and_large_heads_are_refused_and_reach_nobody() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let unknown = post("/scan/1", "r1", "").replace(HOST, "nobody.example");
-    assert_eq!(ask(daemon.caller_address, &unknown).await.status, 404);
-    let large = post("/scan/1", "r2", "").replace("Content-Length: 4", "Content-Length: 200000");
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let unknown = post_request("/scan/1", "r1", "").replace(HOST, "nobody.example");
+    assert_eq!(
+        send_request(daemon.caller_address, &unknown).await.status,
+        404
+    );
+    let large =
+        post_request("/scan/1", "r2", "").replace("Content-Length: 4", "Content-Length: 200000");
     let large = large + &"x".repeat(200_000);
-    assert_eq!(ask(daemon.caller_address, &large).await.status, 413);
-    let heavy = post(
+    assert_eq!(
+        send_request(daemon.caller_address, &large).await.status,
+        413
+    );
+    let heavy = post_request(
         "/scan/1",
         "r3",
         &format!("X-Heavy: {}\r\n", "h".repeat(40_000)),
     );
-    assert_eq!(ask(daemon.caller_address, &heavy).await.status, 431);
-    let twice = post("/scan/1", "r4", "Content-Length: 2\r\n");
-    assert_eq!(ask(daemon.caller_address, &twice).await.status, 400);
+    assert_eq!(
+        send_request(daemon.caller_address, &heavy).await.status,
+        431
+    );
+    let twice = post_request("/scan/1", "r4", "Content-Length: 2\r\n");
+    assert_eq!(
+        send_request(daemon.caller_address, &twice).await.status,
+        400
+    );
     assert!(target.requests().is_empty());
 }
 
 #[tokio::test]
 async fn a_body_in_chunks_arrives_whole_and_nothing_behind_it_is_smuggled() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let chunked = format!(
         "POST /scan/1 HTTP/1.1\r\nHost: {HOST}\r\nHoplanding-Request-Id: r1\r\nContent-Length: 4\r\n\
          Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     );
-    let answer = ask(daemon.caller_address, &chunked).await;
+    let answer = send_request(daemon.caller_address, &chunked).await;
     let seen = target.requests();
     assert!(seen.len() <= 1);
     if let Some(request) = seen.first() {
@@ -149,8 +163,8 @@
     })
     .await
     .expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 502);
     assert!(answer.body.is_empty());
     assert_eq!(
@@ -174,8 +188,8 @@
         })
         .await
         .expect("a target");
-        let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-        let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+        let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+        let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
         assert_eq!(answer.status, 502);
     }
 }
@@ -184,24 +198,24 @@
 async fn bytes_behind_a_whole_answer_belong_to_no_request() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|request: &RawRequest| {
-        let mut answer = good(request);
-        let extra = RawAnswer::whole("200 OK", &sealed(request), "again");
+        let mut answer = good_answer(request);
+        let extra = RawAnswer::whole("200 OK", &seal_headers(request), "again");
         answer.pieces.extend(extra.pieces);
         answer
     })
     .await
     .expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     for number in 0..6 {
         let id = format!("r{number}");
-        let answer = ask(daemon.caller_address, &post("/lookup/1", &id, "")).await;
+        let answer = send_request(daemon.caller_address, &post_request("/lookup/1", &id, "")).await;
         assert!(
             answer.status != 200 || answer.body == b"done",
             "{}",
             answer.status
         );
         if answer.status == 200 {
-            assert!(answer.has(&format!("hoplanding-request-id: {id}")));
+            assert!(answer.has_header(&format!("hoplanding-request-id: {id}")));
         }
     }
 }
@@ -219,8 +233,8 @@
         ("i-1", "ledger", target.address),
         ("i-2", "ledger", other.address),
     ];
-    let daemon = site(&log, &targets).await;
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let daemon = start_daemon(&log, &targets).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 502);
     assert_eq!(target.requests().len() + other.requests().len(), 1);
 }
@@ -233,7 +247,7 @@
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
             RawAnswer::close()
         } else {
-            let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+            let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
             RawAnswer::whole("503 Service Unavailable", &headers, "")
         }
     });
@@ -248,8 +262,8 @@
         ("i-1", "ledger", target.address),
         ("i-2", "ledger", other.address),
     ];
-    let daemon = site(&log, &targets).await;
-    let answer = ask(daemon.caller_address, &post("/lookup/1", "r1", "")).await;
+    let daemon = start_daemon(&log, &targets).await;
+    let answer = send_request(daemon.caller_address, &post_request("/lookup/1", "r1", "")).await;
     assert_eq!(target.requests().len() + other.requests().len(), 2);
     assert_eq!(answer.status, 502, "the first target may have run it");
 }
@@ -257,23 +271,23 @@
 #[tokio::test]
 async fn a_target_that_did_not_run_a_call_leads_to_another_or_to_a_promise() {
     let refuse = |request: &RawRequest| {
-        let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+        let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
         RawAnswer::whole("503 Service Unavailable", &headers, "")
     };
     let log = KeyedLog::start().await.expect("a log");
     let full = RawTarget::start(refuse).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", full.address)]).await;
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", full.address)]).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 503);
-    assert!(answer.has("retry-after"));
-    let free = RawTarget::start(good).await.expect("a target");
+    assert!(answer.has_header("retry-after"));
+    let free = RawTarget::start(good_answer).await.expect("a target");
     log.put(
         "keyed.servers",
         "i-2",
-        Some(&entry("ledger", free.address, "ready", &[])),
+        Some(&target_entry("ledger", free.address, "ready", &[])),
     );
     wait_for("an answer", async || {
-        ask(daemon.caller_address, &post("/scan/1", "r2", ""))
+        send_request(daemon.caller_address, &post_request("/scan/1", "r2", ""))
             .await
             .status
             == 200
@@ -284,14 +298,21 @@
 #[tokio::test]
 async fn a_broken_stream_ends_behind_a_whole_event_and_does_not_look_complete() {
     let log = KeyedLog::start().await.expect("a log");
-    let engine = RawTarget::start(|request: &RawRequest| stream(request, Some(4)))
+    let engine = RawTarget::start(|request: &RawRequest| stream_answer(request, Some(4)))
         .await
         .expect("an engine");
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
-    let answer = ask(daemon.caller_address, &post("/plan/1", "r1", &model("a1"))).await;
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
+    let answer = send_request(
+        daemon.caller_address,
+        &post_request("/plan/1", "r1", &model_headers("a1")),
+    )
+    .await;
     assert_eq!(answer.status, 200);
     assert!(!answer.is_whole);
-    assert_eq!(unchunk(&answer.body), (1..4).map(event).collect::<String>());
+    assert_eq!(
+        decode_chunked(&answer.body),
+        (1..4).map(stream_event).collect::<String>()
+    );
 }
 
 #[tokio::test]
@@ -301,7 +322,7 @@
     let serve = Arc::new(move |request: &RawRequest| {
         let is_call = !request.line().contains("/hoplanding/");
         let breaks = is_call && broken.fetch_add(1, Ordering::SeqCst) == 0;
-        stream(request, breaks.then_some(4))
+        stream_answer(request, breaks.then_some(4))
     });
     let (one, two) = (Arc::clone(&serve), serve);
     let first = RawTarget::start(move |request: &RawRequest| one(request))
@@ -314,15 +335,15 @@
         ("i-1", "scribe", first.address),
         ("i-2", "scribe", second.address),
     ];
-    let daemon = site(&log, &targets).await;
-    let answer = ask(
+    let daemon = start_daemon(&log, &targets).await;
+    let answer = send_request(
         daemon.caller_address,
-        &post("/resumed/1", "r1", &model("a1")),
+        &post_request("/resumed/1", "r1", &model_headers("a1")),
     )
     .await;
     assert!(answer.is_whole);
     assert_eq!(
-        unchunk(&answer.body),
-        (1..=6).map(event).collect::<String>()
+        decode_chunked(&answer.body),
+        (1..=6).map(stream_event).collect::<String>()
     );
 }
--- a/crates/daemon/tests/direct/connections.rs
+++ b/crates/daemon/tests/direct/connections.rs
@@ -8,7 +8,10 @@
 //! Evidence: "servers reset 124 to 139 connections that were over their cap" on three such days, E811 "connection error", and
 //! none of these answers on three sweeps of a trial that kept no connection (2 to 5 before).
 
-use crate::support::{ask, config, good, is_ready, post, settings, site, wait_for};
+use crate::support::{
+    config_json, good_answer, is_ready, post_request, send_request, start_daemon, vm_settings,
+    wait_for,
+};
 use futures_util::future::join_all;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -24,7 +27,7 @@
 const AT_ONCE: usize = 3;
 
 fn slow(request: &RawRequest) -> RawAnswer {
-    let mut answer = good(request);
+    let mut answer = good_answer(request);
     answer.pieces[0].0 = Duration::from_millis(60);
     answer
 }
@@ -35,13 +38,13 @@
     let target = RawTarget::start_bounded(slow, ACCEPTED)
         .await
         .expect("a target");
-    let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
+    let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
     for number in 2..=VMS {
-        let daemon = DirectDaemon::start(settings(&format!("vm-{number}"), &log)).await;
+        let daemon = DirectDaemon::start(vm_settings(&format!("vm-{number}"), &log)).await;
         fleet.push(daemon.expect("the daemon starts"));
     }
     let all = format!("\"max_connections\":{ACCEPTED},\"name\":\"ledger\"");
-    let told = config(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &all);
+    let told = config_json(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &all);
     assert!(told.contains(&all), "{told}");
     log.put("keyed.op", "config", Some(&told));
     for daemon in &fleet {
@@ -56,8 +59,8 @@
     // No VM has more under way than it leaves room for, and one after the other calls.
     for (vm, daemon) in fleet.iter().enumerate() {
         let calls = (0..AT_ONCE).map(|call| {
-            let request = post(&format!("/scan/{call}"), &format!("r{vm}{call}"), "");
-            async move { ask(daemon.caller_address, &request).await.status }
+            let request = post_request(&format!("/scan/{call}"), &format!("r{vm}{call}"), "");
+            async move { send_request(daemon.caller_address, &request).await.status }
         });
         assert_eq!(join_all(calls).await, [200; AT_ONCE], "VM {vm}");
     }
--- a/crates/daemon/tests/direct/foreign.rs
+++ b/crates/daemon/tests/direct/foreign.rs
@@ -3,7 +3,9 @@
 //! They may lack fields, hold other types, name states and addresses that are none, or be no text at all. Such an entry
 //! names no target to use, whatever stood under its key before, and all others hold.
 
-use crate::support::{ask, entry, good, is_ready, post, site, wait_for};
+use crate::support::{
+    good_answer, is_ready, post_request, send_request, start_daemon, target_entry, wait_for,
+};
 use hoplanding_core::ids::{Instant, TargetName};
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget};
 use hoplandingd::direct::{daemon::DirectDaemon, skipped::SkippedEntries};
@@ -16,7 +18,7 @@
 }
 
 async fn pass_by(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
-    let text = entry("other", address, "ready", &[]);
+    let text = target_entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
     wait_for("the entry after", async || is_listed(daemon, name)).await;
 }
@@ -24,7 +26,7 @@
 /// Texts that are no entries, made from one that is.
 fn unusable(address: SocketAddr, own: SocketAddr) -> Vec<String> {
     let good: Value =
-        serde_json::from_str(&entry("ledger", address, "ready", &[])).expect("an entry");
+        serde_json::from_str(&target_entry("ledger", address, "ready", &[])).expect("an entry");
     let with = |field: &str, value: Value| {
         let mut fields = good.clone();
         fields[field] = value;
@@ -72,9 +74,9 @@
 #[tokio::test]
 async fn an_entry_that_can_not_be_used_names_no_target_and_all_others_hold() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(
+    let daemon = start_daemon(
         &log,
         &[("i-1", "ledger", address), ("i-2", "ledger", address)],
     )
@@ -82,7 +84,7 @@
     for (number, text) in unusable(address, daemon.caller_address).iter().enumerate() {
         let shown: String = text.chars().take(60).collect();
         let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
-        put(&entry("ledger", address, "ready", &[]));
+        put(&target_entry("ledger", address, "ready", &[]));
         wait_for("the good entry", async || is_listed(&daemon, "i-1")).await;
         put(text);
         pass_by(&log, &daemon, &format!("m-{number}"), address).await;
@@ -93,35 +95,35 @@
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("ledger", address, "ready", &[])),
+        Some(&target_entry("ledger", address, "ready", &[])),
     );
     wait_for("the good entry", async || is_listed(&daemon, "i-1")).await;
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
 #[tokio::test]
 async fn a_name_that_fits_in_no_header_is_not_used_and_ends_nothing() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     for name in ["i\n2", "i 3", "i\u{e9}4", "i\u{0}5"] {
-        let text = entry("scribe", address, "ready", &["a1@1"]);
+        let text = target_entry("scribe", address, "ready", &["a1@1"]);
         log.put("keyed.servers", name, Some(&text));
     }
     pass_by(&log, &daemon, "m-1", address).await;
     for name in ["i\n2", "i 3", "i\u{e9}4", "i\u{0}5"] {
         assert!(!is_listed(&daemon, name), "{name:?}");
     }
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
 #[tokio::test]
 async fn a_vm_that_starts_among_unusable_entries_is_ready_with_the_others() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     for number in 0..40 {
         log.put(
             "keyed.servers",
@@ -129,10 +131,10 @@
             Some("{\"service\":7}"),
         );
     }
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     assert!(is_ready(&daemon).await);
     assert_eq!(daemon.fleet().books().skipped.total(), 40);
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
--- a/crates/daemon/tests/direct/headers.rs
+++ b/crates/daemon/tests/direct/headers.rs
@@ -1,6 +1,9 @@
 //! Callers that write headers of the system's own, over sockets: first sends, retries and resumed streams.
 
-use crate::support::{ask, event, good, model, post, site, stream, unchunk};
+use crate::support::{
+    decode_chunked, good_answer, model_headers, post_request, send_request, start_daemon,
+    stream_answer, stream_event,
+};
 use hoplanding_standins::{
     keyed_log::KeyedLog,
     raw_target::{RawAnswer, RawRequest, RawTarget},
@@ -37,7 +40,7 @@
         if is_call && calls_seen.fetch_add(1, Ordering::SeqCst) == 0 {
             return RawAnswer::close();
         }
-        good(request)
+        good_answer(request)
     });
     let (one, two) = (Arc::clone(&serve), serve);
     let first = RawTarget::start(move |request: &RawRequest| one(request))
@@ -50,8 +53,12 @@
         ("i-1", "ledger", first.address),
         ("i-2", "ledger", second.address),
     ];
-    let daemon = site(&log, &targets).await;
-    let answer = ask(daemon.caller_address, &post("/lookup/1", "r1", HOSTILE)).await;
+    let daemon = start_daemon(&log, &targets).await;
+    let answer = send_request(
+        daemon.caller_address,
+        &post_request("/lookup/1", "r1", HOSTILE),
+    )
+    .await;
     assert_eq!(answer.status, 200);
     for target in [&first, &second] {
         let sent = calls(target);
@@ -71,7 +78,7 @@
     let serve = Arc::new(move |request: &RawRequest| {
         let is_call = !request.line().contains("/hoplanding/");
         let breaks = is_call && broken.fetch_add(1, Ordering::SeqCst) == 0;
-        stream(request, breaks.then_some(4))
+        stream_answer(request, breaks.then_some(4))
     });
     let (one, two) = (Arc::clone(&serve), serve);
     let first = RawTarget::start(move |request: &RawRequest| one(request))
@@ -84,13 +91,17 @@
         ("i-1", "scribe", first.address),
         ("i-2", "scribe", second.address),
     ];
-    let daemon = site(&log, &targets).await;
-    let headers = format!("{}{HOSTILE}", model("a1"));
-    let answer = ask(daemon.caller_address, &post("/resumed/1", "r1", &headers)).await;
+    let daemon = start_daemon(&log, &targets).await;
+    let headers = format!("{}{HOSTILE}", model_headers("a1"));
+    let answer = send_request(
+        daemon.caller_address,
+        &post_request("/resumed/1", "r1", &headers),
+    )
+    .await;
     assert!(answer.is_whole);
     assert_eq!(
-        unchunk(&answer.body),
-        (1..=6).map(event).collect::<String>()
+        decode_chunked(&answer.body),
+        (1..=6).map(stream_event).collect::<String>()
     );
     let sent = [calls(&first), calls(&second)].concat();
     assert_eq!(sent.len(), 2, "a first send and a resumed one");
--- a/crates/daemon/tests/direct/keeping.rs
+++ b/crates/daemon/tests/direct/keeping.rs
@@ -5,7 +5,7 @@
 //! the adapter. What is due at an engine (a load, an order that is carried out late) happens when somebody looks at the
 //! yard next, which a task of the yard does all the time.
 
-use crate::support::{chunk, event, sealed};
+use crate::support::{chunk, seal_headers, stream_event};
 use hoplanding_standins::{
     kept_memory::{MemoryMismatch, MemoryNet, ReadPrompt},
     raw_target::{RawAnswer, RawRequest, RawTarget},
@@ -489,7 +489,7 @@
 }
 
 fn turned_away(request: &RawRequest, status: &str) -> RawAnswer {
-    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
     RawAnswer::whole(status, &headers, "")
 }
 
@@ -535,14 +535,14 @@
 
 /// A stream of events whose first one comes when the prompt is read. Its head tells the version of the base model.
 fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawAnswer {
-    let headers = sealed(request);
+    let headers = seal_headers(request);
     let head = format!(
         "HTTP/1.1 200 OK\r\n{headers}Hoplanding-Weight-Versions: {base}\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
     let mut pieces = vec![(read, head.into_bytes())];
-    pieces.push((Duration::ZERO, chunk(&event(1))));
-    pieces.extend((2..=tokens).map(|id| (TOKEN_PAUSE, chunk(&event(id)))));
+    pieces.push((Duration::ZERO, chunk(&stream_event(1))));
+    pieces.extend((2..=tokens).map(|id| (TOKEN_PAUSE, chunk(&stream_event(id)))));
     pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
     RawAnswer {
         pieces,
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -11,7 +11,9 @@
 //! of the configuration had come back; its reads of the target list had never failed. With removals never in doubt 0 of
 //! 33 such plays had late requests, with doubt 15.
 
-use crate::support::{entry, good, is_ready, second_vm, settings, site, wait_for};
+use crate::support::{
+    good_answer, is_ready, start_daemon, start_second_vm, target_entry, vm_settings, wait_for,
+};
 use futures_util::FutureExt;
 use hoplanding_core::ids::{LogPosition, TargetName};
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget, relay::LinkState};
@@ -37,9 +39,9 @@
 #[tokio::test]
 async fn a_removal_that_another_vm_read_throughout_is_in_doubt_nowhere() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let first = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let (second, relay) = second_vm(&log).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let (second, relay) = start_second_vm(&log).await;
     // Only the second VM is turned away, and is served again.
     relay.set(LinkState::Cut);
     wait_for("its failure", async || list_calls(&second, "Failed") > 0).await;
@@ -60,7 +62,7 @@
     log.put(
         "keyed.servers",
         "i-2",
-        Some(&entry("ledger", target.address, "ready", &[])),
+        Some(&target_entry("ledger", target.address, "ready", &[])),
     );
     wait_for("what came after it", async || {
         !second.fleet().is_leaving("i-2")
@@ -75,11 +77,11 @@
 #[tokio::test]
 async fn a_removal_that_was_in_doubt_reaches_the_vms_that_do_not_read() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
     for number in 2..=7 {
         let name = format!("vm-{number}");
-        let daemon = DirectDaemon::start(settings(&name, &log)).await;
+        let daemon = DirectDaemon::start(vm_settings(&name, &log)).await;
         fleet.push(daemon.expect("the daemon starts"));
     }
     for daemon in &fleet {
@@ -110,11 +112,11 @@
 async fn a_link_that_lags_passes_on_every_target_that_left() {
     let log = KeyedLog::start().await.expect("a log");
     let address = log.address();
-    let fleet = Arc::new(FleetState::new(&settings("vm-1", &log), 1));
+    let fleet = Arc::new(FleetState::new(&vm_settings("vm-1", &log), 1));
     let record = |number: u64, state: &str, position: u64| PassedRecord {
         topic: FeedTopic::Targets,
         key: format!("i-{number}"),
-        value: Some(entry("ledger", address, state, &[]).into()),
+        value: Some(target_entry("ledger", address, state, &[]).into()),
         position: LogPosition(position),
     };
     let ready = (1..=600).map(|number| record(number, "ready", number));
@@ -123,7 +125,7 @@
     for number in 1..=600 {
         fleet.take_passed(vec![record(number, "draining", 600 + number)]);
     }
-    let other = FleetState::new(&settings("vm-2", &log), 2);
+    let other = FleetState::new(&vm_settings("vm-2", &log), 2);
     other.take_passed(
         (1..=600)
             .map(|number| record(number, "ready", number))
--- a/crates/daemon/tests/direct/limits.rs
+++ b/crates/daemon/tests/direct/limits.rs
@@ -1,7 +1,8 @@
 //! Targets that name how many requests a second they take from all VMs together.
 
 use crate::support::{
-    good, model, sealed, second_vm, send_many, settings, site_of, stream, wait_for,
+    good_answer, model_headers, seal_headers, send_requests, start_daemon_with, start_second_vm,
+    stream_answer, vm_settings, wait_for,
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -30,16 +31,16 @@
 #[tokio::test]
 async fn a_plain_target_gets_no_more_than_the_limit_that_it_names() {
     let log = KeyedLog::start().await.expect("a log");
-    let narrow = RawTarget::start(|request: &RawRequest| limited(good(request))).await;
+    let narrow = RawTarget::start(|request: &RawRequest| limited(good_answer(request))).await;
     let narrow = narrow.expect("a target");
     let listed = [("l-1", "ledger", narrow.address)];
-    let first = site_of(settings("vm-1", &log), &log, &listed).await;
-    let (second, _relay) = second_vm(&log).await;
+    let first = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
+    let (second, _relay) = start_second_vm(&log).await;
     let addresses = [first.caller_address, second.caller_address];
-    send_many(&addresses, "/lookup/0", "", 8).await;
+    send_requests(&addresses, "/lookup/0", "", 8).await;
     let before = calls(&narrow, "/lookup/");
     let began = Instant::now();
-    let answers = send_many(&addresses, "/lookup/1", "", 120).await;
+    let answers = send_requests(&addresses, "/lookup/1", "", 120).await;
     let got = (calls(&narrow, "/lookup/") - before) as f64;
     assert!(
         got <= allowed(began.elapsed()),
@@ -52,30 +53,30 @@
 async fn an_engine_gets_no_more_than_the_limit_that_it_names() {
     let log = KeyedLog::start().await.expect("a log");
     let narrow = RawTarget::start(|request: &RawRequest| {
-        let answer = stream(request, None);
+        let answer = stream_answer(request, None);
         if request.line().contains("/plan/") {
             return limited(answer);
         }
         answer
     });
     let narrow = narrow.await.expect("an engine");
-    let wide = RawTarget::start(|request: &RawRequest| stream(request, None)).await;
+    let wide = RawTarget::start(|request: &RawRequest| stream_answer(request, None)).await;
     let wide = wide.expect("an engine");
     let listed = [
         ("e-1", "scribe", narrow.address),
         ("e-2", "scribe", wide.address),
     ];
-    let first = site_of(settings("vm-1", &log), &log, &listed).await;
-    let (second, _relay) = second_vm(&log).await;
+    let first = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
+    let (second, _relay) = start_second_vm(&log).await;
     let addresses = [first.caller_address, second.caller_address];
     wait_for("both engines at work", async || {
-        send_many(&addresses, "/plan/0", &model("a1"), 8).await;
+        send_requests(&addresses, "/plan/0", &model_headers("a1"), 8).await;
         calls(&narrow, "/plan/") > 0 && calls(&wide, "/plan/") > 0
     })
     .await;
     let before = calls(&narrow, "/plan/");
     let began = Instant::now();
-    let answers = send_many(&addresses, "/plan/1", &model("a1"), 120).await;
+    let answers = send_requests(&addresses, "/plan/1", &model_headers("a1"), 120).await;
     let got = (calls(&narrow, "/plan/") - before) as f64;
     assert!(
         got <= allowed(began.elapsed()),
@@ -88,11 +89,11 @@
 #[tokio::test]
 async fn calls_beyond_the_limit_of_all_targets_are_refused_at_once_with_the_time_to_come_back() {
     let log = KeyedLog::start().await.expect("a log");
-    let only = RawTarget::start(|request: &RawRequest| limited(good(request))).await;
+    let only = RawTarget::start(|request: &RawRequest| limited(good_answer(request))).await;
     let only = only.expect("a target");
     let listed = [("l-1", "ledger", only.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
-    let answers = send_many(&[daemon.caller_address], "/lookup/1", "", 60).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
+    let answers = send_requests(&[daemon.caller_address], "/lookup/1", "", 60).await;
     let refused: Vec<_> = answers
         .iter()
         .filter(|answer| answer.status != 200)
@@ -100,7 +101,7 @@
     assert!(refused.len() > 20, "{} refused", refused.len());
     for answer in refused {
         assert_eq!(answer.status, 503);
-        assert!(answer.has("retry-after: "), "{}", answer.head);
+        assert!(answer.has_header("retry-after: "), "{}", answer.head);
     }
 }
 
@@ -110,16 +111,16 @@
     let is_need = |request: &RawRequest| request.line().contains("/lookup/need");
     let target = RawTarget::start(move |request: &RawRequest| {
         if is_need(request) {
-            return limited(good(request));
+            return limited(good_answer(request));
         }
-        RawAnswer::whole("200 OK", &sealed(request), "done")
+        RawAnswer::whole("200 OK", &seal_headers(request), "done")
     });
     let target = target.await.expect("a target");
     let listed = [("l-1", "ledger", target.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
-    send_many(&[daemon.caller_address], "/lookup/need", "", 4).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
+    send_requests(&[daemon.caller_address], "/lookup/need", "", 4).await;
     wait_for("all served", async || {
-        let answers = send_many(&[daemon.caller_address], "/lookup/1", "", 40).await;
+        let answers = send_requests(&[daemon.caller_address], "/lookup/1", "", 40).await;
         answers.iter().all(|answer| answer.status == 200)
     })
     .await;
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -3,7 +3,10 @@
 //! A target tells when it started. What it knew, held and promised before is gone with its earlier life, and what comes
 //! late from there says nothing about it: neither an entry that was written late, nor a connection that stayed open.
 
-use crate::support::{HOST, ask, entry, good, post, second_vm, site, wait_for};
+use crate::support::{
+    HOST, good_answer, post_request, send_request, start_daemon, start_second_vm, target_entry,
+    wait_for,
+};
 use hoplanding_core::{
     direct::catalog::TargetStage,
     ids::{LogPosition, TargetName},
@@ -17,7 +20,7 @@
 
 /// An entry of a target that says when it started.
 fn born_entry(address: SocketAddr, state: &str, born: u64) -> String {
-    let text = entry("ledger", address, state, &[]);
+    let text = target_entry("ledger", address, state, &[]);
     let mut fields: serde_json::Value = serde_json::from_str(&text).expect("an entry");
     fields["born"] = born.into();
     fields.to_string()
@@ -31,7 +34,7 @@
 
 /// Writes an entry that comes after all others so far, and waits until it is known.
 async fn pass_by(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
-    let text = entry("other", address, "ready", &[]);
+    let text = target_entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
     wait_for("the entry after", async || stage(daemon, name).is_some()).await;
 }
@@ -39,9 +42,9 @@
 #[tokio::test]
 async fn a_late_entry_of_an_earlier_life_changes_nothing() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
     put(&born_entry(address, "ready", 1_000));
     put(&born_entry(address, "ready", 2_000));
@@ -50,7 +53,7 @@
     pass_by(&log, &daemon, "i-2", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
     // One that does not say when it started is older than any that does.
-    put(&entry("ledger", address, "draining", &[]));
+    put(&target_entry("ledger", address, "draining", &[]));
     pass_by(&log, &daemon, "i-3", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
     // The life itself may leave.
@@ -66,9 +69,9 @@
 #[tokio::test]
 async fn the_newest_life_is_known_in_whatever_order_its_records_come() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let record = |position: u64, text: String| PassedRecord {
         topic: FeedTopic::Targets,
         key: "i-9".to_owned(),
@@ -94,9 +97,9 @@
 #[tokio::test]
 async fn a_call_goes_out_over_no_connection_of_an_earlier_life() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let put = |born| {
         let text = born_entry(address, "ready", born);
         log.put("keyed.servers", "i-1", Some(&text));
@@ -104,14 +107,20 @@
     put(1_000);
     pass_by(&log, &daemon, "i-2", address).await;
     for number in 0..3 {
-        let request = post("/lookup/1", &format!("r{number}"), "");
-        assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
+        let request = post_request("/lookup/1", &format!("r{number}"), "");
+        assert_eq!(
+            send_request(daemon.caller_address, &request).await.status,
+            200
+        );
     }
     assert_eq!(target.connections(), 1, "the connection is kept");
     put(2_000);
     pass_by(&log, &daemon, "i-3", address).await;
-    let request = post("/lookup/1", "r9", "");
-    assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
+    let request = post_request("/lookup/1", "r9", "");
+    assert_eq!(
+        send_request(daemon.caller_address, &request).await.status,
+        200
+    );
     assert_eq!(target.connections(), 2, "it was the life's before");
 }
 
@@ -119,24 +128,27 @@
 async fn failures_of_an_earlier_life_are_forgotten() {
     let log = KeyedLog::start().await.expect("a log");
     // Nobody listens there.
-    let gone = RawTarget::start(good).await.expect("a target").address;
-    let daemon = site(&log, &[("i-1", "ledger", gone)]).await;
-    let (second, _relay) = second_vm(&log).await;
+    let gone = RawTarget::start(good_answer)
+        .await
+        .expect("a target")
+        .address;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", gone)]).await;
+    let (second, _relay) = start_second_vm(&log).await;
     for daemon in [&daemon, &second] {
         for number in 0..2 {
-            ask(
+            send_request(
                 daemon.caller_address,
-                &post("/scan/1", &format!("r{number}"), ""),
+                &post_request("/scan/1", &format!("r{number}"), ""),
             )
             .await;
         }
     }
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let text = born_entry(target.address, "ready", 2_000);
     log.put("keyed.servers", "i-1", Some(&text));
     for daemon in [&daemon, &second] {
         pass_by(&log, daemon, "i-2", target.address).await;
-        let answer = ask(daemon.caller_address, &post("/scan/1", "r8", "")).await;
+        let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r8", "")).await;
         assert_eq!(answer.status, 200, "{HOST}: {}", answer.head);
     }
 }
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -4,7 +4,7 @@
 //! too, the log turns VMs away, links lag, deliver in pieces, break in the middle and come up again. Nothing reads at the
 //! end but the hub, so what a link dropped, or a VM was told that it knew, stays missing.
 
-use crate::support::{entry, settings};
+use crate::support::{target_entry, vm_settings};
 use futures_util::FutureExt;
 use hoplanding_core::ids::{LogPosition, TargetName, VmName};
 use hoplanding_platform::store::{KeyedRecord, ReadBatch};
@@ -77,7 +77,7 @@
 
 impl World {
     fn new(seed: u64, log: &KeyedLog) -> Self {
-        let fleet = |name: String| Arc::new(FleetState::new(&settings(&name, log), seed));
+        let fleet = |name: String| Arc::new(FleetState::new(&vm_settings(&name, log), seed));
         let hub = fleet("hub".to_owned());
         let others: Vec<_> = (0..OTHERS)
             .map(|number| fleet(format!("vm-{number}")))
@@ -111,7 +111,7 @@
         let records = self.log.iter().enumerate().skip(from);
         let record = |(position, (target, state)): (usize, &(usize, Option<&str>))| KeyedRecord {
             key: format!("i-{target}"),
-            value: state.map(|state| entry("ledger", self.address, state, &[]).into()),
+            value: state.map(|state| target_entry("ledger", self.address, state, &[]).into()),
             position: LogPosition(position as u64),
         };
         ReadBatch {
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -1,8 +1,9 @@
 //! What targets say of themselves in their answers: that they leave, and that they want rest.
 
 use crate::support::{
-    Answer, ask, config, entry, good, model, post, sealed, second_vm, send_many, settings, site_of,
-    stream, wait_for,
+    Answer, config_json, good_answer, model_headers, post_request, seal_headers, send_request,
+    send_requests, start_daemon_with, start_second_vm, stream_answer, target_entry, vm_settings,
+    wait_for,
 };
 use futures_util::future::join_all;
 use hoplanding_standins::{
@@ -83,7 +84,7 @@
         if is_call(request) {
             answer(request)
         } else {
-            good(request)
+            good_answer(request)
         }
     });
     target.await.expect("a target")
@@ -92,17 +93,17 @@
 /// The good answer to a call.
 fn answered(request: &RawRequest) -> RawAnswer {
     if request.line().contains("/plan/") {
-        stream(request, None)
+        stream_answer(request, None)
     } else {
-        good(request)
+        good_answer(request)
     }
 }
 
 /// Sends calls at once, so that every target gets some.
 async fn send_at_once(address: SocketAddr, path: &str, headers: &str) -> Vec<Answer> {
     let asked = (0..12).map(|number| {
-        let request = post(path, &format!("first-{number}"), headers);
-        async move { ask(address, &request).await }
+        let request = post_request(path, &format!("first-{number}"), headers);
+        async move { send_request(address, &request).await }
     });
     join_all(asked).await
 }
@@ -124,7 +125,7 @@
         ("i-1", service, named.address),
         ("i-2", service, other.address),
     ];
-    let daemon = site_of(settings("vm-1", log), log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", log), log, &listed).await;
     (daemon, [named, other])
 }
 
@@ -132,7 +133,7 @@
 async fn a_target_that_says_that_it_leaves_gets_nothing_more_though_its_entry_says_ready() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
@@ -148,11 +149,11 @@
         .await;
         let before = arrivals.count();
         // Its entry is written once more, and says what it said before.
-        let mut text = entry(service, targets[0].address, "ready", &["a1@1"]);
+        let mut text = target_entry(service, targets[0].address, "ready", &["a1@1"]);
         text = text.replace("\"slots\":8", "\"slots\":9");
         log.put("keyed.servers", "i-1", Some(&text));
         sleep(Duration::from_millis(200)).await;
-        let answers = send_many(&address, path, &headers, 50).await;
+        let answers = send_requests(&address, path, &headers, 50).await;
         assert_eq!(arrivals.count() - before, 0, "{service}");
         assert_eq!(served(&answers), answers.len(), "{service}");
     }
@@ -163,10 +164,10 @@
     type MakeAnswer = fn(&RawRequest) -> RawAnswer;
     let kinds: [(&str, MakeAnswer); 3] = [
         ("a failure", |request| {
-            RawAnswer::whole("500 Internal Server Error", &sealed(request), "")
+            RawAnswer::whole("500 Internal Server Error", &seal_headers(request), "")
         }),
         ("a refusal", |request| turned_away(request, "0")),
-        ("a success", good),
+        ("a success", good_answer),
     ];
     for (kind, make) in kinds {
         let log = KeyedLog::start().await.expect("a log");
@@ -186,10 +187,10 @@
 #[tokio::test]
 async fn a_report_that_says_that_its_engine_leaves_is_heard() {
     let log = KeyedLog::start().await.expect("a log");
-    let engine = RawTarget::start(|request: &RawRequest| good(request).with_header(LEAVING));
+    let engine = RawTarget::start(|request: &RawRequest| good_answer(request).with_header(LEAVING));
     let engine = engine.await.expect("an engine");
     let listed = [("e-1", "scribe", engine.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     wait_for("its report", async || daemon.fleet().is_leaving("e-1")).await;
 }
 
@@ -199,7 +200,7 @@
     let arrivals = ArrivalLog::default();
     let answer = |request: &RawRequest| {
         let strange = if request.header("hoplanding-request-id") == Some("first-0") {
-            RawAnswer::whole("421 Misdirected Request", &sealed(request), "")
+            RawAnswer::whole("421 Misdirected Request", &seal_headers(request), "")
         } else {
             RawAnswer::whole("200 OK", "Hoplanding-Request-Id: another\r\n", "")
         };
@@ -221,10 +222,10 @@
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
     let (first, _targets) = pair(&log, "ledger", &arrivals, |request| {
-        good(request).with_header(LEAVING)
+        good_answer(request).with_header(LEAVING)
     })
     .await;
-    let (second, _relay) = second_vm(&log).await;
+    let (second, _relay) = start_second_vm(&log).await;
     wait_for("a call at the leaving target", async || {
         send_at_once(second.caller_address, "/lookup/1", "").await;
         arrivals.count() > 0
@@ -232,7 +233,7 @@
     .await;
     wait_for("word of it", async || first.fleet().is_leaving("i-1")).await;
     // A VM that starts is told by those that know.
-    let third = DirectDaemon::start(settings("vm-3", &log));
+    let third = DirectDaemon::start(vm_settings("vm-3", &log));
     let third = third.await.expect("the daemon starts");
     wait_for("word at a new VM", async || {
         third.fleet().books().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
@@ -244,15 +245,15 @@
 async fn a_target_that_asks_for_rest_gets_no_more_than_two_requests_in_it() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
         let only = target(&arrivals, |request| turned_away(request, "3")).await;
         let listed = [("i-1", service, only.address)];
-        let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+        let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
         let began = Instant::now();
-        let answers = send_many(&[daemon.caller_address], path, &headers, 100).await;
+        let answers = send_requests(&[daemon.caller_address], path, &headers, 100).await;
         let got = arrivals.in_rest("vm0");
         assert!(
             got <= MOST_IN_REST,
@@ -284,7 +285,7 @@
 {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
@@ -292,8 +293,8 @@
             turned_away(request, "3")
         })
         .await;
-        let (second, _relay) = second_vm(&log).await;
-        let third = DirectDaemon::start(settings("vm-3", &log));
+        let (second, _relay) = start_second_vm(&log).await;
+        let third = DirectDaemon::start(vm_settings("vm-3", &log));
         let third = third.await.expect("the daemon starts");
         let addresses = [
             first.caller_address,
@@ -301,7 +302,7 @@
             third.caller_address,
         ];
         wait_for("readiness", async || crate::support::is_ready(&third).await).await;
-        let answers = send_many(&addresses, path, &headers, 150).await;
+        let answers = send_requests(&addresses, path, &headers, 150).await;
         for vm in ["vm0", "vm1", "vm2"] {
             let got = arrivals.in_rest(vm);
             assert!(got <= MOST_IN_REST, "{service}: {got} of {vm}");
@@ -326,17 +327,17 @@
         if asked.load(Ordering::SeqCst) {
             turned_away(request, "0.5")
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await;
     let listed = [("i-1", "ledger", only.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     let address = [daemon.caller_address];
-    send_many(&address, "/lookup/1", "", 4).await;
+    send_requests(&address, "/lookup/1", "", 4).await;
     is_full.store(false, Ordering::SeqCst);
     wait_for("service", async || {
-        let answers = send_many(&address, "/lookup/1", "", 10).await;
+        let answers = send_requests(&address, "/lookup/1", "", 10).await;
         served(&answers) == answers.len()
     })
     .await;
@@ -359,16 +360,16 @@
             if is_first.swap(false, Ordering::SeqCst) {
                 turned_away(request, value)
             } else {
-                good(request)
+                good_answer(request)
             }
         })
         .await;
         let listed = [("i-1", "ledger", only.address)];
-        let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+        let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
         let address = [daemon.caller_address];
-        send_many(&address, "/lookup/1", "", 2).await;
+        send_requests(&address, "/lookup/1", "", 2).await;
         sleep(Duration::from_millis(100)).await;
-        let answers = send_many(&address, "/lookup/1", "", 4).await;
+        let answers = send_requests(&address, "/lookup/1", "", 4).await;
         assert_eq!(served(&answers), answers.len(), "{value:?}");
     }
 }
@@ -381,19 +382,19 @@
     let says_so = Arc::clone(&is_leaving);
     let only = target(&arrivals, move |request| {
         if says_so.load(Ordering::SeqCst) {
-            good(request).with_header(LEAVING)
+            good_answer(request).with_header(LEAVING)
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await;
     let born = |born: u64| {
-        let text = entry("ledger", only.address, "ready", &["a1@1"]);
+        let text = target_entry("ledger", only.address, "ready", &["a1@1"]);
         text.replacen("{", &format!("{{\"born\":{born},"), 1)
     };
     log.put("keyed.servers", "i-1", Some(&born(1)));
-    log.put("keyed.op", "config", Some(&config(1)));
-    let daemon = DirectDaemon::start(settings("vm-1", &log));
+    log.put("keyed.op", "config", Some(&config_json(1)));
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log));
     let daemon = daemon.await.expect("the daemon starts");
     wait_for("readiness", async || {
         crate::support::is_ready(&daemon).await
@@ -401,14 +402,14 @@
     .await;
     let address = [daemon.caller_address];
     wait_for("its word", async || {
-        send_many(&address, "/lookup/1", "", 2).await;
+        send_requests(&address, "/lookup/1", "", 2).await;
         daemon.fleet().is_leaving("i-1")
     })
     .await;
     is_leaving.store(false, Ordering::SeqCst);
     log.put("keyed.servers", "i-1", Some(&born(2)));
     wait_for("service", async || {
-        served(&send_many(&address, "/lookup/1", "", 4).await) == 4
+        served(&send_requests(&address, "/lookup/1", "", 4).await) == 4
     })
     .await;
 }
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -1,8 +1,8 @@
 //! Requests that crash whatever runs them, and come back.
 
 use crate::support::{
-    ask, config, entry, good, is_ready, model, post, process, settings, site_of, start_in, stream,
-    wait_for,
+    config_json, good_answer, is_ready, model_headers, post_request, process_runtime, send_request,
+    start_daemon_in, start_daemon_with, stream_answer, target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::{
     direct::suspects::{EndedUnder, RequestFingerprint},
@@ -38,7 +38,7 @@
 }
 
 fn poison(path: &str, id: &str) -> String {
-    post(path, id, &model("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
+    post_request(path, id, &model_headers("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
 /// Engines whose events come after a pause each.
@@ -50,7 +50,7 @@
     let mut engines = Vec::new();
     for _ in 0..count {
         let answer = move |request: &RawRequest| {
-            let mut answer = stream(request, None);
+            let mut answer = stream_answer(request, None);
             for (before, _) in answer.pieces.iter_mut().skip(1) {
                 *before = pause;
             }
@@ -78,10 +78,10 @@
 fn list_engines(log: &KeyedLog, engines: &[RawTarget]) {
     let names = ["e-1", "e-2", "e-3", "e-4", "e-5"];
     for (name, service, address) in listed(&names, "scribe", engines) {
-        let entry = entry(service, address, "ready", &["a1@1"]);
+        let entry = target_entry(service, address, "ready", &["a1@1"]);
         log.put("keyed.servers", name, Some(&entry));
     }
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
 }
 
 fn poisoned(targets: &[RawTarget]) -> usize {
@@ -91,8 +91,8 @@
 
 async fn serves_streams(daemon: &DirectDaemon) {
     wait_for("a stream", async || {
-        let request = post("/plan/1", "r0", &model("a1"));
-        ask(daemon.caller_address, &request).await.status == 200
+        let request = post_request("/plan/1", "r0", &model_headers("a1"));
+        send_request(daemon.caller_address, &request).await.status == 200
     })
     .await;
 }
@@ -102,22 +102,22 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..4 {
-        let target = RawTarget::start_mortal(good, is_poison).await;
+        let target = RawTarget::start_mortal(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4"];
-    let daemon = site_of(
-        settings("vm-1", &log),
+    let daemon = start_daemon_with(
+        vm_settings("vm-1", &log),
         &log,
         &listed(&names, "ledger", &targets),
     )
     .await;
     for number in 0..8 {
         let id = format!("d{number}");
-        ask(daemon.caller_address, &poison("/scan/1", &id)).await;
+        send_request(daemon.caller_address, &poison("/scan/1", &id)).await;
     }
     assert_eq!(poisoned(&targets), 2);
-    let innocent = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let innocent = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(innocent.status, 200);
 }
 
@@ -126,25 +126,25 @@
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(5, Duration::from_millis(5), is_poison).await;
     list_engines(&log, &engines);
-    let first_life = process();
-    let daemon = start_in(&first_life, settings("vm-1", &log)).await;
+    let first_life = process_runtime();
+    let daemon = start_daemon_in(&first_life, vm_settings("vm-1", &log)).await;
     serves_streams(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poisoned(&engines), 2);
     sleep(Duration::from_millis(200)).await;
     first_life.shutdown_background();
 
-    let second_life = process();
-    let mut settings = settings("vm-1", &log);
+    let second_life = process_runtime();
+    let mut settings = vm_settings("vm-1", &log);
     settings.is_first_start = false;
-    let daemon = start_in(&second_life, settings).await;
+    let daemon = start_daemon_in(&second_life, settings).await;
     serves_streams(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poisoned(&engines), 2);
     second_life.shutdown_background();
@@ -158,13 +158,13 @@
 ) -> Vec<DirectDaemon> {
     for (number, (name, service, address)) in targets.iter().enumerate() {
         let zone = format!("\"{}\"", ZONES[number % ZONES.len()]);
-        let entry = entry(service, *address, "ready", &["a1@1"]).replace("\"hall\"", &zone);
+        let entry = target_entry(service, *address, "ready", &["a1@1"]).replace("\"hall\"", &zone);
         log.put("keyed.servers", name, Some(&entry));
     }
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     let mut daemons = Vec::new();
     for (vm, zone) in ["vm-1", "vm-2"].iter().zip(ZONES) {
-        let mut settings = settings(vm, log);
+        let mut settings = vm_settings(vm, log);
         settings.zone = AvailabilityZone::new(zone);
         settings.zones = ZONES
             .iter()
@@ -206,8 +206,8 @@
     let ask_for = |daemon: &DirectDaemon, id: &str| {
         let address = daemon.caller_address;
         // A base model is at home in each zone.
-        let request = post("/plan/suspect", id, "Hoplanding-Model: base\r\n");
-        tokio::spawn(async move { ask(address, &request).await })
+        let request = post_request("/plan/suspect", id, "Hoplanding-Model: base\r\n");
+        tokio::spawn(async move { send_request(address, &request).await })
     };
     let first = ask_for(&daemons[0], "s0").await.expect("an answer");
     assert_ne!(first.status, 200);
@@ -237,9 +237,9 @@
             .map(|number| {
                 let address = daemons[number % 2].caller_address;
                 let id = format!("h{round}-{number}");
-                let request = post("/plan/1", &id, "Hoplanding-Model: base\r\n")
+                let request = post_request("/plan/1", &id, "Hoplanding-Model: base\r\n")
                     .replace("\r\n\r\nbody", "\r\n\r\nkill");
-                tokio::spawn(async move { ask(address, &request).await.status })
+                tokio::spawn(async move { send_request(address, &request).await.status })
             })
             .collect();
         for answer in asked {
@@ -247,13 +247,13 @@
         }
     };
     for (number, daemon) in daemons.iter().enumerate() {
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("d{number}"),
             "Hoplanding-Model: base\r\n",
         );
         let request = request.replace("\r\n\r\nbody", "\r\n\r\nkill");
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poisoned(&engines), 2);
     herd(0).await;
@@ -271,9 +271,9 @@
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(5, Duration::from_millis(5), is_poison).await;
     list_engines(&log, &engines);
-    let killed = process();
-    let holder = start_in(&killed, settings("vm-1", &log)).await;
-    let successor = DirectDaemon::start(settings("vm-2", &log)).await;
+    let killed = process_runtime();
+    let holder = start_daemon_in(&killed, vm_settings("vm-1", &log)).await;
+    let successor = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let successor = successor.expect("the daemon starts");
     wait_for("both known", async || {
         is_ready(&successor).await && successor.fleet().books().vms.len() == 2
@@ -282,7 +282,7 @@
     serves_streams(&holder).await;
     for number in 0..3 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(holder.caller_address, &request).await;
+        send_request(holder.caller_address, &request).await;
     }
     assert_eq!(poisoned(&engines), 2);
     wait_for("the record of the quarantine", async || {
@@ -299,7 +299,7 @@
     serves_streams(&successor).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(successor.caller_address, &request).await;
+        send_request(successor.caller_address, &request).await;
     }
     assert_eq!(poisoned(&engines), 2);
 }
@@ -331,23 +331,23 @@
     fn list(&self) {
         for (number, engine) in self.engines.iter().enumerate() {
             let lives = !engine.requests().iter().any(is_poison);
-            let entry = entry("scribe", engine.address, "ready", &["a1@1"]);
+            let entry = target_entry("scribe", engine.address, "ready", &["a1@1"]);
             let value = lives.then_some(entry.as_str());
             self.log.put("keyed.servers", &format!("e-{number}"), value);
         }
         if self.lives == 0 {
-            self.log.put("keyed.op", "config", Some(&config(1)));
+            self.log.put("keyed.op", "config", Some(&config_json(1)));
         }
     }
 
     /// Starts the only VM.
     async fn begin_life(&mut self) -> (Runtime, DirectDaemon) {
         self.list();
-        let mut settings = settings("vm-1", &self.log);
+        let mut settings = vm_settings("vm-1", &self.log);
         settings.is_first_start = self.lives == 0;
         self.lives += 1;
-        let life = process();
-        let daemon = start_in(&life, settings).await;
+        let life = process_runtime();
+        let daemon = start_daemon_in(&life, settings).await;
         serves_streams(&daemon).await;
         (life, daemon)
     }
@@ -363,7 +363,7 @@
     for number in 0..6 {
         let (life, daemon) = site.begin_life().await;
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= ENDS_BORNE, "{} ended", site.ended());
@@ -374,23 +374,23 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..8 {
-        let target = RawTarget::start_mortal(good, is_poison).await;
+        let target = RawTarget::start_mortal(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4", "l-5", "l-6", "l-7", "l-8"];
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     for number in 0..5 {
         for (name, target) in names.iter().zip(&targets) {
             let lives = !target.requests().iter().any(is_poison);
-            let entry = entry("ledger", target.address, "ready", &[]);
+            let entry = target_entry("ledger", target.address, "ready", &[]);
             log.put("keyed.servers", name, lives.then_some(entry.as_str()));
         }
-        let life = process();
-        let mut settings = settings("vm-1", &log);
+        let life = process_runtime();
+        let mut settings = vm_settings("vm-1", &log);
         settings.is_first_start = number == 0;
-        let daemon = start_in(&life, settings).await;
+        let daemon = start_daemon_in(&life, settings).await;
         let request = poison("/lookup/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(poisoned(&targets) <= ENDS_BORNE, "{}", poisoned(&targets));
@@ -400,21 +400,21 @@
 async fn a_bystander_of_an_end_is_served_after_a_kill_of_all_and_its_record_dropped() {
     let mut site = KilledSite::start(6).await;
     let (life, daemon) = site.begin_life().await;
-    let bystander = |id: &str| post("/plan/bystander", id, &model("a1"));
+    let bystander = |id: &str| post_request("/plan/bystander", id, &model_headers("a1"));
     // The engine of a stream that is under way ends by the poison beside it.
     let address = daemon.caller_address;
     let beside = bystander("b0");
-    let running = tokio::spawn(async move { ask(address, &beside).await });
+    let running = tokio::spawn(async move { send_request(address, &beside).await });
     for number in 0..2 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     drop(running.await);
     life.shutdown_background();
 
     let (life, daemon) = site.begin_life().await;
     for number in 0..20 {
-        let answer = ask(daemon.caller_address, &bystander(&format!("c{number}"))).await;
+        let answer = send_request(daemon.caller_address, &bystander(&format!("c{number}"))).await;
         assert_eq!(answer.status, 200, "call {number}");
     }
     let fleet = daemon.fleet();
@@ -443,7 +443,7 @@
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.begin_life().await;
     site.log.set_faults(|faults| faults.is_out = true);
-    ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
+    send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
     site.log.set_faults(|faults| faults.is_out = false);
     let before = site.ended();
     sleep(Duration::from_millis(1_500)).await;
@@ -451,7 +451,7 @@
     for number in 0..3 {
         let (life, daemon) = site.begin_life().await;
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= ENDS_BORNE, "{before}, {}", site.ended());
@@ -461,7 +461,7 @@
 async fn an_end_that_a_copy_of_the_log_lacks_is_recorded_again() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.begin_life().await;
-    ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
+    send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
     let records = site.log.len("keyed.fleet");
     site.log.restore(&[("keyed.fleet", records)]);
     wait_for("the records of this VM", async || {
@@ -473,7 +473,7 @@
     for number in 0..4 {
         let (life, daemon) = site.begin_life().await;
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= ENDS_BORNE, "{} ended", site.ended());
@@ -486,11 +486,11 @@
     life.shutdown_background();
     let unlisted = vec!["keyed.fleet".to_owned()];
     site.log.set_faults(|faults| faults.unlisted = unlisted);
-    let blind = DirectDaemon::start(settings("vm-2", &site.log)).await;
+    let blind = DirectDaemon::start(vm_settings("vm-2", &site.log)).await;
     let blind = blind.expect("the daemon starts");
     sleep(Duration::from_secs(1)).await;
     assert!(!is_ready(&blind).await);
-    let answer = ask(blind.caller_address, &poison("/plan/1", "d0")).await;
+    let answer = send_request(blind.caller_address, &poison("/plan/1", "d0")).await;
     assert_eq!((answer.status, site.ended()), (503, 0));
 }
 
--- a/crates/daemon/tests/direct/reloads.rs
+++ b/crates/daemon/tests/direct/reloads.rs
@@ -6,7 +6,10 @@
 //! one that is not. One fault was found by reading: a window of the retry budget that was shorter for a moment forgot
 //! what had been spent (`a_window_that_is_shorter_for_a_moment_forgets_nothing_that_was_spent`).
 
-use crate::support::{ask, good, model, post, sealed, second_vm, settings, site, stream};
+use crate::support::{
+    good_answer, model_headers, post_request, seal_headers, send_request, start_daemon,
+    start_second_vm, stream_answer, vm_settings,
+};
 use hoplanding_standins::{
     keyed_log::KeyedLog,
     raw_target::{RawAnswer, RawRequest, RawTarget},
@@ -18,7 +21,7 @@
 /// A plain service that takes a while for each call.
 async fn slow_service() -> RawTarget {
     let answer = |request: &RawRequest| {
-        let whole = RawAnswer::whole("200 OK", &sealed(request), "done");
+        let whole = RawAnswer::whole("200 OK", &seal_headers(request), "done");
         let pieces = whole
             .pieces
             .into_iter()
@@ -33,7 +36,7 @@
 
 /// Settings that differ from those before in what a running process takes over.
 fn changed(log: &KeyedLog, round: u32) -> DirectSettings {
-    let mut settings = settings("vm-1", log);
+    let mut settings = vm_settings("vm-1", log);
     settings.retries.slack = f64::from(round % 3) * 40.0;
     settings.retries.ratio = 0.1 * f64::from(round % 4);
     settings.policy.away_price = Duration::from_millis(u64::from(round % 5) * 20);
@@ -42,7 +45,7 @@
 
 async fn reload_in_series(daemon: &DirectDaemon, log: &KeyedLog, rounds: u32) {
     for round in 0..rounds {
-        daemon.take_over(&changed(log, round));
+        daemon.apply_settings(&changed(log, round));
         sleep(Duration::from_millis(15)).await;
     }
 }
@@ -51,14 +54,14 @@
 async fn calls_under_way_run_once_and_are_answered() {
     let log = KeyedLog::start().await.expect("a log");
     let target = slow_service().await;
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let leases = log.values("keyed.fleet", "zone/hall").len();
     let mut calls = JoinSet::new();
     for number in 0..24 {
         let address = daemon.caller_address;
         calls.spawn(async move {
             sleep(Duration::from_millis(number * 20)).await;
-            ask(address, &post("/scan/1", &format!("r{number}"), "")).await
+            send_request(address, &post_request("/scan/1", &format!("r{number}"), "")).await
         });
     }
     reload_in_series(&daemon, &log, 40).await;
@@ -84,9 +87,11 @@
 #[tokio::test]
 async fn an_idle_connection_outlives_reloads() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let send = async |id: &str| ask(daemon.caller_address, &post("/lookup/1", id, "")).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let send = async |id: &str| {
+        send_request(daemon.caller_address, &post_request("/lookup/1", id, "")).await
+    };
     assert_eq!(send("r1").await.status, 200);
     reload_in_series(&daemon, &log, 10).await;
     assert_eq!(send("r2").await.status, 200);
@@ -96,17 +101,24 @@
 #[tokio::test]
 async fn ranks_are_the_routes_before_and_after_and_on_every_vm() {
     let log = KeyedLog::start().await.expect("a log");
-    let engine = RawTarget::start(|request: &RawRequest| stream(request, None))
+    let engine = RawTarget::start(|request: &RawRequest| stream_answer(request, None))
         .await
         .expect("an engine");
-    let first = site(&log, &[("i-1", "scribe", engine.address)]).await;
-    let (second, _relay) = second_vm(&log).await;
+    let first = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
+    let (second, _relay) = start_second_vm(&log).await;
     for round in 0..6 {
         // Only the first VM has the newest settings.
-        first.take_over(&changed(&log, round));
+        first.apply_settings(&changed(&log, round));
         for (number, daemon) in [&first, &second].into_iter().enumerate() {
-            let request = post("/plan/1", &format!("r{round}-{number}"), &model("a1"));
-            assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
+            let request = post_request(
+                "/plan/1",
+                &format!("r{round}-{number}"),
+                &model_headers("a1"),
+            );
+            assert_eq!(
+                send_request(daemon.caller_address, &request).await.status,
+                200
+            );
         }
     }
     let ranks: HashSet<_> = engine
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/repeats.rs
@@ -11,7 +11,9 @@
 //! where 186 were allowed; of 16 such days four went beyond, all four with kills in series, and none of the same days
 //! once a process began without its fixed part.
 
-use crate::support::{ask, is_ready, post, sealed, settings, site, wait_for};
+use crate::support::{
+    is_ready, post_request, seal_headers, send_request, start_daemon, vm_settings, wait_for,
+};
 use hoplanding_core::ids::ServiceName;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -27,7 +29,7 @@
 const FIXED: f64 = 50.0;
 
 fn turns_away(request: &RawRequest) -> RawAnswer {
-    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
     RawAnswer::whole("503 Service Unavailable", &headers, "")
 }
 
@@ -46,11 +48,11 @@
         .zip(&targets)
         .map(|(name, target)| (*name, "ledger", target.address))
         .collect();
-    let mut lives = vec![site(&log, &listed).await];
+    let mut lives = vec![start_daemon(&log, &listed).await];
     for life in 0..LIVES {
         if life > 0 {
             // The life before is asked nothing any more, as one that was killed.
-            let mut settings = settings("vm-1", &log);
+            let mut settings = vm_settings("vm-1", &log);
             settings.is_first_start = false;
             let next = DirectDaemon::start(settings).await;
             lives.push(next.expect("the daemon starts"));
@@ -59,7 +61,8 @@
         wait_for("readiness", async || is_ready(daemon).await).await;
         for request in 0..REQUESTS {
             let id = format!("r{life}-{request}");
-            let answer = ask(daemon.caller_address, &post("/lookup/1", &id, "")).await;
+            let answer =
+                send_request(daemon.caller_address, &post_request("/lookup/1", &id, "")).await;
             assert_eq!(answer.status, 503);
         }
     }
@@ -88,7 +91,7 @@
 #[tokio::test]
 async fn a_process_that_does_not_know_its_fleet_spends_nothing_of_the_fixed_number() {
     let log = KeyedLog::start().await.expect("a log");
-    let fleet = FleetState::new(&settings("vm-1", &log), 1);
+    let fleet = FleetState::new(&vm_settings("vm-1", &log), 1);
     let service = ServiceName::new("ledger");
     let is_allowed = fleet.books().retries.try_repeat(&service, clock::now());
     assert!(!is_allowed);
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -1,8 +1,9 @@
 //! A log that comes back from a copy some seconds old: its offsets go back and are given out again.
 
 use crate::support::{
-    BOUND, ask, config, entry, good, is_ready, model, post, process, second_vm, settings, site,
-    site_of, start_in, stream, wait_for,
+    TEST_TIMEOUT, config_json, good_answer, is_ready, model_headers, post_request, process_runtime,
+    send_request, start_daemon, start_daemon_in, start_daemon_with, start_second_vm, stream_answer,
+    target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::{
     direct::suspects::{EndedUnder, RequestFingerprint},
@@ -41,10 +42,10 @@
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
     ];
-    let first = site(log, &listed).await;
-    let second = DirectDaemon::start(settings("vm-2", log)).await;
+    let first = start_daemon(log, &listed).await;
+    let second = DirectDaemon::start(vm_settings("vm-2", log)).await;
     let second = second.expect("the daemon starts");
-    let third = DirectDaemon::start(settings("vm-3", log)).await;
+    let third = DirectDaemon::start(vm_settings("vm-3", log)).await;
     let third = third.expect("the daemon starts");
     for vm in [&second, &third] {
         wait_for("readiness", async || is_ready(vm).await).await;
@@ -56,8 +57,8 @@
     })
     .await;
     for number in 2..=6 {
-        log.put(OPERATORS, "config", Some(&config(number)));
-        let text = entry("ledger", plain.address, "ready", &[]);
+        log.put(OPERATORS, "config", Some(&config_json(number)));
+        let text = target_entry("ledger", plain.address, "ready", &[]);
         log.put(TARGETS, &format!("i-{number}"), Some(&text));
     }
     let vms = [first, second, third];
@@ -71,8 +72,8 @@
 }
 
 async fn targets() -> [RawTarget; 2] {
-    let plain = RawTarget::start(good).await.expect("a target");
-    let engine = RawTarget::start(|request: &RawRequest| stream(request, None)).await;
+    let plain = RawTarget::start(good_answer).await.expect("a target");
+    let engine = RawTarget::start(|request: &RawRequest| stream_answer(request, None)).await;
     [plain, engine.expect("an engine")]
 }
 
@@ -94,8 +95,8 @@
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 3), (TARGETS, 3)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(7)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
     all_within(&vms, "a target that leaves", |vm| {
@@ -112,18 +113,18 @@
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
     ];
-    let first = site(&log, &listed).await;
-    let (second, relay) = second_vm(&log).await;
+    let first = start_daemon(&log, &listed).await;
+    let (second, relay) = start_second_vm(&log).await;
     for number in 2..=6 {
-        log.put(OPERATORS, "config", Some(&config(number)));
+        log.put(OPERATORS, "config", Some(&config_json(number)));
     }
     let vms = [first, second];
     all_within(&vms, "the history", |vm| version(vm) == 6).await;
     relay.set(LinkState::Cut);
     log.restore(&[(OPERATORS, 3), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(7)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
     all_within(&vms, "a target that leaves", |vm| {
@@ -166,7 +167,7 @@
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 3)]);
-    let started = DirectDaemon::start(settings("vm-4", &log)).await;
+    let started = DirectDaemon::start(vm_settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&started).await).await;
     wait_for("the newest at a new VM", async || version(&started) == 6).await;
@@ -183,14 +184,14 @@
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
-    let text = entry("ledger", plain.address, "draining", &[]);
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-2", Some(&text));
     all_within(&vms, "a target that leaves", |vm| {
         vm.fleet().is_leaving("i-2")
     })
     .await;
     log.restore(&[(TARGETS, 1)]);
-    let started = DirectDaemon::start(settings("vm-4", &log)).await;
+    let started = DirectDaemon::start(vm_settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
     wait_for("word of it at a new VM", async || {
         !started.fleet().is_leaving("i-3") && started.fleet().is_leaving("i-2")
@@ -212,7 +213,7 @@
         assert!(vms.iter().all(|vm| !vm.fleet().is_leaving("i-6")));
         sleep(Duration::from_millis(50)).await;
     }
-    let text = entry("ledger", plain.address, "ready", &[]);
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-6", Some(&text));
     sleep(Duration::from_secs(2)).await;
     assert!(vms.iter().all(|vm| !vm.fleet().is_leaving("i-6")));
@@ -246,7 +247,7 @@
         .await;
         assert!(vm.fleet().is_leaving("i-6"));
     }
-    let text = entry("ledger", plain.address, "ready", &[]);
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-6", Some(&text));
     all_within(&vms, "a target that is back", |vm| {
         !vm.fleet().is_leaving("i-6")
@@ -288,13 +289,13 @@
     let mut number = 0;
     wait_for("orders that are taken", async || {
         number += 1;
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("n{number}"),
-            &model(&format!("{adapters}{number}")),
+            &model_headers(&format!("{adapters}{number}")),
         );
         // Whether it is served is no matter here.
-        let _ = timeout(BOUND, ask(daemon.caller_address, &request)).await;
+        let _ = timeout(TEST_TIMEOUT, send_request(daemon.caller_address, &request)).await;
         orders.0.lock().expect("no holder panics").len() > before
     })
     .await;
@@ -307,19 +308,19 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
     fill_fleet_topic(&log, 40);
-    let life = process();
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("scribe", engine.address, "ready", &["a1@1"]);
+    let life = process_runtime();
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
-    let daemon = start_in(&life, settings("vm-1", &log)).await;
+    let daemon = start_daemon_in(&life, vm_settings("vm-1", &log)).await;
     orders_are_taken(&daemon, &orders, "b").await;
     life.shutdown_background();
     log.restore(&[(FLEET, 40)]);
-    let mut later = settings("vm-1", &log);
+    let mut later = vm_settings("vm-1", &log);
     later.is_first_start = false;
     let daemon = DirectDaemon::start(later).await.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
@@ -333,12 +334,12 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
     fill_fleet_topic(&log, 20);
     let listed = [("e-1", "scribe", engine.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     orders_are_taken(&daemon, &orders, "b").await;
     let last = orders.0.lock().expect("no holder panics").last().copied();
     log.restore(&[(FLEET, 20)]);
@@ -409,7 +410,7 @@
         let [plain, engine] = targets().await;
         let vms = three_vms(&log, &plain, &engine).await;
         log.restore(&[]);
-        log.put(OPERATORS, "config", Some(&config(7)));
+        log.put(OPERATORS, "config", Some(&config_json(7)));
         all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
         log.set_faults(|faults| faults.tells_era = Some(told.to_owned()));
         let before = log.calls();
@@ -420,11 +421,12 @@
             "{told:?}: {calls} calls"
         );
         for vm in &vms {
-            let answer = ask(vm.caller_address, &post("/lookup/1", "l1", "")).await;
+            let answer =
+                send_request(vm.caller_address, &post_request("/lookup/1", "l1", "")).await;
             assert_eq!((answer.status, version(vm)), (200, 7), "{told:?}");
         }
         log.set_faults(|faults| faults.tells_era = None);
-        log.put(OPERATORS, "config", Some(&config(8)));
+        log.put(OPERATORS, "config", Some(&config_json(8)));
         for vm in &vms {
             wait_for("the next configuration", async || version(vm) == 8).await;
         }
@@ -438,12 +440,12 @@
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 2), (TARGETS, 2)]);
     sleep(Duration::from_millis(150)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
+    log.put(OPERATORS, "config", Some(&config_json(7)));
     sleep(Duration::from_millis(50)).await;
     log.restore(&[(OPERATORS, 2), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(8)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(8)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     all_within(&vms, "a configuration", |vm| version(vm) == 8).await;
     all_within(&vms, "a target that leaves", |vm| {
@@ -456,13 +458,13 @@
 async fn a_claim_that_was_sent_in_another_history_holds_nothing() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, _] = targets().await;
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("ledger", plain.address, "ready", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     // A claim is done after the log has come back, at the same end.
     let late = ("zone/hall".to_owned(), Duration::from_millis(400));
     log.set_faults(|faults| faults.delayed_key = Some(late));
-    let daemon = DirectDaemon::start(settings("vm-1", &log)).await;
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("a claim", async || log.appends("zone/hall") > 0).await;
     log.restore(&[]);
@@ -486,21 +488,21 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("scribe", engine.address, "ready", &["a1@1"]);
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
     let lease = |vm: &str, era: u64| serde_json::json!({ "vm": vm, "incarnation": 9, "address": "127.0.0.1:9", "era": era });
     log.put(FLEET, "zone/hall", Some(&lease("vm-8", 1).to_string()));
     log.restore(&[]);
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
-    let mut settings = settings("vm-1", &log);
+    let mut settings = vm_settings("vm-1", &log);
     settings.platform_address = relay.address;
     settings.leases.turn = Duration::from_secs(2);
-    settings.are_orders_fenced = true;
+    settings.has_order_fencing = true;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("its claim", async || {
@@ -516,10 +518,10 @@
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
-        let request = post("/plan/1", &format!("n{number}"), &model("b1"));
+        let request = post_request("/plan/1", &format!("n{number}"), &model_headers("b1"));
         let _ = timeout(
             Duration::from_millis(200),
-            ask(daemon.caller_address, &request),
+            send_request(daemon.caller_address, &request),
         )
         .await;
         sleep(Duration::from_millis(50)).await;
--- a/crates/daemon/tests/direct/settings.rs
+++ b/crates/daemon/tests/direct/settings.rs
@@ -99,7 +99,10 @@
     let settings = with_bound("lease_ms", json!(2_999.5)).expect("half a millisecond");
     assert_eq!(settings.leases.turn, Duration::from_micros(2_999_500));
     let settings = with_bound("config_apply_ms", json!(2_000.25)).expect("a quarter of one");
-    assert_eq!(settings.pace.config_wait, Duration::from_micros(1_400_250));
+    assert_eq!(
+        settings.timing.max_config_wait,
+        Duration::from_micros(1_400_250)
+    );
     with_bound("retry_budget_ratio", json!(1)).expect("a whole ratio");
 }
 
@@ -111,9 +114,9 @@
         Some(Duration::from_secs(5))
     );
     let settings = with_bound("strict_revoke", json!(false)).expect("a bound");
-    assert!(settings.revocation.is_none() && !settings.are_orders_fenced);
+    assert!(settings.revocation.is_none() && !settings.has_order_fencing);
     let settings = with_bound("require_fence", json!(true)).expect("a bound");
-    assert!(settings.revocation.is_none() && settings.are_orders_fenced);
+    assert!(settings.revocation.is_none() && settings.has_order_fencing);
     let settings = with_bound("quota_slack", json!(11_000.0)).expect("a bound");
     assert!((settings.quotas.slack - 11_000.0).abs() < 1e-9);
 }
@@ -153,7 +156,7 @@
     let mut fields = fields();
     fields["limits"] = json!({});
     let settings = DirectSettings::parse(&render(&fields)).expect("a whole core");
-    assert_eq!(settings.strength, 1_000);
+    assert_eq!(settings.cpu_millicores, 1_000);
 }
 
 #[test]
@@ -172,15 +175,15 @@
     let good = render(&fields());
     write(&good);
     let mut file = SettingsFile::open(path.to_str().expect("a plain path")).expect("it is there");
-    assert!(file.changed().expect("in order").is_none());
+    assert!(file.read_changes().expect("in order").is_none());
     write(&good.replace("54", "\"many\""));
-    let fault = file.changed().expect_err("a fault").to_string();
+    let fault = file.read_changes().expect_err("a fault").to_string();
     assert!(fault.contains("retries.slack"), "{fault}");
-    assert!(file.changed().expect("told once").is_none());
+    assert!(file.read_changes().expect("told once").is_none());
     // A file that is being written is a fault too, and passes.
     write(&good[..good.len() / 2]);
-    file.changed().expect_err("half a file");
+    file.read_changes().expect_err("half a file");
     write(&good.replace("54", "35.83"));
-    let settings = file.changed().expect("in order").expect("a change");
+    let settings = file.read_changes().expect("in order").expect("a change");
     assert!((settings.retries.slack - 35.83).abs() < 1e-9);
 }
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -8,7 +8,8 @@
 //! 33 (100) links x 1,000 (3,000) entries of some 400 bytes, there and back. VMs have 1,250 kB/s where they are weak.
 
 use crate::support::{
-    ask, config, entry, good, is_ready, model, post, settings, site, slow_engine, wait_for,
+    config_json, good_answer, is_ready, model_headers, post_request, send_request, slow_engine,
+    start_daemon, target_entry, vm_settings, wait_for,
 };
 use futures_util::FutureExt;
 use hoplanding_core::ids::{AvailabilityZone, LogPosition, VmName};
@@ -81,7 +82,7 @@
         let state = if left.is_some() { "draining" } else { "ready" };
         records.push(KeyedRecord {
             key: format!("i-{number}"),
-            value: Some(entry("ledger", address, state, &[]).into()),
+            value: Some(target_entry("ledger", address, state, &[]).into()),
             position: LogPosition(left.map_or(number, |at| targets + at as u64)),
         });
     }
@@ -108,7 +109,7 @@
 }
 
 fn fleet(name: &str, log: &KeyedLog, zone_vms: u64) -> Arc<FleetState> {
-    let fleet = Arc::new(FleetState::new(&settings(name, log), 1));
+    let fleet = Arc::new(FleetState::new(&vm_settings(name, log), 1));
     for number in 0..zone_vms {
         let record = VmRecord {
             zone: AvailabilityZone::new("hall"),
@@ -299,22 +300,25 @@
 #[tokio::test]
 async fn a_vm_that_has_no_target_list_serves_by_its_holders_word() {
     let log = KeyedLog::start().await.expect("a log");
-    let plain = RawTarget::start(good).await.expect("a target");
+    let plain = RawTarget::start(good_answer).await.expect("a target");
     let engine = slow_engine(Duration::from_millis(1)).await;
     record_strong_vms(&log, LARGE_ZONE);
     let listed = [
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
     ];
-    let _holder = site(&log, &listed).await;
+    let _holder = start_daemon(&log, &listed).await;
     let unlisted = vec!["keyed.servers".to_owned()];
     log.set_faults(|faults| faults.unlisted = unlisted);
-    let blind = DirectDaemon::start(settings("vm-2", &log)).await;
+    let blind = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let blind = blind.expect("the daemon starts");
-    for (path, headers) in [("/lookup/1", String::new()), ("/plan/1", model("a1"))] {
+    for (path, headers) in [
+        ("/lookup/1", String::new()),
+        ("/plan/1", model_headers("a1")),
+    ] {
         wait_for(path, async || {
-            let request = post(path, "r1", &headers);
-            ask(blind.caller_address, &request).await.status == 200
+            let request = post_request(path, "r1", &headers);
+            send_request(blind.caller_address, &request).await.status == 200
         })
         .await;
     }
@@ -324,9 +328,9 @@
 #[tokio::test]
 async fn vms_that_start_together_do_not_all_list_the_targets_at_once() {
     let log = KeyedLog::start().await.expect("a log");
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     record_strong_vms(&log, LARGE_ZONE);
-    let daemon = DirectDaemon::start(settings("vm-1", &log)).await;
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("the fleet's records", async || {
         daemon.fleet().knows_whole(FeedTopic::Fleet)
@@ -339,9 +343,9 @@
 #[tokio::test]
 async fn a_vm_that_starts_beside_a_holder_of_before_lists_at_once() {
     let log = KeyedLog::start().await.expect("a log");
-    let _holder = site(&log, &[]).await;
+    let _holder = start_daemon(&log, &[]).await;
     record_strong_vms(&log, 10_000);
-    let later = DirectDaemon::start(settings("vm-2", &log)).await;
+    let later = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let later = later.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&later).await).await;
 }
--- a/crates/daemon/tests/direct/support.rs
+++ b/crates/daemon/tests/direct/support.rs
@@ -18,9 +18,9 @@
 };
 
 pub const HOST: &str = "mill.example";
-pub const BOUND: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-pub fn settings(vm: &str, log: &KeyedLog) -> DirectSettings {
+pub fn vm_settings(vm: &str, log: &KeyedLog) -> DirectSettings {
     let text = json!({
         "mode": "direct",
         "vm": vm,
@@ -37,7 +37,7 @@
     DirectSettings::parse(&text.to_string()).expect("settings in order")
 }
 
-pub fn route(name: &str, kind: &str, service: &str) -> serde_json::Value {
+pub fn route_json(name: &str, kind: &str, service: &str) -> serde_json::Value {
     json!({
         "name": name, "host": HOST, "path_prefix": format!("/{name}/"), "route_type": kind,
         "timeout_ms": 5000, "target_latency_ms": 1000, "priority": 1, "service": service,
@@ -45,12 +45,12 @@
     })
 }
 
-pub fn config(version: u64) -> String {
+pub fn config_json(version: u64) -> String {
     json!({
         "version": version,
         "routes": [
-            route("scan", "non_idempotent", "ledger"), route("lookup", "idempotent", "ledger"),
-            route("plan", "streaming", "scribe"), route("resumed", "streaming", "scribe"),
+            route_json("scan", "non_idempotent", "ledger"), route_json("lookup", "idempotent", "ledger"),
+            route_json("plan", "streaming", "scribe"), route_json("resumed", "streaming", "scribe"),
         ],
         "services": [
             { "name": "ledger", "max_connections": 100 },
@@ -64,7 +64,7 @@
     .to_string()
 }
 
-pub fn entry(service: &str, address: SocketAddr, state: &str, adapters: &[&str]) -> String {
+pub fn target_entry(service: &str, address: SocketAddr, state: &str, adapters: &[&str]) -> String {
     json!({
         "service": service, "address": address.to_string(), "zone": "hall", "version": "v1", "slots": 8,
         "state": state, "cold_remaining_ms": 0, "sequence": 0,
@@ -74,17 +74,17 @@
 }
 
 /// Headers of a good answer to a request.
-pub fn sealed(request: &RawRequest) -> String {
+pub fn seal_headers(request: &RawRequest) -> String {
     let id = request.header("hoplanding-request-id").unwrap_or_default();
     format!("Hoplanding-Request-Id: {id}\r\nHoplanding-Server-Seal: seal\r\n")
 }
 
-pub fn good(request: &RawRequest) -> RawAnswer {
+pub fn good_answer(request: &RawRequest) -> RawAnswer {
     if request.line().starts_with("GET /hoplanding/report") {
         let report = json!({ "sequence": 0, "models": [{ "name": "base", "adapters": ["a1@1"] }] });
         return RawAnswer::whole("200 OK", "", &report.to_string());
     }
-    RawAnswer::whole("200 OK", &sealed(request), "done")
+    RawAnswer::whole("200 OK", &seal_headers(request), "done")
 }
 
 pub struct Answer {
@@ -96,12 +96,12 @@
 }
 
 impl Answer {
-    pub fn has(&self, header: &str) -> bool {
+    pub fn has_header(&self, header: &str) -> bool {
         self.head.to_ascii_lowercase().contains(header)
     }
 }
 
-pub async fn ask(address: SocketAddr, request: &str) -> Answer {
+pub async fn send_request(address: SocketAddr, request: &str) -> Answer {
     let mut stream = TcpStream::connect(address)
         .await
         .expect("the front accepts");
@@ -109,14 +109,14 @@
         .write_all(request.as_bytes())
         .await
         .expect("it reads");
-    timeout(BOUND, read_answer(&mut stream))
+    timeout(TEST_TIMEOUT, read_answer(&mut stream))
         .await
         .expect("an answer in time")
 }
 
 /// Sends a call every few milliseconds, to each address in turn, and waits for all answers. The ids begin with the number of
 /// the address.
-pub async fn send_many(
+pub async fn send_requests(
     addresses: &[SocketAddr],
     path: &str,
     headers: &str,
@@ -125,9 +125,11 @@
     let mut asked = Vec::new();
     for number in 0..count {
         let vm = number % addresses.len();
-        let request = post(path, &format!("vm{vm}-{number}"), headers);
+        let request = post_request(path, &format!("vm{vm}-{number}"), headers);
         let address = addresses[vm];
-        asked.push(tokio::spawn(async move { ask(address, &request).await }));
+        asked.push(tokio::spawn(async move {
+            send_request(address, &request).await
+        }));
         sleep(Duration::from_millis(20)).await;
     }
     let mut answers = Vec::new();
@@ -175,19 +177,19 @@
     }
 }
 
-pub fn post(path: &str, id: &str, headers: &str) -> String {
+pub fn post_request(path: &str, id: &str, headers: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nHoplanding-Request-Id: {id}\r\n\
          Hoplanding-Deadline-Ms: 4000\r\n{headers}Content-Length: 4\r\n\r\nbody"
     )
 }
 
-pub fn model(adapter: &str) -> String {
+pub fn model_headers(adapter: &str) -> String {
     format!("Hoplanding-Model: base/{adapter}\r\nHoplanding-Token-Count: 100,20\r\n")
 }
 
 /// A runtime whose end ends a daemon as a kill does.
-pub fn process() -> Runtime {
+pub fn process_runtime() -> Runtime {
     Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
@@ -195,7 +197,7 @@
         .expect("a runtime")
 }
 
-pub async fn start_in(process: &Runtime, settings: DirectSettings) -> DirectDaemon {
+pub async fn start_daemon_in(process: &Runtime, settings: DirectSettings) -> DirectDaemon {
     let started = process.spawn(DirectDaemon::start(settings));
     let daemon = started.await.expect("a task").expect("the daemon starts");
     wait_for("readiness and a lease of its own", async || {
@@ -219,16 +221,16 @@
 
 pub async fn is_ready(daemon: &DirectDaemon) -> bool {
     let question = "GET /hoplanding/ready HTTP/1.1\r\nHost: vm\r\n\r\n";
-    ask(daemon.ready_address, question).await.status == 200
+    send_request(daemon.ready_address, question).await.status == 200
 }
 
 /// A daemon in front of targets, each with its service; ready, and with its zone's lease.
-pub async fn site(log: &KeyedLog, targets: &[(&str, &str, SocketAddr)]) -> DirectDaemon {
-    site_of(settings("vm-1", log), log, targets).await
+pub async fn start_daemon(log: &KeyedLog, targets: &[(&str, &str, SocketAddr)]) -> DirectDaemon {
+    start_daemon_with(vm_settings("vm-1", log), log, targets).await
 }
 
 /// The same with settings of its own.
-pub async fn site_of(
+pub async fn start_daemon_with(
     settings: DirectSettings,
     log: &KeyedLog,
     targets: &[(&str, &str, SocketAddr)],
@@ -237,10 +239,10 @@
         log.put(
             "keyed.servers",
             name,
-            Some(&entry(service, *address, "ready", &["a1@1"])),
+            Some(&target_entry(service, *address, "ready", &["a1@1"])),
         );
     }
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     let daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
@@ -252,12 +254,12 @@
     daemon
 }
 
-pub fn event(id: u32) -> String {
+pub fn stream_event(id: u32) -> String {
     format!("id: {id}\ndata: token {id}\n\n")
 }
 
 pub fn stream_head(request: &RawRequest) -> Vec<u8> {
-    let headers = sealed(request);
+    let headers = seal_headers(request);
     format!("HTTP/1.1 200 OK\r\n{headers}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
         .into_bytes()
 }
@@ -267,9 +269,9 @@
 }
 
 /// Streams events from an id on; breaks off inside the event `breaks_at`.
-pub fn stream(request: &RawRequest, breaks_at: Option<u32>) -> RawAnswer {
+pub fn stream_answer(request: &RawRequest, breaks_at: Option<u32>) -> RawAnswer {
     if request.line().contains("/hoplanding/report") {
-        return good(request);
+        return good_answer(request);
     }
     let last: u32 = request
         .header("last-event-id")
@@ -277,7 +279,7 @@
         .unwrap_or(0);
     let mut pieces = vec![(Duration::ZERO, stream_head(request))];
     for id in last + 1..=6 {
-        let text = event(id);
+        let text = stream_event(id);
         if breaks_at == Some(id) {
             pieces.push((Duration::from_millis(5), chunk(&text[..9])));
             return RawAnswer {
@@ -295,7 +297,7 @@
 }
 
 /// The text of a chunked body.
-pub fn unchunk(mut body: &[u8]) -> String {
+pub fn decode_chunked(mut body: &[u8]) -> String {
     let mut text = Vec::new();
     while let Some(line) = body.windows(2).position(|end| end == b"\r\n") {
         let length = std::str::from_utf8(&body[..line])
@@ -313,7 +315,7 @@
 /// An engine whose streams make a pause before each event.
 pub async fn slow_engine(pause: Duration) -> RawTarget {
     RawTarget::start(move |request: &RawRequest| {
-        let mut answer = stream(request, None);
+        let mut answer = stream_answer(request, None);
         for (before, _) in answer.pieces.iter_mut().skip(1) {
             *before = pause;
         }
@@ -325,8 +327,8 @@
 
 /// Asks for a stream, and waits until its engine has the request.
 pub async fn start_stream(address: SocketAddr, engine: &RawTarget) -> JoinHandle<Answer> {
-    let request = post("/plan/1", "r1", &model("a1"));
-    let running = tokio::spawn(async move { ask(address, &request).await });
+    let request = post_request("/plan/1", "r1", &model_headers("a1"));
+    let running = tokio::spawn(async move { send_request(address, &request).await });
     wait_for("the stream's start", async || {
         let seen = engine.requests();
         seen.iter().any(|request| request.line().contains("/plan/"))
@@ -336,10 +338,10 @@
 }
 
 /// A second VM whose path to the log is a link of its own; ready, and known to itself beside the first.
-pub async fn second_vm(log: &KeyedLog) -> (DirectDaemon, LinkRelay) {
+pub async fn start_second_vm(log: &KeyedLog) -> (DirectDaemon, LinkRelay) {
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
-    let mut settings = settings("vm-2", log);
+    let mut settings = vm_settings("vm-2", log);
     settings.platform_address = relay.address;
     let second = DirectDaemon::start(settings)
         .await
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -9,7 +9,10 @@
 
 use crate::{
     keeping::EngineYard,
-    support::{Answer, BOUND, HOST, ask, entry, second_vm, settings, site_of, wait_for},
+    support::{
+        Answer, HOST, TEST_TIMEOUT, send_request, start_daemon_with, start_second_vm, target_entry,
+        vm_settings, wait_for,
+    },
 };
 use hoplanding_core::ids::AdapterName;
 use hoplanding_standins::{
@@ -55,16 +58,16 @@
 
 /// Asks until it is served, as callers do that are told to come back.
 async fn served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
-    let until = Instant::now() + BOUND;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        let answer = ask(address, &request(number, tokens)).await;
+        let answer = send_request(address, &request(number, tokens)).await;
         if answer.status == 200 {
             assert!(answer.is_whole, "{}", answer.head);
             return answer;
         }
         assert_eq!(answer.status, 503, "{}", answer.head);
         assert!(Instant::now() < until, "not served in time");
-        sleep(BOUND / 100).await;
+        sleep(TEST_TIMEOUT / 100).await;
     }
 }
 
@@ -108,10 +111,10 @@
         let one = yard.engine("i-1", 1, &[("a1", 1)]).await;
         let two = yard.engine("i-2", base, held).await;
         // As users have it: a holder that may have been replaced for longer names no source.
-        let mut settings = settings("vm-1", &log);
+        let mut settings = vm_settings("vm-1", &log);
         settings.leases.turn = Duration::from_secs(3);
-        let daemon = site_of(settings, &log, &[("i-1", "scribe", one.address)]).await;
-        let text = entry("scribe", two.address, "ready", listed);
+        let daemon = start_daemon_with(settings, &log, &[("i-1", "scribe", one.address)]).await;
+        let text = target_entry("scribe", two.address, "ready", listed);
         let text = text.replace("\"version\":1", &format!("\"version\":{base}"));
         log.put("keyed.servers", "i-2", Some(&text));
         wait_for("both engines", async || {
@@ -277,7 +280,7 @@
 async fn versions_in_series(site: PairSite) -> SeriesOutcome {
     const NEWEST: u64 = 7;
     const STOPS_AT: u64 = 4;
-    let (second, _relay) = second_vm(&site.log).await;
+    let (second, _relay) = start_second_vm(&site.log).await;
     let PairSite {
         log,
         yard,
@@ -430,6 +433,6 @@
     })
     .await;
     let request = request(0, SHORT_ANSWER).replace("base/a1", "base");
-    let answer = ask(site.daemon.caller_address, &request).await;
+    let answer = send_request(site.daemon.caller_address, &request).await;
     assert_eq!(answer.status, 200, "{}", answer.head);
 }
--- a/crates/daemon/tests/suspension.rs
+++ b/crates/daemon/tests/suspension.rs
@@ -6,7 +6,10 @@
 #[expect(dead_code, reason = "shared with the tests of the direct mode")]
 mod support;
 
-use crate::support::{ask, config, good, post, settings, site, site_of, wait_for};
+use crate::support::{
+    config_json, good_answer, post_request, send_request, start_daemon, start_daemon_with,
+    vm_settings, wait_for,
+};
 use hoplanding_core::direct::freshness::RevocationRule;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -23,8 +26,8 @@
 
 async fn plain_site() -> (KeyedLog, RawTarget, DirectDaemon) {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     (log, target, daemon)
 }
 
@@ -40,7 +43,7 @@
     let _clock = CLOCK.lock().await;
     let (_log, target, daemon) = plain_site().await;
     let scan = async |id: &str| {
-        let answer = ask(daemon.caller_address, &post("/scan/1", id, "")).await;
+        let answer = send_request(daemon.caller_address, &post_request("/scan/1", id, "")).await;
         assert_eq!(answer.status, 200);
         target.connections()
     };
@@ -54,7 +57,7 @@
     let _clock = CLOCK.lock().await;
     let (_log, target, daemon) = plain_site().await;
     // Its head has come; its body comes after the suspension.
-    let request = post("/scan/1", "r1", "");
+    let request = post_request("/scan/1", "r1", "");
     let (head, body) = request.split_at(request.len() - 4);
     let mut caller = tokio::net::TcpStream::connect(daemon.caller_address)
         .await
@@ -84,18 +87,18 @@
     let log = KeyedLog::start().await.expect("a log");
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
-    let target = RawTarget::start(good).await.expect("a target");
-    let mut settings = settings("vm-1", &log);
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let mut settings = vm_settings("vm-1", &log);
     settings.platform_address = relay.address;
     let bound = Duration::from_secs(5);
     settings.revocation = Some(RevocationRule { bound });
-    let daemon = site_of(settings, &log, &[("i-1", "ledger", target.address)]).await;
-    let mut keyed: Value = serde_json::from_str(&config(2)).expect("a configuration");
+    let daemon = start_daemon_with(settings, &log, &[("i-1", "ledger", target.address)]).await;
+    let mut keyed: Value = serde_json::from_str(&config_json(2)).expect("a configuration");
     keyed["tenants"] = json!([{ "name": "mill", "api_keys": ["k1"] }]);
     log.put("keyed.op", "config", Some(&keyed.to_string()));
     let call = async |id: &str| {
-        let request = post("/scan/1", id, "Authorization: Bearer k1\r\n");
-        ask(daemon.caller_address, &request).await.status
+        let request = post_request("/scan/1", id, "Authorization: Bearer k1\r\n");
+        send_request(daemon.caller_address, &request).await.status
     };
     wait_for("a keyed call", async || {
         let active = daemon.fleet().active();
