--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -14,7 +14,7 @@
         reachability::StoreReachability,
         recorder::FleetRecorder,
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
         target_connections::ConnectionPool,
         zone::{ZoneEvent, ZoneWorker},
     },
@@ -126,7 +126,7 @@
             fleet: Arc::clone(&fleet),
             holder_client,
             pool,
-            records: EndRecords::start(&fleet, &settings),
+            records: SuspectRecorder::start(&fleet, &settings),
             settings: Arc::clone(&settings),
         });
         tokio::spawn(accept_callers(
@@ -164,8 +164,8 @@
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
         let begun = Instant::now();
-        let bound = begun + self.settings.pace.stop_bound;
-        let restricted_from = begun + self.settings.pace.stop_notice;
+        let bound = begun + self.settings.timing.stop_timeout;
+        let restricted_from = begun + self.settings.timing.drain_delay;
         let plan = StopPlan {
             restricted_from,
             exit: bound,
@@ -199,10 +199,10 @@
     /// Gives the zone up, so that another VM gives the orders from here on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
-        if self.zone.send(ZoneEvent::Release(done)).await.is_err() {
+        if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
             return;
         }
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         if let Ok(Ok(true)) = timeout(within, released).await {
             // Where it fails, the others find this process ended and claim the zone.
             let _ = release_lease(&self.fleet, self.settings.platform_address, within).await;
@@ -251,7 +251,7 @@
         let worker = FeedWorker {
             topic,
             address: settings.platform_address,
-            pace: settings.pace,
+            pace: settings.timing,
             fleet: Arc::clone(fleet),
             holder_client: Arc::clone(holder_client),
             reachability: reachability.clone(),
@@ -266,7 +266,7 @@
 /// Pause before the first listing. At the first start of a whole fleet nobody is served yet, so weak VMs let the strong
 /// ones claim their zones, and learn from them what they would each have to list.
 fn first_pause(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.strength < WEAK_BELOW {
+    if settings.is_first_start && settings.cpu_millicores < WEAK_BELOW {
         WEAK_PAUSE.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -10,7 +10,7 @@
         },
         ingest::RecordSource,
         message::FeedTopic,
-        suspect_records::{fold_suspect, suspect_of},
+        suspect_records::{apply_suspect_record, suspect_fingerprint},
     },
     event,
     events::Event,
@@ -57,7 +57,7 @@
         return false;
     };
     let key = &record.key;
-    if tables.records.is_kept(topic, key, record.position)
+    if tables.records.contains(topic, key, record.position)
         && tables.records.value(topic, key) == Some(&**value)
     {
         return false;
@@ -310,8 +310,9 @@
         fold_vm(tables, vm, record);
     } else if record.key == ERA_KEY {
         fold_era(tables, record, rewrites);
-    } else if let Some(fingerprint) = suspect_of(&record.key) {
-        if let Err(error) = fold_suspect(tables, fingerprint, record.value.as_deref(), now) {
+    } else if let Some(fingerprint) = suspect_fingerprint(&record.key) {
+        if let Err(error) = apply_suspect_record(tables, fingerprint, record.value.as_deref(), now)
+        {
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
     } else if record.key.starts_with(SUSPECT_KEY_PREFIX) {
@@ -344,7 +345,7 @@
         return;
     };
     match serde_json::from_slice(value) {
-        Ok(recorded) => tables.note_era_record(recorded, rewrites),
+        Ok(recorded) => tables.apply_era_record(recorded, rewrites),
         Err(error) => event!(Event::RecordSkipped, "era: {error}"),
     }
 }
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -86,7 +86,7 @@
                 event!(
                     Event::TopicKnown,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
-                    tables.records.bytes(topic),
+                    tables.records.size_bytes(topic),
                     self.age()
                 );
             }
@@ -174,7 +174,7 @@
             let key = &record.key;
             tables
                 .records
-                .keep(topic, key, record.position, value, is_news);
+                .insert(topic, key, record.position, value, is_news);
             has_news |= is_news;
         }
         self.announce(&tables);
@@ -183,7 +183,7 @@
 
     /// Tells the links how far the news goes.
     pub(super) fn announce(&self, tables: &FleetTables) {
-        let head = tables.records.head() + tables.leaving.head();
+        let head = tables.records.next_sequence() + tables.leaving.head();
         self.news.send_if_modified(|known| {
             let is_more = *known != head;
             *known = head;
@@ -198,7 +198,7 @@
             let topic = FeedTopic::Targets;
             tables
                 .records
-                .keep(topic, name.as_str(), position, None, true);
+                .insert(topic, name.as_str(), position, None, true);
         }
         self.announce(tables);
     }
