--- a/crates/daemon/src/direct/records.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -6,7 +6,7 @@
 //! News has an order of its own, and each link keeps its place in it. A link that lags finds the newest record of each
 //! key when it goes on, so nothing is dropped and nothing is queued for it.
 
-use crate::direct::message::{FeedTopic, PassedRecord};
+use crate::direct::message::{FeedTopic, ForwardedRecord};
 use bytes::Bytes;
 use hoplanding_core::ids::{LogPosition, StoreEra};
 use std::{collections::BTreeMap, mem};
@@ -28,14 +28,14 @@
 
 /// The newest record of each key, as read from the log or passed on.
 #[derive(Debug, Default)]
-pub struct RecordBook {
+pub struct RecordCache {
     records: BTreeMap<RecordKey, KeptRecord>,
     news: BTreeMap<u64, RecordKey>,
     /// Place behind the newest news.
     head: u64,
 }
 
-impl RecordBook {
+impl RecordCache {
     /// Whether a record is newer than what is kept of its key.
     #[must_use]
     pub fn is_newer(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
@@ -45,7 +45,7 @@
 
     /// Whether a record is the one that is kept of its key.
     #[must_use]
-    pub fn is_kept(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
+    pub fn contains(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
         let kept = self.records.get(&(topic, key.to_owned()));
         kept.is_some_and(|kept| kept.position == position)
     }
@@ -66,7 +66,7 @@
 
     /// The record that is kept of a key, to be passed on; none where it has no value.
     #[must_use]
-    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<PassedRecord> {
+    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<ForwardedRecord> {
         let key = (topic, key.to_owned());
         let kept = self.records.get(&key)?;
         kept.value.is_some().then(|| passed(&key, kept))
@@ -74,7 +74,12 @@
 
     /// Whether a record is kept of each position of a topic from one on and before another.
     #[must_use]
-    pub fn has_all(&self, topic: FeedTopic, from: LogPosition, before: LogPosition) -> bool {
+    pub fn has_all_between(
+        &self,
+        topic: FeedTopic,
+        from: LogPosition,
+        before: LogPosition,
+    ) -> bool {
         let records = self.records.iter();
         let kept = records.filter(|((kept, _), record)| {
             *kept == topic && from <= record.position && record.position < before
@@ -84,7 +89,7 @@
 
     /// Keeps a record, which is newer than what is kept of its key. One that is no news takes the place of news that is
     /// still to be passed on.
-    pub fn keep(
+    pub fn insert(
         &mut self,
         topic: FeedTopic,
         key: &str,
@@ -114,13 +119,13 @@
 
     /// Place behind the newest news.
     #[must_use]
-    pub fn head(&self) -> u64 {
+    pub fn next_sequence(&self) -> u64 {
         self.head
     }
 
     /// News from a place on, as much as goes into one message, and the place behind it.
     #[must_use]
-    pub fn news_from(&self, place: u64) -> (Vec<PassedRecord>, u64) {
+    pub fn updates_from(&self, place: u64) -> (Vec<ForwardedRecord>, u64) {
         let mut load = MessageLoad::default();
         for (place, key) in self.news.range(place..) {
             if load.is_full() {
@@ -134,7 +139,7 @@
     }
 
     /// Records of a topic that have a value, and were read in an earlier era only.
-    pub fn before_era(
+    pub fn from_earlier_eras(
         &self,
         topic: FeedTopic,
         era: StoreEra,
@@ -161,7 +166,7 @@
 
     /// Bytes of a topic's records.
     #[must_use]
-    pub fn bytes(&self, topic: FeedTopic) -> usize {
+    pub fn size_bytes(&self, topic: FeedTopic) -> usize {
         let records = self.records.iter();
         records
             .filter(|((kept, _), _)| *kept == topic)
@@ -171,7 +176,7 @@
 
     /// Records of a topic from a position on, and those of earlier eras, which the log may lack since.
     #[must_use]
-    pub fn since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
+    pub fn records_since(&self, topic: FeedTopic, from: LogPosition) -> Vec<ForwardedRecord> {
         self.records
             .iter()
             .filter(|((kept, _), record)| {
@@ -185,7 +190,7 @@
 /// Records that go into one message.
 #[derive(Debug, Default)]
 struct MessageLoad {
-    records: Vec<PassedRecord>,
+    records: Vec<ForwardedRecord>,
     bytes: usize,
 }
 
@@ -194,7 +199,7 @@
         self.records.len() == MESSAGE_RECORDS || self.bytes >= MESSAGE_BYTES
     }
 
-    fn add(&mut self, record: PassedRecord) {
+    fn add(&mut self, record: ForwardedRecord) {
         self.bytes += record.value.as_ref().map_or(0, Bytes::len);
         self.records.push(record);
     }
@@ -202,7 +207,7 @@
 
 /// Records in loads of one message each.
 #[must_use]
-pub fn in_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
+pub fn split_into_messages(records: Vec<ForwardedRecord>) -> Vec<Vec<ForwardedRecord>> {
     let mut loads = Vec::new();
     let mut load = MessageLoad::default();
     for record in records {
@@ -215,8 +220,8 @@
     loads
 }
 
-fn passed((topic, key): &RecordKey, kept: &KeptRecord) -> PassedRecord {
-    PassedRecord {
+fn passed((topic, key): &RecordKey, kept: &KeptRecord) -> ForwardedRecord {
+    ForwardedRecord {
         topic: *topic,
         key: key.clone(),
         value: kept.value.clone(),
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -2,12 +2,12 @@
 
 use crate::{
     clock,
-    direct::{access::ZoneAccess, fleet::FleetState},
+    direct::{fleet::FleetState, holder_client::HolderClient},
     event,
     events::Event,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::AvailabilityZone,
 };
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 /// Leave to send a suspect once; tells holders of the trial's end when dropped.
 #[derive(Debug)]
 pub struct TrialPermit {
-    access: Arc<ZoneAccess>,
+    holder_client: Arc<HolderClient>,
     /// The zone whose holder granted it.
     zone: AvailabilityZone,
     number: u64,
@@ -27,13 +27,13 @@
     /// The permit that a zone's holder granted to the question with this number.
     #[must_use]
     pub fn new(
-        access: &Arc<ZoneAccess>,
+        holder_client: &Arc<HolderClient>,
         zone: &AvailabilityZone,
         number: u64,
         fingerprint: RequestFingerprint,
     ) -> Self {
         Self {
-            access: Arc::clone(access),
+            holder_client: Arc::clone(holder_client),
             zone: zone.clone(),
             number,
             fingerprint,
@@ -55,20 +55,20 @@
 
 impl Drop for TrialPermit {
     fn drop(&mut self) {
-        self.access
+        self.holder_client
             .end_trial(&self.zone, self.number, self.fingerprint, self.is_good);
     }
 }
 
 impl FleetState {
     /// Notes that a target ended under a request; says whether that is news.
-    pub fn note_ended_under(&self, ended: &EndedUnder) -> bool {
+    pub fn note_ended_under(&self, ended: &TargetCrash) -> bool {
         let now = clock::now();
-        let mut books = self.books();
-        if !books.suspects.note_ended(ended, now) {
+        let mut tables = self.tables();
+        if !tables.suspects.record_crash(ended, now) {
             return false;
         }
-        let (suspected, quarantined) = books.suspects.counts(now);
+        let (suspected, quarantined) = tables.suspects.counts(now);
         event!(
             Event::RequestSuspected,
             "{:016x}: {} ended under it, {suspected} suspected, {quarantined} quarantined",
@@ -79,8 +79,8 @@
     }
 
     /// Notes that a trial of a request was answered well.
-    pub fn pardon(&self, fingerprint: RequestFingerprint) {
-        if self.books().suspects.pardon(fingerprint) {
+    pub fn clear_suspicion(&self, fingerprint: RequestFingerprint) {
+        if self.tables().suspects.clear(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
         }
     }
