--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -225,7 +225,7 @@
 impl TargetLife {
     /// The life that began at a Unix time, in milliseconds.
     #[must_use]
-    pub fn begun_at(unix_ms: u64) -> Self {
+    pub fn started_at_ms(unix_ms: u64) -> Self {
         Self(unix_ms.saturating_add(1))
     }
 }
--- a/crates/core/src/log/fold.rs
+++ b/crates/core/src/log/fold.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Characters of a snapshot that one record carries.
-pub const SNAPSHOT_PART_BYTES: usize = 128 * 1024;
+pub const MAX_SNAPSHOT_PART_BYTES: usize = 128 * 1024;
 
 /// Configuration, holders and keys as of an offset.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -87,7 +87,7 @@
     }
 
     /// Takes another daemon's state if it is newer; an older one is refused.
-    pub fn adopt(&mut self, other: Self) -> bool {
+    pub fn replace_if_newer(&mut self, other: Self) -> bool {
         if other.applied <= self.applied {
             return false;
         }
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn snapshot_parts(&self, writer: u64) -> Vec<SnapshotPart> {
         let text = serde_json::to_string(self).expect("the state has a JSON form");
-        let pieces = split_text(&text, SNAPSHOT_PART_BYTES);
+        let pieces = split_text(&text, MAX_SNAPSHOT_PART_BYTES);
         let count = pieces.len() as u32;
         let parts = pieces
             .into_iter()
--- a/crates/core/src/log/mod.rs
+++ b/crates/core/src/log/mod.rs
@@ -5,7 +5,7 @@
 
 mod fold;
 
-pub use fold::{FoldEffect, FoldedState, SNAPSHOT_PART_BYTES, SnapshotAssembler};
+pub use fold::{FoldEffect, FoldedState, MAX_SNAPSHOT_PART_BYTES, SnapshotAssembler};
 
 use crate::{
     config::ConfigChange,
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -42,7 +42,7 @@
 
 /// Spans after which silence means something.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MembershipTimes {
+pub struct MembershipTimeouts {
     /// Silence after which a peer is suspect.
     pub suspect_after: Duration,
     /// Silence after which a suspect's targets may be taken over without a second witness.
@@ -51,7 +51,7 @@
     pub delivery_bound: Duration,
 }
 
-impl Default for MembershipTimes {
+impl Default for MembershipTimeouts {
     fn default() -> Self {
         Self {
             suspect_after: Duration::from_millis(1200),
@@ -100,7 +100,7 @@
     /// Since when connections to it are refused.
     pub refused_since: Option<Instant>,
     /// Other daemons that call it silent.
-    pub silent_to: u32,
+    pub silence_reports: u32,
     /// What the list says; none if it is not in it.
     pub listed: Option<ListedState>,
     /// Since when it is missing from a list that it once was in.
@@ -125,7 +125,7 @@
 pub struct MembershipTable {
     me: DaemonRef,
     zone: AvailabilityZone,
-    times: MembershipTimes,
+    times: MembershipTimeouts,
     peers: BTreeMap<VmName, PeerRecord>,
     listed_zones: BTreeMap<AvailabilityZone, usize>,
     list_read_at: Option<Instant>,
@@ -134,7 +134,7 @@
 impl MembershipTable {
     /// A table that knows this daemon only.
     #[must_use]
-    pub fn new(me: DaemonRef, zone: AvailabilityZone, times: MembershipTimes) -> Self {
+    pub fn new(me: DaemonRef, zone: AvailabilityZone, times: MembershipTimeouts) -> Self {
         Self {
             me,
             zone,
@@ -157,7 +157,7 @@
             state: PeerState::Unheard,
             heard_at: None,
             refused_since: None,
-            silent_to: 0,
+            silence_reports: 0,
             listed: None,
             unlisted_since: None,
             applied: 0,
@@ -220,9 +220,9 @@
     }
 
     /// Other daemons of the zone call a peer silent.
-    pub fn observe_silent_to(&mut self, vm: &str, reporters: u32) {
+    pub fn observe_silence_reports(&mut self, vm: &str, reporters: u32) {
         if let Some(peer) = self.peers.get_mut(vm) {
-            peer.silent_to = reporters;
+            peer.silence_reports = reporters;
         }
     }
 
@@ -265,7 +265,7 @@
 
     /// Daemons of the zone that can hold targets, this one among them.
     #[must_use]
-    pub fn able_daemons(&self) -> Vec<DaemonRef> {
+    pub fn eligible_daemons(&self) -> Vec<DaemonRef> {
         let mut able = vec![self.me.clone()];
         for (vm, peer) in &self.peers {
             let (true, PeerState::Live, Some(incarnation)) =
@@ -309,7 +309,7 @@
 
     /// Whether the list says that a VM is gone while it still shows the zone, and what it sent can't arrive any more.
     #[must_use]
-    pub fn listed_gone(&self, vm: &str, now: Instant) -> bool {
+    pub fn is_confirmed_gone(&self, vm: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(vm) else {
             return false;
         };
@@ -322,7 +322,7 @@
 
     /// Whether a run of a daemon is over, because its VM runs a later one that reported long enough ago.
     #[must_use]
-    pub fn superseded(&self, daemon: &DaemonRef) -> bool {
+    pub fn is_superseded(&self, daemon: &DaemonRef) -> bool {
         if daemon.vm == self.me.vm {
             return daemon.incarnation != self.me.incarnation;
         }
@@ -332,7 +332,7 @@
     }
 }
 
-fn next_state(peer: &PeerRecord, times: &MembershipTimes, now: Instant) -> PeerState {
+fn next_state(peer: &PeerRecord, times: &MembershipTimeouts, now: Instant) -> PeerState {
     if peer.listed == Some(ListedState::Leaving) && peer.state == PeerState::Live {
         return PeerState::Leaving;
     }
@@ -343,7 +343,7 @@
         return peer.state;
     }
     let second_witness =
-        peer.refused_since.is_some() || peer.silent_to > 0 || peer.unlisted_since.is_some();
+        peer.refused_since.is_some() || peer.silence_reports > 0 || peer.unlisted_since.is_some();
     if second_witness {
         PeerState::Gone
     } else {
--- a/crates/core/src/ownership/assignment.rs
+++ b/crates/core/src/ownership/assignment.rs
@@ -23,7 +23,7 @@
     /// This daemon.
     pub me: &'a DaemonRef,
     /// Daemons of the zone that can hold targets, this one among them.
-    pub able: &'a [DaemonRef],
+    pub eligible: &'a [DaemonRef],
     /// Targets of the zone.
     pub targets: &'a [TargetName],
     /// The holders by the fold.
@@ -33,13 +33,13 @@
 /// Takeovers that this daemon should append now.
 ///
 /// `replaceable` says of a holder whether it can't go on (dead, restarted, or suspect for long enough).
-pub fn takeovers_wanted(
+pub fn plan_takeovers(
     input: &AssignmentInput<'_>,
     replaceable: impl Fn(&DaemonRef) -> bool,
 ) -> Vec<TakeoverRecord> {
-    let desired = desired_holders(input.able, input.targets);
+    let desired = desired_holders(input.eligible, input.targets);
     let counts = held_counts(input);
-    let share = input.targets.len() / input.able.len().max(1);
+    let share = input.targets.len() / input.eligible.len().max(1);
     let mut held = counts.get(input.me).copied().unwrap_or(0);
     let mut moves = 0;
     let mut records = Vec::new();
@@ -88,17 +88,17 @@
 
 /// Rendezvous hashing with at most `ceil(targets / daemons)` targets for each daemon.
 fn desired_holders<'a>(
-    able: &'a [DaemonRef],
+    eligible: &'a [DaemonRef],
     targets: &'a [TargetName],
 ) -> HashMap<&'a TargetName, &'a DaemonRef> {
-    if able.is_empty() {
+    if eligible.is_empty() {
         return HashMap::new();
     }
-    let most = targets.len().div_ceil(able.len());
+    let most = targets.len().div_ceil(eligible.len());
     let mut counts: HashMap<&DaemonRef, usize> = HashMap::new();
     let mut desired = HashMap::new();
     for target in targets {
-        let free = able
+        let free = eligible
             .iter()
             .filter(|daemon| counts.get(daemon).copied().unwrap_or(0) < most);
         if let Some(daemon) = free.max_by_key(|daemon| (score(target, daemon), daemon.incarnation))
--- a/crates/core/src/ownership/lease.rs
+++ b/crates/core/src/ownership/lease.rs
@@ -104,8 +104,8 @@
     ///
     /// An open intent bars its adapter, whoever announced it: the unload may be on its way.
     #[must_use]
-    pub fn may_dispatch(&self, ownership: &TargetOwnership, adapter: &AdapterVersion) -> bool {
-        self.may_order(ownership)
+    pub fn can_dispatch(&self, ownership: &TargetOwnership, adapter: &AdapterVersion) -> bool {
+        self.can_send_orders(ownership)
             && !ownership
                 .intents
                 .iter()
@@ -114,7 +114,7 @@
 
     /// Whether a load order may be sent.
     #[must_use]
-    pub fn may_order(&self, ownership: &TargetOwnership) -> bool {
+    pub fn can_send_orders(&self, ownership: &TargetOwnership) -> bool {
         self.is_holder(ownership) && self.fence != FenceState::Presented
     }
 
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     /// Names the rule that forbids it.
-    pub fn may_plan_unload(
+    pub fn check_unload(
         &self,
         ownership: &TargetOwnership,
         in_flight: usize,
@@ -155,7 +155,7 @@
         number: Option<u64>,
         in_flight: usize,
     ) -> Result<UnloadPermit, UnloadRefusal> {
-        self.may_plan_unload(ownership, in_flight)?;
+        self.check_unload(ownership, in_flight)?;
         let announced = ownership.intents.iter().any(|open| {
             open.token == self.token && Some(open.number) == number && open.adapter == *adapter
         });
@@ -173,13 +173,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SettleEvidence {
     /// The platform's list says that the predecessor's VM is gone.
-    pub vm_listed_gone: bool,
+    pub vm_unlisted: bool,
     /// Some VM of the zone other than ours is still listed, so that the zone is not merely cut off from the list.
     pub zone_still_listed: bool,
     /// The bound on delivery after the VM's end has passed (docs/DESIGN.md, assumption A1).
     pub delivery_bound_passed: bool,
     /// The target, asked directly after that bound, runs none of the predecessor's requests.
-    pub target_idle_of_it: bool,
+    pub no_requests_running: bool,
 }
 
 /// Whether a successor may declare a former holder settled.
@@ -189,17 +189,17 @@
 /// A restart of the target is no evidence: a former holder that was paused before it read the takeover may still
 /// dispatch to the restarted target (`specs/ownership.pml`, switch `SETTLE_ON_RESTART`, finds the trace).
 #[must_use]
-pub fn predecessor_settled(evidence: SettleEvidence) -> bool {
-    evidence.vm_listed_gone
+pub fn is_predecessor_settled(evidence: SettleEvidence) -> bool {
+    evidence.vm_unlisted
         && evidence.zone_still_listed
         && evidence.delivery_bound_passed
-        && evidence.target_idle_of_it
+        && evidence.no_requests_running
 }
 
 impl HolderLease {
     /// Whether this lease is one run of a daemon.
     #[must_use]
-    pub fn is_of(&self, daemon: &crate::ids::DaemonRef) -> bool {
+    pub fn is_held_by(&self, daemon: &crate::ids::DaemonRef) -> bool {
         self.daemon == *daemon
     }
 }
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -13,8 +13,8 @@
 mod fold;
 mod lease;
 
-pub use assignment::{AssignmentInput, takeovers_wanted};
+pub use assignment::{AssignmentInput, plan_takeovers};
 pub use fold::{HolderLease, OpenIntent, OwnershipEffect, OwnershipState, TargetOwnership};
 pub use lease::{
-    FenceState, HeldTarget, SettleEvidence, UnloadPermit, UnloadRefusal, predecessor_settled,
+    FenceState, HeldTarget, SettleEvidence, UnloadPermit, UnloadRefusal, is_predecessor_settled,
 };
--- a/crates/core/src/request/keys.rs
+++ b/crates/core/src/request/keys.rs
@@ -9,7 +9,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Claims that are remembered; an older key counts as new.
-pub const REMEMBERED_KEYS: usize = 65_536;
+pub const MAX_KEY_CLAIMS: usize = 65_536;
 
 /// First 16 bytes of the SHA-256 of a caller's name and its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -86,7 +86,7 @@
             };
             self.claims.insert(claim.key, remembered);
             self.order.push_back(claim.key);
-            if self.order.len() > REMEMBERED_KEYS
+            if self.order.len() > MAX_KEY_CLAIMS
                 && let Some(oldest) = self.order.pop_front()
             {
                 self.claims.remove(&oldest);
--- a/crates/core/src/request/life_cycle.rs
+++ b/crates/core/src/request/life_cycle.rs
@@ -10,7 +10,7 @@
 
 /// The request was handed to a transport: it may be running.
 #[derive(Debug)]
-pub struct HandedOver;
+pub struct Sent;
 
 /// A request in one state of its life.
 #[derive(Debug)]
@@ -138,7 +138,7 @@
     }
 
     /// The last step before a byte of it may reach a transport.
-    pub fn hand_over(self) -> RequestCall<HandedOver> {
+    pub fn mark_sent(self) -> RequestCall<Sent> {
         RequestCall {
             id: self.id,
             attempts: self.attempts + 1,
@@ -156,7 +156,7 @@
     }
 }
 
-impl RequestCall<HandedOver> {
+impl RequestCall<Sent> {
     /// The daemon that it was handed to gave it back unsent.
     ///
     /// # Errors
@@ -182,7 +182,7 @@
     }
 
     /// Starts another attempt of a request that may be repeated.
-    pub fn repeat(self) -> RequestCall<HandedOver> {
+    pub fn repeat(self) -> RequestCall<Sent> {
         RequestCall {
             id: self.id,
             attempts: self.attempts + 1,
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -10,8 +10,9 @@
 mod tokens;
 
 pub use keys::{ClaimOutcome, KeyClaim, KeyHash, KeyTable};
-pub use life_cycle::{HandedOver, NotRunProof, NotRunReason, RequestCall, RequestOutcome, Unsent};
+pub use life_cycle::{NotRunProof, NotRunReason, RequestCall, RequestOutcome, Sent, Unsent};
 pub use retry::{AttemptEnd, RetryBudget, RetryDecision, RetryInput, RetryLimits, decide_retry};
 pub use tokens::{
-    HandedTokens, IdempotencyToken, RepeatKey, TokenDecision, TokenError, TokenRegistry, TokenState,
+    DedupKey, IdempotencyToken, TokenDecision, TokenError, TokenRegistry, TokenState,
+    TransferredTokens,
 };
--- a/crates/core/src/request/tokens.rs
+++ b/crates/core/src/request/tokens.rs
@@ -84,13 +84,13 @@
     IssuerEnded,
     /// It belongs to another daemon.
     #[error("the token belongs to {0}: forward it there")]
-    Elsewhere(DaemonRef),
+    WrongDaemon(DaemonRef),
     /// The token was used for a request with other content.
     #[error("the token was used for a different request: ask for a new token for each request")]
-    OtherRequest,
+    FingerprintMismatch,
     /// Tokens were handed to a successor.
     #[error("the daemon is stopping and handed its tokens over: forward to {0}")]
-    HandedOver(DaemonRef),
+    Transferred(DaemonRef),
 }
 
 #[derive(Clone, Debug)]
@@ -101,7 +101,7 @@
 
 /// Tokens handed over by a daemon that stopped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HandedTokens {
+pub struct TransferredTokens {
     /// Numbers below this were issued.
     pub issued: u64,
     /// Numbers that were used, with a fingerprint of the request.
@@ -110,7 +110,7 @@
 
 /// What a request is known by when it is repeated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RepeatKey {
+pub enum DedupKey {
     /// An issued token.
     Token(IdempotencyToken),
     /// A caller's own key, whose claim this daemon won.
@@ -122,8 +122,8 @@
 pub struct TokenRegistry<Answer> {
     me: DaemonRef,
     issued: u64,
-    used: HashMap<RepeatKey, TokenEntry<Answer>>,
-    kept: VecDeque<RepeatKey>,
+    used: HashMap<DedupKey, TokenEntry<Answer>>,
+    kept: VecDeque<DedupKey>,
     kept_most: usize,
     inherited: HashMap<DaemonRef, u64>,
     handed_to: Option<DaemonRef>,
@@ -184,13 +184,13 @@
         } else if token.issuer.vm == self.me.vm {
             return Err(TokenError::IssuerEnded);
         } else {
-            return Err(TokenError::Elsewhere(token.issuer.clone()));
+            return Err(TokenError::WrongDaemon(token.issuer.clone()));
         };
         if token.counter == 0 || token.counter > issued {
             return Err(TokenError::NeverIssued);
         }
         match &self.handed_to {
-            Some(successor) => Err(TokenError::HandedOver(successor.clone())),
+            Some(successor) => Err(TokenError::Transferred(successor.clone())),
             None => Ok(()),
         }
     }
@@ -201,11 +201,11 @@
     /// Says why the token can't be used here.
     pub fn begin(
         &mut self,
-        key: &RepeatKey,
+        key: &DedupKey,
         fingerprint: u64,
     ) -> Result<TokenDecision<Answer>, TokenError> {
         let Some(entry) = self.used.get(key) else {
-            if let RepeatKey::Token(token) = key {
+            if let DedupKey::Token(token) = key {
                 self.check(token)?;
             }
             let state = TokenState::Running;
@@ -214,7 +214,7 @@
             return Ok(TokenDecision::Run);
         };
         if entry.fingerprint != fingerprint {
-            return Err(TokenError::OtherRequest);
+            return Err(TokenError::FingerprintMismatch);
         }
         Ok(match &entry.state {
             TokenState::Running => TokenDecision::Join,
@@ -224,12 +224,12 @@
     }
 
     /// The request of a token was proved not run: the token may be used again.
-    pub fn release(&mut self, key: &RepeatKey) {
+    pub fn release(&mut self, key: &DedupKey) {
         self.used.remove(key);
     }
 
     /// The request of a token ended; none means that nobody knows the outcome.
-    pub fn finish(&mut self, key: &RepeatKey, answer: Option<Answer>) {
+    pub fn finish(&mut self, key: &DedupKey, answer: Option<Answer>) {
         let Some(entry) = self.used.get_mut(key) else {
             return;
         };
@@ -249,14 +249,14 @@
 
     /// Closes the registry for a planned stop; what it returns goes to the successor, and only then may that one run
     /// the open tokens.
-    pub fn hand_over(&mut self, successor: &DaemonRef) -> BTreeMap<DaemonRef, HandedTokens> {
+    pub fn transfer_to(&mut self, successor: &DaemonRef) -> BTreeMap<DaemonRef, TransferredTokens> {
         self.handed_to = Some(successor.clone());
-        let mut handed: BTreeMap<DaemonRef, HandedTokens> = BTreeMap::new();
+        let mut handed: BTreeMap<DaemonRef, TransferredTokens> = BTreeMap::new();
         for (issuer, issued) in self.inherited.iter().chain([(&self.me, &self.issued)]) {
             handed.entry(issuer.clone()).or_default().issued = *issued;
         }
         for (key, entry) in &self.used {
-            if let RepeatKey::Token(token) = key
+            if let DedupKey::Token(token) = key
                 && let Some(tokens) = handed.get_mut(&token.issuer)
             {
                 tokens.used.insert(token.counter, entry.fingerprint);
@@ -266,7 +266,7 @@
     }
 
     /// Takes the tokens of a daemon that stopped; used ones stay spent.
-    pub fn inherit(&mut self, handed: &BTreeMap<DaemonRef, HandedTokens>) {
+    pub fn inherit(&mut self, handed: &BTreeMap<DaemonRef, TransferredTokens>) {
         for (issuer, tokens) in handed {
             self.inherited.insert(issuer.clone(), tokens.issued);
             for (counter, fingerprint) in &tokens.used {
@@ -278,7 +278,7 @@
                     issuer: issuer.clone(),
                     counter: *counter,
                 };
-                self.used.entry(RepeatKey::Token(token)).or_insert(entry);
+                self.used.entry(DedupKey::Token(token)).or_insert(entry);
             }
         }
     }
--- a/crates/core/tests/direct_limits.rs
+++ b/crates/core/tests/direct_limits.rs
@@ -18,7 +18,7 @@
 }
 
 fn named(life: u64, rate: Option<f64>) -> AdvertisedLimit {
-    let life = TargetLife::begun_at(life);
+    let life = TargetLife::started_at_ms(life);
     AdvertisedLimit {
         run: TargetRun { name: name(), life },
         rate: rate.and_then(RequestRate::per_second),
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -407,7 +407,7 @@
     }
 
     fn told_life(&self) -> TargetLife {
-        TargetLife::begun_at(self.life)
+        TargetLife::started_at_ms(self.life)
     }
 
     /// What it says of itself now.
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -942,7 +942,7 @@
 /// An engine as listed in the life that began at a Unix time, in ms.
 fn born(name: &str, born: u64) -> Arc<TargetEntry> {
     let mut listed = (*entry(name)).clone();
-    listed.life = TargetLife::begun_at(born);
+    listed.life = TargetLife::started_at_ms(born);
     Arc::new(listed)
 }
 
@@ -952,7 +952,7 @@
     planner.set_targets(vec![born("e1", 1_000)], now);
     planner.tick(now);
     let first = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&[], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&first), now);
@@ -975,14 +975,14 @@
     let engine = &planner.engines()[&name];
     assert!(engine.copies.is_empty() && engine.calls.is_empty());
     assert_eq!((engine.sequence, engine.is_inventory_known), (0, false));
-    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
-    assert!(!planner.is_current_life(&name, TargetLife::begun_at(1_000)));
+    assert!(planner.is_current_life(&name, TargetLife::started_at_ms(2_000)));
+    assert!(!planner.is_current_life(&name, TargetLife::started_at_ms(1_000)));
     // The end of a call that the life before ran frees nothing here.
     planner.call_ended(&key(1), Some(&name), None, after(now, 20));
     assert!(planner.engines()[&name].calls.is_empty());
     // An entry of the life before changes nothing.
     planner.set_targets(vec![born("e1", 1_000)], after(now, 30));
-    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
+    assert!(planner.is_current_life(&name, TargetLife::started_at_ms(2_000)));
 }
 
 #[test]
@@ -992,7 +992,7 @@
     let name = TargetName::new("e1");
     planner.set_targets(vec![born("e1", 2_000)], now);
     let late = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&["base/a1"], 1)
     };
     planner.report_received(&name, Some(&late), after(now, 10));
@@ -1002,7 +1002,7 @@
     planner.report_received(&name, Some(&report(&["base/a1"], 1)), after(now, 20));
     assert!(!planner.engines()[&name].is_inventory_known);
     let own = EngineReport {
-        life: TargetLife::begun_at(2_000),
+        life: TargetLife::started_at_ms(2_000),
         ..report(&["base/a7"], 3)
     };
     planner.report_received(&name, Some(&own), after(now, 30));
@@ -1010,7 +1010,7 @@
     assert_eq!((engine.sequence, engine.copies.len()), (3, 1));
     // A report may tell of the next life before the list does.
     let next = EngineReport {
-        life: TargetLife::begun_at(3_000),
+        life: TargetLife::started_at_ms(3_000),
         ..report(&[], 0)
     };
     planner.report_received(&name, Some(&next), after(now, 40));
@@ -1047,7 +1047,7 @@
     let held: Vec<_> = (0..places - 1).map(|at| format!("base/b{at}")).collect();
     let held: Vec<_> = held.iter().map(String::as_str).collect();
     let own = EngineReport {
-        life: TargetLife::begun_at(2_000),
+        life: TargetLife::started_at_ms(2_000),
         requests: 0,
         ..report(&held, 1)
     };
@@ -1090,7 +1090,7 @@
     planner.set_targets(vec![entry("e1")], now);
     planner.tick(now);
     let own = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&["base/a1"], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&own), now);
--- a/crates/core/tests/direct_rests.rs
+++ b/crates/core/tests/direct_rests.rs
@@ -10,7 +10,7 @@
 fn run(life: u64) -> TargetRun {
     TargetRun {
         name: TargetName::new("i-1"),
-        life: TargetLife::begun_at(life),
+        life: TargetLife::started_at_ms(life),
     }
 }
 
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -40,7 +40,7 @@
     let mut planner = lending();
     let now = SETTLED.after(READING);
     let reborn = EngineReport {
-        life: TargetLife::begun_at(7),
+        life: TargetLife::started_at_ms(7),
         ..report(1, 1)
     };
     planner.report_received(&target(2), Some(&reborn), now);
--- a/crates/core/tests/fold.rs
+++ b/crates/core/tests/fold.rs
@@ -266,7 +266,7 @@
             if let LogRecord::Snapshot(part) = record
                 && let Some(state) = assembler.add(part)
             {
-                self.daemons[daemon].adopt(state);
+                self.daemons[daemon].replace_if_newer(state);
             }
         }
         assert!(
@@ -313,7 +313,7 @@
             }
         }
         let before = new.clone();
-        prop_assert!(!new.adopt(old));
+        prop_assert!(!new.replace_if_newer(old));
         prop_assert_eq!(new, before);
     }
 }
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -5,7 +5,7 @@
     log::{
         FoldedState, IntentClosedRecord, IntentRecord, LogRecord, SettledRecord, TakeoverRecord,
     },
-    ownership::{HeldTarget, SettleEvidence, TargetOwnership, predecessor_settled},
+    ownership::{HeldTarget, SettleEvidence, TargetOwnership, is_predecessor_settled},
 };
 use proptest::{prelude::*, strategy::ValueTree};
 
@@ -230,7 +230,7 @@
         let Some(held) = state
             .held
             .as_ref()
-            .filter(|held| !busy && held.may_dispatch(&ownership, &adapter(number)))
+            .filter(|held| !busy && held.can_dispatch(&ownership, &adapter(number)))
         else {
             return;
         };
@@ -249,7 +249,7 @@
         let Some(held) = state
             .held
             .as_ref()
-            .filter(|held| held.may_plan_unload(&ownership, in_flight).is_ok())
+            .filter(|held| held.check_unload(&ownership, in_flight).is_ok())
         else {
             return;
         };
@@ -321,16 +321,16 @@
             state.unloading.is_none() && (state.held.is_some() || state.in_flight == [0; ADAPTERS]);
         let of_dead = |requests: &[Request]| requests.iter().any(|request| request.daemon == 0);
         let evidence = SettleEvidence {
-            vm_listed_gone: self.daemons[0].dead,
+            vm_unlisted: self.daemons[0].dead,
             zone_still_listed: true,
             delivery_bound_passed: !of_dead(&self.on_way) && !of_dead(&self.unloads),
-            target_idle_of_it: !of_dead(&self.serving),
+            no_requests_running: !of_dead(&self.serving),
         };
         for lease in &ownership.predecessors {
             let is_own = lease.daemon == daemon_ref(daemon) && own_quiet;
             let is_dead = lease.daemon == daemon_ref(0)
                 && state.held.is_some()
-                && predecessor_settled(evidence);
+                && is_predecessor_settled(evidence);
             if is_own || is_dead {
                 self.log.push(LogRecord::Settled(SettledRecord {
                     target: TargetName::new(TARGET),
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -4,7 +4,7 @@
     config::RequestRule,
     ids::{DaemonRef, Incarnation, Instant, RequestId, VmName},
     request::{
-        AttemptEnd, IdempotencyToken, NotRunReason, RepeatKey, RequestCall, RetryBudget,
+        AttemptEnd, DedupKey, IdempotencyToken, NotRunReason, RequestCall, RetryBudget,
         RetryDecision, RetryInput, RetryLimits, TokenDecision, TokenError, TokenRegistry,
         decide_retry,
     },
@@ -27,13 +27,13 @@
     let proof = RequestCall::new(id(1)).refuse(NotRunReason::NotHolder);
     assert!(
         RequestCall::new(id(1))
-            .hand_over()
+            .mark_sent()
             .given_back(&proof)
             .is_ok()
     );
     assert!(
         RequestCall::new(id(2))
-            .hand_over()
+            .mark_sent()
             .given_back(&proof)
             .is_err()
     );
@@ -45,10 +45,13 @@
     let token = registry.issue();
     let parsed = IdempotencyToken::parse(&token.to_string());
     assert_eq!(parsed.as_ref(), Some(&token));
-    let key = RepeatKey::Token(token);
+    let key = DedupKey::Token(token);
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Run));
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Join));
-    assert_eq!(registry.begin(&key, 8), Err(TokenError::OtherRequest));
+    assert_eq!(
+        registry.begin(&key, 8),
+        Err(TokenError::FingerprintMismatch)
+    );
     registry.finish(&key, Some("done"));
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Replay("done")));
 }
@@ -56,7 +59,7 @@
 #[test]
 fn a_released_token_may_run_again_and_a_spent_one_never() {
     let mut registry: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
-    let key = RepeatKey::Token(registry.issue());
+    let key = DedupKey::Token(registry.issue());
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Run));
     registry.release(&key);
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Run));
@@ -67,7 +70,7 @@
 #[test]
 fn kept_answers_are_bounded_and_what_goes_stays_spent() {
     let mut registry: TokenRegistry<usize> = TokenRegistry::new(daemon("a1", 1), 2);
-    let keys: Vec<_> = (0..3).map(|_| RepeatKey::Token(registry.issue())).collect();
+    let keys: Vec<_> = (0..3).map(|_| DedupKey::Token(registry.issue())).collect();
     for (number, key) in keys.iter().enumerate() {
         assert_eq!(registry.begin(key, 7), Ok(TokenDecision::Run));
         registry.finish(key, Some(number));
@@ -83,7 +86,7 @@
     let other: TokenRegistry<&str> = TokenRegistry::new(daemon("b1", 5), 8);
     assert_eq!(
         other.check(&token),
-        Err(TokenError::Elsewhere(daemon("a1", 1)))
+        Err(TokenError::WrongDaemon(daemon("a1", 1)))
     );
     let restarted: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 2), 8);
     assert_eq!(restarted.check(&token), Err(TokenError::IssuerEnded));
@@ -99,21 +102,21 @@
     let mut leaver: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
     let (used, open) = (leaver.issue(), leaver.issue());
     assert_eq!(
-        leaver.begin(&RepeatKey::Token(used.clone()), 7),
+        leaver.begin(&DedupKey::Token(used.clone()), 7),
         Ok(TokenDecision::Run)
     );
     let mut heir: TokenRegistry<&str> = TokenRegistry::new(daemon("a2", 1), 8);
-    heir.inherit(&leaver.hand_over(&daemon("a2", 1)));
+    heir.inherit(&leaver.transfer_to(&daemon("a2", 1)));
     assert_eq!(
-        leaver.begin(&RepeatKey::Token(open.clone()), 7),
-        Err(TokenError::HandedOver(daemon("a2", 1)))
+        leaver.begin(&DedupKey::Token(open.clone()), 7),
+        Err(TokenError::Transferred(daemon("a2", 1)))
     );
     assert_eq!(
-        heir.begin(&RepeatKey::Token(open), 7),
+        heir.begin(&DedupKey::Token(open), 7),
         Ok(TokenDecision::Run)
     );
     assert_eq!(
-        heir.begin(&RepeatKey::Token(used), 7),
+        heir.begin(&DedupKey::Token(used), 7),
         Ok(TokenDecision::Unknown)
     );
 }
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -11,12 +11,12 @@
         PriorityClass, RequestId, TargetName, VmName,
     },
     log::{ChangePart, ChangeRecord, FoldedState, LogRecord, TakeoverRecord},
-    membership::{ListedState, ListedVm, MembershipTable, MembershipTimes},
+    membership::{ListedState, ListedVm, MembershipTable, MembershipTimeouts},
     policy::{
         LoadNotice, PolicyWeights, PopularityTracker, QueuedRequest, RouteQuery, SchedulerLimits,
         TargetRouter, TargetScheduler,
     },
-    request::{KeyClaim, KeyHash, KeyTable, RepeatKey, TokenRegistry},
+    request::{DedupKey, KeyClaim, KeyHash, KeyTable, TokenRegistry},
 };
 use hoplanding_testbed::{
     SiteConfig, TestSite,
@@ -283,7 +283,7 @@
     let mut table = MembershipTable::new(
         daemon(1_000_000),
         AvailabilityZone::new("zone-0"),
-        MembershipTimes::default(),
+        MembershipTimeouts::default(),
     );
     let list: Vec<_> = (0..count)
         .map(|number| ListedVm {
@@ -300,7 +300,7 @@
 fn tokens(count: usize) -> TokenRegistry<()> {
     let mut registry = TokenRegistry::new(daemon(1), 0);
     for _ in 0..count {
-        let key = RepeatKey::Token(registry.issue());
+        let key = DedupKey::Token(registry.issue());
         registry.begin(&key, 7).expect("a fresh token");
         registry.finish(&key, None);
     }
--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -190,7 +190,7 @@
 
     fn way_to(&self, target: &TargetName) -> Option<RouteAnswer> {
         let lease = self.folded.ownership.holder(target.as_str())?;
-        let via = if lease.is_of(&self.me) {
+        let via = if lease.is_held_by(&self.me) {
             RouteVia::Local
         } else {
             let link = self
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -14,7 +14,7 @@
     },
     language::{DataTable, ParseError, QueryError},
     membership::ListedVm,
-    request::{IdempotencyToken, KeyHash, NotRunReason, RepeatKey, TokenError},
+    request::{DedupKey, IdempotencyToken, KeyHash, NotRunReason, TokenError},
 };
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -64,9 +64,9 @@
         oneshot::Sender<Result<RouteAnswer, NotRunReason>>,
     ),
     /// May a request with a token or key run?
-    BeginRepeat(RepeatKey, u64, oneshot::Sender<RepeatAnswer>),
+    BeginRepeat(DedupKey, u64, oneshot::Sender<RepeatAnswer>),
     /// A request with a token or key ended.
-    EndRepeat(RepeatKey, UseEnd),
+    EndRepeat(DedupKey, UseEnd),
     /// Claim a caller's own key.
     ClaimKey(KeyHash, u64, oneshot::Sender<ClaimAnswer>),
     /// A request that this gateway admitted ended.
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -130,7 +130,7 @@
         loop {
             let lease = &held.lease;
             let next = held.scheduler.next_dispatch(&self.weights, now, |model| {
-                lease.may_dispatch(ownership, model)
+                lease.can_dispatch(ownership, model)
             });
             let Some(order) = next else {
                 break;
@@ -319,7 +319,7 @@
         for (target, held) in &mut self.held {
             let ownership = self.folded.ownership.target(target.as_str());
             let planned =
-                ownership.is_some_and(|ownership| held.lease.may_plan_unload(ownership, 0).is_ok());
+                ownership.is_some_and(|ownership| held.lease.check_unload(ownership, 0).is_ok());
             // Without the log there is no unload on a target that does not check tokens.
             let announced = held.lease.fence == FenceState::Acknowledged || self.feed.is_up;
             held.scheduler.set_may_evict(planned && announced);
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -8,7 +8,7 @@
     ids::{DaemonRef, Instant},
     log::{KeyClaimsRecord, LogRecord},
     request::{
-        ClaimOutcome, IdempotencyToken, KeyClaim, KeyHash, RepeatKey, TokenDecision, TokenError,
+        ClaimOutcome, DedupKey, IdempotencyToken, KeyClaim, KeyHash, TokenDecision, TokenError,
     },
 };
 use std::time::Duration;
@@ -27,7 +27,7 @@
         Ok(self.repeats.issue())
     }
 
-    pub(super) fn begin_repeat(&mut self, key: &RepeatKey, fingerprint: u64) -> RepeatAnswer {
+    pub(super) fn begin_repeat(&mut self, key: &DedupKey, fingerprint: u64) -> RepeatAnswer {
         match self.repeats.begin(key, fingerprint) {
             Ok(TokenDecision::Run) => RepeatAnswer::Run,
             Ok(TokenDecision::Replay(answer)) => RepeatAnswer::Replay(answer),
@@ -39,8 +39,8 @@
             Ok(TokenDecision::Unknown) => {
                 RepeatAnswer::Unknown("its answer is no longer kept".to_owned())
             }
-            Err(TokenError::Elsewhere(issuer)) => self.forward_token(&issuer),
-            Err(TokenError::HandedOver(heir)) => self.forward_to(
+            Err(TokenError::WrongDaemon(issuer)) => self.forward_token(&issuer),
+            Err(TokenError::Transferred(heir)) => self.forward_to(
                 &heir,
                 "the daemon that took the token over can't be reached",
             ),
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn end_repeat(&mut self, key: &RepeatKey, end: UseEnd) {
+    pub(super) fn end_repeat(&mut self, key: &DedupKey, end: UseEnd) {
         let answer = match end {
             UseEnd::NotRun => {
                 self.repeats.release(key);
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -188,7 +188,7 @@
     /// Takes a newer state over; never an older one.
     pub(super) fn adopt_snapshot(&mut self, state: FoldedState, source: &str) {
         let offset = state.applied;
-        if !self.folded.adopt(state) {
+        if !self.folded.replace_if_newer(state) {
             return;
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -230,7 +230,7 @@
                 .folded
                 .ownership
                 .holder(digest.target.as_str())
-                .is_some_and(|lease| lease.is_of(&heartbeat.daemon));
+                .is_some_and(|lease| lease.is_held_by(&heartbeat.daemon));
             if !is_holder
                 || !self
                     .links
@@ -258,7 +258,7 @@
             let is_theirs = ownership
                 .holder
                 .as_ref()
-                .is_some_and(|lease| lease.is_of(daemon));
+                .is_some_and(|lease| lease.is_held_by(daemon));
             is_theirs && !told.contains(*target)
         });
         for (target, _) in held {
@@ -277,7 +277,7 @@
                 reporters.remove(reporter);
             }
             self.members
-                .observe_silent_to(vm.as_str(), reporters.len() as u32);
+                .observe_silence_reports(vm.as_str(), reporters.len() as u32);
         }
     }
 
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -12,8 +12,8 @@
     ids::{DaemonRef, FencingToken, Instant, TargetName},
     log::{LogRecord, SettledRecord},
     ownership::{
-        AssignmentInput, FenceState, HolderLease, SettleEvidence, predecessor_settled,
-        takeovers_wanted,
+        AssignmentInput, FenceState, HolderLease, SettleEvidence, is_predecessor_settled,
+        plan_takeovers,
     },
     request::NotRunReason,
 };
@@ -45,7 +45,7 @@
         if !self.feed.is_up || !self.is_ready() || now.since(self.last.takeover) < TAKEOVER_PAUSE {
             return;
         }
-        let able = self.members.able_daemons();
+        let eligible = self.members.eligible_daemons();
         let targets: Vec<_> = self
             .config()
             .targets
@@ -55,11 +55,11 @@
             .collect();
         let input = AssignmentInput {
             me: &self.me,
-            able: &able,
+            eligible: &eligible,
             targets: &targets,
             ownership: &self.folded.ownership,
         };
-        let wanted = takeovers_wanted(&input, |daemon| self.members.is_replaceable(daemon, now));
+        let wanted = plan_takeovers(&input, |daemon| self.members.is_replaceable(daemon, now));
         if wanted.is_empty() {
             return;
         }
@@ -136,7 +136,7 @@
             .ownership
             .iter()
             .filter_map(|(target, ownership)| Some((target.clone(), ownership.holder.clone()?)))
-            .filter(|(_, lease)| lease.is_of(&self.me))
+            .filter(|(_, lease)| lease.is_held_by(&self.me))
             .collect();
         for (target, lease) in &mine {
             let known = self
@@ -171,7 +171,7 @@
             let mut own = ownership
                 .predecessors
                 .iter()
-                .filter(|lease| lease.is_of(&self.me))
+                .filter(|lease| lease.is_held_by(&self.me))
                 .peekable();
             let is_quiet = self.held.get(target).is_none_or(HeldRuntime::is_past_quiet);
             let last = self.last.settled.get(target).copied().unwrap_or_default();
@@ -192,7 +192,7 @@
             let is_open = predecessors
                 .unwrap_or_default()
                 .iter()
-                .any(|lease| lease.is_of(&self.me));
+                .any(|lease| lease.is_held_by(&self.me));
             held.phase != HeldPhase::Lost || !held.is_idle() || is_open
         });
     }
@@ -224,10 +224,10 @@
 
     /// Whether a daemon is gone for certain, and what it sent can't arrive any more.
     fn is_past(&mut self, daemon: &DaemonRef, now: Instant) -> bool {
-        if self.members.listed_gone(daemon.vm.as_str(), now) {
+        if self.members.is_confirmed_gone(daemon.vm.as_str(), now) {
             return true;
         }
-        if !self.members.superseded(daemon) {
+        if !self.members.is_superseded(daemon) {
             return false;
         }
         let since = *self.superseded_since.entry(daemon.clone()).or_insert(now);
@@ -254,15 +254,15 @@
         };
         let prefix = format!("{}.", predecessor.0);
         let evidence = SettleEvidence {
-            vm_listed_gone: true,
+            vm_unlisted: true,
             zone_still_listed: true,
             delivery_bound_passed: true,
-            target_idle_of_it: !listing
+            no_requests_running: !listing
                 .running
                 .iter()
                 .any(|stream| stream.starts_with(&prefix)),
         };
-        if predecessor_settled(evidence) {
+        if is_predecessor_settled(evidence) {
             event!(
                 Event::PredecessorSettled,
                 "{} of {}",
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -22,7 +22,7 @@
     policy::{
         CallerLimits, LoadArbiter, PolicyWeights, PopularityTracker, TargetDigest, TargetRouter,
     },
-    request::{KeyClaim, KeyHash, RepeatKey, TokenRegistry},
+    request::{DedupKey, KeyClaim, KeyHash, TokenRegistry},
 };
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -73,7 +73,7 @@
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
     pub(super) repeats: TokenRegistry<KeptAnswer>,
-    pub(super) joins: HashMap<RepeatKey, Vec<oneshot::Sender<Option<KeptAnswer>>>>,
+    pub(super) joins: HashMap<DedupKey, Vec<oneshot::Sender<Option<KeptAnswer>>>>,
     pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<ClaimAnswer>)>>,
     pub(super) claim_batch: Vec<KeyClaim>,
     pub(super) pending_changes: HashMap<ChangeId, PendingChange>,
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -117,7 +117,7 @@
     fn heir(&self) -> Option<DaemonRef> {
         let mut able = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm);
         able.find(|daemon| {
@@ -130,7 +130,7 @@
     fn hand_over_targets(&mut self) {
         let able: Vec<_> = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm)
             .collect();
@@ -165,7 +165,7 @@
         let Some(link) = self.links.get(&heir.vm) else {
             return;
         };
-        let handed = self.repeats.hand_over(&heir);
+        let handed = self.repeats.transfer_to(&heir);
         if link.try_send(PeerMessage::HandTokens(handed)) {
             stop.tokens_sent_to = Some(heir.vm.clone());
         }
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -89,7 +89,7 @@
 
     fn comes_first(&self) -> bool {
         self.members
-            .able_daemons()
+            .eligible_daemons()
             .iter()
             .all(|daemon| self.me.vm <= daemon.vm)
     }
@@ -248,7 +248,7 @@
                     CellValue::Number(now.since(heard).as_secs_f64())
                 }),
                 CellValue::maybe(listed),
-                CellValue::Number(f64::from(peer.silent_to)),
+                CellValue::Number(f64::from(peer.silence_reports)),
                 CellValue::Bool(
                     self.links
                         .get(vm)
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -21,8 +21,8 @@
     config::RequestRule,
     ids::{Instant, RequestId, TargetName},
     request::{
-        AttemptEnd, HandedOver, IdempotencyToken, KeyHash, NotRunReason, RepeatKey, RequestCall,
-        RetryBudget, RetryDecision, RetryInput, RetryLimits, Unsent, decide_retry,
+        AttemptEnd, DedupKey, IdempotencyToken, KeyHash, NotRunReason, RequestCall, RetryBudget,
+        RetryDecision, RetryInput, RetryLimits, Sent, Unsent, decide_retry,
     },
 };
 use rand::Rng;
@@ -94,7 +94,7 @@
 /// How one attempt ended.
 enum AttemptOutcome {
     Over(CallEnd),
-    Again(RequestCall<HandedOver>, AttemptEnd, String),
+    Again(RequestCall<Sent>, AttemptEnd, String),
     GivenBack(RequestCall<Unsent>, NotRunReason),
 }
 
@@ -142,7 +142,7 @@
     async fn run_repeatable_key(&mut self, text: &str) -> CallEnd {
         let fingerprint = self.request.fingerprint();
         let key = match IdempotencyToken::parse(text) {
-            Some(token) => RepeatKey::Token(token),
+            Some(token) => DedupKey::Token(token),
             None => {
                 let key = KeyHash::of(&self.request.caller, text);
                 let claimed = self
@@ -151,7 +151,7 @@
                     .ask(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
                     .await;
                 match claimed {
-                    Some(ClaimAnswer::Won) => RepeatKey::Key(key),
+                    Some(ClaimAnswer::Won) => DedupKey::Key(key),
                     Some(ClaimAnswer::Forward(link)) => return self.forward(&link).await,
                     Some(ClaimAnswer::Unknown(daemon)) => {
                         return CallEnd::Unknown(format!(
@@ -191,7 +191,7 @@
         CallEnd::NotRun(RequestCall::new(self.id).refuse(reason))
     }
 
-    async fn run_recorded(&mut self, key: RepeatKey) -> CallEnd {
+    async fn run_recorded(&mut self, key: DedupKey) -> CallEnd {
         self.kept = Some(Vec::new());
         let end = self.run_once().await;
         let use_end = match (&end, self.kept.take()) {
@@ -385,7 +385,7 @@
     }
 
     async fn resume_attempt(&mut self, call: RequestCall<Unsent>) -> AttemptOutcome {
-        let handed = call.hand_over();
+        let handed = call.mark_sent();
         let Some(started) = &self.started else {
             return AttemptOutcome::Again(
                 handed,
@@ -462,13 +462,13 @@
                 }
             }
         };
-        self.relay(call.hand_over(), reader, answer.target).await
+        self.relay(call.mark_sent(), reader, answer.target).await
     }
 
     /// Passes frames on until the attempt ends.
     async fn relay(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         mut reader: CallReader,
         target: TargetName,
     ) -> AttemptOutcome {
@@ -504,7 +504,7 @@
 
     fn attempt_ended(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         end: CallEnd,
         target: TargetName,
     ) -> AttemptOutcome {
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,7 +1,7 @@
 //! The settings, their defaults and their bounds.
 
 use crate::options::reader::{SectionReader, SettingsError, parse_settings, read_text};
-use hoplanding_core::{config::OperatorRole, membership::MembershipTimes};
+use hoplanding_core::{config::OperatorRole, membership::MembershipTimeouts};
 use std::{net::SocketAddr, time::Duration};
 
 /// Settings of a daemon.
@@ -108,7 +108,7 @@
     /// Shortest pause between two heartbeats.
     pub heartbeat: Duration,
     /// Spans of silence.
-    pub times: MembershipTimes,
+    pub times: MembershipTimeouts,
 }
 
 /// Planned stops.
@@ -222,7 +222,7 @@
 fn read_membership(section: &SectionReader<'_>) -> MembershipSettings {
     MembershipSettings {
         heartbeat: section.millis("heartbeat_ms", 200, 10, 10_000),
-        times: MembershipTimes {
+        times: MembershipTimeouts {
             suspect_after: section.millis("suspect_after_ms", 1200, 50, 60_000),
             take_over_after: section.millis("take_over_after_ms", 6000, 100, 600_000),
             delivery_bound: section.millis("delivery_bound_ms", 5000, 100, 600_000),
--- a/crates/daemon/src/peers/message.rs
+++ b/crates/daemon/src/peers/message.rs
@@ -6,7 +6,7 @@
     language::DataTable,
     log::FoldedState,
     policy::{LoadNotice, TargetDigest},
-    request::HandedTokens,
+    request::TransferredTokens,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
     /// The answer to a query.
     Answer(u64, Result<DataTable, String>),
     /// Take over the idempotency tokens of a daemon that stops.
-    HandTokens(BTreeMap<DaemonRef, HandedTokens>),
+    HandTokens(BTreeMap<DaemonRef, TransferredTokens>),
     /// They were taken over.
     TokensTaken,
     /// Tokens of these runs now belong to a daemon.
--- a/crates/daemon/src/targets/engine.rs
+++ b/crates/daemon/src/targets/engine.rs
@@ -6,7 +6,7 @@
 use futures_util::{Stream, StreamExt};
 use hoplanding_core::{
     ids::{AdapterVersion, FencingToken, PriorityClass},
-    request::{HandedOver, RequestCall, Unsent},
+    request::{RequestCall, Sent, Unsent},
 };
 use reqwest::{Client, RequestBuilder, Response, StatusCode, header::CONTENT_TYPE};
 use serde::Deserialize;
@@ -67,11 +67,11 @@
     /// No connection was made: the request is still unsent.
     NotConnected(RequestCall<Unsent>, String),
     /// The target states that it did not run it.
-    Refused(RequestCall<HandedOver>, String),
+    Refused(RequestCall<Sent>, String),
     /// The target states that it failed.
-    Failed(RequestCall<HandedOver>, String),
+    Failed(RequestCall<Sent>, String),
     /// Nobody knows.
-    Unknown(RequestCall<HandedOver>, String),
+    Unknown(RequestCall<Sent>, String),
 }
 
 /// One item of an engine's stream.
@@ -170,7 +170,7 @@
         token: FencingToken,
         class: PriorityClass,
         work: &EngineWork,
-    ) -> Result<(RequestCall<HandedOver>, StreamTake), Box<SendError>> {
+    ) -> Result<(RequestCall<Sent>, StreamTake), Box<SendError>> {
         let path = if work.chat {
             "/v1/chat/completions"
         } else {
@@ -187,13 +187,13 @@
             }
             Err(error) => {
                 return Err(Box::new(SendError::Unknown(
-                    call.hand_over(),
+                    call.mark_sent(),
                     error.to_string(),
                 )));
             }
             Ok(response) => response,
         };
-        let call = call.hand_over();
+        let call = call.mark_sent();
         match response.status() {
             StatusCode::OK => Ok((call, take_stream(response))),
             StatusCode::NOT_FOUND | StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS => Err(
--- a/crates/daemon/src/targets/service.rs
+++ b/crates/daemon/src/targets/service.rs
@@ -79,7 +79,7 @@
             );
         }
     };
-    drop(job.request.hand_over());
+    drop(job.request.mark_sent());
     let started = CallFrame::Started {
         target: job.target.clone(),
         stream: job.call.to_string(),
--- a/crates/daemon/src/targets/stream.rs
+++ b/crates/daemon/src/targets/stream.rs
@@ -12,7 +12,7 @@
 };
 use hoplanding_core::{
     ids::{AdapterVersion, FencingToken, PriorityClass, TargetName},
-    request::{HandedOver, NotRunReason, RequestCall, Unsent},
+    request::{NotRunReason, RequestCall, Sent, Unsent},
 };
 use std::{
     sync::{
@@ -79,7 +79,7 @@
 impl StreamJob {
     async fn begin(
         &mut self,
-    ) -> Result<(Option<RequestCall<HandedOver>>, StreamTake), Box<StreamEnding>> {
+    ) -> Result<(Option<RequestCall<Sent>>, StreamTake), Box<StreamEnding>> {
         let started = CallFrame::Started {
             target: self.target.clone(),
             stream: self.stream.clone(),
@@ -110,7 +110,7 @@
 
     async fn carry(
         &mut self,
-        call: Option<RequestCall<HandedOver>>,
+        call: Option<RequestCall<Sent>>,
         mut stream: StreamTake,
     ) -> StreamEnding {
         let boot = stream.boot;
