--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,8 +1,9 @@
-//! Which VMs are live, suspect, leaving or gone.
+//! Failure detection: which VMs are live, suspect, leaving or gone.
 //!
-//! Three witnesses: heartbeats (with refused connections), the platform's VM list, and the seeds of the settings.
-//! None alone declares a death. A suspicion never makes anything safe or unsafe: it only starts a takeover, and the
-//! log decides that.
+//! Peers are learned from the seeds in the settings and from the platform's VM list. A peer that misses heartbeats
+//! becomes suspect, and counts as gone only if a second source agrees: a refused connection, another daemon that misses
+//! its heartbeats, or its absence from the VM list. Safety never depends on these states. They only start a takeover,
+//! which is decided by the order of the log.
 
 use crate::ids::{AvailabilityZone, DaemonRef, Incarnation, Instant, VmName};
 use serde::{Deserialize, Serialize};
@@ -12,19 +13,19 @@
     time::Duration,
 };
 
-/// What this daemon believes of a peer.
+/// State of a peer as seen by this daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PeerState {
-    /// Known from a seed or the list, never heard.
+    /// Known from a seed or the VM list, without any heartbeat so far.
     Unheard,
-    /// Heard lately.
+    /// Sends heartbeats.
     Live,
-    /// Silent, with no second witness.
+    /// Misses heartbeats, not confirmed by a second source.
     Suspect,
-    /// It said, or the list says, that it is leaving.
+    /// Leaving according to its heartbeat or the VM list.
     Leaving,
-    /// Silent, and a second witness agrees.
+    /// Misses heartbeats, confirmed by a second source.
     Gone,
 }
 
@@ -40,14 +41,14 @@
     }
 }
 
-/// Spans after which silence means something.
+/// Timeouts of failure detection.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MembershipTimeouts {
-    /// Silence after which a peer is suspect.
+    /// Time without a heartbeat after which a peer is suspect.
     pub suspect_after: Duration,
-    /// Silence after which a suspect's targets may be taken over without a second witness.
+    /// Time without a heartbeat after which a suspect's targets may be taken over without confirmation.
     pub take_over_after: Duration,
-    /// Time after which what a gone VM sent can no longer arrive (assumption A1 of docs/DESIGN.md).
+    /// Longest time for which a message of a gone VM may still arrive (docs/DESIGN.md, assumption A1).
     pub delivery_bound: Duration,
 }
 
@@ -61,66 +62,66 @@
     }
 }
 
-/// How the platform's list names a VM.
+/// State of a VM in the platform's VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It runs.
+    /// Running.
     Live,
-    /// It is about to stop.
+    /// About to stop.
     Leaving,
 }
 
-/// One VM of the platform's list.
+/// Entry of the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: AvailabilityZone,
-    /// `IP:port` of the daemon's peer interface there.
+    /// `IP:port` of its daemon's peer interface; empty if it runs no daemon.
     pub peer_address: String,
-    /// Its state.
+    /// State reported by the platform.
     pub state: ListedState,
 }
 
-/// What is known of one peer.
+/// Information about one peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerRecord {
-    /// Its zone.
+    /// Availability zone of the peer.
     pub zone: AvailabilityZone,
-    /// `IP:port` of its peer interface.
+    /// `IP:port` of the peer interface.
     pub address: String,
-    /// Its latest run, once heard.
+    /// Incarnation in the latest heartbeat.
     pub incarnation: Option<Incarnation>,
-    /// The belief.
+    /// Current state.
     pub state: PeerState,
-    /// When it was last heard.
+    /// Time of the latest heartbeat.
     pub heard_at: Option<Instant>,
-    /// Since when connections to it are refused.
+    /// Time of the first refused connection since the latest heartbeat.
     pub refused_since: Option<Instant>,
-    /// Other daemons that call it silent.
+    /// Number of other daemons that miss its heartbeats.
     pub silence_reports: u32,
-    /// What the list says; none if it is not in it.
+    /// State in the VM list; none if it is not listed.
     pub listed: Option<ListedState>,
-    /// Since when it is missing from a list that it once was in.
+    /// Time at which it was found missing from the VM list after having been listed.
     pub unlisted_since: Option<Instant>,
-    /// Offset of the log that it has folded.
+    /// Log offset up to which it has applied records.
     pub applied: u64,
 }
 
-/// A change of belief.
+/// Change of a peer's state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerTransition {
     /// The peer.
     pub vm: VmName,
-    /// The old belief.
+    /// Previous state.
     pub from: PeerState,
-    /// The new belief.
+    /// New state.
     pub to: PeerState,
 }
 
-/// What this daemon believes of all peers.
+/// States of all peers as seen by this daemon.
 #[derive(Clone, Debug)]
 pub struct MembershipTable {
     me: DaemonRef,
@@ -132,7 +133,7 @@
 }
 
 impl MembershipTable {
-    /// A table that knows this daemon only.
+    /// Creates a table without peers.
     #[must_use]
     pub fn new(me: DaemonRef, zone: AvailabilityZone, times: MembershipTimeouts) -> Self {
         Self {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Adds a peer from the settings' seeds; known ones are left as they are.
+    /// Adds a peer from the seeds in the settings; a known peer is left unchanged.
     pub fn add_seed(&mut self, vm: &VmName, zone: &AvailabilityZone, address: &str) {
         if *vm == self.me.vm {
             return;
@@ -164,13 +165,13 @@
         });
     }
 
-    /// Takes the platform's list in.
+    /// Applies the platform's VM list, read at `now`.
     pub fn observe_list(&mut self, list: &[ListedVm], now: Instant) {
         self.list_read_at = Some(now);
         self.listed_zones.clear();
         for listed in list {
             *self.listed_zones.entry(listed.zone.clone()).or_default() += 1;
-            // A VM without a peer interface runs a target, not a daemon.
+            // A VM without a peer address runs a target and no daemon.
             if !listed.peer_address.is_empty() {
                 self.add_seed(&listed.vm, &listed.zone, &listed.peer_address);
             }
@@ -190,7 +191,7 @@
         }
     }
 
-    /// A heartbeat came.
+    /// Applies a heartbeat; one of an unknown VM is ignored.
     pub fn observe_heartbeat(
         &mut self,
         daemon: &DaemonRef,
@@ -212,21 +213,21 @@
         };
     }
 
-    /// A connection to a peer was refused: nobody listens there.
+    /// Records that a peer refused a connection, so no process listens at its address.
     pub fn observe_refused(&mut self, vm: &str, now: Instant) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.refused_since.get_or_insert(now);
         }
     }
 
-    /// Other daemons of the zone call a peer silent.
+    /// Records how many other daemons of the zone miss a peer's heartbeats.
     pub fn observe_silence_reports(&mut self, vm: &str, reporters: u32) {
         if let Some(peer) = self.peers.get_mut(vm) {
             peer.silence_reports = reporters;
         }
     }
 
-    /// Moves silent peers on; the only place where silence changes a belief.
+    /// Updates the states of peers that miss heartbeats, and returns the changes.
     pub fn tick(&mut self, now: Instant) -> Vec<PeerTransition> {
         let mut transitions = Vec::new();
         for (vm, peer) in &mut self.peers {
@@ -243,18 +244,18 @@
         transitions
     }
 
-    /// All peers.
+    /// Iterates over all peers by VM name.
     pub fn iter(&self) -> impl Iterator<Item = (&VmName, &PeerRecord)> {
         self.peers.iter()
     }
 
-    /// One peer.
+    /// Looks up a peer by VM name.
     #[must_use]
     pub fn peer(&self, vm: &str) -> Option<&PeerRecord> {
         self.peers.get(vm)
     }
 
-    /// Peers of this daemon's zone that are silent; told to the others in heartbeats.
+    /// Peers of this daemon's zone that miss heartbeats, to be reported in this daemon's own heartbeats.
     #[must_use]
     pub fn silent_peers(&self) -> Vec<VmName> {
         let zone_peers = self.peers.iter().filter(|(_, peer)| peer.zone == self.zone);
@@ -263,7 +264,7 @@
         silent.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Daemons of the zone that can hold targets, this one among them.
+    /// Daemons of the zone that can hold targets, including this one.
     #[must_use]
     pub fn eligible_daemons(&self) -> Vec<DaemonRef> {
         let mut able = vec![self.me.clone()];
@@ -281,11 +282,11 @@
         able
     }
 
-    /// Whether a holder can't go on, so that its targets may be taken over.
+    /// Whether the targets of a holder may be taken over because it cannot continue.
     #[must_use]
     pub fn is_replaceable(&self, daemon: &DaemonRef, now: Instant) -> bool {
         if daemon.vm == self.me.vm {
-            // An earlier run on this VM is over.
+            // Any other incarnation on this VM has ended.
             return daemon.incarnation != self.me.incarnation;
         }
         let Some(peer) = self.peers.get(&daemon.vm) else {
@@ -307,20 +308,21 @@
         }
     }
 
-    /// Whether the list says that a VM is gone while it still shows the zone, and what it sent can't arrive any more.
+    /// Whether a VM has been missing from the VM list for the delivery bound, so that none of its messages can still
+    /// arrive. Its zone must still be listed, since otherwise the list may lack the whole zone.
     #[must_use]
     pub fn is_confirmed_gone(&self, vm: &str, now: Instant) -> bool {
         let Some(peer) = self.peers.get(vm) else {
             return false;
         };
-        let zone_listed = self.listed_zones.get(&peer.zone).copied().unwrap_or(0) > 0;
-        let passed = peer
+        let is_zone_listed = self.listed_zones.get(&peer.zone).copied().unwrap_or(0) > 0;
+        let is_bound_passed = peer
             .unlisted_since
             .is_some_and(|since| now.since(since) >= self.times.delivery_bound);
-        peer.listed.is_none() && zone_listed && passed
+        peer.listed.is_none() && is_zone_listed && is_bound_passed
     }
 
-    /// Whether a run of a daemon is over, because its VM runs a later one that reported long enough ago.
+    /// Whether a run of a daemon has ended, because its VM reports another incarnation.
     #[must_use]
     pub fn is_superseded(&self, daemon: &DaemonRef) -> bool {
         if daemon.vm == self.me.vm {
@@ -342,9 +344,9 @@
     if now.since(heard) < times.suspect_after {
         return peer.state;
     }
-    let second_witness =
+    let is_confirmed =
         peer.refused_since.is_some() || peer.silence_reports > 0 || peer.unlisted_since.is_some();
-    if second_witness {
+    if is_confirmed {
         PeerState::Gone
     } else {
         PeerState::Suspect
--- a/crates/core/src/ownership/assignment.rs
+++ b/crates/core/src/ownership/assignment.rs
@@ -1,7 +1,8 @@
-//! Spreading the targets of a zone over its daemons with little movement.
+//! Assignment of a zone's targets to its daemons.
 //!
-//! Rendezvous hashing with a bound on each daemon's share names the daemon that should hold a target. A target moves
-//! only if its holder can't go on, or if its holder has more than its share and the newcomer less.
+//! Rendezvous hashing with a bound on the number of targets per daemon names the daemon that should hold each target.
+//! To keep movement low, a target changes its holder only if that daemon cannot continue, or if it holds more than its
+//! share while this daemon holds less.
 
 use crate::{
     ids::{DaemonRef, FencingToken, TargetName},
@@ -14,28 +15,29 @@
     hash::{Hash, Hasher},
 };
 
-/// Targets that move for balance in one round; takeovers after a failure are not bounded by it.
-const MOVES_PER_ROUND: usize = 2;
+/// Limits rebalancing only; takeovers after a failure are not limited.
+const MAX_MOVES_PER_ROUND: usize = 2;
 
-/// What the spreading depends on.
+/// Input of [`plan_takeovers`].
 #[derive(Debug)]
 pub struct AssignmentInput<'a> {
     /// This daemon.
     pub me: &'a DaemonRef,
-    /// Daemons of the zone that can hold targets, this one among them.
+    /// Daemons of the zone that can hold targets, including this one.
     pub eligible: &'a [DaemonRef],
     /// Targets of the zone.
     pub targets: &'a [TargetName],
-    /// The holders by the fold.
+    /// Current holders, folded from the log.
     pub ownership: &'a OwnershipState,
 }
 
-/// Takeovers that this daemon should append now.
+/// Returns the takeover records that this daemon should append to the log now.
 ///
-/// `replaceable` says of a holder whether it can't go on (dead, restarted, or suspect for long enough).
+/// `is_replaceable` tells whether a holder cannot continue because it is gone, was restarted, or has been suspect for
+/// longer than the takeover timeout.
 pub fn plan_takeovers(
     input: &AssignmentInput<'_>,
-    replaceable: impl Fn(&DaemonRef) -> bool,
+    is_replaceable: impl Fn(&DaemonRef) -> bool,
 ) -> Vec<TakeoverRecord> {
     let desired = desired_holders(input.eligible, input.targets);
     let counts = held_counts(input);
@@ -45,26 +47,30 @@
     let mut records = Vec::new();
     for target in input.targets {
         let lease = input.ownership.holder(target.as_str());
-        let wants = match lease {
+        let should_take_over = match lease {
             None => desired.get(target) == Some(&input.me),
             Some(lease) if lease.daemon == *input.me => false,
-            Some(lease) if replaceable(&lease.daemon) => desired.get(target) == Some(&input.me),
+            Some(lease) if is_replaceable(&lease.daemon) => desired.get(target) == Some(&input.me),
             Some(lease) => {
-                let surplus = counts.get(&lease.daemon).copied().unwrap_or(0) > share + 1;
-                let moves_here = surplus && held < share && moves < MOVES_PER_ROUND;
-                moves += usize::from(moves_here);
-                moves_here
+                let has_surplus = counts.get(&lease.daemon).copied().unwrap_or(0) > share + 1;
+                let should_move = has_surplus && held < share && moves < MAX_MOVES_PER_ROUND;
+                moves += usize::from(should_move);
+                should_move
             }
         };
-        if wants {
+        if should_take_over {
             held += 1;
-            records.push(takeover(target, lease.map(|lease| lease.token), input.me));
+            records.push(takeover_record(
+                target,
+                lease.map(|lease| lease.token),
+                input.me,
+            ));
         }
     }
     records
 }
 
-fn takeover(
+fn takeover_record(
     target: &TargetName,
     replaces: Option<FencingToken>,
     holder: &DaemonRef,
@@ -86,7 +92,7 @@
     counts
 }
 
-/// Rendezvous hashing with at most `ceil(targets / daemons)` targets for each daemon.
+/// Assigns targets by rendezvous hashing, at most `ceil(targets / daemons)` to each daemon.
 fn desired_holders<'a>(
     eligible: &'a [DaemonRef],
     targets: &'a [TargetName],
@@ -94,14 +100,15 @@
     if eligible.is_empty() {
         return HashMap::new();
     }
-    let most = targets.len().div_ceil(eligible.len());
+    let max_targets = targets.len().div_ceil(eligible.len());
     let mut counts: HashMap<&DaemonRef, usize> = HashMap::new();
     let mut desired = HashMap::new();
     for target in targets {
-        let free = eligible
+        let candidates = eligible
             .iter()
-            .filter(|daemon| counts.get(daemon).copied().unwrap_or(0) < most);
-        if let Some(daemon) = free.max_by_key(|daemon| (score(target, daemon), daemon.incarnation))
+            .filter(|daemon| counts.get(daemon).copied().unwrap_or(0) < max_targets);
+        if let Some(daemon) =
+            candidates.max_by_key(|daemon| (score(target, daemon), daemon.incarnation))
         {
             *counts.entry(daemon).or_default() += 1;
             desired.insert(target, daemon);
--- a/crates/core/src/ownership/fold.rs
+++ b/crates/core/src/ownership/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the log into the holders of targets.
+//! State of target ownership, folded from the log.
 
 use crate::{
     ids::{AdapterVersion, DaemonRef, FencingToken, LogOffset, TargetName},
@@ -7,88 +7,88 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A daemon's hold of a target.
+/// Lease of a target by a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderLease {
-    /// The daemon.
+    /// The holder.
     pub daemon: DaemonRef,
-    /// Offset of the takeover that made it the holder.
+    /// Offset of the takeover record that granted the lease.
     pub token: FencingToken,
 }
 
-/// An announced unload that is not closed.
+/// An unload that was announced in the log and is not closed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenIntent {
-    /// What is to be unloaded.
+    /// Adapter version to unload.
     pub adapter: AdapterVersion,
-    /// Token of the holder that announced it.
+    /// Fencing token of the announcing holder.
     pub token: FencingToken,
-    /// Number of the announcement.
+    /// Announcement number, unique for that token.
     pub number: u64,
-    /// Where it stands in the log.
+    /// Offset of the intent record.
     pub offset: LogOffset,
 }
 
-/// Holder, predecessors and announced unloads of one target.
+/// Ownership state of one target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetOwnership {
-    /// The holder, if there is one.
+    /// Current holder.
     pub holder: Option<HolderLease>,
-    /// Former holders that are not settled.
+    /// Former holders that may still have requests or orders on the target.
     pub predecessors: Vec<HolderLease>,
-    /// Unloads that were announced and not closed.
+    /// Open unload intents.
     pub intents: Vec<OpenIntent>,
 }
 
-/// Holders of all targets.
+/// Ownership state of all targets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct OwnershipState {
     targets: BTreeMap<TargetName, TargetOwnership>,
 }
 
-/// What a record did to the holders.
+/// Effect of a record on the ownership state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OwnershipEffect {
-    /// Nothing: the record came too late or a second time.
+    /// No effect: the record is stale or a duplicate.
     None,
     /// The target has a new holder.
     NewHolder(TargetName, HolderLease),
-    /// A predecessor is settled.
+    /// A former holder is settled.
     Settled(TargetName),
     /// An unload was announced.
     IntentOpened(TargetName, OpenIntent),
-    /// An announced unload is closed.
+    /// An unload intent, given by its number, was closed.
     IntentClosed(TargetName, u64),
 }
 
 impl OwnershipState {
-    /// The state of one target.
+    /// Ownership state of a target.
     #[must_use]
     pub fn target(&self, name: &str) -> Option<&TargetOwnership> {
         self.targets.get(name)
     }
 
-    /// All targets that ever had a holder.
+    /// Iterates over all targets that ever had a holder.
     pub fn iter(&self) -> impl Iterator<Item = (&TargetName, &TargetOwnership)> {
         self.targets.iter()
     }
 
-    /// The holder of a target.
+    /// Current holder of a target.
     #[must_use]
     pub fn holder(&self, name: &str) -> Option<&HolderLease> {
         self.targets.get(name)?.holder.as_ref()
     }
 
-    /// Folds a takeover: accepted only if it names the present holder.
+    /// Applies a takeover; accepted only if it names the current holder's token.
     pub fn apply_takeover(
         &mut self,
         offset: LogOffset,
         record: &TakeoverRecord,
     ) -> OwnershipEffect {
         let ownership = self.targets.entry(record.target.clone()).or_default();
-        let present = ownership.holder.as_ref().map(|lease| lease.token);
-        if present != record.replaces {
+        let current = ownership.holder.as_ref().map(|lease| lease.token);
+        if current != record.replaces {
             return OwnershipEffect::None;
         }
         let lease = HolderLease {
@@ -101,7 +101,7 @@
         OwnershipEffect::NewHolder(record.target.clone(), lease)
     }
 
-    /// Folds an announced unload: void unless its author is the holder at this offset.
+    /// Applies an unload intent; it has no effect unless its author is the holder at this offset.
     pub fn apply_intent(&mut self, offset: LogOffset, record: &IntentRecord) -> OwnershipEffect {
         let Some(ownership) = self.targets.get_mut(&record.target) else {
             return OwnershipEffect::None;
@@ -109,11 +109,11 @@
         if ownership.holder.as_ref().map(|lease| lease.token) != Some(record.token) {
             return OwnershipEffect::None;
         }
-        let known = ownership
+        let is_known = ownership
             .intents
             .iter()
-            .any(|open| open.token == record.token && open.number == record.number);
-        if known {
+            .any(|intent| intent.token == record.token && intent.number == record.number);
+        if is_known {
             return OwnershipEffect::None;
         }
         let intent = OpenIntent {
@@ -126,18 +126,18 @@
         OwnershipEffect::IntentOpened(record.target.clone(), intent)
     }
 
-    /// Folds the closing of an announced unload.
+    /// Applies the end of an unload intent.
     pub fn apply_intent_closed(&mut self, record: &IntentClosedRecord) -> OwnershipEffect {
         let Some(ownership) = self.targets.get_mut(&record.target) else {
             return OwnershipEffect::None;
         };
         ownership
             .intents
-            .retain(|open| !(open.token == record.token && open.number == record.number));
+            .retain(|intent| !(intent.token == record.token && intent.number == record.number));
         OwnershipEffect::IntentClosed(record.target.clone(), record.number)
     }
 
-    /// Folds the settling of a former holder; its announced unloads are closed with it.
+    /// Applies the settlement of a former holder, which also closes its unload intents.
     pub fn apply_settled(&mut self, record: &SettledRecord) -> OwnershipEffect {
         let Some(ownership) = self.targets.get_mut(&record.target) else {
             return OwnershipEffect::None;
@@ -147,13 +147,15 @@
             .as_ref()
             .is_some_and(|lease| lease.token == record.token)
         {
-            // A present holder can't be settled: it may still dispatch.
+            // The current holder may still dispatch.
             return OwnershipEffect::None;
         }
         ownership
             .predecessors
             .retain(|lease| lease.token != record.token);
-        ownership.intents.retain(|open| open.token != record.token);
+        ownership
+            .intents
+            .retain(|intent| intent.token != record.token);
         OwnershipEffect::Settled(record.target.clone())
     }
 }
--- a/crates/core/src/ownership/lease.rs
+++ b/crates/core/src/ownership/lease.rs
@@ -1,34 +1,34 @@
-//! What a holder may do on a target that it holds.
+//! Rules for what a holder may do on its target.
 //!
-//! [`HeldTarget`] is a holder's own view of one target. It answers from the fold and from the target's
-//! acknowledgements only. The specification in `specs/ownership.pml` names the same steps.
+//! [`HeldTarget`] is the holder's own view of one target. Its decisions depend only on the state folded from the log and
+//! on acknowledgements of the target, never on time. `specs/ownership.pml` models the same steps.
 
 use crate::{
     ids::{AdapterVersion, FencingToken},
     ownership::{HolderLease, TargetOwnership},
 };
 
-/// Whether the target knows the holder's token.
+/// Progress of fencing on a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FenceState {
     /// The target does not check tokens.
     NotChecked,
-    /// The token was not yet acknowledged.
+    /// The target has not acknowledged the token yet.
     Presented,
-    /// The target acknowledged the token; older ones are refused from here on.
+    /// The target acknowledged the token and refuses older tokens from now on.
     Acknowledged,
 }
 
 /// A target that this daemon holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldTarget {
-    /// The holder's token.
+    /// Fencing token of the lease.
     pub token: FencingToken,
-    /// Whether the target knows it.
+    /// Progress of fencing on the target.
     pub fence: FenceState,
 }
 
-/// A right to send one unload order; made only where the rules hold.
+/// Permission to send one unload order; created only by [`HeldTarget::permit_unload`].
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub struct UnloadPermit {
@@ -37,43 +37,43 @@
 }
 
 impl UnloadPermit {
-    /// What may be unloaded.
+    /// Adapter version that may be unloaded.
     #[must_use]
     pub fn adapter(&self) -> &AdapterVersion {
         &self.adapter
     }
 
-    /// The token that the order carries.
+    /// Fencing token to send with the order.
     #[must_use]
     pub fn token(&self) -> FencingToken {
         self.token
     }
 }
 
-/// Why an unload must not be sent.
+/// Reason why an unload must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnloadRefusal {
     /// Another daemon is the holder.
     #[error("this daemon no longer holds the target: drop the order")]
     NotHolder,
-    /// A former holder may still be serving.
-    #[error("a former holder is not settled: load into a free slot or wait")]
+    /// A former holder may still be serving requests.
+    #[error("a former holder of the target is not settled: load into a free slot or wait")]
     PredecessorUnsettled,
-    /// The target did not acknowledge the token.
+    /// The target has not acknowledged the fencing token.
     #[error("the target has not acknowledged the fencing token: present it again")]
     NotAcknowledged,
-    /// The announcement was not read back.
+    /// The unload intent has not been read back from the log.
     #[error(
-        "the target does not check fencing tokens and the unload is not announced: append an intent and read it back"
+        "the target does not check fencing tokens and the unload is not announced: append an intent to the log and read it back"
     )]
     NotAnnounced,
-    /// Requests run on the adapter.
+    /// This many requests run on the adapter.
     #[error("{0} requests run on the adapter: wait until they are done")]
     InFlight(usize),
 }
 
 impl HeldTarget {
-    /// A target that was just taken over.
+    /// Creates the view of a target that was just taken over.
     #[must_use]
     pub fn new(token: FencingToken, checks_fencing: bool) -> Self {
         let fence = if checks_fencing {
@@ -84,14 +84,14 @@
         Self { token, fence }
     }
 
-    /// The target acknowledged a token.
+    /// Records that the target acknowledged a token.
     pub fn acknowledge(&mut self, token: FencingToken) {
         if token == self.token && self.fence == FenceState::Presented {
             self.fence = FenceState::Acknowledged;
         }
     }
 
-    /// Whether the fold still names this lease as the holder.
+    /// Whether this lease is still the current one in the folded state.
     #[must_use]
     pub fn is_holder(&self, ownership: &TargetOwnership) -> bool {
         ownership
@@ -102,26 +102,28 @@
 
     /// Whether a request may be dispatched to an adapter on the target.
     ///
-    /// An open intent bars its adapter, whoever announced it: the unload may be on its way.
+    /// An open unload intent blocks its adapter, whichever daemon announced it, because the unload order may be in
+    /// transit.
     #[must_use]
     pub fn can_dispatch(&self, ownership: &TargetOwnership, adapter: &AdapterVersion) -> bool {
         self.can_send_orders(ownership)
             && !ownership
                 .intents
                 .iter()
-                .any(|open| open.adapter == *adapter)
+                .any(|intent| intent.adapter == *adapter)
     }
 
-    /// Whether a load order may be sent.
+    /// Whether load orders may be sent.
     #[must_use]
     pub fn can_send_orders(&self, ownership: &TargetOwnership) -> bool {
         self.is_holder(ownership) && self.fence != FenceState::Presented
     }
 
-    /// Whether an unload may be planned at all: no former holder can still be serving.
+    /// Checks whether an unload may be planned: this daemon holds the target, no former holder can still be serving, and
+    /// no request is in flight.
     ///
     /// # Errors
-    /// Names the rule that forbids it.
+    /// Returns the first rule that forbids the unload.
     pub fn check_unload(
         &self,
         ownership: &TargetOwnership,
@@ -142,12 +144,13 @@
         Ok(())
     }
 
-    /// Gives the right to send an unload order.
+    /// Grants permission to send an unload order.
     ///
-    /// On a target that does not check tokens, `number` is the announcement that was read back.
+    /// On a target that does not check fencing tokens, `number` is the number of the holder's own intent, which must be
+    /// open in the folded state.
     ///
     /// # Errors
-    /// Names the rule that forbids it.
+    /// Returns the first rule that forbids the unload.
     pub fn permit_unload(
         &self,
         ownership: &TargetOwnership,
@@ -156,10 +159,12 @@
         in_flight: usize,
     ) -> Result<UnloadPermit, UnloadRefusal> {
         self.check_unload(ownership, in_flight)?;
-        let announced = ownership.intents.iter().any(|open| {
-            open.token == self.token && Some(open.number) == number && open.adapter == *adapter
+        let is_announced = ownership.intents.iter().any(|intent| {
+            intent.token == self.token
+                && Some(intent.number) == number
+                && intent.adapter == *adapter
         });
-        if self.fence == FenceState::NotChecked && !announced {
+        if self.fence == FenceState::NotChecked && !is_announced {
             return Err(UnloadRefusal::NotAnnounced);
         }
         Ok(UnloadPermit {
@@ -169,25 +174,25 @@
     }
 }
 
-/// What is known of a former holder on a target.
+/// Evidence about a former holder of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SettleEvidence {
-    /// The platform's list says that the predecessor's VM is gone.
+    /// The former holder's VM is missing from the platform's VM list.
     pub vm_unlisted: bool,
-    /// Some VM of the zone other than ours is still listed, so that the zone is not merely cut off from the list.
+    /// Another VM of the zone is still listed, so the zone as a whole is not missing from the list.
     pub zone_still_listed: bool,
-    /// The bound on delivery after the VM's end has passed (docs/DESIGN.md, assumption A1).
+    /// The delivery bound after the end of the VM has passed (docs/DESIGN.md, assumption A1).
     pub delivery_bound_passed: bool,
-    /// The target, asked directly after that bound, runs none of the predecessor's requests.
+    /// The target was queried directly after that bound and runs no request of the former holder.
     pub no_requests_running: bool,
 }
 
 /// Whether a successor may declare a former holder settled.
 ///
-/// The former holder itself may do so too, once it has read the takeover and has nothing sent or running.
+/// The former holder may also declare itself settled, once it has read the takeover and has nothing sent or running.
 ///
-/// A restart of the target is no evidence: a former holder that was paused before it read the takeover may still
-/// dispatch to the restarted target (`specs/ownership.pml`, switch `SETTLE_ON_RESTART`, finds the trace).
+/// A restart of the target is not evidence: a former holder that was paused before it read the takeover may still
+/// dispatch to the restarted target. `specs/ownership.pml` with switch `SETTLE_ON_RESTART` produces such a trace.
 #[must_use]
 pub fn is_predecessor_settled(evidence: SettleEvidence) -> bool {
     evidence.vm_unlisted
@@ -197,7 +202,7 @@
 }
 
 impl HolderLease {
-    /// Whether this lease is one run of a daemon.
+    /// Whether this run of a daemon holds the lease.
     #[must_use]
     pub fn is_held_by(&self, daemon: &crate::ids::DaemonRef) -> bool {
         self.daemon == *daemon
--- a/crates/core/src/request/keys.rs
+++ b/crates/core/src/request/keys.rs
@@ -1,23 +1,24 @@
-//! Callers' own idempotency keys, claimed in the log.
+//! Idempotency keys chosen by callers and claimed in the log.
 //!
-//! The claim at the lowest offset wins; later ones are led to the winner's answer. The latest
-//! [`REMEMBERED_KEYS`] claims are remembered, the same ones at every daemon and in every snapshot.
+//! The claim at the lowest offset wins; a daemon whose claim lost leads its request to the winner's answer. The latest
+//! [`MAX_KEY_CLAIMS`] claims are kept. Eviction depends only on the order of the log, so every daemon and every snapshot
+//! keeps the same claims.
 
 use crate::ids::{CallerName, DaemonRef, LogOffset};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::{HashMap, VecDeque};
 
-/// Claims that are remembered; an older key counts as new.
+/// Maximum number of claims that are kept; a key whose claim was evicted counts as new.
 pub const MAX_KEY_CLAIMS: usize = 65_536;
 
-/// First 16 bytes of the SHA-256 of a caller's name and its key.
+/// First 16 bytes of the SHA-256 of a caller's name, a zero byte and the caller's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyHash([u8; 16]);
 
 impl KeyHash {
-    /// Hashes a key of a caller.
+    /// Hashes a caller's key.
     #[must_use]
     pub fn of(caller: &CallerName, key: &str) -> Self {
         let mut hasher = Sha256::new();
@@ -31,60 +32,60 @@
     }
 }
 
-/// One claim.
+/// Claim of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// The key.
+    /// Hash of the claimed key.
     pub key: KeyHash,
-    /// Fingerprint of the request that it stands for.
+    /// Fingerprint of the request that carries the key.
     pub fingerprint: u64,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// This daemon's claim is the lowest: run the request.
+    /// This daemon's claim has the lowest offset, so it runs the request.
     Won,
-    /// Another claim came first.
+    /// Another daemon's claim has a lower offset.
     Lost {
-        /// The daemon that runs, or ran, the request.
+        /// Daemon that runs or ran the request.
         holder: DaemonRef,
-        /// Fingerprint of that request.
+        /// Fingerprint in the winning claim.
         fingerprint: u64,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct RememberedClaim {
+struct StoredClaim {
     holder: DaemonRef,
     fingerprint: u64,
     offset: LogOffset,
 }
 
-/// Claims as folded from the log.
+/// Claims folded from the log, in the order of their offsets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     into = "Vec<(KeyHash, DaemonRef, u64, LogOffset)>",
     from = "Vec<(KeyHash, DaemonRef, u64, LogOffset)>"
 )]
 pub struct KeyTable {
-    claims: HashMap<KeyHash, RememberedClaim>,
+    claims: HashMap<KeyHash, StoredClaim>,
     order: VecDeque<KeyHash>,
 }
 
 impl KeyTable {
-    /// Folds a batch of claims.
+    /// Applies a batch of claims; a key that is already claimed keeps its first claim.
     pub fn apply(&mut self, offset: LogOffset, holder: &DaemonRef, claims: &[KeyClaim]) {
         for claim in claims {
             if self.claims.contains_key(&claim.key) {
                 continue;
             }
-            let remembered = RememberedClaim {
+            let stored = StoredClaim {
                 holder: holder.clone(),
                 fingerprint: claim.fingerprint,
                 offset,
             };
-            self.claims.insert(claim.key, remembered);
+            self.claims.insert(claim.key, stored);
             self.order.push_back(claim.key);
             if self.order.len() > MAX_KEY_CLAIMS
                 && let Some(oldest) = self.order.pop_front()
@@ -94,7 +95,7 @@
         }
     }
 
-    /// What became of a claim of `me`; none if the key was not claimed yet.
+    /// Outcome of the claim of daemon `me`; none if no claim of the key has been applied.
     #[must_use]
     pub fn outcome(&self, key: &KeyHash, me: &DaemonRef) -> Option<ClaimOutcome> {
         let claim = self.claims.get(key)?;
@@ -107,13 +108,13 @@
         })
     }
 
-    /// Number of claims that are remembered.
+    /// Number of claims kept.
     #[must_use]
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Whether no claim is kept.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
@@ -135,7 +136,7 @@
         let mut table = Self::default();
         for (key, holder, fingerprint, offset) in entries {
             table.order.push_back(key);
-            let claim = RememberedClaim {
+            let claim = StoredClaim {
                 holder,
                 fingerprint,
                 offset,
--- a/crates/core/src/request/life_cycle.rs
+++ b/crates/core/src/request/lifecycle.rs
@@ -1,18 +1,21 @@
-//! Typestates of a request.
+//! Life cycle of a request as typestates.
+//!
+//! A [`NotRunProof`] can be created only from a request that has not reached a transport, or from a refusal by the
+//! target, so a request that may have run is never reported as not run.
 
 use crate::ids::RequestId;
 use serde::{Deserialize, Serialize};
 use std::{fmt, marker::PhantomData};
 
-/// The request was never handed to a transport.
+/// State of a request that no byte was sent of, or whose sending was proved void by the receiving daemon.
 #[derive(Debug)]
 pub struct Unsent;
 
-/// The request was handed to a transport: it may be running.
+/// State of a request that was handed to a transport and may be running.
 #[derive(Debug)]
 pub struct Sent;
 
-/// A request in one state of its life.
+/// Request in state [`Unsent`] or [`Sent`].
 #[derive(Debug)]
 #[must_use]
 pub struct RequestCall<State> {
@@ -21,53 +24,53 @@
     state: PhantomData<State>,
 }
 
-/// Why a request was not run.
+/// Reason why a request was not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case", tag = "reason")]
 pub enum NotRunReason {
-    /// A queue is full.
+    /// A queue has reached its limit.
     #[error("too much work is waiting: come back after {retry_after_ms} ms")]
     Overloaded { retry_after_ms: u64 },
-    /// The caller's quota is used up.
+    /// The caller has exhausted its quota.
     #[error(
         "the quota of caller `{caller}` is used up: come back after {retry_after_ms} ms, or ask an operator for `set quota`"
     )]
     QuotaUsedUp { caller: String, retry_after_ms: u64 },
-    /// No target can serve it.
+    /// No target can serve the request.
     #[error("no target can serve it now: come back after {retry_after_ms} ms")]
     NoTarget { retry_after_ms: u64 },
-    /// The daemon asked is not the holder.
+    /// The daemon that received the request does not hold the target.
     #[error("the daemon asked no longer holds the target: ask another one")]
     NotHolder,
-    /// The daemon is about to stop.
+    /// The daemon is shutting down.
     #[error("the daemon is stopping: ask another one")]
     Stopping,
-    /// The load of the adapter failed.
+    /// The adapter could not be loaded.
     #[error("the adapter could not be loaded: come back after {retry_after_ms} ms")]
     LoadFailed { retry_after_ms: u64 },
-    /// The caller's deadline passed while it waited.
+    /// The caller's deadline passed while the request was queued.
     #[error(
         "the deadline passed while it waited: allow more time or come back after {retry_after_ms} ms"
     )]
     DeadlinePassed { retry_after_ms: u64 },
-    /// The caller went away while it waited.
+    /// The caller cancelled the request while it was queued.
     #[error("the caller cancelled it before it was sent")]
     Cancelled,
-    /// The log is out, so that the caller's own key can't be claimed.
+    /// The platform's log is unavailable, so the caller's own key cannot be claimed.
     #[error(
         "the platform's log is out, so your key can't be claimed: ask for a token with `POST /v1/idempotency_tokens` and send that instead"
     )]
     KeyNotClaimed,
-    /// The target states that it did not run it.
+    /// The target stated that it did not run the request.
     #[error("the target did not run it ({cause}): try again")]
     TargetRefused { cause: String },
-    /// No connection to the target could be made.
+    /// The connection to the target could not be established.
     #[error("no connection to the target could be made: try again")]
     NotConnected,
 }
 
 impl NotRunReason {
-    /// When the caller should come back, in milliseconds.
+    /// Time after which the caller should retry, in milliseconds.
     #[must_use]
     pub fn retry_after_ms(&self) -> u64 {
         match self {
@@ -86,33 +89,33 @@
     }
 }
 
-/// Proof that a request was not run; made by a daemon that still had it unsent.
+/// Proof that a request was not run, created by the daemon that refused it unsent or by a refusal of the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotRunProof {
     id: RequestId,
-    /// Why it was not run.
+    /// Reason why the request was not run.
     pub reason: NotRunReason,
 }
 
 impl NotRunProof {
-    /// The request that was not run.
+    /// Id of the request that was not run.
     #[must_use]
     pub fn id(&self) -> RequestId {
         self.id
     }
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOutcome {
-    /// It was answered in full.
+    /// The answer is complete.
     Answered,
-    /// It was not run.
+    /// The request provably did not run.
     NotRun(NotRunProof),
-    /// The target stated that it failed.
+    /// The target reported a failure, with this cause.
     Failed(String),
-    /// It may or may not have run.
+    /// The request may or may not have run, for this cause.
     Unknown(String),
 }
 
@@ -128,7 +131,7 @@
 }
 
 impl RequestCall<Unsent> {
-    /// A request that was just admitted.
+    /// Creates a request that was just admitted.
     pub fn new(id: RequestId) -> Self {
         Self {
             id,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// The last step before a byte of it may reach a transport.
+    /// Marks the request as sent; must be called before any byte of it may reach a transport.
     pub fn mark_sent(self) -> RequestCall<Sent> {
         RequestCall {
             id: self.id,
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Refuses it; the proof is worth something because this value was never handed over.
+    /// Refuses the request. The proof is valid because an unsent request cannot have run.
     #[must_use]
     pub fn refuse(self, reason: NotRunReason) -> NotRunProof {
         NotRunProof {
@@ -157,10 +160,10 @@
 }
 
 impl RequestCall<Sent> {
-    /// The daemon that it was handed to gave it back unsent.
+    /// Takes the request back from the daemon that it was sent to, which proved that it did not run it.
     ///
     /// # Errors
-    /// Returns the request as it was if the proof is for another one.
+    /// Returns the request unchanged if the proof is for another request.
     pub fn given_back(self, proof: &NotRunProof) -> Result<RequestCall<Unsent>, Self> {
         if proof.id != self.id {
             return Err(self);
@@ -172,7 +175,8 @@
         })
     }
 
-    /// The target stated that it did not run it: the one proof that comes from outside.
+    /// Ends the request with the target's statement that it did not run it, the only proof that rests on the word of a
+    /// target.
     #[must_use]
     pub fn refused_by_target(self, reason: NotRunReason) -> NotRunProof {
         NotRunProof {
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Starts another attempt of a request that may be repeated.
+    /// Starts another attempt of a repeatable request.
     pub fn repeat(self) -> RequestCall<Sent> {
         RequestCall {
             id: self.id,
@@ -190,19 +194,19 @@
         }
     }
 
-    /// It was answered in full.
+    /// Ends the request with a complete answer.
     #[must_use]
     pub fn answered(self) -> RequestOutcome {
         RequestOutcome::Answered
     }
 
-    /// The target stated a failure.
+    /// Ends the request with a failure that the target reported.
     #[must_use]
     pub fn failed(self, cause: &str) -> RequestOutcome {
         RequestOutcome::Failed(cause.to_owned())
     }
 
-    /// Nobody can say what became of it.
+    /// Ends the request with an unknown outcome.
     #[must_use]
     pub fn unknown(self, cause: &str) -> RequestOutcome {
         RequestOutcome::Unknown(cause.to_owned())
@@ -210,13 +214,13 @@
 }
 
 impl<State> RequestCall<State> {
-    /// Its id.
+    /// Id of the request.
     #[must_use]
     pub fn id(&self) -> RequestId {
         self.id
     }
 
-    /// How often it was handed to a transport.
+    /// Number of times the request was handed to a transport.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.attempts
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -1,16 +1,16 @@
-//! The life cycle of a request, idempotency tokens and callers' keys.
+//! Life cycle of requests, retries, idempotency tokens and callers' idempotency keys.
 //!
-//! "Not run" can only be made from a request that was never handed to a transport, or that the daemon it was handed
-//! to gave back with the same proof. Everything else ends as an answer, a failure that the target stated, or
-//! "outcome unknown".
+//! A request can end as "not run" only if it was never handed to a transport, if the daemon that it was sent to returned
+//! it with a proof that it was not run there, or if the target stated that it did not run it. Every other request ends
+//! with an answer, a failure reported by the target, or "outcome unknown".
 
 mod keys;
-mod life_cycle;
+mod lifecycle;
 mod retry;
 mod tokens;
 
 pub use keys::{ClaimOutcome, KeyClaim, KeyHash, KeyTable};
-pub use life_cycle::{NotRunProof, NotRunReason, RequestCall, RequestOutcome, Sent, Unsent};
+pub use lifecycle::{NotRunProof, NotRunReason, RequestCall, RequestOutcome, Sent, Unsent};
 pub use retry::{AttemptEnd, RetryBudget, RetryDecision, RetryInput, RetryLimits, decide_retry};
 pub use tokens::{
     DedupKey, IdempotencyToken, TokenDecision, TokenError, TokenRegistry, TokenState,
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -1,85 +1,86 @@
-//! What to do when an attempt ends without an answer.
+//! Retry policy: what to do when an attempt ends without a complete answer.
 //!
-//! Retries are paid from a budget that grows with successful work, so that faults do not multiply load.
+//! Repeats of work that may have run are paid from a budget that grows with admitted requests, so that faults do not
+//! multiply load. A request that was returned
+//! as not run is retried outside the budget, and a broken stream is resumed before its request is repeated.
 
 use crate::{config::RequestRule, ids::Instant};
 use std::time::Duration;
 
-/// How an attempt ended.
+/// How an attempt ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The other daemon gave it back unsent.
+    /// The request was returned with a proof that it was not run.
     GivenBack,
-    /// The target stated a failure.
+    /// The target reported a failure.
     TargetFailed,
-    /// The connection broke, or the answer stopped coming.
+    /// The connection broke, or the answer stalled.
     Broken,
 }
 
-/// What to do next.
+/// Next step after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try elsewhere after a pause.
+    /// Try another target after this pause.
     Retry(Duration),
-    /// Ask for the rest of the stream that may still be running; this runs nothing.
+    /// After this pause, request the rest of a stream that may still be running; this starts no new work.
     Resume(Duration),
-    /// End it with what is known.
+    /// End the request with the outcome known so far.
     GiveUp,
 }
 
-/// Doublings of the pause between attempts.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Bounds on retries.
+/// Limits on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimits {
-    /// Attempts for one request, the first one included.
-    pub attempts: u32,
-    /// Time for which a request that was given back looks for another target, which costs nobody any work.
-    pub given_back_within: Duration,
-    /// First pause; doubles with each attempt.
-    pub pause: Duration,
-    /// Time for which a broken stream may be asked for again.
-    pub resume_within: Duration,
+    /// Maximum number of attempts per request, including the first.
+    pub max_attempts: u32,
+    /// Time during which a request that was returned as not run is retried; these retries cost no target any work.
+    pub given_back_timeout: Duration,
+    /// Pause before the first retry; doubles with each attempt.
+    pub initial_backoff: Duration,
+    /// Time during which a broken stream may be resumed.
+    pub resume_timeout: Duration,
 }
 
 impl Default for RetryLimits {
     fn default() -> Self {
         Self {
-            attempts: 3,
-            given_back_within: Duration::from_secs(2),
-            pause: Duration::from_millis(20),
-            resume_within: Duration::from_secs(15),
+            max_attempts: 3,
+            given_back_timeout: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(20),
+            resume_timeout: Duration::from_secs(15),
         }
     }
 }
 
-/// Tokens that pay for retries: each first attempt earns a part of one.
+/// Token bucket that pays for retries; each admitted request earns a fraction of a token.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     tokens: f64,
-    most: f64,
-    earned: f64,
+    capacity: f64,
+    earned_per_request: f64,
 }
 
 impl RetryBudget {
-    /// A budget of at most `most` retries at once, and `earned` of one for each request.
+    /// Creates a full budget of `capacity` retries, to which each request adds `earned_per_request`.
     #[must_use]
-    pub fn new(most: f64, earned: f64) -> Self {
+    pub fn new(capacity: f64, earned_per_request: f64) -> Self {
         Self {
-            tokens: most,
-            most,
-            earned,
+            tokens: capacity,
+            capacity,
+            earned_per_request,
         }
     }
 
-    /// A request was admitted.
+    /// Adds the share earned by an admitted request.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.earned).min(self.most);
+        self.tokens = (self.tokens + self.earned_per_request).min(self.capacity);
     }
 
-    /// Pays for one retry, if there is enough.
-    pub fn spend(&mut self) -> bool {
+    /// Takes one token to pay for a retry; returns false if there is none.
+    pub fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
@@ -88,32 +89,32 @@
     }
 }
 
-/// Everything that the decision depends on.
+/// Input of [`decide_retry`].
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInput {
     /// Whether the request may be repeated.
     pub rule: RequestRule,
     /// How the attempt ended.
     pub end: AttemptEnd,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// Times it was given back.
+    /// Number of times the request was returned as not run.
     pub given_back: u32,
-    /// Since when it has been given back.
+    /// Time at which the request was first returned as not run.
     pub given_back_since: Option<Instant>,
-    /// Whether part of the answer has reached the caller.
+    /// Whether a part of the answer was already sent to the caller.
     pub answer_started: bool,
-    /// Since when the stream is broken.
+    /// Time at which the stream broke.
     pub broken_since: Option<Instant>,
-    /// Now.
+    /// Current time.
     pub now: Instant,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// Random number from 0 to 1 that spreads the pauses.
+    /// Random jitter from 0 to 1, which scales the pause from half to its full length.
     pub jitter: f64,
 }
 
-/// Decides what to do next.
+/// Decides the next step after an attempt that ended without a complete answer.
 pub fn decide_retry(
     limits: &RetryLimits,
     budget: &mut RetryBudget,
@@ -122,11 +123,11 @@
     if input.now >= input.deadline {
         return RetryDecision::GiveUp;
     }
-    let pause = backoff(limits.pause, input);
+    let pause = backoff(limits.initial_backoff, input);
     match input.end {
         AttemptEnd::GivenBack => {
             let since = input.given_back_since.unwrap_or(input.now);
-            if input.now.since(since) < limits.given_back_within {
+            if input.now.since(since) < limits.given_back_timeout {
                 RetryDecision::Retry(pause)
             } else {
                 RetryDecision::GiveUp
@@ -134,7 +135,7 @@
         }
         AttemptEnd::Broken => {
             let since = input.broken_since.unwrap_or(input.now);
-            if input.now.since(since) < limits.resume_within {
+            if input.now.since(since) < limits.resume_timeout {
                 return RetryDecision::Resume(pause);
             }
             repeat_or_give_up(limits, budget, input, pause)
@@ -149,19 +150,19 @@
     input: &RetryInput,
     pause: Duration,
 ) -> RetryDecision {
-    let allowed = input.rule == RequestRule::Repeatable
+    let is_allowed = input.rule == RequestRule::Repeatable
         && !input.answer_started
-        && input.attempts < limits.attempts
-        && budget.spend();
-    if allowed {
+        && input.attempts < limits.max_attempts
+        && budget.try_spend();
+    if is_allowed {
         RetryDecision::Retry(pause)
     } else {
         RetryDecision::GiveUp
     }
 }
 
-fn backoff(first: Duration, input: &RetryInput) -> Duration {
-    let doublings = (input.attempts + input.given_back).min(MOST_DOUBLINGS);
-    let full = first * (1 << doublings);
+fn backoff(initial: Duration, input: &RetryInput) -> Duration {
+    let doublings = (input.attempts + input.given_back).min(MAX_DOUBLINGS);
+    let full = initial * (1 << doublings);
     full.mul_f64(0.5 + 0.5 * input.jitter)
 }
--- a/crates/core/src/request/tokens.rs
+++ b/crates/core/src/request/tokens.rs
@@ -1,8 +1,9 @@
-//! Issued idempotency tokens.
+//! Idempotency tokens issued by daemons.
 //!
-//! A token names the daemon that issued it, its incarnation, and a counter. Only that incarnation may run it; every
-//! other daemon forwards to it. If that incarnation has ended, the token is dead and is never run. No log, no quorum.
-//! A planned stop hands the open tokens to a named successor, which then is the only one that may run them.
+//! A token names the daemon that issued it, its incarnation, and a counter. Only that incarnation may run a request that
+//! carries the token; every other daemon forwards the request to it. Once the incarnation has ended, requests with the
+//! token are never run. This needs neither the log nor a quorum. On a planned stop, the open tokens are transferred to
+//! a named successor, which is then the only daemon that may run them.
 
 use crate::{
     ids::{DaemonRef, Incarnation, VmName},
@@ -17,20 +18,20 @@
 /// An issued idempotency token.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyToken {
-    /// The daemon that issued it.
+    /// Daemon that issued the token.
     pub issuer: DaemonRef,
-    /// Its number there.
+    /// Number of the token at its issuer, from one.
     pub counter: u64,
 }
 
-const PREFIX: &str = "hl1";
+const TOKEN_PREFIX: &str = "hl1";
 
 impl IdempotencyToken {
-    /// Parses the text form.
+    /// Parses the text form `hl1.VM.INCARNATION.COUNTER`, with the two numbers in hexadecimal.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
-        let (PREFIX, vm, incarnation, counter, None) = (
+        let (TOKEN_PREFIX, vm, incarnation, counter, None) = (
             parts.next()?,
             parts.next()?,
             parts.next()?,
@@ -54,41 +55,41 @@
         let issuer = &self.issuer;
         write!(
             f,
-            "{PREFIX}.{}.{:x}.{:x}",
+            "{TOKEN_PREFIX}.{}.{:x}.{:x}",
             issuer.vm, issuer.incarnation.0, self.counter
         )
     }
 }
 
-/// What became of a token.
+/// State of a used token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TokenState<Answer> {
-    /// Its request runs.
+    /// The request is running.
     Running,
-    /// Its request ended, and the answer is still kept.
+    /// The request ended and its answer is kept.
     Answered(Answer),
-    /// Its request ended, and the answer is no longer kept, or nobody knows it.
+    /// The request ended, but its answer was evicted or its outcome is unknown.
     Spent,
 }
 
-/// Why a token can't be used.
+/// Reason why a token cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
-    /// This daemon issued no such token.
+    /// The issuer never issued this token.
     #[error("no such token was issued: ask for one with `POST /v1/idempotency_tokens`")]
     NeverIssued,
-    /// The run of the daemon that issued it is over.
+    /// The incarnation that issued the token has ended.
     #[error(
         "the daemon that issued the token has ended, so nobody can say whether its request ran: check with the service, then ask for a new token"
     )]
     IssuerEnded,
-    /// It belongs to another daemon.
+    /// The token belongs to another daemon.
     #[error("the token belongs to {0}: forward it there")]
     WrongDaemon(DaemonRef),
-    /// The token was used for a request with other content.
+    /// The token was already used for a request with another fingerprint.
     #[error("the token was used for a different request: ask for a new token for each request")]
     FingerprintMismatch,
-    /// Tokens were handed to a successor.
+    /// The tokens were transferred to a successor.
     #[error("the daemon is stopping and handed its tokens over: forward to {0}")]
     Transferred(DaemonRef),
 }
@@ -99,61 +100,61 @@
     fingerprint: u64,
 }
 
-/// Tokens handed over by a daemon that stopped.
+/// Tokens of one issuer that a stopping daemon transfers to its successor.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferredTokens {
-    /// Numbers below this were issued.
+    /// Highest number issued.
     pub issued: u64,
-    /// Numbers that were used, with a fingerprint of the request.
+    /// Numbers of used tokens, with the fingerprints of their requests.
     pub used: BTreeMap<u64, u64>,
 }
 
-/// What a request is known by when it is repeated.
+/// Key that identifies repeats of the same request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DedupKey {
-    /// An issued token.
+    /// Token issued by a daemon.
     Token(IdempotencyToken),
-    /// A caller's own key, whose claim this daemon won.
+    /// Key chosen by the caller, whose claim this daemon won.
     Key(KeyHash),
 }
 
-/// Tokens that one run of a daemon may run: its own, and those handed to it.
+/// Tokens and keys whose requests this daemon may run: its own tokens, tokens transferred to it, and won keys.
 #[derive(Debug)]
 pub struct TokenRegistry<Answer> {
     me: DaemonRef,
     issued: u64,
     used: HashMap<DedupKey, TokenEntry<Answer>>,
-    kept: VecDeque<DedupKey>,
-    kept_most: usize,
+    answered: VecDeque<DedupKey>,
+    max_answers: usize,
     inherited: HashMap<DaemonRef, u64>,
-    handed_to: Option<DaemonRef>,
+    transferred_to: Option<DaemonRef>,
 }
 
-/// What to do with a request that carries a token.
+/// What to do with a request that carries a token or key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TokenDecision<Answer> {
-    /// Run it: this is its first use, now recorded.
+    /// Run the request; its first use is now recorded.
     Run,
-    /// It runs already: wait for the same answer.
+    /// Wait for the answer of the request that is already running.
     Join,
-    /// It ended: give the first answer.
+    /// Return the kept answer of the first use.
     Replay(Answer),
-    /// It ended with an answer that is no longer kept, or with none: "outcome unknown".
+    /// Report "outcome unknown", because the answer was evicted or never known.
     Unknown,
 }
 
 impl<Answer: Clone> TokenRegistry<Answer> {
-    /// A registry that keeps at most `kept_most` answers.
+    /// Creates a registry that keeps at most `max_answers` answers.
     #[must_use]
-    pub fn new(me: DaemonRef, kept_most: usize) -> Self {
+    pub fn new(me: DaemonRef, max_answers: usize) -> Self {
         Self {
             me,
             issued: 0,
             used: HashMap::new(),
-            kept: VecDeque::new(),
-            kept_most,
+            answered: VecDeque::new(),
+            max_answers,
             inherited: HashMap::new(),
-            handed_to: None,
+            transferred_to: None,
         }
     }
 
@@ -166,16 +167,16 @@
         }
     }
 
-    /// Number of tokens that were used and are remembered.
+    /// Number of used tokens and keys.
     #[must_use]
     pub fn used_len(&self) -> usize {
         self.used.len()
     }
 
-    /// Whether this run may run a token.
+    /// Checks whether this daemon may run a request with a token.
     ///
     /// # Errors
-    /// Says where it belongs, or that it never was issued.
+    /// Returns the daemon that the token belongs to, or why no daemon may run it.
     pub fn check(&self, token: &IdempotencyToken) -> Result<(), TokenError> {
         let issued = if token.issuer == self.me {
             self.issued
@@ -189,7 +190,7 @@
         if token.counter == 0 || token.counter > issued {
             return Err(TokenError::NeverIssued);
         }
-        match &self.handed_to {
+        match &self.transferred_to {
             Some(successor) => Err(TokenError::Transferred(successor.clone())),
             None => Ok(()),
         }
@@ -198,7 +199,7 @@
     /// Decides what to do with a request that carries a token or key, and records its first use.
     ///
     /// # Errors
-    /// Says why the token can't be used here.
+    /// Returns the reason why the token cannot be used here.
     pub fn begin(
         &mut self,
         key: &DedupKey,
@@ -223,12 +224,13 @@
         })
     }
 
-    /// The request of a token was proved not run: the token may be used again.
+    /// Forgets the use of a token or key whose request was proved not run, so that it can be used again.
     pub fn release(&mut self, key: &DedupKey) {
         self.used.remove(key);
     }
 
-    /// The request of a token ended; none means that nobody knows the outcome.
+    /// Records the end of a request; `None` means that its outcome is unknown. The oldest kept answer is evicted if there
+    /// are too many.
     pub fn finish(&mut self, key: &DedupKey, answer: Option<Answer>) {
         let Some(entry) = self.used.get_mut(key) else {
             return;
@@ -238,36 +240,36 @@
             return;
         };
         entry.state = TokenState::Answered(answer);
-        self.kept.push_back(key.clone());
-        if self.kept.len() > self.kept_most
-            && let Some(oldest) = self.kept.pop_front()
+        self.answered.push_back(key.clone());
+        if self.answered.len() > self.max_answers
+            && let Some(oldest) = self.answered.pop_front()
             && let Some(entry) = self.used.get_mut(&oldest)
         {
             entry.state = TokenState::Spent;
         }
     }
 
-    /// Closes the registry for a planned stop; what it returns goes to the successor, and only then may that one run
-    /// the open tokens.
+    /// Closes the registry for a planned stop and returns the tokens to send to the successor. The successor may run them
+    /// once it has received them; from now on this daemon refuses every token that was not used here.
     pub fn transfer_to(&mut self, successor: &DaemonRef) -> BTreeMap<DaemonRef, TransferredTokens> {
-        self.handed_to = Some(successor.clone());
-        let mut handed: BTreeMap<DaemonRef, TransferredTokens> = BTreeMap::new();
+        self.transferred_to = Some(successor.clone());
+        let mut transferred: BTreeMap<DaemonRef, TransferredTokens> = BTreeMap::new();
         for (issuer, issued) in self.inherited.iter().chain([(&self.me, &self.issued)]) {
-            handed.entry(issuer.clone()).or_default().issued = *issued;
+            transferred.entry(issuer.clone()).or_default().issued = *issued;
         }
         for (key, entry) in &self.used {
             if let DedupKey::Token(token) = key
-                && let Some(tokens) = handed.get_mut(&token.issuer)
+                && let Some(tokens) = transferred.get_mut(&token.issuer)
             {
                 tokens.used.insert(token.counter, entry.fingerprint);
             }
         }
-        handed
+        transferred
     }
 
-    /// Takes the tokens of a daemon that stopped; used ones stay spent.
-    pub fn inherit(&mut self, handed: &BTreeMap<DaemonRef, TransferredTokens>) {
-        for (issuer, tokens) in handed {
+    /// Adds the tokens of a daemon that stopped; those already used count as spent.
+    pub fn inherit(&mut self, transferred: &BTreeMap<DaemonRef, TransferredTokens>) {
+        for (issuer, tokens) in transferred {
             self.inherited.insert(issuer.clone(), tokens.issued);
             for (counter, fingerprint) in &tokens.used {
                 let entry = TokenEntry {
