--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,6 +1,6 @@
-//! Names and numbers that identify things.
+//! Identifiers: names, log positions, incarnations and points in time.
 //!
-//! Names are shared strings, so that a request, a queue entry and a log record can hold the same allocation.
+//! Names are reference-counted strings, so that a request, a queue entry and a log record can share one allocation.
 
 use serde::{Deserialize, Serialize};
 use std::{borrow::Borrow, fmt, sync::Arc, time::Duration};
@@ -13,7 +13,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name.
+            /// Creates a name from text.
             #[must_use]
             pub fn new(name: &str) -> Self {
                 Self(Arc::from(name))
@@ -57,7 +57,7 @@
     AdapterName
 );
 name_type!(
-    /// Name of one version of an adapter.
+    /// Name of an adapter version.
     VersionName
 );
 name_type!(
@@ -77,7 +77,7 @@
     CallerName
 );
 name_type!(
-    /// Name of an organisation that callers act for.
+    /// Name of an organisation on whose behalf callers send requests.
     OrganisationName
 );
 name_type!(
@@ -89,21 +89,21 @@
     OperatorName
 );
 name_type!(
-    /// Identifies one configuration change; chosen by the daemon that appends it.
+    /// Id of a configuration change, chosen by the daemon that appends it to the log.
     ChangeId
 );
 
-/// An adapter together with one of its versions.
+/// One version of an adapter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AdapterVersion {
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: AdapterName,
-    /// The version of it.
+    /// Name of the version.
     pub version: VersionName,
 }
 
 impl AdapterVersion {
-    /// Names a version of an adapter.
+    /// Creates an adapter version from two names.
     #[must_use]
     pub fn new(adapter: &str, version: &str) -> Self {
         Self {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Parses `name@version`.
+    /// Parses `adapter@version`; neither part may be empty.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (adapter, version) = text.split_once('@')?;
@@ -126,7 +126,7 @@
     }
 }
 
-/// Position of a record in the platform's log.
+/// Offset of a record in the platform's log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -139,7 +139,7 @@
     }
 }
 
-/// How often the platform's log came back from a copy, as the log counts it.
+/// Era of the platform's log. The log increments it each time it is restored from a backup copy.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -147,7 +147,7 @@
 pub struct StoreEra(pub u64);
 
 impl StoreEra {
-    /// Whether the log has never come back from a copy; it counts its eras from one, if at all.
+    /// Whether the log has never been restored. Eras count from one; zero means that the log reports none.
     #[must_use]
     pub fn is_first(self) -> bool {
         self.0 <= 1
@@ -160,11 +160,13 @@
     }
 }
 
-/// Bits of a position that hold the offset; the era is above them.
+/// Low bits of a [`LogPosition`] that hold the offset; the era occupies the bits above.
 const OFFSET_BITS: u32 = 40;
 
-/// Place of a record in the history of the platform's log: the era first, then the offset, as a log that comes back from a copy
-/// gives offsets out again. It is one number, so that a fencing token made of it rises over eras.
+/// Position of a record in the history of the platform's log, ordered by era and then by offset.
+///
+/// The era comes first because a restored log assigns offsets again that it had assigned before. Both are packed into one
+/// number, so that a fencing token derived from the position increases across eras.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -172,31 +174,31 @@
 pub struct LogPosition(pub u64);
 
 impl LogPosition {
-    /// The position of an offset in an era.
+    /// Creates the position of an offset in an era.
     #[must_use]
     pub fn in_era(era: StoreEra, offset: LogOffset) -> Self {
         Self((era.0 << OFFSET_BITS) | offset.0)
     }
 
-    /// Its era.
+    /// Era of the position.
     #[must_use]
     pub fn era(self) -> StoreEra {
         StoreEra(self.0 >> OFFSET_BITS)
     }
 
-    /// Its offset.
+    /// Offset within the era.
     #[must_use]
     pub fn offset(self) -> LogOffset {
         LogOffset(self.0 & ((1 << OFFSET_BITS) - 1))
     }
 
-    /// The position so many records on.
+    /// Position that lies this many records later in the same era.
     #[must_use]
     pub fn plus(self, records: u64) -> Self {
         Self(self.0 + records)
     }
 
-    /// The fencing token of a claim that is recorded here.
+    /// Fencing token of a claim recorded at this position.
     #[must_use]
     pub fn token(self) -> FencingToken {
         FencingToken(LogOffset(self.0))
@@ -209,13 +211,14 @@
     }
 }
 
-/// Offset of the accepted takeover that made a daemon holder of a target; larger is newer.
+/// Fencing token of a holder: the offset or packed position of the record that made it the holder; larger is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FencingToken(pub LogOffset);
 
-/// One life of a target, from one start of it to the next under the same name: the later the start, the newer. A target
-/// that does not say when it started is in the oldest.
+/// Life of a target: the span from one start to the next start under the same name.
+///
+/// Lives are ordered by start time. A target that does not report when it started is in the default life, the oldest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -223,33 +226,33 @@
 pub struct TargetLife(u64);
 
 impl TargetLife {
-    /// The life that began at a Unix time, in milliseconds.
+    /// Creates the life that started at a Unix time in milliseconds.
     #[must_use]
     pub fn started_at_ms(unix_ms: u64) -> Self {
         Self(unix_ms.saturating_add(1))
     }
 }
 
-/// A target in one of its lives. What is counted or kept by it ends with that life.
+/// One run of a target: its name and life. State keyed by a run does not carry over to the target's next life.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetRun {
-    /// The target.
+    /// Name of the target.
     pub name: TargetName,
-    /// Its life.
+    /// Life of the target.
     pub life: TargetLife,
 }
 
-/// One run of a daemon process; drawn anew at each start.
+/// Incarnation of a daemon process; a new value is drawn at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A daemon's VM and the run of the process on it.
+/// Incarnation of a daemon on its VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DaemonRef {
-    /// The VM.
+    /// VM that runs the daemon.
     pub vm: VmName,
-    /// The run of the process.
+    /// Incarnation of the daemon process.
     pub incarnation: Incarnation,
 }
 
@@ -259,12 +262,12 @@
     }
 }
 
-/// Identifies a request in the whole fleet: the gateway's incarnation and a counter.
+/// Id of a request, unique in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestId {
-    /// Incarnation of the gateway that admitted it.
+    /// Incarnation of the gateway that admitted the request.
     pub gateway: Incarnation,
-    /// Counter of that gateway.
+    /// Counter value of that gateway.
     pub counter: u64,
 }
 
@@ -274,7 +277,7 @@
     }
 }
 
-/// Monotonic time since an origin that the caller chose, in microseconds.
+/// Monotonic time in microseconds since an origin chosen by the code that drives this crate.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -282,13 +285,13 @@
 pub struct Instant(pub u64);
 
 impl Instant {
-    /// Time that passed since `earlier`; zero if it lies in the future.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than this time.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This time plus `span`.
+    /// Time that lies `span` after this one.
     #[must_use]
     pub fn after(self, span: Duration) -> Self {
         Self(self.0 + u64::try_from(span.as_micros()).unwrap_or(u64::MAX >> 1))
@@ -301,18 +304,18 @@
     }
 }
 
-/// How urgent a request is; the order of the variants is the order of service.
+/// Priority of a request; the variants are in the order of service.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Somebody is held up until it is answered.
+    /// Someone cannot go on working until the request is answered.
     Urgent,
-    /// Ordinary interactive work.
+    /// Interactive work.
     #[default]
     Normal,
-    /// Work that can wait.
+    /// Work that tolerates delay.
     Batch,
 }
 
@@ -320,7 +323,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Batch];
 
-    /// The class as text.
+    /// Name of the class, as parsed by [`PriorityClass::parse`].
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -330,13 +333,13 @@
         }
     }
 
-    /// Parses a class.
+    /// Parses the name of a class.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|class| class.as_str() == text)
     }
 
-    /// Index into arrays by class.
+    /// Index into arrays that have one entry per class.
     #[must_use]
     pub fn index(self) -> usize {
         self as usize
@@ -349,7 +352,7 @@
     }
 }
 
-/// SHA-256 of a bearer token, in hexadecimal; the token itself is never kept.
+/// SHA-256 of a bearer token in hexadecimal; the token itself is never stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TokenHash(String);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,19 +1,19 @@
-//! Decisions of hoplanding without input or output.
+//! Decision logic of hoplanding, without input or output.
 //!
-//! Everything here is a pure function of state, a message and the time that the caller passes in. Sockets, files,
-//! timers and randomness live in the daemon round it.
+//! All decisions are deterministic functions of a state, a message and the time passed in. Sockets, files, timers and
+//! randomness belong to the daemon that uses this crate.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`ids`] | names and numbers that identify things |
-//! | [`direct`] | the path on which gateways send straight to targets, and a zone has one holder |
-//! | [`log`] | the records that daemons append to the platform's log |
-//! | [`config`] | the fold of the log into the configuration, its audit trail and its snapshots |
-//! | [`ownership`] | which daemon holds a target, and what it may order there |
-//! | [`request`] | the life cycle of a request, idempotency tokens and callers' keys |
-//! | [`policy`] | popularity, loads, eviction, dispatch, routing and limits |
-//! | [`membership`] | which VMs are live, suspect, leaving or gone |
-//! | [`language`] | the operators' query and command language |
+//! | [`ids`] | identifiers: names, log positions, incarnations and points in time |
+//! | [`direct`] | direct data path: gateways send requests straight to targets, and one holder per zone sends orders |
+//! | [`log`] | records that daemons append to the platform's log, and the state folded from them |
+//! | [`config`] | configuration folded from the log, with its audit trail |
+//! | [`ownership`] | which daemon holds a target, and which orders it may send there |
+//! | [`request`] | life cycle of requests, retries, idempotency tokens and callers' keys |
+//! | [`policy`] | popularity, adapter loads, eviction, dispatch, routing and limits |
+//! | [`membership`] | failure detection: which VMs are live, suspect, leaving or gone |
+//! | [`language`] | query and command language for operators |
 
 pub mod config;
 pub mod direct;
--- a/crates/core/src/log/fold.rs
+++ b/crates/core/src/log/fold.rs
@@ -1,7 +1,8 @@
-//! The fold of the whole log.
+//! State folded from the platform's log.
 //!
-//! [`FoldedState`] is the one thing that every daemon derives from the log. It applies records by offset and never
-//! goes back: a record at or below the applied offset is passed over.
+//! [`FoldedState`] is the state that every daemon derives from the log by applying its records in the order of their
+//! offsets. It never moves backwards: a record at or below the applied offset is ignored, and a snapshot replaces the
+//! state only if it is newer.
 
 use crate::{
     config::{ConfigState, FoldOutcome},
@@ -12,41 +13,41 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Characters of a snapshot that one record carries.
+/// Maximum number of bytes of a snapshot's JSON text in one record.
 pub const MAX_SNAPSHOT_PART_BYTES: usize = 128 * 1024;
 
-/// Configuration, holders and keys as of an offset.
+/// Configuration, target ownership and key claims as of a log offset.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FoldedState {
-    /// Offset of the last record that is folded in; zero before the first.
+    /// Offset of the last applied record; zero before the first.
     pub applied: LogOffset,
-    /// The configuration.
+    /// Configuration.
     pub config: ConfigState,
-    /// The holders of the targets.
+    /// Target ownership.
     pub ownership: OwnershipState,
-    /// Claims of callers' own keys.
+    /// Claims of callers' idempotency keys.
     pub keys: KeyTable,
-    /// Offset up to which the newest snapshot in the log reaches.
+    /// Highest offset covered by a snapshot whose last part was read.
     pub snapshot_through: LogOffset,
 }
 
-/// What a record did.
+/// Effect of a record on the folded state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FoldEffect {
-    /// Nothing.
+    /// No effect.
     None,
-    /// A change was accepted or refused.
+    /// A configuration change was accepted or refused.
     Change(ChangeId, FoldOutcome),
-    /// Something became of a target's holder.
+    /// A record about target ownership was applied.
     Ownership(OwnershipEffect),
-    /// Keys were claimed.
+    /// Idempotency keys were claimed.
     Keys,
-    /// A snapshot part was seen.
+    /// A snapshot part was read.
     Snapshot,
 }
 
 impl FoldedState {
-    /// Folds one record; one at or below the applied offset has no effect.
+    /// Applies one record; a record at or below the applied offset has no effect.
     pub fn apply(&mut self, offset: LogOffset, record: &LogRecord) -> FoldEffect {
         if offset <= self.applied {
             return FoldEffect::None;
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Passes over a record that can't be decoded; every daemon passes over the same ones.
+    /// Skips a record that cannot be decoded. Every daemon must skip the same records, or their states would diverge.
     pub fn skip(&mut self, offset: LogOffset) {
         self.applied = self.applied.max(offset);
     }
 
-    /// Takes another daemon's state if it is newer; an older one is refused.
+    /// Replaces the state by another daemon's state if that is newer; returns whether it did.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         if other.applied <= self.applied {
             return false;
@@ -95,10 +96,10 @@
         true
     }
 
-    /// Splits the state into records for the log.
+    /// Splits the state into snapshot records for the log; `writer` tells apart snapshots of different writers.
     ///
     /// # Panics
-    /// Never: the state always has a JSON form.
+    /// Does not panic in practice, because the state can always be serialised to JSON.
     #[must_use]
     pub fn snapshot_parts(&self, writer: u64) -> Vec<SnapshotPart> {
         let text = serde_json::to_string(self).expect("the state has a JSON form");
@@ -134,7 +135,7 @@
     pieces
 }
 
-/// Puts snapshots together from their parts.
+/// Assembles a snapshot from its parts.
 #[derive(Debug, Default)]
 pub struct SnapshotAssembler {
     key: Option<(LogOffset, u64)>,
@@ -142,11 +143,12 @@
 }
 
 impl SnapshotAssembler {
-    /// Takes a part; returns the state once all parts of one snapshot are there.
+    /// Adds a part; returns the state once all parts of one snapshot are present. A part of an older snapshot is ignored,
+    /// and one of another snapshot discards the parts collected so far.
     pub fn add(&mut self, part: &SnapshotPart) -> Option<FoldedState> {
         let key = (part.through, part.writer);
         if self.key != Some(key) {
-            if self.key.is_some_and(|held| held.0 > part.through) {
+            if self.key.is_some_and(|current| current.0 > part.through) {
                 return None;
             }
             self.key = Some(key);
--- a/crates/core/src/log/mod.rs
+++ b/crates/core/src/log/mod.rs
@@ -1,7 +1,8 @@
-//! The records that daemons append to the platform's log.
+//! Records that daemons append to the platform's log.
 //!
-//! The platform orders records by offset and keeps them for a limited time. Every daemon folds the same records in
-//! the same order, so every daemon reaches the same state without asking another one.
+//! The platform orders records by offset and retains them for a limited time. Every daemon applies the same records in
+//! the same order, so all daemons reach the same state without a further agreement. Snapshots let a daemon catch up
+//! after older records have expired.
 
 mod fold;
 
@@ -21,112 +22,112 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum LogRecord {
-    /// A configuration change; accepted or refused by the fold.
+    /// Configuration change, accepted or refused when it is applied.
     Change(ChangeRecord),
-    /// A daemon takes a target over from the holder it names.
+    /// Takeover of a target from the named holder.
     Takeover(TakeoverRecord),
-    /// A holder intends to unload an adapter from a target that does not check fencing tokens.
+    /// A holder's intent to unload an adapter from a target that does not check fencing tokens.
     UnloadIntent(IntentRecord),
-    /// The unload that an intent announced is over, or never happens.
+    /// End of an unload intent: the unload was executed or will never be.
     IntentClosed(IntentClosedRecord),
-    /// A former holder has nothing sent or running on a target any more.
+    /// A former holder has nothing left sent or running on a target.
     Settled(SettledRecord),
-    /// Callers' own idempotency keys, claimed in one batch.
+    /// Batch of claims of callers' idempotency keys.
     KeyClaims(KeyClaimsRecord),
-    /// A part of the whole state up to an offset.
+    /// Part of a snapshot of the folded state.
     Snapshot(SnapshotPart),
 }
 
-/// A configuration change as an operator asked for it.
+/// Configuration change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// Identifies the change, so that a second copy has no second effect.
+    /// Id of the change, by which a duplicate record is recognised and ignored.
     pub id: ChangeId,
-    /// Who asked for it.
+    /// Operator who requested the change.
     pub operator: OperatorName,
-    /// The daemon that it came through.
+    /// VM of the daemon that received the change.
     pub via: VmName,
-    /// Wall-clock time at that daemon, in milliseconds since 1970; for the audit trail only.
+    /// Wall-clock time at that daemon in milliseconds since the Unix epoch; for the audit trail only.
     pub at_ms: u64,
-    /// The command as typed.
+    /// Command as entered by the operator.
     pub text: String,
-    /// The parts; they stand or fall together.
+    /// Parts of the change, applied all or none.
     pub parts: Vec<ChangePart>,
 }
 
-/// One part of a change and the revision of the object that it was based on.
+/// Part of a change, with the revision of the object that it is based on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangePart {
-    /// Revision of the object that the operator saw; offset zero if there was none.
+    /// Revision of the object that the operator saw; zero if the object did not exist.
     pub based_on: LogOffset,
-    /// What changes.
+    /// The change itself.
     pub change: ConfigChange,
 }
 
-/// Takes a target over; the offset of the accepted record is the fencing token.
+/// Takeover of a target; the offset of an accepted record is the new holder's fencing token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TakeoverRecord {
     /// The target.
     pub target: TargetName,
-    /// Token of the holder that it replaces; none if there was none.
+    /// Fencing token of the holder to replace; none if the target has no holder.
     pub replaces: Option<FencingToken>,
-    /// The new holder.
+    /// New holder.
     pub holder: DaemonRef,
 }
 
-/// Announces an unload on a target that does not check fencing tokens.
+/// Intent to unload an adapter from a target that does not check fencing tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IntentRecord {
     /// The target.
     pub target: TargetName,
-    /// What is to be unloaded.
+    /// Adapter version to unload.
     pub adapter: AdapterVersion,
-    /// Token of the holder that announces it.
+    /// Fencing token of the holder that intends the unload.
     pub token: FencingToken,
-    /// Number of the holder's announcement, to find it again after a lost answer.
+    /// Number of the holder's intent, by which it recognises the record after the answer to an append was lost.
     pub number: u64,
 }
 
-/// Closes an intent.
+/// End of an unload intent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct IntentClosedRecord {
     /// The target.
     pub target: TargetName,
-    /// Token of the holder that announced it.
+    /// Fencing token in the intent.
     pub token: FencingToken,
-    /// Number of the announcement.
+    /// Number of the intent.
     pub number: u64,
 }
 
-/// States that a former holder is settled on a target.
+/// Statement that a former holder has nothing left sent or running on a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SettledRecord {
     /// The target.
     pub target: TargetName,
-    /// Token of the former holder.
+    /// Fencing token of the former holder.
     pub token: FencingToken,
 }
 
-/// Claims of callers' own idempotency keys.
+/// Batch of claims of callers' idempotency keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyClaimsRecord {
-    /// The daemon that runs the claimed requests.
+    /// Daemon that claims the keys and runs the requests whose claims win.
     pub holder: DaemonRef,
-    /// The claims.
+    /// Claims of the batch.
     pub claims: Vec<KeyClaim>,
 }
 
-/// One part of a snapshot of the folded state.
+/// Part of a snapshot of the folded state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotPart {
-    /// Offset of the last record that is folded in.
+    /// Offset of the last record that the snapshot includes.
     pub through: LogOffset,
-    /// Number that tells apart snapshots of two writers.
+    /// Number that tells apart snapshots of different writers.
     pub writer: u64,
     /// Index of the part, from zero.
     pub index: u32,
     /// Number of parts.
     pub count: u32,
-    /// Its piece of the state's JSON form.
+    /// This part's section of the state's JSON text.
     pub text: String,
 }
--- a/crates/core/tests/fold.rs
+++ b/crates/core/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the log under races, lost answers, duplicates, cut-offs and expiry.
+//! Tests of the state folded from the log: conflicting changes, duplicate records, snapshots and expired records.
 
 use hoplanding_core::{
     config::{ChangeConflict, ConfigChange, FoldOutcome},
@@ -11,9 +11,9 @@
 };
 use proptest::prelude::*;
 
-/// Schedules of races that are tried.
+/// Random schedules per property.
 const SCHEDULES: u32 = 1000;
-/// Daemons that fold the same log.
+/// Number of daemons that read the same log.
 const DAEMONS: usize = 4;
 
 fn record(id: &str, parts: Vec<ChangePart>) -> ChangeRecord {
@@ -58,12 +58,14 @@
     let offset = LogOffset(state.applied.0 + 1);
     match state.apply(offset, &LogRecord::Change(record)) {
         FoldEffect::Change(_, outcome) => outcome,
-        other => panic!("{other:?} is no change"),
+        other => panic!("{other:?} is not the effect of a change"),
     }
 }
 
+/// Guards against a change that silently overwrites a concurrent one, and against a conflict message without the author,
+/// the offset and the remedy.
 #[test]
-fn the_loser_of_a_race_is_told_who_won() {
+fn a_conflicting_change_is_refused_with_the_change_that_won() {
     let mut state = FoldedState::default();
     let setup = vec![
         part(&state, create("a")),
@@ -78,7 +80,7 @@
         FoldOutcome::Accepted(LogOffset(2))
     );
     let FoldOutcome::Refused(_, conflict) = apply(&mut state, second) else {
-        panic!("the second change is based on an old revision");
+        panic!("a change based on an old revision must be refused");
     };
     insta::assert_snapshot!(conflict, @r#"adapter a was changed at offset 2 by ops (`first`) after you read it at 1: look at `show changes where object = "adapter a"` and repeat your command if it still applies"#);
     assert_eq!(
@@ -90,8 +92,9 @@
     );
 }
 
+/// Guards against a change that is applied in part when one of its parts is refused.
 #[test]
-fn parts_of_a_change_stand_or_fall_together() {
+fn a_change_with_a_refused_part_is_not_applied() {
     let mut state = FoldedState::default();
     let setup = vec![part(&state, create("a")), part(&state, publish("a", "v1"))];
     apply(&mut state, record("setup", setup));
@@ -109,8 +112,9 @@
     assert_eq!(state.config.adapters, before);
 }
 
+/// Guards against a change that takes effect twice. A daemon appends it again when the answer to its first append is lost.
 #[test]
-fn a_second_copy_has_no_second_effect() {
+fn a_duplicate_change_has_no_second_effect() {
     let mut state = FoldedState::default();
     let change = record("once", vec![part(&state, create("a"))]);
     let first = apply(&mut state, change.clone());
@@ -119,8 +123,9 @@
     assert_eq!(state.config.audit.len(), 1);
 }
 
+/// Guards against two daemons that both consider themselves the winner of a key.
 #[test]
-fn the_lowest_claim_of_a_key_wins_everywhere() {
+fn the_claim_at_the_lowest_offset_wins() {
     let daemon = |vm: &str| DaemonRef {
         vm: VmName::new(vm),
         incarnation: Incarnation(1),
@@ -150,21 +155,21 @@
     assert_eq!(state.keys.outcome(&key, &daemon("a1")), Some(lost));
 }
 
-/// One step of a schedule.
+/// Step of a schedule.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A daemon makes a change from what it has folded, perhaps with its answer lost and appended again.
+    /// A daemon appends a change based on its own state, possibly twice as after a lost answer.
     Change {
         daemon: usize,
         adapter: u8,
         version: u8,
         copies: usize,
     },
-    /// A daemon reads some records.
+    /// A daemon reads up to `records` records.
     Read { daemon: usize, records: usize },
-    /// The oldest records expire, after a snapshot of a daemon was appended.
+    /// A daemon appends a snapshot, and then the oldest records expire.
     Expire { daemon: usize, keep: usize },
-    /// A daemon starts from nothing.
+    /// A daemon restarts with an empty state.
     Restart { daemon: usize },
 }
 
@@ -179,28 +184,28 @@
     ]
 }
 
-/// The log and the daemons that fold it.
+/// The log and the states of the daemons that read it.
 #[derive(Default)]
 struct Fleet {
-    /// Every record ever appended; `expired` of them can no longer be read.
+    /// Every record ever appended; the first `expired` of them can no longer be read.
     log: Vec<LogRecord>,
     expired: usize,
     daemons: Vec<FoldedState>,
-    highest: Vec<LogOffset>,
-    truth: FoldedState,
+    highest_applied: Vec<LogOffset>,
+    expected: FoldedState,
 }
 
 impl Fleet {
     fn new() -> Self {
         Self {
             daemons: vec![FoldedState::default(); DAEMONS],
-            highest: vec![LogOffset::default(); DAEMONS],
+            highest_applied: vec![LogOffset::default(); DAEMONS],
             ..Self::default()
         }
     }
 
     fn append(&mut self, record: LogRecord) {
-        self.truth
+        self.expected
             .apply(LogOffset(self.log.len() as u64 + 1), &record);
         self.log.push(record);
     }
@@ -236,9 +241,9 @@
                     for snapshot in self.daemons[*daemon].snapshot_parts(*daemon as u64) {
                         self.append(LogRecord::Snapshot(snapshot));
                     }
-                    // Expiry never reaches beyond what the snapshot covers.
-                    let covered = self.daemons[*daemon].applied.0 as usize;
-                    self.expired = self.expired.max(covered.saturating_sub(*keep));
+                    // Records expire only if the snapshot covers them.
+                    let covered_records = self.daemons[*daemon].applied.0 as usize;
+                    self.expired = self.expired.max(covered_records.saturating_sub(*keep));
                 }
             }
             Step::Restart { daemon } => self.daemons[*daemon] = FoldedState::default(),
@@ -247,20 +252,21 @@
 
     fn read(&mut self, daemon: usize, records: usize) {
         if (self.daemons[daemon].applied.0 as usize) < self.expired {
-            self.catch_up_by_snapshot(daemon);
+            self.catch_up_from_snapshot(daemon);
         }
         let from = self.daemons[daemon].applied.0 as usize;
         for index in from..(from + records).min(self.log.len()) {
             self.daemons[daemon].apply(LogOffset(index as u64 + 1), &self.log[index]);
         }
         assert!(
-            self.daemons[daemon].applied >= self.highest[daemon]
-                || from < self.highest[daemon].0 as usize
+            self.daemons[daemon].applied >= self.highest_applied[daemon]
+                || from < self.highest_applied[daemon].0 as usize
         );
-        self.highest[daemon] = self.highest[daemon].max(self.daemons[daemon].applied);
+        self.highest_applied[daemon] =
+            self.highest_applied[daemon].max(self.daemons[daemon].applied);
     }
 
-    fn catch_up_by_snapshot(&mut self, daemon: usize) {
+    fn catch_up_from_snapshot(&mut self, daemon: usize) {
         let mut assembler = SnapshotAssembler::default();
         for record in &self.log[self.expired..] {
             if let LogRecord::Snapshot(part) = record
@@ -271,7 +277,7 @@
         }
         assert!(
             self.daemons[daemon].applied.0 as usize >= self.expired,
-            "a snapshot covers what expired"
+            "a snapshot must cover every expired record"
         );
     }
 }
@@ -284,22 +290,23 @@
         ..ProptestConfig::default()
     })]
 
-    /// No revert, no fork, no accepted change lost: whatever the schedule, all daemons end with the same state.
+    /// Guards against states that diverge, revert or lose an accepted change, under any order of reads, duplicates,
+    /// snapshots, expiry and restarts.
     #[test]
     fn all_daemons_end_with_the_same_state(steps in prop::collection::vec(step(), 1..60)) {
         let mut fleet = Fleet::new();
         for (number, step) in steps.iter().enumerate() {
             fleet.run(number, step);
         }
-        let accepted = fleet.truth.config.audit.len();
+        let accepted = fleet.expected.config.audit.len();
         for daemon in 0..DAEMONS {
             fleet.read(daemon, usize::MAX / 2);
-            prop_assert_eq!(&fleet.daemons[daemon], &fleet.truth);
+            prop_assert_eq!(&fleet.daemons[daemon], &fleet.expected);
             prop_assert_eq!(fleet.daemons[daemon].config.audit.len(), accepted);
         }
     }
 
-    /// A state never goes back, also not by a snapshot.
+    /// Guards against a state that moves backwards because an older snapshot is read late.
     #[test]
     fn an_older_snapshot_is_refused(cut in 0..20usize) {
         let mut old = FoldedState::default();
@@ -319,6 +326,6 @@
 }
 
 #[test]
-fn ids_of_changes_are_compared_as_text() {
+fn change_ids_are_compared_as_text() {
     assert_eq!(ChangeId::new("x"), "x".into());
 }
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -1,4 +1,7 @@
-//! The core's own ownership code over the steps of `specs/ownership.pml`: pauses anywhere, late records, a crash.
+//! Simulation of target ownership: the production code of several daemons under random schedules.
+//!
+//! The steps are those of `specs/ownership.pml`. Daemons pause anywhere, records and messages arrive late, and one daemon
+//! may crash.
 
 use hoplanding_core::{
     ids::{AdapterVersion, DaemonRef, FencingToken, Incarnation, LogOffset, TargetName, VmName},
@@ -13,7 +16,7 @@
 const ADAPTERS: usize = 2;
 const TARGET: &str = "engine-1";
 
-/// One step of one daemon or of the target; any may come at any time.
+/// Step of a daemon or of the target; steps may come in any order.
 #[derive(Clone, Debug)]
 enum Step {
     Read(usize),
@@ -64,20 +67,20 @@
     in_flight: [usize; ADAPTERS],
     announced: Option<(usize, u64)>,
     unloading: Option<usize>,
-    numbers: u64,
-    dead: bool,
+    last_intent: u64,
+    is_crashed: bool,
 }
 
-struct World {
-    checks: bool,
+struct Simulation {
+    checks_fencing: bool,
     log: Vec<LogRecord>,
     daemons: Vec<Daemon>,
-    on_way: Vec<Request>,
-    serving: Vec<Request>,
-    unloads: Vec<Request>,
-    loaded: [bool; ADAPTERS],
-    known: Option<FencingToken>,
-    unloads_done: usize,
+    requests_in_transit: Vec<Request>,
+    running_requests: Vec<Request>,
+    unloads_in_transit: Vec<Request>,
+    loaded_adapters: [bool; ADAPTERS],
+    highest_token: Option<FencingToken>,
+    executed_unloads: usize,
     unloaded_while_serving: bool,
 }
 
@@ -92,18 +95,18 @@
     }
 }
 
-impl World {
-    fn new(checks: bool) -> Self {
+impl Simulation {
+    fn new(checks_fencing: bool) -> Self {
         Self {
-            checks,
+            checks_fencing,
             log: Vec::new(),
             daemons: (0..DAEMONS).map(|_| Daemon::default()).collect(),
-            on_way: Vec::new(),
-            serving: Vec::new(),
-            unloads: Vec::new(),
-            loaded: [true; ADAPTERS],
-            known: None,
-            unloads_done: 0,
+            requests_in_transit: Vec::new(),
+            running_requests: Vec::new(),
+            unloads_in_transit: Vec::new(),
+            loaded_adapters: [true; ADAPTERS],
+            highest_token: None,
+            executed_unloads: 0,
             unloaded_while_serving: false,
         }
     }
@@ -118,62 +121,71 @@
     }
 
     fn is_stale(&mut self, token: FencingToken) -> bool {
-        let stale = self.checks && self.known.is_some_and(|known| token < known);
-        if !stale {
-            self.known = self.known.max(Some(token));
+        let is_stale =
+            self.checks_fencing && self.highest_token.is_some_and(|highest| token < highest);
+        if !is_stale {
+            self.highest_token = self.highest_token.max(Some(token));
         }
-        stale
+        is_stale
     }
 
     fn run(&mut self, step: &Step) {
         match *step {
-            Step::Read(daemon) if !self.daemons[daemon].dead => self.read(daemon),
-            Step::TakeOver(daemon) if !self.daemons[daemon].dead => {
-                let present = self.target(daemon).holder;
-                if present
+            Step::Read(daemon) if !self.daemons[daemon].is_crashed => self.read(daemon),
+            Step::TakeOver(daemon) if !self.daemons[daemon].is_crashed => {
+                let current = self.target(daemon).holder;
+                if current
                     .as_ref()
                     .is_none_or(|lease| lease.daemon != daemon_ref(daemon))
                 {
                     self.log.push(LogRecord::Takeover(TakeoverRecord {
                         target: TargetName::new(TARGET),
-                        replaces: present.map(|lease| lease.token),
+                        replaces: current.map(|lease| lease.token),
                         holder: daemon_ref(daemon),
                     }));
                 }
             }
-            Step::Present(daemon) if !self.daemons[daemon].dead => {
+            Step::Present(daemon) if !self.daemons[daemon].is_crashed => {
                 let token = self.daemons[daemon].held.as_ref().map(|held| held.token);
-                if let Some(token) = token.filter(|_| self.checks)
+                if let Some(token) = token.filter(|_| self.checks_fencing)
                     && !self.is_stale(token)
                     && let Some(held) = &mut self.daemons[daemon].held
                 {
                     held.acknowledge(token);
                 }
             }
-            Step::Dispatch(daemon, number) if !self.daemons[daemon].dead => {
+            Step::Dispatch(daemon, number) if !self.daemons[daemon].is_crashed => {
                 self.dispatch(daemon, number)
             }
-            Step::Announce(daemon, number) if !self.daemons[daemon].dead => {
+            Step::Announce(daemon, number) if !self.daemons[daemon].is_crashed => {
                 self.announce(daemon, number)
             }
             Step::GiveUp(daemon) => self.daemons[daemon].announced = None,
-            Step::SendUnload(daemon) if !self.daemons[daemon].dead => self.send_unload(daemon),
-            Step::Settle(daemon) if !self.daemons[daemon].dead => self.settle(daemon),
-            Step::Crash => self.daemons[0].dead = true,
-            Step::RequestArrives(index) if !self.on_way.is_empty() => {
-                let request = self.on_way.remove(index % self.on_way.len());
-                if !self.is_stale(request.token) && self.loaded[request.adapter] {
-                    self.serving.push(request);
+            Step::SendUnload(daemon) if !self.daemons[daemon].is_crashed => {
+                self.send_unload(daemon)
+            }
+            Step::Settle(daemon) if !self.daemons[daemon].is_crashed => self.settle(daemon),
+            Step::Crash => self.daemons[0].is_crashed = true,
+            Step::RequestArrives(index) if !self.requests_in_transit.is_empty() => {
+                let request = self
+                    .requests_in_transit
+                    .remove(index % self.requests_in_transit.len());
+                if !self.is_stale(request.token) && self.loaded_adapters[request.adapter] {
+                    self.running_requests.push(request);
                 } else {
                     self.daemons[request.daemon].in_flight[request.adapter] -= 1;
                 }
             }
-            Step::RequestEnds(index) if !self.serving.is_empty() => {
-                let request = self.serving.remove(index % self.serving.len());
+            Step::RequestEnds(index) if !self.running_requests.is_empty() => {
+                let request = self
+                    .running_requests
+                    .remove(index % self.running_requests.len());
                 self.daemons[request.daemon].in_flight[request.adapter] -= 1;
             }
-            Step::UnloadArrives(index) if !self.unloads.is_empty() => self.unload_arrives(index),
-            Step::Load(number) => self.loaded[number] = true,
+            Step::UnloadArrives(index) if !self.unloads_in_transit.is_empty() => {
+                self.unload_arrives(index)
+            }
+            Step::Load(number) => self.loaded_adapters[number] = true,
             _ => {}
         }
     }
@@ -199,11 +211,11 @@
                     .as_ref()
                     .is_none_or(|held| held.token != lease.token) =>
             {
-                state.held = Some(HeldTarget::new(lease.token, self.checks));
+                state.held = Some(HeldTarget::new(lease.token, self.checks_fencing));
             }
             Some(_) => {}
         }
-        // A late announcement of one that was given up is closed.
+        // Closes an own intent that appears in the log after it was abandoned.
         if let LogRecord::UnloadIntent(intent) = record
             && state
                 .held
@@ -223,19 +235,19 @@
     fn dispatch(&mut self, daemon: usize, number: usize) {
         let ownership = self.target(daemon);
         let state = &mut self.daemons[daemon];
-        let busy = state.unloading == Some(number)
+        let is_unloading = state.unloading == Some(number)
             || state
                 .announced
                 .is_some_and(|(announced, _)| announced == number);
         let Some(held) = state
             .held
             .as_ref()
-            .filter(|held| !busy && held.can_dispatch(&ownership, &adapter(number)))
+            .filter(|held| !is_unloading && held.can_dispatch(&ownership, &adapter(number)))
         else {
             return;
         };
         state.in_flight[number] += 1;
-        self.on_way.push(Request {
+        self.requests_in_transit.push(Request {
             daemon,
             adapter: number,
             token: held.token,
@@ -256,14 +268,14 @@
         if state.announced.is_some() || state.unloading.is_some() {
             return;
         }
-        state.numbers += 1;
-        state.announced = Some((number, state.numbers));
-        if !self.checks {
+        state.last_intent += 1;
+        state.announced = Some((number, state.last_intent));
+        if !self.checks_fencing {
             self.log.push(LogRecord::UnloadIntent(IntentRecord {
                 target: TargetName::new(TARGET),
                 adapter: adapter(number),
                 token: held.token,
-                number: state.numbers,
+                number: state.last_intent,
             }));
         }
     }
@@ -271,19 +283,19 @@
     fn send_unload(&mut self, daemon: usize) {
         let ownership = self.target(daemon);
         let state = &mut self.daemons[daemon];
-        let (Some(held), Some((number, announcement))) = (&state.held, state.announced) else {
+        let (Some(held), Some((number, intent_number))) = (&state.held, state.announced) else {
             return;
         };
         let permit = held.permit_unload(
             &ownership,
             &adapter(number),
-            Some(announcement),
+            Some(intent_number),
             state.in_flight[number],
         );
         if let Ok(permit) = permit {
             state.announced = None;
             state.unloading = Some(number);
-            self.unloads.push(Request {
+            self.unloads_in_transit.push(Request {
                 daemon,
                 adapter: number,
                 token: permit.token(),
@@ -292,46 +304,50 @@
     }
 
     fn unload_arrives(&mut self, index: usize) {
-        let order = self.unloads.remove(index % self.unloads.len());
+        let order = self
+            .unloads_in_transit
+            .remove(index % self.unloads_in_transit.len());
         if !self.is_stale(order.token) {
             self.unloaded_while_serving |= self
-                .serving
+                .running_requests
                 .iter()
                 .any(|request| request.adapter == order.adapter);
-            self.loaded[order.adapter] = false;
-            self.unloads_done += 1;
+            self.loaded_adapters[order.adapter] = false;
+            self.executed_unloads += 1;
         }
         let state = &mut self.daemons[order.daemon];
         state.unloading = None;
-        if !state.dead && !self.checks {
+        if !state.is_crashed && !self.checks_fencing {
             let closed = IntentClosedRecord {
                 target: TargetName::new(TARGET),
                 token: order.token,
-                number: state.numbers,
+                number: state.last_intent,
             };
             self.log.push(LogRecord::IntentClosed(closed));
         }
     }
 
-    /// A daemon settles its own past, or that of the dead one.
+    /// Declares former holders settled: the daemon's own earlier leases, and those of the crashed daemon.
     fn settle(&mut self, daemon: usize) {
         let ownership = self.target(daemon);
         let state = &self.daemons[daemon];
-        let own_quiet =
+        let is_own_idle =
             state.unloading.is_none() && (state.held.is_some() || state.in_flight == [0; ADAPTERS]);
-        let of_dead = |requests: &[Request]| requests.iter().any(|request| request.daemon == 0);
+        let any_of_crashed =
+            |requests: &[Request]| requests.iter().any(|request| request.daemon == 0);
         let evidence = SettleEvidence {
-            vm_unlisted: self.daemons[0].dead,
+            vm_unlisted: self.daemons[0].is_crashed,
             zone_still_listed: true,
-            delivery_bound_passed: !of_dead(&self.on_way) && !of_dead(&self.unloads),
-            no_requests_running: !of_dead(&self.serving),
+            delivery_bound_passed: !any_of_crashed(&self.requests_in_transit)
+                && !any_of_crashed(&self.unloads_in_transit),
+            no_requests_running: !any_of_crashed(&self.running_requests),
         };
         for lease in &ownership.predecessors {
-            let is_own = lease.daemon == daemon_ref(daemon) && own_quiet;
-            let is_dead = lease.daemon == daemon_ref(0)
+            let is_own_settled = lease.daemon == daemon_ref(daemon) && is_own_idle;
+            let is_crashed_settled = lease.daemon == daemon_ref(0)
                 && state.held.is_some()
                 && is_predecessor_settled(evidence);
-            if is_own || is_dead {
+            if is_own_settled || is_crashed_settled {
                 self.log.push(LogRecord::Settled(SettledRecord {
                     target: TargetName::new(TARGET),
                     token: lease.token,
@@ -349,19 +365,21 @@
         ..ProptestConfig::default()
     })]
 
+    /// Guards against an unload that reaches a target while it serves a request on that adapter, which happens if a former
+    /// holder still dispatches or if an intent becomes visible late.
     #[test]
-    fn a_serving_adapter_is_never_unloaded(checks in any::<bool>(), steps in prop::collection::vec(step(), 20..160)) {
-        let mut world = World::new(checks);
+    fn adapters_that_serve_requests_are_never_unloaded(checks_fencing in any::<bool>(), steps in prop::collection::vec(step(), 20..160)) {
+        let mut simulation = Simulation::new(checks_fencing);
         for step in &steps {
-            world.run(step);
-            prop_assert!(!world.unloaded_while_serving, "unloaded while serving");
+            simulation.run(step);
+            prop_assert!(!simulation.unloaded_while_serving, "unloaded while serving");
         }
     }
 }
 
-/// The property above must be able to fail: enough of its schedules do unload.
+/// Guards against a vacuous property above: enough random schedules must reach an unload and a second holder.
 #[test]
-fn the_schedules_reach_unloads_and_second_holders() {
+fn schedules_reach_unloads_and_second_holders() {
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let (mut unloads, mut takeovers) = (0, 0);
     for _ in 0..300 {
@@ -369,10 +387,10 @@
             .new_tree(&mut runner)
             .expect("a schedule")
             .current();
-        let mut world = World::new(false);
-        steps.iter().for_each(|step| world.run(step));
-        unloads += usize::from(world.unloads_done > 0);
-        takeovers += usize::from(world.daemons.iter().any(|daemon| {
+        let mut simulation = Simulation::new(false);
+        steps.iter().for_each(|step| simulation.run(step));
+        unloads += usize::from(simulation.executed_unloads > 0);
+        takeovers += usize::from(simulation.daemons.iter().any(|daemon| {
             daemon
                 .folded
                 .ownership
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -1,4 +1,4 @@
-//! Tokens, retries and the life cycle.
+//! Tests of idempotency tokens, the retry policy and the life cycle of requests.
 
 use hoplanding_core::{
     config::RequestRule,
@@ -18,8 +18,9 @@
     }
 }
 
+/// Guards against a request that is run again because of a proof that belongs to another request.
 #[test]
-fn a_proof_is_good_for_its_own_request_only() {
+fn a_not_run_proof_applies_only_to_its_own_request() {
     let id = |counter| RequestId {
         gateway: Incarnation(1),
         counter,
@@ -39,8 +40,10 @@
     );
 }
 
+/// Guards against a second run when a caller repeats a request with the same token, and against a token that is reused for
+/// a different request.
 #[test]
-fn a_token_runs_once_and_replays() {
+fn a_token_runs_once_and_then_replays_its_answer() {
     let mut registry: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
     let token = registry.issue();
     let parsed = IdempotencyToken::parse(&token.to_string());
@@ -56,8 +59,9 @@
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Replay("done")));
 }
 
+/// A token whose request was proved not run must stay usable, and one whose outcome is unknown must never run again.
 #[test]
-fn a_released_token_may_run_again_and_a_spent_one_never() {
+fn a_released_token_can_run_again_but_a_spent_one_cannot() {
     let mut registry: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
     let key = DedupKey::Token(registry.issue());
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Run));
@@ -67,8 +71,9 @@
     assert_eq!(registry.begin(&key, 7), Ok(TokenDecision::Unknown));
 }
 
+/// Guards against unbounded memory for answers, and against a second run once an answer was evicted.
 #[test]
-fn kept_answers_are_bounded_and_what_goes_stays_spent() {
+fn a_token_stays_spent_when_its_answer_is_evicted() {
     let mut registry: TokenRegistry<usize> = TokenRegistry::new(daemon("a1", 1), 2);
     let keys: Vec<_> = (0..3).map(|_| DedupKey::Token(registry.issue())).collect();
     for (number, key) in keys.iter().enumerate() {
@@ -79,8 +84,9 @@
     assert_eq!(registry.begin(&keys[2], 7), Ok(TokenDecision::Replay(2)));
 }
 
+/// Guards against a second run on another daemon or after a restart of the issuer, and against tokens never issued.
 #[test]
-fn tokens_belong_to_one_run_of_one_daemon() {
+fn a_token_is_accepted_only_by_the_incarnation_that_issued_it() {
     let mut first: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
     let token = first.issue();
     let other: TokenRegistry<&str> = TokenRegistry::new(daemon("b1", 5), 8);
@@ -97,26 +103,28 @@
     assert_eq!(first.check(&forged), Err(TokenError::NeverIssued));
 }
 
+/// Guards against tokens that two daemons accept after a planned stop, and against a used token that the successor runs
+/// again.
 #[test]
-fn a_planned_stop_hands_open_tokens_to_one_heir() {
-    let mut leaver: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
-    let (used, open) = (leaver.issue(), leaver.issue());
+fn a_planned_stop_transfers_open_tokens_to_one_successor() {
+    let mut stopping: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
+    let (used, open) = (stopping.issue(), stopping.issue());
     assert_eq!(
-        leaver.begin(&DedupKey::Token(used.clone()), 7),
+        stopping.begin(&DedupKey::Token(used.clone()), 7),
         Ok(TokenDecision::Run)
     );
-    let mut heir: TokenRegistry<&str> = TokenRegistry::new(daemon("a2", 1), 8);
-    heir.inherit(&leaver.transfer_to(&daemon("a2", 1)));
+    let mut successor: TokenRegistry<&str> = TokenRegistry::new(daemon("a2", 1), 8);
+    successor.inherit(&stopping.transfer_to(&daemon("a2", 1)));
     assert_eq!(
-        leaver.begin(&DedupKey::Token(open.clone()), 7),
+        stopping.begin(&DedupKey::Token(open.clone()), 7),
         Err(TokenError::Transferred(daemon("a2", 1)))
     );
     assert_eq!(
-        heir.begin(&DedupKey::Token(open), 7),
+        successor.begin(&DedupKey::Token(open), 7),
         Ok(TokenDecision::Run)
     );
     assert_eq!(
-        heir.begin(&DedupKey::Token(used), 7),
+        successor.begin(&DedupKey::Token(used), 7),
         Ok(TokenDecision::Unknown)
     );
 }
@@ -136,8 +144,10 @@
     }
 }
 
+/// Guards against a second run of a request that must not be repeated after the target failed. Retries that run nothing
+/// twice stay allowed.
 #[test]
-fn only_repeatable_work_is_repeated_after_a_failure() {
+fn only_repeatable_requests_are_repeated_after_a_failure() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(4.0, 0.1);
     let mut decide = |rule, end| decide_retry(&limits, &mut budget, &input(rule, end));
@@ -159,8 +169,9 @@
     ));
 }
 
+/// Guards against retries that multiply the load when every request fails.
 #[test]
-fn the_budget_bounds_retries_under_faults() {
+fn the_budget_limits_retries_when_all_requests_fail() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(10.0, 0.1);
     let mut retries = 0;
@@ -183,27 +194,28 @@
     );
 }
 
+/// Guards against retries at a constant rate, beyond the retry time limit or beyond the caller's deadline.
 #[test]
-fn pauses_grow_and_the_deadline_ends_them() {
+fn retry_pauses_grow_until_the_time_limit_or_deadline() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(10.0, 0.1);
-    let mut late = input(RequestRule::Repeatable, AttemptEnd::GivenBack);
-    late.given_back = 4;
-    let RetryDecision::Retry(pause) = decide_retry(&limits, &mut budget, &late) else {
-        panic!("given back work is tried again");
+    let mut returned = input(RequestRule::Repeatable, AttemptEnd::GivenBack);
+    returned.given_back = 4;
+    let RetryDecision::Retry(pause) = decide_retry(&limits, &mut budget, &returned) else {
+        panic!("a request that was returned as not run must be retried");
     };
     assert_eq!(pause, Duration::from_millis(240));
-    // Nobody is kept waiting once the search is over.
-    late.given_back_since = Some(Instant(0));
-    late.now = Instant(2_000_000);
+    // The time limit for returned requests has passed.
+    returned.given_back_since = Some(Instant(0));
+    returned.now = Instant(2_000_000);
     assert_eq!(
-        decide_retry(&limits, &mut budget, &late),
+        decide_retry(&limits, &mut budget, &returned),
         RetryDecision::GiveUp
     );
-    late.given_back_since = None;
-    late.now = late.deadline;
+    returned.given_back_since = None;
+    returned.now = returned.deadline;
     assert_eq!(
-        decide_retry(&limits, &mut budget, &late),
+        decide_retry(&limits, &mut budget, &returned),
         RetryDecision::GiveUp
     );
 }
--- a/crates/core/tests/specs.rs
+++ b/crates/core/tests/specs.rs
@@ -1,4 +1,7 @@
-//! Model checking of `specs/` with spin: every state of the protocol, and a counterexample for each measure removed.
+//! Model checking of the Promela models in `specs/` with spin.
+//!
+//! Each model must hold in every reachable state, and must fail once a switch removes one of its safeguards. The second
+//! part shows that the safeguard is necessary and that the model can detect its absence.
 
 use std::{
     fs,
@@ -7,32 +10,31 @@
     thread,
 };
 
-/// Checks that run at the same time.
-const AT_ONCE: usize = 4;
+const MAX_PARALLEL_CHECKS: usize = 4;
 
-/// What is asked of a run.
+/// Expected result of a check.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum SpecQuestion {
-    /// Every state is sound.
-    Sound,
-    /// A state is not: a measure is missing.
-    Broken,
-    /// No state comes back, so every run comes to its end.
-    Ending,
+enum ExpectedResult {
+    /// No reachable state violates the model's properties.
+    Holds,
+    /// A counterexample exists, because a safeguard is removed.
+    Fails,
+    /// No state is reached again, so every run terminates.
+    Terminates,
 }
 
-/// One run of the checker.
+/// One run of the model checker.
 struct SpecCheck {
     model: &'static str,
     flags: &'static [&'static str],
-    question: SpecQuestion,
+    result: ExpectedResult,
 }
 
 const fn holds(model: &'static str, flags: &'static [&'static str]) -> SpecCheck {
     SpecCheck {
         model,
         flags,
-        question: SpecQuestion::Sound,
+        result: ExpectedResult::Holds,
     }
 }
 
@@ -40,15 +42,15 @@
     SpecCheck {
         model,
         flags,
-        question: SpecQuestion::Broken,
+        result: ExpectedResult::Fails,
     }
 }
 
-const fn ends(model: &'static str, flags: &'static [&'static str]) -> SpecCheck {
+const fn terminates(model: &'static str, flags: &'static [&'static str]) -> SpecCheck {
     SpecCheck {
         model,
         flags,
-        question: SpecQuestion::Ending,
+        result: ExpectedResult::Terminates,
     }
 }
 
@@ -68,13 +70,13 @@
     fails("ownership", &["-DN=2", "-DCHECKS", "-DSETTLE_NO_DELIVERY"]),
     fails("ownership", &["-DN=2", "-DCHECKS", "-DSETTLE_NO_IDLE"]),
     fails("ownership", &["-DN=2", "-DCHECKS", "-DSETTLE_ON_RESTART"]),
-    // A target that checks orders only is safe while it does not forget the token in a restart...
+    // A target that checks the tokens of orders only is safe as long as it does not lose the token in a restart.
     holds(
         "ownership",
         &["-DN=2", "-DCHECKS", "-DORDERS_ONLY", "-DRESTARTS=0"],
     ),
     fails("ownership", &["-DN=2", "-DCHECKS", "-DORDERS_ONLY"]),
-    // ... and there the acknowledgement before the first dispatch is what makes it safe.
+    // There, safety depends on the acknowledgement before the first dispatch.
     fails(
         "ownership",
         &[
@@ -115,7 +117,8 @@
     fails("trials", &["-DLAPSE"]),
     fails("trials", &["-DNO_RECORD"]),
     fails("trials", &["-DSECOND_FIRST"]),
-    // All faults at once with two requests and versions, and each of them with more of the rest.
+    // All kinds of faults with two requests and two versions, then fewer kinds with more requests, versions, restarts or
+    // targets.
     holds("versions", &["-DV=2", "-DR=2"]),
     holds("versions", &["-DV=3", "-DR=2", "-DUNLOADS=0"]),
     holds("versions", &["-DV=2", "-DR=3", "-DUNLOADS=0"]),
@@ -128,9 +131,10 @@
         "versions",
         &["-DT=3", "-DV=3", "-DR=2", "-DTAKES=0", "-DUNLOADS=0"],
     ),
-    ends("versions", &["-DV=2", "-DR=2", "-DUNLOADS=0"]),
-    ends("versions", &["-DV=2", "-DR=2", "-DTAKES=0"]),
-    // Moves go on under all measures, after a takeover too.
+    terminates("versions", &["-DV=2", "-DR=2", "-DUNLOADS=0"]),
+    terminates("versions", &["-DV=2", "-DR=2", "-DTAKES=0"]),
+    // SEEK_MOVE searches for a cache transfer after a takeover. It must find one, as the other checks would hold vacuously
+    // without transfers.
     fails("versions", &["-DV=2", "-DR=2", "-DSEEK_MOVE"]),
     fails(
         "versions",
@@ -199,7 +203,8 @@
     ),
     fails("versions", &["-DV=2", "-DR=2", "-DNO_BAR"]),
     fails("versions", &["-DV=2", "-DR=2", "-DBAR_NO_SIGHT"]),
-    // A borrower is barred as its source is, unless targets check the version once more as a request begins.
+    // A target that borrows a cache must be barred like the lender, unless targets check the version again when a request
+    // begins.
     fails(
         "versions",
         &["-DV=2", "-DR=3", "-DUNLOADS=0", "-DBAR_SOURCE_ONLY"],
@@ -214,7 +219,8 @@
             "-DCHECK_AT_BEGIN",
         ],
     ),
-    // That calls name the version known of their copy does not stand in for the bar: a call of the holder before names another.
+    // Calls that name the expected version of their copy do not replace the bar, because a call of the previous holder
+    // names another version.
     fails(
         "versions",
         &[
@@ -225,7 +231,7 @@
             "-DCHECK_AT_BEGIN",
         ],
     ),
-    // The holder's own late orders matter where another measure fails as well.
+    // Late orders of the holder itself matter only if another safeguard is missing as well.
     holds(
         "versions",
         &["-DV=3", "-DR=2", "-DTAKES=0", "-DBAR_OLD_ONLY"],
@@ -313,8 +319,9 @@
         .args(args)
         .current_dir(folder)
         .output();
-    let output = output
-        .unwrap_or_else(|error| panic!("{program} can't be run ({error}): install spin and gcc"));
+    let output = output.unwrap_or_else(|error| {
+        panic!("{program} could not be started ({error}): install spin and gcc")
+    });
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.success() || program.starts_with("./"),
@@ -324,24 +331,28 @@
     text
 }
 
-/// The checker's own report of one run.
-fn check(number: usize, check: &SpecCheck) -> String {
+/// Runs a check and returns the report of the model checker.
+fn run_check(number: usize, check: &SpecCheck) -> String {
     let specs = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../specs");
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("spec-{number}"));
-    fs::create_dir_all(&folder).expect("a folder below the target folder");
+    fs::create_dir_all(&folder).expect("the working folder can be created below the target folder");
     let model = specs.join(format!("{}.pml", check.model));
     let mut args = vec!["-a"];
     args.extend(check.flags);
-    args.push(model.to_str().expect("the path is text"));
+    args.push(model.to_str().expect("the model's path is UTF-8"));
     run("spin", &args, &folder);
-    let is_ending = check.question == SpecQuestion::Ending;
-    // A counterexample turns up soon, so there the compiler's time counts for more than the checker's.
-    let is_short = check.question == SpecQuestion::Broken;
+    let checks_termination = check.result == ExpectedResult::Terminates;
+    // A counterexample is found early, so the compile time outweighs the run time.
+    let expects_failure = check.result == ExpectedResult::Fails;
     run(
         "gcc",
         &[
-            if is_short { "-O1" } else { "-O2" },
-            if is_ending { "-DNP" } else { "-DSAFETY" },
+            if expects_failure { "-O1" } else { "-O2" },
+            if checks_termination {
+                "-DNP"
+            } else {
+                "-DSAFETY"
+            },
             "-DMEMLIM=4000",
             "-w",
             "-o",
@@ -351,29 +362,30 @@
         &folder,
     );
     let mut args = vec!["-m1000000", "-w22"];
-    if is_ending {
-        // The model marks no progress, so this finds every cycle.
+    if checks_termination {
+        // Searches for non-progress cycles; since the model has no progress labels, every cycle is one.
         args.push("-l");
     }
     let report = run("./pan", &args, &folder);
-    fs::remove_dir_all(&folder).expect("the folder was made above");
+    fs::remove_dir_all(&folder).expect("the working folder can be removed");
     report
 }
 
+/// Guards against a protocol change that breaks a property, and against a safeguard that no property needs.
 #[test]
-fn the_protocol_holds_and_every_measure_is_needed() {
+fn models_hold_and_every_safeguard_is_necessary() {
     let checks: Vec<_> = CHECKS.iter().enumerate().collect();
-    for group in checks.chunks(AT_ONCE) {
+    for batch in checks.chunks(MAX_PARALLEL_CHECKS) {
         thread::scope(|scope| {
-            let runs: Vec<_> = group
+            let runs: Vec<_> = batch
                 .iter()
-                .map(|(number, spec)| (spec, scope.spawn(move || check(*number, spec))))
+                .map(|(number, spec)| (spec, scope.spawn(move || run_check(*number, spec))))
                 .collect();
             for (spec, run) in runs {
-                let report = run.join().expect("the run ends");
-                let expected = match spec.question {
-                    SpecQuestion::Broken => "errors: 1",
-                    SpecQuestion::Sound | SpecQuestion::Ending => "errors: 0",
+                let report = run.join().expect("a check must not panic");
+                let expected = match spec.result {
+                    ExpectedResult::Fails => "errors: 1",
+                    ExpectedResult::Holds | ExpectedResult::Terminates => "errors: 0",
                 };
                 assert!(
                     report.contains(expected),
@@ -383,7 +395,7 @@
                 );
                 assert!(
                     !report.contains("max search depth too small"),
-                    "{} {:?} was cut short",
+                    "{} {:?} reached the depth limit: raise the value of -m",
                     spec.model,
                     spec.flags
                 );
