--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -165,8 +165,8 @@
 
 /// Position of a record in the history of the platform's log, ordered by era and then by offset.
 ///
-/// The era comes first because a restored log assigns offsets again that it had assigned before. Both are packed into one
-/// number, so that a fencing token derived from the position increases across eras.
+/// The era comes first because a restored log assigns offsets again that it had assigned before. Both are packed into
+/// one number, so that a fencing token derived from the position increases across eras.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
--- a/crates/core/src/log/fold.rs
+++ b/crates/core/src/log/fold.rs
@@ -143,8 +143,8 @@
 }
 
 impl SnapshotAssembler {
-    /// Adds a part; returns the state once all parts of one snapshot are present. A part of an older snapshot is ignored,
-    /// and one of another snapshot discards the parts collected so far.
+    /// Adds a part; returns the state once all parts of one snapshot are present. A part of an older snapshot is
+    /// ignored, and one of another snapshot discards the parts collected so far.
     pub fn add(&mut self, part: &SnapshotPart) -> Option<FoldedState> {
         let key = (part.through, part.writer);
         if self.key != Some(key) {
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -322,7 +322,8 @@
         peer.listed.is_none() && is_zone_listed && is_bound_passed
     }
 
-    /// Whether a run of a daemon has ended, because its VM reports another incarnation.
+    /// Whether an incarnation of a daemon has ended, because its VM reports another one. Its messages may still arrive
+    /// within the delivery bound.
     #[must_use]
     pub fn is_superseded(&self, daemon: &DaemonRef) -> bool {
         if daemon.vm == self.me.vm {
--- a/crates/core/src/ownership/lease.rs
+++ b/crates/core/src/ownership/lease.rs
@@ -1,7 +1,7 @@
 //! Rules for what a holder may do on its target.
 //!
-//! [`HeldTarget`] is the holder's own view of one target. Its decisions depend only on the state folded from the log and
-//! on acknowledgements of the target, never on time. `specs/ownership.pml` models the same steps.
+//! [`HeldTarget`] is the holder's own view of one target. Its decisions depend only on the state folded from the log
+//! and on acknowledgements of the target, never on time. `specs/ownership.pml` models the same steps.
 
 use crate::{
     ids::{AdapterVersion, FencingToken},
@@ -119,8 +119,8 @@
         self.is_holder(ownership) && self.fence != FenceState::Presented
     }
 
-    /// Checks whether an unload may be planned: this daemon holds the target, no former holder can still be serving, and
-    /// no request is in flight.
+    /// Checks whether an unload may be planned: this daemon holds the target, no former holder can still be serving,
+    /// and no request is in flight.
     ///
     /// # Errors
     /// Returns the first rule that forbids the unload.
--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -8,7 +8,8 @@
 //! 2. On a target that checks fencing tokens, a holder dispatches only after the target has acknowledged its token.
 //! 3. On a target that does not, an unload is announced in the log as an intent, and sent only after the holder has
 //!    read its own intent back while it is still the holder.
-//! 4. A holder unloads nothing until every former holder is settled, that is, has nothing sent or running on the target.
+//! 4. A holder unloads nothing until every former holder is settled, that is, has nothing sent or running on the
+//!    target.
 //! 5. An intent that appears in the log after its holder abandoned it is closed, never executed.
 
 mod assignment;
--- a/crates/core/src/request/keys.rs
+++ b/crates/core/src/request/keys.rs
@@ -1,8 +1,8 @@
 //! Idempotency keys chosen by callers and claimed in the log.
 //!
 //! The claim at the lowest offset wins; a daemon whose claim lost leads its request to the winner's answer. The latest
-//! [`MAX_KEY_CLAIMS`] claims are kept. Eviction depends only on the order of the log, so every daemon and every snapshot
-//! keeps the same claims.
+//! [`MAX_KEY_CLAIMS`] claims are kept. Eviction depends only on the order of the log, so every daemon and every
+//! snapshot keeps the same claims.
 
 use crate::ids::{CallerName, DaemonRef, LogOffset};
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/request/lifecycle.rs
+++ b/crates/core/src/request/lifecycle.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use std::{fmt, marker::PhantomData};
 
-/// State of a request that no byte was sent of, or whose sending was proved void by the receiving daemon.
+/// State of a request that was not handed to a transport, or that the receiving daemon returned as not run.
 #[derive(Debug)]
 pub struct Unsent;
 
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -1,8 +1,8 @@
 //! Retry policy: what to do when an attempt ends without a complete answer.
 //!
 //! Repeats of work that may have run are paid from a budget that grows with admitted requests, so that faults do not
-//! multiply load. A request that was returned
-//! as not run is retried outside the budget, and a broken stream is resumed before its request is repeated.
+//! multiply load. A request that was returned as not run is retried outside the budget, and a broken stream is resumed
+//! before its request is repeated.
 
 use crate::{config::RequestRule, ids::Instant};
 use std::time::Duration;
@@ -38,7 +38,7 @@
     pub max_attempts: u32,
     /// Time during which a request that was returned as not run is retried; these retries cost no target any work.
     pub given_back_timeout: Duration,
-    /// Pause before the first retry; doubles with each attempt.
+    /// Pause before the first retry; doubles with each attempt, at most four times.
     pub initial_backoff: Duration,
     /// Time during which a broken stream may be resumed.
     pub resume_timeout: Duration,
--- a/crates/core/src/request/tokens.rs
+++ b/crates/core/src/request/tokens.rs
@@ -1,9 +1,9 @@
 //! Idempotency tokens issued by daemons.
 //!
-//! A token names the daemon that issued it, its incarnation, and a counter. Only that incarnation may run a request that
-//! carries the token; every other daemon forwards the request to it. Once the incarnation has ended, requests with the
-//! token are never run. This needs neither the log nor a quorum. On a planned stop, the open tokens are transferred to
-//! a named successor, which is then the only daemon that may run them.
+//! A token names the daemon that issued it, its incarnation, and a counter. Only that incarnation may run a request
+//! that carries the token; every other daemon forwards the request to it. Once the incarnation has ended, requests with
+//! the token are never run. This needs neither the log nor a quorum. On a planned stop, the open tokens are transferred
+//! to a named successor, which is then the only daemon that may run them.
 
 use crate::{
     ids::{DaemonRef, Incarnation, VmName},
@@ -229,8 +229,8 @@
         self.used.remove(key);
     }
 
-    /// Records the end of a request; `None` means that its outcome is unknown. The oldest kept answer is evicted if there
-    /// are too many.
+    /// Records the end of a request; `None` means that its outcome is unknown. The oldest kept answer is evicted if
+    /// there are too many.
     pub fn finish(&mut self, key: &DedupKey, answer: Option<Answer>) {
         let Some(entry) = self.used.get_mut(key) else {
             return;
@@ -249,8 +249,8 @@
         }
     }
 
-    /// Closes the registry for a planned stop and returns the tokens to send to the successor. The successor may run them
-    /// once it has received them; from now on this daemon refuses every token that was not used here.
+    /// Closes the registry for a planned stop and returns the tokens to send to the successor. The successor may run
+    /// them once it has received them; from now on this daemon refuses every token that was not used here.
     pub fn transfer_to(&mut self, successor: &DaemonRef) -> BTreeMap<DaemonRef, TransferredTokens> {
         self.transferred_to = Some(successor.clone());
         let mut transferred: BTreeMap<DaemonRef, TransferredTokens> = BTreeMap::new();
--- a/crates/core/tests/fold.rs
+++ b/crates/core/tests/fold.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Guards against a change that silently overwrites a concurrent one, and against a conflict message without the author,
-/// the offset and the remedy.
+/// Guards against a change that silently overwrites a concurrent one, and against a conflict message without the
+/// author, the offset and the remedy.
 #[test]
 fn a_conflicting_change_is_refused_with_the_change_that_won() {
     let mut state = FoldedState::default();
@@ -112,7 +112,8 @@
     assert_eq!(state.config.adapters, before);
 }
 
-/// Guards against a change that takes effect twice. A daemon appends it again when the answer to its first append is lost.
+/// Guards against a change that takes effect twice. A daemon appends it again when the answer to its first append is
+/// lost.
 #[test]
 fn a_duplicate_change_has_no_second_effect() {
     let mut state = FoldedState::default();
--- a/crates/core/tests/ownership.rs
+++ b/crates/core/tests/ownership.rs
@@ -1,7 +1,7 @@
 //! Simulation of target ownership: the production code of several daemons under random schedules.
 //!
-//! The steps are those of `specs/ownership.pml`. Daemons pause anywhere, records and messages arrive late, and one daemon
-//! may crash.
+//! The steps are those of `specs/ownership.pml`. Daemons pause anywhere, records and messages arrive late, and one
+//! daemon may crash.
 
 use hoplanding_core::{
     ids::{AdapterVersion, DaemonRef, FencingToken, Incarnation, LogOffset, TargetName, VmName},
@@ -365,8 +365,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against an unload that reaches a target while it serves a request on that adapter, which happens if a former
-    /// holder still dispatches or if an intent becomes visible late.
+    /// Guards against an unload that reaches a target while it serves a request on that adapter, which happens if a
+    /// former holder still dispatches or if an intent becomes visible late.
     #[test]
     fn adapters_that_serve_requests_are_never_unloaded(checks_fencing in any::<bool>(), steps in prop::collection::vec(step(), 20..160)) {
         let mut simulation = Simulation::new(checks_fencing);
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -40,8 +40,8 @@
     );
 }
 
-/// Guards against a second run when a caller repeats a request with the same token, and against a token that is reused for
-/// a different request.
+/// Guards against a second run when a caller repeats a request with the same token, and against a token that is reused
+/// for a different request.
 #[test]
 fn a_token_runs_once_and_then_replays_its_answer() {
     let mut registry: TokenRegistry<&str> = TokenRegistry::new(daemon("a1", 1), 8);
--- a/crates/core/tests/specs.rs
+++ b/crates/core/tests/specs.rs
@@ -117,8 +117,8 @@
     fails("trials", &["-DLAPSE"]),
     fails("trials", &["-DNO_RECORD"]),
     fails("trials", &["-DSECOND_FIRST"]),
-    // All kinds of faults with two requests and two versions, then fewer kinds with more requests, versions, restarts or
-    // targets.
+    // All kinds of faults with two requests and two versions, then fewer kinds with more requests, versions, restarts
+    // or targets.
     holds("versions", &["-DV=2", "-DR=2"]),
     holds("versions", &["-DV=3", "-DR=2", "-DUNLOADS=0"]),
     holds("versions", &["-DV=2", "-DR=3", "-DUNLOADS=0"]),
@@ -133,8 +133,8 @@
     ),
     terminates("versions", &["-DV=2", "-DR=2", "-DUNLOADS=0"]),
     terminates("versions", &["-DV=2", "-DR=2", "-DTAKES=0"]),
-    // SEEK_MOVE searches for a cache transfer after a takeover. It must find one, as the other checks would hold vacuously
-    // without transfers.
+    // SEEK_MOVE searches for a cache transfer after a takeover. It must find one, as the other checks would hold
+    // vacuously without transfers.
     fails("versions", &["-DV=2", "-DR=2", "-DSEEK_MOVE"]),
     fails(
         "versions",
@@ -203,8 +203,8 @@
     ),
     fails("versions", &["-DV=2", "-DR=2", "-DNO_BAR"]),
     fails("versions", &["-DV=2", "-DR=2", "-DBAR_NO_SIGHT"]),
-    // A target that borrows a cache must be barred like the lender, unless targets check the version again when a request
-    // begins.
+    // A target that borrows a cache must be barred like the lender, unless targets check the version again when a
+    // request begins.
     fails(
         "versions",
         &["-DV=2", "-DR=3", "-DUNLOADS=0", "-DBAR_SOURCE_ONLY"],
