--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -1,4 +1,9 @@
-//! Claims of the lease of this VM's zone.
+//! Claims and releases of the lease of this VM's zone.
+//!
+//! The lease is a record in the fleet topic of the platform's log. A claim is a conditional append: it succeeds only if
+//! this VM has read the topic to its end, so concurrent claims cannot both succeed. Unless the
+//! previous holder released the lease or its process ended, it may give orders for one lease turn after the claim. The
+//! claimant waits for that long and reads the topic once more before its first order.
 
 use crate::{
     clock::{self, CLOCK_ERROR},
@@ -23,63 +28,64 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::{sync::watch, time::sleep};
 
-/// Pause between two looks at the holder.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
-/// Claims in a row while others' records come in between.
-const CLAIM_TRIES: u32 = 4;
-/// Pause after a claim without an answer: it may be recorded yet. Doubles while the log stays out of reach, as all VMs
-/// of a zone without a holder are at it.
-const AFTER_LOST_CLAIM: Duration = Duration::from_millis(500);
-const AFTER_LOST_LONGEST: Duration = Duration::from_secs(2);
-/// Tries to record that the lease was given up.
-const RELEASE_TRIES: u32 = 3;
+/// Interval between checks of the holder.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Claims in a row that may fail because other records were appended first.
+const MAX_CLAIM_ATTEMPTS: u32 = 4;
+/// Backoff after a claim without an answer, which may still be recorded. Doubles while the log is unreachable, because
+/// all VMs of a zone without a holder try to claim it.
+const MIN_CLAIM_BACKOFF: Duration = Duration::from_millis(500);
+/// Upper bound of the backoff.
+const MAX_CLAIM_BACKOFF: Duration = Duration::from_secs(2);
+/// Attempts to record the release of the lease.
+const MAX_RELEASE_ATTEMPTS: u32 = 3;
 
-/// Watches the holder of this VM's zone, and claims the lease when it is gone.
+/// Watches the holder of this VM's zone and claims the lease once the holder is gone.
 pub struct ClaimWorker {
-    /// The books.
+    /// State of the fleet as known to this VM.
     pub fleet: Arc<FleetState>,
-    /// Links to holders.
+    /// Links to the holders of zones.
     pub access: Arc<ZoneAccess>,
-    /// Settings.
+    /// Settings of the daemon.
     pub settings: Arc<DirectSettings>,
-    /// How far a planned stop is.
+    /// Phase of a planned stop.
     pub stop: watch::Receiver<StopPhase>,
 }
 
-/// What came of a claim.
+/// Outcome of a claim.
 enum ClaimResult {
-    /// It is in force.
+    /// The claim was appended.
     Recorded,
-    /// Others' records came in between, and are known now: it is worth another try at once.
-    EndMoved,
-    /// The log could not be asked, or did not answer.
+    /// Other records were appended first. They have been read, so the claim can be retried at once.
+    Conflict,
+    /// The log could not be reached or did not answer.
     Unanswered,
 }
 
 impl ClaimWorker {
-    /// Watches until a planned stop begins: what is given up then is for another VM to claim.
+    /// Watches the lease until a planned stop begins. This VM must not claim again what it releases during the stop.
     pub async fn run(self) {
         let mut client = StoreClient::new(self.settings.platform_address);
-        let mut pause = AFTER_LOST_CLAIM;
+        let mut backoff = MIN_CLAIM_BACKOFF;
         loop {
-            sleep(LOOK_EVERY).await;
+            sleep(POLL_INTERVAL).await;
             if *self.stop.borrow() != StopPhase::Serving {
                 return;
             }
-            self.confirm(&mut client).await;
-            for _ in 0..CLAIM_TRIES {
-                if !self.wants_claim() {
+            self.confirm_claim(&mut client).await;
+            for _ in 0..MAX_CLAIM_ATTEMPTS {
+                if !self.should_claim() {
                     break;
                 }
                 match self.claim(&mut client).await {
-                    ClaimResult::EndMoved => {}
+                    ClaimResult::Conflict => {}
                     ClaimResult::Recorded => {
-                        pause = AFTER_LOST_CLAIM;
+                        backoff = MIN_CLAIM_BACKOFF;
                         break;
                     }
                     ClaimResult::Unanswered => {
-                        sleep(pause).await;
-                        pause = (pause * 2).min(AFTER_LOST_LONGEST);
+                        sleep(backoff).await;
+                        backoff = (backoff * 2).min(MAX_CLAIM_BACKOFF);
                         break;
                     }
                 }
@@ -87,7 +93,7 @@
         }
     }
 
-    fn wants_claim(&self) -> bool {
+    fn should_claim(&self) -> bool {
         let lease = self.fleet.lease(&self.fleet.zone);
         let contact = match &lease {
             Some(lease) if lease.vm.is_some() => {
@@ -115,9 +121,9 @@
                 .and_then(|vm| books.vms.get(vm))
                 .is_some_and(|record| record.strength < self.fleet.strength),
             rank,
-            waited: lease.as_ref().and_then(waited),
+            waited: lease.as_ref().and_then(min_claim_age),
             is_outdated: books.is_outdated(&self.fleet.zone),
-            is_oneself: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
+            is_oneself: lease.as_ref().is_some_and(|lease| self.is_own_lease(lease)),
             was_led: self.is_confirmed(&books)
                 && books
                     .fleet_read_at
@@ -138,46 +144,47 @@
         matches!(step, LeaseStep::Claim { .. })
     }
 
-    /// Whether this VM may give orders by the newest record of its zone's lease.
+    /// Whether the newest record of the zone's lease is a confirmed claim of this VM.
     fn is_confirmed(&self, books: &FleetBooks) -> bool {
         let state = books.leases.get(&self.fleet.zone);
         state.is_some_and(|state| books.confirmed == Some(state.token()))
     }
 
-    /// Confirms a claim after its turn by one more read: a log that came back from a copy may lack it, and another VM may hold the
-    /// zone since. Where the log is out of reach the claim counts after another turn, as it would without copies.
-    async fn confirm(&self, client: &mut StoreClient) {
+    /// Confirms a claim by reading the topic once more after the claim's turn. A log that was restored from a copy may lack
+    /// the claim, and another VM may hold the zone since then. If the log is unreachable, the claim counts as confirmed
+    /// after one more turn, which would suffice if the log were never restored.
+    async fn confirm_claim(&self, client: &mut StoreClient) {
         let now = clock::now();
         let lease = self.fleet.lease(&self.fleet.zone);
         let (end, leads_from) = {
             let books = self.fleet.books();
-            let is_due = lease.is_some_and(|lease| self.is_own(&lease))
+            let is_confirmation_due = lease.is_some_and(|lease| self.is_own_lease(&lease))
                 && !self.is_confirmed(&books)
                 && now >= books.leads_from;
-            let Some(end) = books.fleet_end.filter(|_| is_due) else {
+            let Some(end) = books.fleet_end.filter(|_| is_confirmation_due) else {
                 return;
             };
             (end, books.leads_from)
         };
-        let is_read = self.read_on(client, end).await;
+        let is_read = self.read_fleet_from(client, end).await;
         if !is_read && now < leads_from.after(self.settings.leases.turn) {
             return;
         }
         let lease = self.fleet.lease(&self.fleet.zone);
         let mut books = self.fleet.books();
-        let is_held = lease.is_some_and(|lease| self.is_own(&lease));
+        let is_held = lease.is_some_and(|lease| self.is_own_lease(&lease));
         if is_held && !books.is_outdated(&self.fleet.zone) {
             let state = books.leases.get(&self.fleet.zone);
             books.confirmed = state.map(LeaseState::token);
         }
     }
 
-    fn is_own(&self, lease: &ZoneLease) -> bool {
+    fn is_own_lease(&self, lease: &ZoneLease) -> bool {
         lease.vm.as_ref() == Some(&self.fleet.vm) && lease.incarnation == self.fleet.incarnation
     }
 
-    /// What a claim says of the time that this VM waits before its first order.
-    fn waits_since_ms(&self) -> Option<u64> {
+    /// Value of the claim's `waits_since_ms`: set if this VM waits before its first order.
+    fn claim_waits_since_ms(&self) -> Option<u64> {
         let quiet = self.fleet.books().claim_quiet;
         (!quiet.is_zero()).then(clock::wall_ms)
     }
@@ -192,14 +199,14 @@
             incarnation: self.fleet.incarnation,
             address: self.settings.peer_address,
             era: Some(end.era()),
-            waits_since_ms: self.waits_since_ms(),
+            waits_since_ms: self.claim_waits_since_ms(),
         };
         let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
         let key = zone_key(&self.fleet.zone);
-        let within = self.settings.timing.platform_timeout;
+        let timeout = self.settings.timing.platform_timeout;
         let began = clock::now();
         let appended = client
-            .append(FLEET_TOPIC, &key, &value, Some(end), within)
+            .append(FLEET_TOPIC, &key, &value, Some(end), timeout)
             .await;
         match appended {
             Ok(position) => {
@@ -213,8 +220,8 @@
                 self.fleet.note_fleet_read(began);
                 ClaimResult::Recorded
             }
-            Err(StoreError::EndMoved(_)) if self.read_on(client, end).await => {
-                ClaimResult::EndMoved
+            Err(StoreError::EndMoved(_)) if self.read_fleet_from(client, end).await => {
+                ClaimResult::Conflict
             }
             Err(StoreError::EndMoved(_)) => ClaimResult::Unanswered,
             Err(error) => {
@@ -227,10 +234,13 @@
         }
     }
 
-    /// Reads the fleet's records from a position on; says whether that went well.
-    async fn read_on(&self, client: &mut StoreClient, from: LogPosition) -> bool {
-        let within = self.settings.timing.platform_timeout;
-        match client.read(FLEET_TOPIC, from, Duration::ZERO, within).await {
+    /// Reads the fleet topic from a position on; returns whether the read succeeded.
+    async fn read_fleet_from(&self, client: &mut StoreClient, from: LogPosition) -> bool {
+        let timeout = self.settings.timing.platform_timeout;
+        match client
+            .read(FLEET_TOPIC, from, Duration::ZERO, timeout)
+            .await
+        {
             Ok(batch) => {
                 self.fleet.take_records(FeedTopic::Fleet, from, &batch);
                 true
@@ -246,15 +256,17 @@
     }
 }
 
-/// How long ago a zone was claimed, at the least, by a holder that waits before its first order.
-fn waited(lease: &ZoneLease) -> Option<Duration> {
+/// Minimum time since a zone was claimed by a holder that waits before its first order. The error of the two VMs'
+/// wall clocks is subtracted.
+fn min_claim_age(lease: &ZoneLease) -> Option<Duration> {
     let since_ms = lease.waits_since_ms?;
     let age = Duration::from_millis(clock::wall_ms().saturating_sub(since_ms));
     Some(age.saturating_sub(CLOCK_ERROR))
 }
 
-/// Since when this VM waits before its first order in its zone, if it has not come to that.
-fn unfinished_wait(fleet: &FleetState) -> Option<u64> {
+/// Start of this VM's wait before its first order, in milliseconds since 1970, if its claim is not confirmed yet. A release
+/// carries it over, so that the next holder counts the wait from there.
+fn pending_wait_since_ms(fleet: &FleetState) -> Option<u64> {
     let books = fleet.books();
     let state = books.leases.get(&fleet.zone)?;
     let is_confirmed = books.confirmed == Some(state.token());
@@ -265,8 +277,9 @@
         .waits_since_ms
 }
 
-/// Records that this VM gave its zone up, so that another claims it at once. Says whether that holds.
-pub async fn release_lease(fleet: &FleetState, platform: SocketAddr, within: Duration) -> bool {
+/// Records that this VM released its zone, so that another VM can claim it at once. Returns whether the newest known
+/// record no longer names this VM.
+pub async fn release_lease(fleet: &FleetState, platform: SocketAddr, timeout: Duration) -> bool {
     let mut client = StoreClient::new(platform);
     let Some(mut end) = fleet.books().fleet_end else {
         return false;
@@ -276,19 +289,19 @@
         incarnation: fleet.incarnation,
         address: platform,
         era: Some(end.era()),
-        waits_since_ms: unfinished_wait(fleet),
+        waits_since_ms: pending_wait_since_ms(fleet),
     };
     let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
     let key = zone_key(&fleet.zone);
-    for _ in 0..RELEASE_TRIES {
-        let is_mine = fleet
+    for _ in 0..MAX_RELEASE_ATTEMPTS {
+        let is_held = fleet
             .lease(&fleet.zone)
             .is_some_and(|lease| lease.vm.as_ref() == Some(&fleet.vm));
-        if !is_mine {
+        if !is_held {
             return true;
         }
         match client
-            .append(FLEET_TOPIC, &key, &value, Some(end), within)
+            .append(FLEET_TOPIC, &key, &value, Some(end), timeout)
             .await
         {
             Ok(position) => {
@@ -304,7 +317,7 @@
     }
     event!(
         Event::ClaimFailed,
-        "release of {}: others' records came in between",
+        "release of {}: other records were appended first, gave up after {MAX_RELEASE_ATTEMPTS} attempts",
         fleet.zone
     );
     false
--- a/crates/daemon/src/direct/record_cache.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -1,78 +1,79 @@
-//! Records of the platform's log as they are passed on between VMs.
+//! Cache of the platform log's newest records, from which VMs replicate records to each other.
 //!
-//! The platform may turn some VMs away while it serves the others. What one VM reads goes to the others, and positions
-//! say what is newer, so a VM that is turned away stays up to date as long as it reaches one that is not.
+//! The platform may reject some VMs while it serves others. Each VM therefore forwards what it reads, and log positions
+//! decide which record of a key is newer. A rejected VM stays up to date as long as it reaches one that is served.
 //!
-//! News has an order of its own, and each link keeps its place in it. A link that lags finds the newest record of each
-//! key when it goes on, so nothing is dropped and nothing is queued for it.
+//! Updates are numbered in the order in which this VM learned of them, and each link keeps its own cursor. A slow link
+//! reads only the newest record of each key when it resumes, so no update is lost and no queue grows per link.
 
 use crate::direct::message::{FeedTopic, PassedRecord};
 use bytes::Bytes;
 use hoplanding_core::ids::{LogPosition, StoreEra};
 use std::{collections::BTreeMap, mem};
 
-/// Records and bytes of one message of news, so that a weak link's other messages are not held up for long: a tenth of a
-/// second at 10 Mbit/s.
-const MESSAGE_RECORDS: usize = 64;
-const MESSAGE_BYTES: usize = 96 * 1024;
+/// Maximum number of records in one message.
+const MAX_MESSAGE_RECORDS: usize = 64;
+/// Size in bytes from which a message takes no more records: about a tenth of a second at 10 Mbit/s, so that updates do not
+/// delay other messages on a slow link for long.
+const MESSAGE_SIZE_LIMIT: usize = 96 * 1024;
 
 type RecordKey = (FeedTopic, String);
 
 #[derive(Debug)]
-struct KeptRecord {
+struct CachedRecord {
     position: LogPosition,
     value: Option<Bytes>,
-    /// Its place in the news, if it is any.
-    place: Option<u64>,
+    /// Sequence number of the update, if the record has to be forwarded.
+    sequence: Option<u64>,
 }
 
-/// The newest record of each key, as read from the log or passed on.
+/// The newest record of each key, as read from the log or received from another VM.
 #[derive(Debug, Default)]
 pub struct RecordCache {
-    records: BTreeMap<RecordKey, KeptRecord>,
-    news: BTreeMap<u64, RecordKey>,
-    /// Place behind the newest news.
-    head: u64,
+    records: BTreeMap<RecordKey, CachedRecord>,
+    updates: BTreeMap<u64, RecordKey>,
+    /// Sequence number of the next update.
+    next_sequence: u64,
 }
 
 impl RecordCache {
-    /// Whether a record is newer than what is kept of its key.
+    /// Whether a position is newer than that of the cached record of this key.
     #[must_use]
     pub fn is_newer(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
-        let kept = self.records.get(&(topic, key.to_owned()));
-        kept.is_none_or(|kept| kept.position < position)
+        let cached = self.records.get(&(topic, key.to_owned()));
+        cached.is_none_or(|cached| cached.position < position)
     }
 
-    /// Whether a record is the one that is kept of its key.
+    /// Whether the cached record of this key has exactly this position.
     #[must_use]
     pub fn contains(&self, topic: FeedTopic, key: &str, position: LogPosition) -> bool {
-        let kept = self.records.get(&(topic, key.to_owned()));
-        kept.is_some_and(|kept| kept.position == position)
+        let cached = self.records.get(&(topic, key.to_owned()));
+        cached.is_some_and(|cached| cached.position == position)
     }
 
-    /// The position of the record that is kept of a key; none where it has none.
+    /// The position of a key's cached record, also of a deletion.
     #[must_use]
     pub fn position(&self, topic: FeedTopic, key: &str) -> Option<LogPosition> {
-        let kept = self.records.get(&(topic, key.to_owned()))?;
-        Some(kept.position)
+        let cached = self.records.get(&(topic, key.to_owned()))?;
+        Some(cached.position)
     }
 
-    /// The value that is kept of a key; none where it has none.
+    /// The cached value of a key; none if the key is unknown or deleted.
     #[must_use]
     pub fn value(&self, topic: FeedTopic, key: &str) -> Option<&[u8]> {
-        let kept = self.records.get(&(topic, key.to_owned()))?;
-        kept.value.as_deref()
+        let cached = self.records.get(&(topic, key.to_owned()))?;
+        cached.value.as_deref()
     }
 
-    /// The record that is kept of a key, to be passed on; none where it has no value.
+    /// The cached record of a key in the form sent to other VMs; none if the key is unknown or deleted.
     #[must_use]
     pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<PassedRecord> {
         let key = (topic, key.to_owned());
-        let kept = self.records.get(&key)?;
-        kept.value.is_some().then(|| passed(&key, kept))
+        let cached = self.records.get(&key)?;
+        cached.value.is_some().then(|| relayed_record(&key, cached))
     }
 
-    /// Whether a record is kept of each position of a topic from one on and before another.
+    /// Whether the cache has a record of every position of a topic in `from..before`.
     #[must_use]
     pub fn has_all_between(
         &self,
@@ -81,64 +82,64 @@
         before: LogPosition,
     ) -> bool {
         let records = self.records.iter();
-        let kept = records.filter(|((kept, _), record)| {
-            *kept == topic && from <= record.position && record.position < before
+        let found = records.filter(|((record_topic, _), record)| {
+            *record_topic == topic && from <= record.position && record.position < before
         });
-        kept.count() as u64 >= before.0.saturating_sub(from.0)
+        found.count() as u64 >= before.0.saturating_sub(from.0)
     }
 
-    /// Keeps a record, which is newer than what is kept of its key. One that is no news takes the place of news that is
-    /// still to be passed on.
+    /// Inserts a record that is newer than the cached one of its key. If `is_update` is false, the record gets no sequence
+    /// number of its own, but takes over that of an update of this key which links may still have to forward.
     pub fn insert(
         &mut self,
         topic: FeedTopic,
         key: &str,
         position: LogPosition,
         value: Option<&Bytes>,
-        is_news: bool,
+        is_update: bool,
     ) {
         let key = (topic, key.to_owned());
-        let mut place = self.records.get(&key).and_then(|kept| kept.place);
-        if is_news {
-            if let Some(place) = place {
-                self.news.remove(&place);
+        let mut sequence = self.records.get(&key).and_then(|cached| cached.sequence);
+        if is_update {
+            if let Some(sequence) = sequence {
+                self.updates.remove(&sequence);
             }
-            place = Some(self.head);
-            self.news.insert(self.head, key.clone());
-            self.head += 1;
+            sequence = Some(self.next_sequence);
+            self.updates.insert(self.next_sequence, key.clone());
+            self.next_sequence += 1;
         }
-        // A copy of its own: the bytes may be a small part of a large answer.
+        // Copied, because the bytes may be a slice that keeps a large response in memory.
         let value = value.map(|value| Bytes::copy_from_slice(value));
-        let record = KeptRecord {
+        let record = CachedRecord {
             position,
             value,
-            place,
+            sequence,
         };
         self.records.insert(key, record);
     }
 
-    /// Place behind the newest news.
+    /// Sequence number that the next update will get: the cursor of a link that has forwarded everything.
     #[must_use]
     pub fn next_sequence(&self) -> u64 {
-        self.head
+        self.next_sequence
     }
 
-    /// News from a place on, as much as goes into one message, and the place behind it.
+    /// Updates from a sequence number on, as many as fit into one message, and the sequence number after them.
     #[must_use]
-    pub fn updates_from(&self, place: u64) -> (Vec<PassedRecord>, u64) {
-        let mut load = MessageLoad::default();
-        for (place, key) in self.news.range(place..) {
-            if load.is_full() {
-                return (load.records, *place);
+    pub fn updates_from(&self, sequence: u64) -> (Vec<PassedRecord>, u64) {
+        let mut batch = MessageBatch::default();
+        for (sequence, key) in self.updates.range(sequence..) {
+            if batch.is_full() {
+                return (batch.records, *sequence);
             }
-            if let Some(kept) = self.records.get(key) {
-                load.add(passed(key, kept));
+            if let Some(cached) = self.records.get(key) {
+                batch.add(relayed_record(key, cached));
             }
         }
-        (load.records, self.head)
+        (batch.records, self.next_sequence)
     }
 
-    /// Records of a topic that have a value, and were read in an earlier era only.
+    /// Keys and values of a topic whose records are from eras before this one, deletions excluded.
     pub fn from_earlier_eras(
         &self,
         topic: FeedTopic,
@@ -146,57 +147,60 @@
     ) -> impl Iterator<Item = (&str, &Bytes)> {
         let records = self.records.range((topic, String::new())..);
         records
-            .take_while(move |((kept, _), _)| *kept == topic)
+            .take_while(move |((record_topic, _), _)| *record_topic == topic)
             .filter(move |(_, record)| record.position.era() < era)
             .filter_map(|((_, key), record)| Some((key.as_str(), record.value.as_ref()?)))
     }
 
-    /// Keys of a topic that begin with a text and have a value.
+    /// Keys of a topic that start with a prefix and have a value.
     pub fn keys_with_value<'a>(
         &'a self,
         topic: FeedTopic,
-        start: &'a str,
+        prefix: &'a str,
     ) -> impl Iterator<Item = &'a str> {
-        let records = self.records.range((topic, start.to_owned())..);
+        let records = self.records.range((topic, prefix.to_owned())..);
         records
-            .take_while(move |((kept, key), _)| *kept == topic && key.starts_with(start))
+            .take_while(move |((record_topic, key), _)| {
+                *record_topic == topic && key.starts_with(prefix)
+            })
             .filter(|(_, record)| record.value.is_some())
             .map(|((_, key), _)| key.as_str())
     }
 
-    /// Bytes of a topic's records.
+    /// Total size of a topic's keys and values in bytes.
     #[must_use]
     pub fn size_bytes(&self, topic: FeedTopic) -> usize {
         let records = self.records.iter();
         records
-            .filter(|((kept, _), _)| *kept == topic)
+            .filter(|((record_topic, _), _)| *record_topic == topic)
             .map(|((_, key), record)| key.len() + record.value.as_ref().map_or(0, Bytes::len))
             .sum()
     }
 
-    /// Records of a topic from a position on, and those of earlier eras, which the log may lack since.
+    /// Records of a topic from a position on, and those of earlier eras, which a restored log may lack.
     #[must_use]
     pub fn records_since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
         self.records
             .iter()
-            .filter(|((kept, _), record)| {
-                *kept == topic && (record.position >= from || record.position.era() < from.era())
+            .filter(|((record_topic, _), record)| {
+                *record_topic == topic
+                    && (record.position >= from || record.position.era() < from.era())
             })
-            .map(|(key, record)| passed(key, record))
+            .map(|(key, record)| relayed_record(key, record))
             .collect()
     }
 }
 
-/// Records that go into one message.
+/// Records collected for one message.
 #[derive(Debug, Default)]
-struct MessageLoad {
+struct MessageBatch {
     records: Vec<PassedRecord>,
     bytes: usize,
 }
 
-impl MessageLoad {
+impl MessageBatch {
     fn is_full(&self) -> bool {
-        self.records.len() == MESSAGE_RECORDS || self.bytes >= MESSAGE_BYTES
+        self.records.len() == MAX_MESSAGE_RECORDS || self.bytes >= MESSAGE_SIZE_LIMIT
     }
 
     fn add(&mut self, record: PassedRecord) {
@@ -205,26 +209,26 @@
     }
 }
 
-/// Records in loads of one message each.
+/// Splits records into batches of one message each; returns at least one, which may be empty.
 #[must_use]
 pub fn split_into_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
-    let mut loads = Vec::new();
-    let mut load = MessageLoad::default();
+    let mut batches = Vec::new();
+    let mut batch = MessageBatch::default();
     for record in records {
-        if load.is_full() {
-            loads.push(mem::take(&mut load).records);
+        if batch.is_full() {
+            batches.push(mem::take(&mut batch).records);
         }
-        load.add(record);
+        batch.add(record);
     }
-    loads.push(load.records);
-    loads
+    batches.push(batch.records);
+    batches
 }
 
-fn passed((topic, key): &RecordKey, kept: &KeptRecord) -> PassedRecord {
+fn relayed_record((topic, key): &RecordKey, cached: &CachedRecord) -> PassedRecord {
     PassedRecord {
         topic: *topic,
         key: key.clone(),
-        value: kept.value.clone(),
-        position: kept.position,
+        value: cached.value.clone(),
+        position: cached.position,
     }
 }
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -1,11 +1,12 @@
-//! Records of requests under which targets ended, in the platform's log.
+//! Records of suspected requests, that is requests during which targets ended, in the platform's log.
 //!
-//! No VM lives for good, so each suspect has a record from its first end on. The gateway that saw the end writes it before it
-//! answers its caller or sends the request again: by the time the request can come back, the end outlives all VMs. While the log
-//! does not answer, no call waits for it.
+//! A suspicion has to survive the loss of all VMs, so each suspected request has a record from the first ended target on.
+//! The gateway that saw the end writes the record before it answers its caller or retries the request: when the request
+//! can come back, the end is already stored. Calls do not wait for the record while the log does not answer.
 //!
-//! The holder that grants a request's trials keeps its record as the books say (see `recorder`): it writes what a gateway could not,
-//! or a copy of the log lacks, and drops the record of a request that is clear again.
+//! The zone holder that grants a request's trials maintains its record (see [`recorder`](super::recorder)): it writes
+//! records that a gateway could not write or that a restored copy of the log lacks, and deletes the record of a request
+//! that is no longer suspected.
 
 use crate::{
     clock,
@@ -44,34 +45,36 @@
     time::{sleep, timeout},
 };
 
-/// Longest time that a call waits for the record of its target's end; the log answers within a few milliseconds.
-const RECORD_WITHIN: Duration = Duration::from_millis(250);
-/// Pause before records that could not be appended are tried again.
-const RECORD_AGAIN: Duration = Duration::from_millis(500);
-/// Records of one append.
-const APPEND_RECORDS: usize = 64;
-/// Ends that wait to be recorded.
-const ENDS_DUE: usize = 1024;
-/// Time that the gateway which saw an end has to record it, before the holder does.
-const GATEWAY_TIME: Duration = Duration::from_secs(2);
-/// By how much a record may lag behind the time until which its request is remembered.
-const RENEW_AFTER: Duration = Duration::from_secs(6 * 3_600);
+/// Maximum time for which a call waits until the end of its target is recorded; the log usually answers within a few
+/// milliseconds.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(250);
+/// Pause after a failed append before the records are retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum number of records in one append.
+const MAX_APPEND_RECORDS: usize = 64;
+/// Capacity of the writer's queue.
+const QUEUE_CAPACITY: usize = 1024;
+/// Time for the gateway that saw an end to record it; the holder writes the record only after that.
+const GATEWAY_GRACE_PERIOD: Duration = Duration::from_secs(2);
+/// Maximum difference between a record's expiry and the expiry in memory before the record is written again.
+const MAX_EXPIRY_LAG: Duration = Duration::from_secs(6 * 3_600);
 
-/// The value of a suspect's record.
+/// The value of a suspected request's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// Targets that ended under it.
+    /// Targets that ended while they ran the request.
     pub ended: Vec<TargetRun>,
-    /// When it is forgotten: wall-clock time in milliseconds since 1970. A few seconds of error are nothing to a day.
+    /// Expiry: wall-clock time in milliseconds since 1970. Clock errors of a few seconds do not matter, as records last
+    /// for a day.
     pub until_ms: u64,
 }
 
-/// Forms of the value that have been written.
+/// Formats of the value that may be in the log.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum WrittenRecord {
+enum StoredFormat {
     Timed(SuspectRecord),
-    /// Quarantines alone, remembered for as long as any other from the moment at which they are read.
+    /// The ended targets without an expiry; the full retention period counts from the moment of reading.
     Untimed(Vec<TargetRun>),
 }
 
@@ -79,18 +82,18 @@
     /// Decodes a record's value.
     ///
     /// # Errors
-    /// When it is none that this program writes, or wrote.
+    /// Returns the error of the JSON decoder if the value has none of the formats of this or an earlier version.
     pub fn decode(value: &[u8]) -> serde_json::Result<Self> {
         Ok(match serde_json::from_slice(value)? {
-            WrittenRecord::Timed(record) => record,
-            WrittenRecord::Untimed(ended) => Self {
+            StoredFormat::Timed(record) => record,
+            StoredFormat::Untimed(ended) => Self {
                 ended,
                 until_ms: wall_ms_at(clock::now().after(REMEMBERED_FOR)),
             },
         })
     }
 
-    /// When it is forgotten, by this process's clock.
+    /// Expiry by this process's clock, at most [`REMEMBERED_FOR`] from now.
     #[must_use]
     pub fn until(&self) -> Instant {
         let left = Duration::from_millis(self.until_ms.saturating_sub(clock::wall_ms()));
@@ -98,7 +101,7 @@
     }
 
     fn encode(&self) -> Bytes {
-        let value = serde_json::to_vec(self).expect("it has a JSON form");
+        let value = serde_json::to_vec(self).expect("a suspect record has a JSON form");
         value.into()
     }
 }
@@ -108,7 +111,7 @@
     clock::wall_ms().saturating_add(u64::try_from(left).unwrap_or(u64::MAX >> 1))
 }
 
-/// The request that a key of the fleet's topic is about; none if it is about none.
+/// The fingerprint in a key of the fleet topic; none if it is not the key of a suspected request.
 #[must_use]
 pub fn suspect_fingerprint(key: &str) -> Option<RequestFingerprint> {
     let text = key.strip_prefix(SUSPECT_KEY)?;
@@ -116,7 +119,7 @@
     Some(RequestFingerprint(number))
 }
 
-/// Whether a zone's holder keeps the record of a request: it grants the request's trials.
+/// Whether a zone's holder maintains the record of a request. That is the holder of the first zone that grants its trials.
 #[must_use]
 pub fn is_record_owner(
     zone: &AvailabilityZone,
@@ -127,14 +130,14 @@
 }
 
 impl FleetBooks {
-    /// The value that the record of a request should have, if the log has another; an empty one drops the record.
-    fn due_record(&self, fingerprint: RequestFingerprint) -> Option<Bytes> {
+    /// The value to write as the record of a request, if the log has a different one; an empty value deletes the record.
+    fn due_value(&self, fingerprint: RequestFingerprint) -> Option<Bytes> {
         let now = clock::now();
         let written = self
             .records
             .value(FeedTopic::Fleet, &suspect_key(fingerprint));
         let Some(standing) = self.suspects.standing(fingerprint, now) else {
-            // What another version of this program wrote is not this one's to drop.
+            // A record that this version cannot decode was written by another version and is kept.
             let is_known = written.is_some_and(|value| SuspectRecord::decode(value).is_ok());
             return is_known.then(Bytes::new);
         };
@@ -148,10 +151,11 @@
         let lag = Duration::from_millis(due.until_ms.saturating_sub(written.until_ms));
         let is_same = due.ended.iter().all(|run| written.ended.contains(run))
             && written.ended.len() == due.ended.len();
-        (!is_same || lag > RENEW_AFTER).then(|| due.encode())
+        (!is_same || lag > MAX_EXPIRY_LAG).then(|| due.encode())
     }
 
-    /// A record of a suspect that a zone's holder has to write or drop, and its value.
+    /// Key and value of a suspected request's record that a zone's holder has to write next; an empty value deletes the
+    /// record.
     #[must_use]
     pub fn due_suspect_record(
         &self,
@@ -164,24 +168,24 @@
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
             let standing = self.suspects.standing(fingerprint, now);
-            let is_gateways =
-                standing.is_some_and(|standing| now.since(standing.since) < GATEWAY_TIME);
-            if is_gateways || !is_record_owner(zone, zones, fingerprint) {
+            let is_left_to_gateway =
+                standing.is_some_and(|standing| now.since(standing.since) < GATEWAY_GRACE_PERIOD);
+            if is_left_to_gateway || !is_record_owner(zone, zones, fingerprint) {
                 return None;
             }
-            let value = self.due_record(fingerprint)?;
+            let value = self.due_value(fingerprint)?;
             Some((suspect_key(fingerprint), value))
         })
     }
 }
 
-/// A request whose record is due, and who waits for it.
+/// A request whose record has to be written, and the channel that reports the write.
 struct DueRecord {
     fingerprint: RequestFingerprint,
     done: oneshot::Sender<()>,
 }
 
-/// The way of calls to the writer of suspects' records.
+/// Handle with which calls have suspected requests recorded.
 #[derive(Clone, Debug)]
 pub struct SuspectRecorder {
     due: mpsc::Sender<DueRecord>,
@@ -189,10 +193,10 @@
 }
 
 impl SuspectRecorder {
-    /// Starts the writer, which ends with the last of its senders.
+    /// Starts the writer task, which ends when the last handle is dropped.
     #[must_use]
     pub fn start(fleet: &Arc<FleetState>, settings: &Arc<DirectSettings>) -> Self {
-        let (due, receiver) = mpsc::channel(ENDS_DUE);
+        let (due, receiver) = mpsc::channel(QUEUE_CAPACITY);
         let is_failing = Arc::new(AtomicBool::new(false));
         let writer = SuspectWriter {
             fleet: Arc::clone(fleet),
@@ -206,32 +210,32 @@
         Self { due, is_failing }
     }
 
-    /// Has what is known of a suspect recorded, and waits for that unless the log is slow or away.
+    /// Records a suspected request, and waits for the write unless the log is failing; waits for 250 ms at most.
     pub async fn record(&self, fingerprint: RequestFingerprint) {
         let (done, recorded) = oneshot::channel();
         let due = DueRecord { fingerprint, done };
         if self.is_failing.load(Ordering::Relaxed) {
-            // Where the channel is full, the holder writes it.
+            // If the channel is full, the zone's holder writes the record.
             drop(self.due.try_send(due));
             return;
         }
         let written = async {
             if self.due.send(due).await.is_ok() {
-                // Dropped without a word where the log could not be written to.
+                // The sender is dropped without a message if the append failed.
                 drop(recorded.await);
             }
         };
-        if timeout(RECORD_WITHIN, written).await.is_err() {
+        if timeout(RECORD_TIMEOUT, written).await.is_err() {
             event!(
                 Event::RecordLate,
-                "{}, {RECORD_WITHIN:?}",
+                "{}, {RECORD_TIMEOUT:?}",
                 suspect_key(fingerprint)
             );
         }
     }
 }
 
-/// Writes the records of suspects whose targets ended under calls of this VM.
+/// Writes the records of requests during which targets ended, for the calls of this VM.
 struct SuspectWriter {
     fleet: Arc<FleetState>,
     settings: Arc<DirectSettings>,
@@ -248,21 +252,25 @@
                 let Some(due) = receiver.recv().await else {
                     return;
                 };
-                self.take(due);
+                self.enqueue(due);
             }
             while let Ok(due) = receiver.try_recv() {
-                self.take(due);
+                self.enqueue(due);
             }
-            let written = self.write().await;
+            let written = self.write_batch().await;
             self.is_failing.store(written.is_err(), Ordering::Relaxed);
             let waiting = mem::take(&mut self.waiting);
             if let Err(error) = written {
-                event!(Event::RecordFailed, "{} suspects: {error}", self.due.len());
+                event!(
+                    Event::RecordFailed,
+                    "{} suspected requests, retry in {RETRY_INTERVAL:?}: {error}",
+                    self.due.len()
+                );
                 drop(waiting);
-                sleep(RECORD_AGAIN).await;
+                sleep(RETRY_INTERVAL).await;
             } else if self.due.is_empty() {
                 for done in waiting {
-                    // Its call may have ended.
+                    // The call may have timed out.
                     let _ = done.send(());
                 }
             } else {
@@ -271,19 +279,19 @@
         }
     }
 
-    fn take(&mut self, due: DueRecord) {
+    fn enqueue(&mut self, due: DueRecord) {
         self.due.insert(due.fingerprint);
         self.waiting.push(due.done);
     }
 
-    /// Writes as many of the records that are due as go into one append.
-    async fn write(&mut self) -> Result<(), StoreError> {
-        let written: Vec<_> = self.due.iter().take(APPEND_RECORDS).copied().collect();
+    /// Appends up to [`MAX_APPEND_RECORDS`] of the due records.
+    async fn write_batch(&mut self) -> Result<(), StoreError> {
+        let written: Vec<_> = self.due.iter().take(MAX_APPEND_RECORDS).copied().collect();
         let records: Vec<_> = {
             let books = self.fleet.books();
             let due = written.iter();
             due.filter_map(|fingerprint| {
-                let value = books.due_record(*fingerprint)?;
+                let value = books.due_value(*fingerprint)?;
                 Some((suspect_key(*fingerprint), value))
             })
             .collect()
@@ -298,14 +306,14 @@
     }
 
     async fn append(&mut self, records: Vec<(String, Bytes)>) -> Result<(), StoreError> {
-        let within = self.settings.timing.platform_timeout;
+        let platform_timeout = self.settings.timing.platform_timeout;
         let encoded: Vec<(&str, &[u8])> = records
             .iter()
             .map(|(key, value)| (key.as_str(), &**value))
             .collect();
         let first = self
             .client
-            .append_all(FLEET_TOPIC, &encoded, within)
+            .append_all(FLEET_TOPIC, &encoded, platform_timeout)
             .await?;
         if !self.fleet.observe_era(first.era()) {
             return Err(StoreError::OtherEra(first.era()));
@@ -318,7 +326,7 @@
     }
 }
 
-/// Folds the record of a suspect, or the end of its suspicion.
+/// Applies the record of a suspected request, or its deletion, to this VM's state.
 pub(super) fn apply_suspect_record(
     books: &mut FleetBooks,
     fingerprint: RequestFingerprint,
@@ -329,7 +337,7 @@
         let key = suspect_key(fingerprint);
         let dropped = books.records.value(FeedTopic::Fleet, &key);
         if let Some(Ok(record)) = dropped.map(SuspectRecord::decode) {
-            // An end that came meanwhile still counts.
+            // Ends that are not in the deleted record still count.
             books.suspects.pardon_ends(fingerprint, &record.ended);
         }
         return Ok(());
