--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -1,4 +1,7 @@
-//! Starts and stops everything of the direct mode.
+//! The daemon of the direct mode: starts all its tasks and carries out a planned stop.
+//!
+//! A planned stop goes through the phases of [`StopPhase`]. The zone's lease is released as soon as another VM of the zone
+//! can take it; without one, this VM gives the zone's orders until it exits.
 
 use crate::{
     direct::{
@@ -34,18 +37,18 @@
     time::{Instant, sleep, timeout},
 };
 
-/// Events that wait for the zone's worker.
-const ZONE_EVENTS: usize = 1024;
-/// Pause between two looks at what has rested too long.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
-/// Strength, in thousandths of a core, below which a VM waits at the first start of a fleet.
-const WEAK_BELOW: u32 = 200;
-/// Its shortest pause; the longest is three times as long, so that the weak ones do not come at once either.
-const WEAK_PAUSE: Duration = Duration::from_millis(700);
-/// Time before the end of a planned stop in which no connection is accepted.
-const ENDING: Duration = Duration::from_millis(250);
-/// Pause between two looks at connections that are still open.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// Capacity of the zone worker's queue.
+const ZONE_QUEUE_CAPACITY: usize = 1024;
+/// Interval at which idle connections and expired state are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// CPU, in thousandths of a core, below which a VM delays its first listing when a fleet starts for the first time.
+const WEAK_VM_MILLICORES: u32 = 200;
+/// Minimum delay of such a VM; the maximum is three times as long, so that weak VMs do not all list at the same time.
+const MIN_WEAK_VM_DELAY: Duration = Duration::from_millis(700);
+/// Period before the deadline of a planned stop in which no connections are accepted.
+const ENDING_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between checks for open connections during a planned stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A running daemon in direct mode.
 pub struct DirectDaemon {
@@ -55,41 +58,41 @@
     connections: Arc<OpenConnections>,
     stop: watch::Sender<StopPhase>,
     plan: Arc<OnceLock<StopPlan>>,
-    /// Where callers connect.
+    /// Address on which callers are accepted.
     pub caller_address: std::net::SocketAddr,
-    /// Where the balancer asks.
+    /// Address of the load balancer's readiness check.
     pub ready_address: std::net::SocketAddr,
-    /// Where metrics collectors ask.
+    /// Address of the metrics page, if the settings name one.
     pub metrics_address: Option<std::net::SocketAddr>,
 }
 
 impl DirectDaemon {
-    /// Starts a daemon; its tasks end with the runtime.
+    /// Binds the listeners and starts the daemon's tasks, which run until the runtime is dropped.
     ///
     /// # Errors
-    /// Returns the error of the system when an address can't be had.
+    /// Returns the I/O error if an address cannot be bound.
     pub async fn start(settings: DirectSettings) -> io::Result<Self> {
         let callers = TcpListener::bind(settings.caller_address).await?;
-        let questions = TcpListener::bind(settings.ready_address).await?;
+        let readiness_listener = TcpListener::bind(settings.ready_address).await?;
         let peers = TcpListener::bind(settings.peer_address).await?;
-        let collectors = match settings.metrics_address {
+        let metrics_listener = match settings.metrics_address {
             Some(address) => Some(TcpListener::bind(address).await?),
             None => None,
         };
         let mut settings = settings;
         settings.peer_address = peers.local_addr()?;
-        let metrics_address = match &collectors {
-            Some(listener) => Some(listener.local_addr()?),
+        let metrics_address = match &metrics_listener {
+            Some(bound_listener) => Some(bound_listener.local_addr()?),
             None => None,
         };
         let caller_address = callers.local_addr()?;
-        let ready_address = questions.local_addr()?;
+        let ready_address = readiness_listener.local_addr()?;
         let settings = Arc::new(settings);
         let incarnation = rand::random::<u64>() >> 16;
         let fleet = Arc::new(FleetState::new(&settings, incarnation));
         fleet.books().own_addresses = vec![caller_address, ready_address, settings.peer_address];
         let pool = Arc::new(ConnectionPool::default());
-        let (zone, zone_receiver) = mpsc::channel(ZONE_EVENTS);
+        let (zone, zone_receiver) = mpsc::channel(ZONE_QUEUE_CAPACITY);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
         let access = Arc::new(ZoneAccess::new(Arc::clone(&fleet), zone.clone()));
         let connections = Arc::new(OpenConnections::default());
@@ -119,7 +122,12 @@
         let recorder = FleetRecorder::new(Arc::clone(&fleet), Arc::clone(&settings));
         tokio::spawn(recorder.run());
         tokio::spawn(sweep(Arc::clone(&fleet), Arc::clone(&pool)));
-        answer_questions(questions, collectors, &fleet, stop_watch.clone());
+        serve_status(
+            readiness_listener,
+            metrics_listener,
+            &fleet,
+            stop_watch.clone(),
+        );
         let plan = Arc::new(OnceLock::new());
         let context = Arc::new(GatewayContext {
             stop: Arc::clone(&plan),
@@ -148,44 +156,45 @@
         })
     }
 
-    /// The settings that it was started with.
+    /// The settings with which the daemon was started.
     #[must_use]
     pub fn settings(&self) -> &DirectSettings {
         &self.settings
     }
 
-    /// What this VM knows.
+    /// State of the fleet as known to this VM.
     #[must_use]
     pub fn fleet(&self) -> &Arc<FleetState> {
         &self.fleet
     }
 
-    /// A planned stop: interrupts nothing until its bound. Returns how many connections were left.
+    /// Stops the daemon as planned: nothing is interrupted before the deadline `timing.stop_timeout`. Returns the number of
+    /// connections that were still open.
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
-        let begun = Instant::now();
-        let bound = begun + self.settings.timing.stop_timeout;
-        let choosy_from = begun + self.settings.timing.drain_delay;
+        let started_at = Instant::now();
+        let deadline = started_at + self.settings.timing.stop_timeout;
+        let choosy_from = started_at + self.settings.timing.drain_delay;
         let plan = StopPlan {
             choosy_from,
-            exit: bound,
+            exit: deadline,
         };
-        // Only one stop begins.
+        // `stop` consumes the daemon, so the plan is set only once.
         let _ = self.plan.set(plan);
         self.fleet.begin_stop();
         let mut is_released = false;
         loop {
-            // Without another VM of the zone nobody would give its orders: then this one does so to its end.
+            // Without a successor nobody would give the zone's orders, so this VM keeps the lease until the end of the stop.
             if !is_released && self.fleet.has_successor() {
                 self.release().await;
                 is_released = true;
             }
             let now = Instant::now();
-            self.stop.send_replace(phase_at(now, choosy_from, bound));
-            if now >= bound || (now >= choosy_from && self.connections.count() == 0) {
+            self.stop.send_replace(phase_at(now, choosy_from, deadline));
+            if now >= deadline || (now >= choosy_from && self.connections.count() == 0) {
                 break;
             }
-            sleep(STOP_LOOK).await;
+            sleep(STOP_POLL_INTERVAL).await;
         }
         if !is_released {
             self.release().await;
@@ -195,22 +204,22 @@
         left
     }
 
-    /// Gives the zone up, so that another VM gives the orders from here on.
+    /// Releases the zone, so that another VM gives its orders from now on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
         if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
             return;
         }
-        let within = self.settings.timing.platform_timeout;
-        if let Ok(Ok(true)) = timeout(within, released).await {
-            // Where it fails, the others find this process ended and claim the zone.
-            let _ = release_lease(&self.fleet, self.settings.platform_address, within).await;
+        let log_timeout = self.settings.timing.platform_timeout;
+        if let Ok(Ok(true)) = timeout(log_timeout, released).await {
+            // If the release fails, other VMs claim the zone once they notice that this process ended.
+            let _ = release_lease(&self.fleet, self.settings.platform_address, log_timeout).await;
         }
     }
 }
 
-fn phase_at(now: Instant, choosy_from: Instant, bound: Instant) -> StopPhase {
-    if now + ENDING >= bound {
+fn phase_at(now: Instant, choosy_from: Instant, deadline: Instant) -> StopPhase {
+    if now + ENDING_PERIOD >= deadline {
         StopPhase::Ending
     } else if now >= choosy_from {
         StopPhase::Closing
@@ -219,29 +228,29 @@
     }
 }
 
-/// Answers the balancer, and metrics collectors where the settings name an address for them.
-fn answer_questions(
-    questions: TcpListener,
-    collectors: Option<TcpListener>,
+/// Serves the load balancer's readiness check, and the metrics page if the settings name an address for it.
+fn serve_status(
+    readiness_listener: TcpListener,
+    metrics_listener: Option<TcpListener>,
     fleet: &Arc<FleetState>,
     stop: watch::Receiver<StopPhase>,
 ) {
-    let asked = Arc::clone(fleet);
-    tokio::spawn(accept_questions(questions, move |path| {
-        let is_up = asked.is_ready() && *stop.borrow() == StopPhase::Serving;
-        answer_ready(path, is_up)
+    let state = Arc::clone(fleet);
+    tokio::spawn(accept_questions(readiness_listener, move |path| {
+        let is_ready = state.is_ready() && *stop.borrow() == StopPhase::Serving;
+        answer_ready(path, is_ready)
     }));
-    if let Some(collectors) = collectors {
-        let asked = Arc::clone(fleet);
-        tokio::spawn(accept_questions(collectors, move |path| {
-            answer_metrics(path, || asked.figures.page(&asked))
+    if let Some(metrics_listener) = metrics_listener {
+        let state = Arc::clone(fleet);
+        tokio::spawn(accept_questions(metrics_listener, move |path| {
+            answer_metrics(path, || state.figures.page(&state))
         }));
     }
 }
 
 fn start_feeds(settings: &Arc<DirectSettings>, fleet: &Arc<FleetState>, access: &Arc<ZoneAccess>) {
     let reach = StoreReach::new();
-    let first_pause = first_pause(settings);
+    let first_list_delay = first_list_delay(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
         let worker = FeedWorker {
             topic,
@@ -250,7 +259,7 @@
             fleet: Arc::clone(fleet),
             access: Arc::clone(access),
             reach: reach.clone(),
-            first_pause,
+            first_pause: first_list_delay,
             started: Instant::now(),
             failures: 0,
         };
@@ -258,22 +267,22 @@
     }
 }
 
-/// Pause before the first listing. At the first start of a whole fleet nobody is served yet, so weak VMs let the strong
-/// ones claim their zones, and learn from them what they would each have to list.
-fn first_pause(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.cpu_millicores < WEAK_BELOW {
-        WEAK_PAUSE.mul_f64(rand::rng().random_range(1.0..3.0))
+/// Delay before the first listing. When a whole fleet starts for the first time, no callers are served yet. VMs with little
+/// CPU then let the others claim the zones first, and receive from them what each would have to list itself.
+fn first_list_delay(settings: &DirectSettings) -> Duration {
+    if settings.is_first_start && settings.cpu_millicores < WEAK_VM_MILLICORES {
+        MIN_WEAK_VM_DELAY.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
     }
 }
 
 async fn sweep(fleet: Arc<FleetState>, pool: Arc<ConnectionPool>) {
-    let mut dropped = 0;
+    let mut dropped_lines = 0;
     loop {
-        sleep(SWEEP_EVERY).await;
+        sleep(SWEEP_INTERVAL).await;
         pool.sweep();
         fleet.expire();
-        dropped = report_dropped(dropped);
+        dropped_lines = report_dropped(dropped_lines);
     }
 }
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -1,8 +1,9 @@
-//! Eras of the platform's log.
+//! Eras (epochs) of the platform's log.
 //!
-//! The log may come back from a copy that is some seconds old. What was written since is gone, offsets are given out again, and its
-//! era rises. Of what this VM knows, that which has an order of its own stays in force: versions, and lives of targets that
-//! leave. Everything else is listed anew. VMs tell each other of the era with every position that they pass on.
+//! The log may be restored from a copy that is some seconds old. Records written after the copy are lost, offsets are
+//! reused, and the era number increases. State that has an order independent of the log stays in force on this VM:
+//! versions, and the lives of targets that are leaving. Everything else is listed again. Every log position contains its
+//! era, so VMs learn of a new era from the positions that they send to each other.
 
 use crate::{
     clock::{self, CLOCK_ERROR},
@@ -21,17 +22,17 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The record of an era of the log, for VMs that start in it.
+/// The record that tells VMs which start in an era when the era began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraRecord {
     /// The era.
     pub era: StoreEra,
-    /// When it was first seen: wall-clock time in milliseconds since 1970.
+    /// When the era was first seen: wall-clock time in milliseconds since 1970.
     pub seen_ms: u64,
 }
 
 impl EraRecord {
-    /// The record of an era that was just seen for the first time.
+    /// Creates the record of an era that is seen for the first time now.
     #[must_use]
     pub fn of(era: StoreEra) -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether operators have had the time to write again what the copy lacked.
+    /// Whether operators have had enough time to write the records again that the restored copy lacked.
     fn is_settled(&self, rule: RewriteRule) -> bool {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(self.seen_ms));
         age >= rule.rewrite + CLOCK_ERROR
@@ -48,7 +49,7 @@
 }
 
 impl FleetBooks {
-    /// Takes in what the log says of its era. One that names an earlier era came with the copy.
+    /// Applies the log's era record. A record of an earlier era was restored with the copy and ends no doubt.
     pub(super) fn apply_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
         if Some(record.era) == self.store_era && record.is_settled(rule) {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The record of the present era, if the log has none; eras in which it never came back from a copy need none.
+    /// The record of the current era, if the log lacks it. The first era needs none, as the log was never restored in it.
     pub(super) fn missing_era_record(&self) -> Option<EraRecord> {
         let era = self.store_era.filter(|era| !era.is_first())?;
         let is_recorded = self.era_record.is_some_and(|record| record.era == era);
@@ -64,7 +65,7 @@
         (is_listed && !is_recorded).then(|| EraRecord::of(era))
     }
 
-    /// Begins to doubt what the log holds, unless this VM knew the newest shortly before.
+    /// Treats the restored log as possibly incomplete, unless this VM had a recent proof of the newest state.
     fn doubt_copy(&mut self, era: StoreEra, rule: RewriteRule) {
         let now = clock::now();
         let proven = self.proof.age(now);
@@ -76,25 +77,25 @@
 }
 
 impl FleetState {
-    /// Takes in the era that an answer of the log names; says whether the answer is of the newest history that is known.
+    /// Learns the era of a response of the log; returns whether it is the newest known era.
     pub fn observe_era(&self, era: StoreEra) -> bool {
-        self.learn_era(era);
+        self.advance_era(era);
         let known = self.books().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
-            event!(Event::HistoryOver, "era {era}, known {known:?}");
+            event!(Event::HistoryOver, "era {era}, newest known {known:?}");
         }
         is_newest
     }
 
-    /// Takes in the eras of positions that another VM tells of.
+    /// Learns the newest era of positions received from another VM.
     pub fn observe_positions(&self, positions: impl Iterator<Item = LogPosition>) {
         if let Some(position) = positions.max() {
-            self.learn_era(position.era());
+            self.advance_era(position.era());
         }
     }
 
-    /// Whether a position is of the newest history that is known.
+    /// Whether a position is of the newest known era.
     #[must_use]
     pub fn is_current_era(&self, position: LogPosition) -> bool {
         self.books()
@@ -102,13 +103,13 @@
             .is_none_or(|era| position.era() >= era)
     }
 
-    /// The newest era that is known, as it changes.
+    /// A receiver of the newest known era.
     #[must_use]
     pub fn watch_eras(&self) -> watch::Receiver<StoreEra> {
         self.eras.subscribe()
     }
 
-    fn learn_era(&self, era: StoreEra) {
+    fn advance_era(&self, era: StoreEra) {
         {
             let mut books = self.books();
             let Some(known) = books.store_era else {
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -1,8 +1,8 @@
-//! Answers that are passed on event by event.
+//! Relays streamed answers to callers event by event.
 //!
-//! The relay runs inside the caller's connection: when the caller leaves, it is dropped, the connection to the target
-//! closes and the target stops. A stream that may be resumed goes on from its last whole event at another target,
-//! under the head that the caller already has.
+//! The relay is the body of the caller's response: when the caller disconnects, the relay is dropped, which closes the
+//! connection to the target, and the target stops. If a resumable stream breaks, it continues after its last complete
+//! event at another target, under the response head that the caller already has.
 
 use crate::{
     clock,
@@ -23,28 +23,28 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Silence of a target after which a resumable stream goes on elsewhere; callers leave after 2 s or more.
-const STALL: Duration = Duration::from_millis(1_200);
+/// Time without data after which a resumable stream continues at another target; callers time out after 2 s or more.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 struct EventRelay {
     call: CallState,
     open: Option<OpenAnswer>,
     cutter: EventCutter,
-    resumable: bool,
-    /// Whether the holder waits to hear of the first event of this send.
-    awaits_first: bool,
+    is_resumable: bool,
+    /// Whether the zone's holder has yet to be told of the first event of this send.
+    awaits_first_event: bool,
 }
 
-/// Starts to pass a stream on.
-pub fn relay_events(call: CallState, open: OpenAnswer, resumable: bool) -> Response<AnswerBody> {
+/// Starts to relay a stream; returns the response to the caller.
+pub fn relay_events(call: CallState, open: OpenAnswer, is_resumable: bool) -> Response<AnswerBody> {
     let status = open.parts.status;
     let headers = travelling(&open.parts.headers);
     let relay = EventRelay {
         call,
         open: Some(open),
         cutter: EventCutter::default(),
-        resumable,
-        awaits_first: true,
+        is_resumable,
+        awaits_first_event: true,
     };
     let stream = futures_util::stream::unfold(relay, |mut relay| async move {
         let step = relay.next().await?;
@@ -57,13 +57,13 @@
 }
 
 impl EventRelay {
-    /// The next whole events; nothing after the stream's end.
+    /// Returns the next complete events, or `None` after the end of the stream.
     async fn next(&mut self) -> Option<Result<Bytes, BrokenAnswer>> {
         loop {
-            let patience = self.patience();
+            let deadline = self.next_event_deadline();
             let open = self.open.as_mut()?;
-            let frame = timeout_at(patience, open.body.frame()).await;
-            let is_silent = frame.is_err();
+            let frame = timeout_at(deadline, open.body.frame()).await;
+            let is_stalled = frame.is_err();
             let cause = match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else {
@@ -72,45 +72,47 @@
                     match self.cutter.take(&data) {
                         Ok(events) if events.is_empty() => continue,
                         Ok(events) => {
-                            self.note_events();
+                            self.record_events();
                             return Some(Ok(events));
                         }
                         Err(error) => error.to_string(),
                     }
                 }
-                Ok(None) => match self.finish() {
+                Ok(None) => match self.finish_stream() {
                     Ok(rest) => return rest.map(Ok),
                     Err(cause) => cause,
                 },
                 Ok(Some(Err(error))) => error.to_string(),
-                Err(_) if patience < self.call.deadline => "no event for too long".to_owned(),
+                Err(_) if deadline < self.call.deadline => {
+                    "no data from the target before the timeout".to_owned()
+                }
                 Err(_) => {
                     self.end_open(CallEnd::Failed);
-                    return Some(Err(self.broken("the deadline passed")));
+                    return Some(Err(self.break_off("the deadline passed")));
                 }
             };
-            self.look_at_break(is_silent).await;
+            self.check_target(is_stalled).await;
             let target = self.end_open(CallEnd::Failed);
             event!(Event::StreamBroken, request = self.call.head.id; "at {target}: {cause}, last event {:?}",
                 self.cutter.last_id()
             );
-            if !self.resumable || !self.resume().await {
-                return Some(Err(self.broken(&cause)));
+            if !self.is_resumable || !self.resume().await {
+                return Some(Err(self.break_off(&cause)));
             }
         }
     }
 
-    fn note_events(&mut self) {
+    fn record_events(&mut self) {
         if self.call.timeline.note_event() {
-            let held = self.call.arrived.elapsed();
+            let elapsed = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
-            fleet.figures.note_first_event(held);
-            fleet.books().streams.note_start(held, clock::now());
+            fleet.figures.note_first_event(elapsed);
+            fleet.books().streams.note_start(elapsed, clock::now());
         }
-        let Some(open) = self.open.as_ref().filter(|_| self.awaits_first) else {
+        let Some(open) = self.open.as_ref().filter(|_| self.awaits_first_event) else {
             return;
         };
-        self.awaits_first = false;
+        self.awaits_first_event = false;
         let version = open.notice.version;
         if let Some(source) = self.call.fetch {
             event!(Event::MemoryUsed, request = self.call.head.id; "at {} with parts from {source}, by version {version:?}",
@@ -122,30 +124,30 @@
         }
     }
 
-    /// Notes how long the stream took, for what may be taken while this VM stops.
-    fn note_span(&self) {
+    /// Records how long the stream took. During a planned stop, these durations decide which streams are still admitted.
+    fn record_duration(&self) {
         let call = &self.call;
         let (Some(first), Some(events)) = (call.timeline.first(), self.cutter.last_id()) else {
             return;
         };
-        let span = call.arrived.elapsed().saturating_sub(first);
+        let duration = call.arrived.elapsed().saturating_sub(first);
         let mut books = call.context.fleet.books();
         let most_output = call.head.most_output;
         books
             .streams
-            .note_end(events, span, most_output, clock::now());
+            .note_end(events, duration, most_output, clock::now());
     }
 
-    /// How long the next event may take: a stream that can go on elsewhere is not waited for until its caller leaves.
-    fn patience(&self) -> Instant {
-        if self.resumable {
-            self.call.deadline.min(Instant::now() + STALL)
+    /// Deadline of the next event. A resumable stream has a shorter one, so that it resumes before its caller times out.
+    fn next_event_deadline(&self) -> Instant {
+        if self.is_resumable {
+            self.call.deadline.min(Instant::now() + STALL_TIMEOUT)
         } else {
             self.call.deadline
         }
     }
 
-    fn broken(&mut self, cause: &str) -> BrokenAnswer {
+    fn break_off(&mut self, cause: &str) -> BrokenAnswer {
         event!(Event::AnswerIncomplete, request = self.call.head.id; "{cause}, last event {:?}",
             self.cutter.last_id()
         );
@@ -153,15 +155,15 @@
         BrokenAnswer(cause.to_owned())
     }
 
-    /// Looks whether the target that broke the stream off has ended; one that was merely silent has not broken it off.
-    async fn look_at_break(&self, is_silent: bool) {
-        if let Some(open) = self.open.as_ref().filter(|_| !is_silent) {
+    /// Checks whether the target has ended, if it broke the stream off. A stalled target has not broken it off.
+    async fn check_target(&self, is_stalled: bool) {
+        if let Some(open) = self.open.as_ref().filter(|_| !is_stalled) {
             let is_trial = open.count.is_trial();
             self.call.look_at_break(&open.entry, is_trial).await;
         }
     }
 
-    /// Ends the counts of the open answer; returns its target.
+    /// Closes the accounting of the open answer; returns the name of its target.
     fn end_open(&mut self, end: CallEnd) -> String {
         let Some(open) = self.open.take() else {
             return String::new();
@@ -173,8 +175,9 @@
         open.connection.target().to_string()
     }
 
-    /// The target ended its body: the stream is whole unless that end could not be told from a break.
-    fn finish(&mut self) -> Result<Option<Bytes>, String> {
+    /// Handles the end of the target's body. Without framing, an end inside an event cannot be told from a broken connection
+    /// and is an error.
+    fn finish_stream(&mut self) -> Result<Option<Bytes>, String> {
         let rest = self.cutter.take_rest();
         let is_framed = self
             .open
@@ -185,7 +188,7 @@
         }
         if let Some(open) = self.open.take() {
             self.call.count(RequestOutcome::Answered);
-            self.note_span();
+            self.record_duration();
             event!(Event::StreamAnswered, request = self.call.head.id; "route {} objective {} prompt {} at {}:{}",
                 self.call.route.name,
                 self.call.route.objective.as_millis(),
@@ -202,7 +205,7 @@
         Ok((!rest.is_empty()).then_some(rest))
     }
 
-    /// Goes on at another target from the last whole event.
+    /// Continues the stream at another target after the last complete event; returns whether a target took it over.
     async fn resume(&mut self) -> bool {
         let last = self.cutter.last_id().or(self.call.head.last_event);
         self.cutter.take_rest();
@@ -217,7 +220,7 @@
                         entry.name
                     );
                     self.open = Some(*open);
-                    self.awaits_first = true;
+                    self.awaits_first_event = true;
                     return true;
                 }
                 SendOutcome::Failure(_)
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -1,33 +1,35 @@
-//! The direct data path: every VM is a gateway that sends straight to targets, and one VM a zone gives the orders.
+//! The direct mode: every VM is a gateway that sends calls straight to targets, and one VM per zone gives the orders.
 //!
-//! | module | job |
+//! Each VM reads the platform's log and exchanges its records with other VMs, so that it knows the configuration, the
+//! targets and the holder of each zone's lease. A gateway asks the holder of a zone for a placement and then sends the call
+//! to the target itself. The holder plans placements, sends orders to engines and reads their reports.
+//!
+//! | module | purpose |
 //! |---|---|
-//! | [`settings`] | the settings of this mode |
-//! | [`daemon`] | starts and stops everything |
-//! | [`fleet`], [`folding`] | what this VM knows of configuration, targets, leases and VMs, and how records change it |
-//! | [`intake`] | what comes into these books, and what of it is news for others |
-//! | [`exchange`] | what VMs tell each other of the platform's log |
-//! | [`feeds`] | one worker a topic of the platform's log |
-//! | [`listing`] | a listing of a topic, page by page |
-//! | [`reach`] | what these workers tell each other about it |
-//! | [`front`] | callers' connections |
-//! | [`questions`], [`figures`] | the balancer's and the collectors' questions, and what is counted |
-//! | [`reload`] | settings that change while the daemon runs |
+//! | [`settings`], [`reload`] | settings of this mode, and their changes while the daemon runs |
+//! | [`daemon`] | startup and planned stop |
+//! | [`fleet`], [`folding`] | state of the fleet as known to this VM, and how log records change it |
+//! | [`intake`] | incoming records, and which of them have to be forwarded |
+//! | [`exchange`], [`sharing`] | exchange of the log's records between VMs, and the part that one link forwards |
+//! | [`record_cache`] | newest record of each key, with the updates to forward |
+//! | [`feeds`], [`listing`] | reading and listing of the log's topics |
+//! | [`reach`] | reachability of the log, shared by the readers of a VM |
+//! | [`eras`] | eras of the log, which change when it is restored from a copy |
+//! | [`recorder`] | records that this VM maintains in the log |
+//! | [`suspect_records`], [`trials`] | records and trials of requests during which targets ended |
+//! | [`front`] | connections of callers |
+//! | [`questions`], [`figures`] | readiness check and metrics page |
 //! | [`call`] | one caller's request from its head to its answer |
-//! | [`whole`], [`events`] | answers taken whole, and answers passed on event by event |
-//! | [`cutter`] | whole events out of a stream's bytes |
-//! | [`sender`] | connections to targets, and one send over one of them |
+//! | [`whole`], [`event_relay`] | answers buffered as a whole, and answers streamed event by event |
+//! | [`cutter`] | splits the bytes of a stream into complete events |
+//! | [`sender`] | connections to targets, and single requests over them |
+//! | [`notices`] | notices that targets include in their answers |
+//! | [`skipped`] | limits log lines about unusable entries |
+//! | [`zone`], [`claims`] | the worker that runs a held zone, and claims of the zone's lease |
+//! | [`ledger`] | the holder's quota shares, and calls of plain services |
 //! | [`engine_calls`] | orders to engines, and their reports |
-//! | [`ledger`] | the holder's part of quotas, and the calls of plain services |
-//! | [`zone`] | the worker that holds a zone: planner, orders, reports |
-//! | [`access`], [`asking`] | the gateway's way to the holder of a zone, and what that one is asked and told |
-//! | [`links`], [`message`] | links between VMs |
-//! | [`sharing`] | what a link passes on of the log |
-//! | [`skipped`] | how often entries that can't be used are told of |
-//! | [`records`] | what VMs pass on to each other of the platform's log |
-//! | [`trials`] | permits for trials of suspects |
-//! | [`suspect_records`] | records of suspects in the platform's log |
-//! | [`claims`] | claims of a zone's lease |
+//! | [`access`] | a gateway's access to the holder of a zone, with the requests and notifications sent to it |
+//! | [`links`], [`message`] | links between VMs, and their messages |
 
 pub mod access;
 mod asking;
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -1,7 +1,7 @@
-//! Settings that change while the daemon runs.
+//! Reloads the settings file while the daemon runs.
 //!
-//! A hang-up signal says that the file has changed, and it may also change without one, so it is compared from time to
-//! time. What can be changed in a running process is; the rest is named and waits for a restart.
+//! The file is read again on a hang-up signal (SIGHUP), and periodically, because it may change without a signal. Settings
+//! that can change in a running process take effect at once; the keys of all others are logged and need a restart.
 
 use crate::{
     direct::{daemon::DirectDaemon, settings::DirectSettings},
@@ -16,10 +16,10 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Pause between two looks at the file.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Interval between checks of the file.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The settings file, as it was last read.
+/// The settings file and its text as last read.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: String,
@@ -27,10 +27,10 @@
 }
 
 impl SettingsFile {
-    /// The file as it is now.
+    /// Reads the file at this path.
     ///
     /// # Errors
-    /// When it can't be read.
+    /// Returns [`SettingsError::Unreadable`] if the file cannot be read.
     pub fn open(path: &str) -> Result<Self, SettingsError> {
         Ok(Self {
             path: path.to_owned(),
@@ -38,16 +38,16 @@
         })
     }
 
-    /// Its text at the last look.
+    /// The text of the file as last read.
     #[must_use]
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Its settings, if it has changed since the last look.
+    /// Reads the file again and returns its settings if the text has changed.
     ///
     /// # Errors
-    /// When it can't be read, or the settings are wrong; the same text is not complained about twice.
+    /// Returns an error if the file cannot be read or its settings are invalid. The same invalid text is reported only once.
     pub fn read_changes(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
         let text = read_text(&self.path)?;
         if text == self.text {
@@ -59,14 +59,14 @@
 }
 
 impl DirectDaemon {
-    /// Takes over changes of the settings file until the future is dropped.
+    /// Applies changes of the settings file until the future is dropped.
     pub async fn watch_settings(&self, mut file: SettingsFile, mut hang_up: Signal) {
-        let mut look = interval(LOOK_EVERY);
-        look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut poll = interval(POLL_INTERVAL);
+        poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = hang_up.recv() => event!(Event::HangUp),
-                _ = look.tick() => {}
+                _ = poll.tick() => {}
             }
             match file.read_changes() {
                 Ok(Some(settings)) => self.apply_settings(&settings),
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Takes over what can change in a running process.
+    /// Applies the settings that can change in a running process, and logs the keys that need a restart.
     pub fn apply_settings(&self, settings: &DirectSettings) {
         {
             let mut books = self.fleet().books();
             books.retries.set_rule(settings.retries);
             books.policy = settings.policy;
         }
-        // The line about the change is written whatever the level was and will be.
+        // Logs the change regardless of the previous and the new log level.
         set_level("info");
-        let waiting = self.settings().keys_needing_restart(settings);
-        if waiting.is_empty() {
-            event!(Event::SettingsChanged, "all of it");
+        let pending_keys = self.settings().keys_needing_restart(settings);
+        if pending_keys.is_empty() {
+            event!(Event::SettingsChanged, "all changes are in force");
         } else {
             event!(
                 Event::SettingsChanged,
-                "but for {}: restart the daemon for these",
-                waiting.join(", ")
+                "but for {}: restart the daemon to apply these",
+                pending_keys.join(", ")
             );
         }
         set_level(&settings.log.level);
@@ -100,10 +100,10 @@
 }
 
 impl DirectSettings {
-    /// Keys whose changes wait for a restart.
+    /// Keys that differ in the new settings and take effect only after a restart.
     #[must_use]
     pub fn keys_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let differs = [
+        let comparisons = [
             ("vm", self.vm != new.vm),
             ("zone", self.zone != new.zone),
             ("zones", self.zones != new.zones),
@@ -128,7 +128,7 @@
             ("pace", self.timing != new.timing),
             ("log.file", self.log.file != new.log.file),
         ];
-        differs
+        comparisons
             .into_iter()
             .filter_map(|(key, differs)| differs.then_some(key))
             .collect()
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -1,4 +1,7 @@
-//! The settings of the direct mode.
+//! Settings of the direct mode, read from the JSON settings file.
+//!
+//! All faults of a file are collected and reported together. A key that is absent from the file has a default, except for
+//! names and addresses.
 
 use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
 use hoplanding_core::{
@@ -11,86 +14,88 @@
 use serde_json::Value;
 use std::{net::SocketAddr, time::Duration};
 
-/// Part of the time until a configuration has to be in force that is left for reading it and passing it on.
+/// Share of `pace.config_bound_ms`, the time within which a new configuration has to be in force, that is reserved for reading
+/// it and forwarding it to other VMs.
 const CONFIG_MARGIN: Duration = Duration::from_millis(600);
 
-/// Part of the time until callers have to be served again after a loss of all VMs that is left for the start.
-const START_TIME: Duration = Duration::from_secs(3);
+/// Share of `recovery.bound_s`, the time within which callers have to be served again after the loss of all VMs, that is
+/// reserved for starting up.
+const STARTUP_MARGIN: Duration = Duration::from_secs(3);
 
 /// Settings of a daemon in direct mode.
 #[derive(Clone, Debug)]
 pub struct DirectSettings {
-    /// Name of this VM.
+    /// The name of this VM.
     pub vm: VmName,
-    /// Its availability zone.
+    /// The availability zone of this VM.
     pub zone: AvailabilityZone,
-    /// Thousandths of a core that this VM has.
+    /// CPU of this VM in thousandths of a core (`cores` in the file).
     pub cpu_millicores: u32,
-    /// Where callers connect.
+    /// Address on which callers are accepted.
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether the VM takes callers.
+    /// Address of the load balancer's readiness check.
     pub ready_address: SocketAddr,
-    /// Where other VMs connect.
+    /// Address on which links of other VMs are accepted.
     pub peer_address: SocketAddr,
-    /// Where metrics collectors ask; none for nowhere.
+    /// Address of the metrics page; `None` serves no metrics.
     pub metrics_address: Option<SocketAddr>,
-    /// The platform's log.
+    /// Address of the platform's log.
     pub platform_address: SocketAddr,
-    /// All availability zones.
+    /// All availability zones of the fleet.
     pub zones: Vec<AvailabilityZone>,
-    /// Whether the whole fleet starts for the first time, before there are callers.
+    /// Whether the whole fleet starts for the first time, before there are callers (`first_start` in the file).
     pub is_first_start: bool,
-    /// The fleet's rule for repeats.
+    /// Retry budget of the fleet.
     pub retries: RetryRule,
-    /// How long a key that was taken away may still be served; none where a VM that is out of touch need not know.
+    /// How long a revoked key may still be accepted; `None` if a VM that has lost contact need not learn of revocations.
     pub revocation: Option<RevocationRule>,
-    /// How long operators take to write again what a copy of the log lacks.
+    /// How long operators take to rewrite the records that a restored log lacks.
     pub recovery: RewriteRule,
-    /// How exactly quotas are kept.
+    /// Permitted deviation from quotas.
     pub quotas: QuotaBounds,
-    /// Pauses before trials of requests under which targets ended.
+    /// Pauses before trials of suspected requests.
     pub trials: TrialRule,
-    /// Spans that decide about claims.
+    /// Timeouts of the zone leases.
     pub leases: LeaseTimes,
-    /// Whether engines refuse orders with an older fencing token than one that they have seen.
+    /// Whether engines reject orders with a fencing token older than one they have seen (`orders_fenced` in the file).
     pub has_order_fencing: bool,
-    /// What decisions weigh.
+    /// Weights and limits of placement decisions.
     pub policy: PlacementPolicy,
-    /// Pauses and bounds.
+    /// Intervals and timeouts (`pace` in the file).
     pub timing: TimingSettings,
-    /// Logs.
+    /// Log output.
     pub log: LogSettings,
 }
 
-/// Pauses and bounds of the direct mode.
+/// Intervals and timeouts of the direct mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimingSettings {
-    /// Pause between two reads of the target list.
+    /// Interval between reads of the target list.
     pub list_interval: Duration,
-    /// Shortest pause between two reads of the configuration.
+    /// Minimum interval between reads of the configuration.
     pub min_config_interval: Duration,
-    /// Longest time that a holder's read of the configuration waits for a change.
+    /// Maximum time for which a zone holder's read of the configuration waits for a change.
     pub max_config_wait: Duration,
-    /// Time after which a call to the log counts as unanswered.
+    /// Timeout of a request to the platform's log.
     pub platform_timeout: Duration,
-    /// Time from the stop signal until open connections are told to end.
+    /// Time from the stop signal until open connections are asked to close (`stop_notice_ms` in the file).
     pub drain_delay: Duration,
-    /// Time from the stop signal to the exit.
+    /// Maximum time from the stop signal to the exit (`stop_bound_ms` in the file).
     pub stop_timeout: Duration,
 }
 
 impl DirectSettings {
-    /// Whether a settings file asks for the direct mode.
+    /// Whether the text of a settings file selects the direct mode.
     #[must_use]
     pub fn is_direct_mode(text: &str) -> bool {
         serde_json::from_str::<Value>(text)
             .is_ok_and(|value| value.get("mode").and_then(Value::as_str) == Some("direct"))
     }
 
-    /// Reads settings from JSON.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// Lists every fault with its key, value and remedy.
+    /// Returns [`SettingsError::NoJson`] if the text is not JSON, else all faults with their keys, values and remedies.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         parse_settings(text, read_settings)
     }
@@ -140,9 +145,9 @@
 }
 
 fn read_recovery(section: &SectionReader<'_>) -> RewriteRule {
-    let recovered = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
+    let recovery_bound = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
     RewriteRule {
-        rewrite: recovered.saturating_sub(START_TIME),
+        rewrite: recovery_bound.saturating_sub(STARTUP_MARGIN),
     }
 }
 
@@ -169,39 +174,39 @@
     }
 }
 
-/// Weights and limits of decisions; docs/POLICY.md says where each value comes from.
+/// Reads the weights and limits of placement decisions; docs/POLICY.md explains each default.
 fn read_policy(section: &SectionReader<'_>) -> PlacementPolicy {
-    let known = PlacementPolicy::default();
+    let defaults = PlacementPolicy::default();
     let part = |name, value| section.fraction(name, value, 0.0, 100.0);
     let span = |name, value: Duration| {
-        let known = u64::try_from(value.as_millis()).unwrap_or(u64::MAX);
-        section.span(name, known, 0, 600_000)
+        let default_ms = u64::try_from(value.as_millis()).unwrap_or(u64::MAX);
+        section.span(name, default_ms, 0, 600_000)
     };
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
-    let [urgent, normal, batch] = known.bearable_parts;
+    let [urgent, normal, batch] = defaults.bearable_parts;
     PlacementPolicy {
-        swift_part: part("swift_part", known.swift_part),
+        swift_part: part("swift_part", defaults.swift_part),
         bearable_parts: [
             part("bearable_urgent", urgent),
             part("bearable_normal", normal),
             part("bearable_batch", batch),
         ],
-        popular_per_s: part("popular_per_s", known.popular_per_s),
-        away_price: span("away_price_ms", known.away_price),
-        load_price: span("load_price_ms", known.load_price),
-        reload_price: span("reload_price_ms", known.reload_price),
-        fetch_time: span("fetch_time_ms", known.fetch_time),
-        fetch_gain: span("fetch_gain_ms", known.fetch_gain),
-        lately_kept: count("lately_kept", known.lately_kept),
-        crowded_places: part("crowded_places", known.crowded_places),
-        crowded_backlog: span("crowded_backlog_ms", known.crowded_backlog),
-        crowding_part: part("crowding_part", known.crowding_part),
-        sought_part: part("sought_part", known.sought_part),
-        spare_part: part("spare_part", known.spare_part),
-        busy_part: part("busy_part", known.busy_part),
-        doubt_price: span("doubt_price_ms", known.doubt_price),
-        failing_price: span("failing_price_ms", known.failing_price),
-        shed_price: span("shed_price_ms", known.shed_price),
+        popular_per_s: part("popular_per_s", defaults.popular_per_s),
+        away_price: span("away_price_ms", defaults.away_price),
+        load_price: span("load_price_ms", defaults.load_price),
+        reload_price: span("reload_price_ms", defaults.reload_price),
+        fetch_time: span("fetch_time_ms", defaults.fetch_time),
+        fetch_gain: span("fetch_gain_ms", defaults.fetch_gain),
+        lately_kept: count("lately_kept", defaults.lately_kept),
+        crowded_places: part("crowded_places", defaults.crowded_places),
+        crowded_backlog: span("crowded_backlog_ms", defaults.crowded_backlog),
+        crowding_part: part("crowding_part", defaults.crowding_part),
+        sought_part: part("sought_part", defaults.sought_part),
+        spare_part: part("spare_part", defaults.spare_part),
+        busy_part: part("busy_part", defaults.busy_part),
+        doubt_price: span("doubt_price_ms", defaults.doubt_price),
+        failing_price: span("failing_price_ms", defaults.failing_price),
+        shed_price: span("shed_price_ms", defaults.shed_price),
     }
 }
 
