--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -150,9 +150,9 @@
         state.is_some_and(|state| books.confirmed == Some(state.token()))
     }
 
-    /// Confirms a claim by reading the topic once more after the claim's turn. A log that was restored from a copy may lack
-    /// the claim, and another VM may hold the zone since then. If the log is unreachable, the claim counts as confirmed
-    /// after one more turn, which would suffice if the log were never restored.
+    /// Confirms a claim by reading the topic once more after the claim's turn. A log that was restored from a copy may
+    /// lack the claim, and another VM may hold the zone since then. If the log is unreachable, the claim counts as
+    /// confirmed after one more turn, which would suffice if the log were never restored.
     async fn confirm_claim(&self, client: &mut StoreClient) {
         let now = clock::now();
         let lease = self.fleet.lease(&self.fleet.zone);
@@ -264,8 +264,8 @@
     Some(age.saturating_sub(CLOCK_ERROR))
 }
 
-/// Start of this VM's wait before its first order, in milliseconds since 1970, if its claim is not confirmed yet. A release
-/// carries it over, so that the next holder counts the wait from there.
+/// Start of this VM's wait before its first order, in milliseconds since 1970, if its claim is not confirmed yet. A
+/// release carries it over, so that the next holder counts the wait from there.
 fn pending_wait_since_ms(fleet: &FleetState) -> Option<u64> {
     let books = fleet.books();
     let state = books.leases.get(&fleet.zone)?;
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon of the direct mode: starts all its tasks and carries out a planned stop.
 //!
-//! A planned stop goes through the phases of [`StopPhase`]. The zone's lease is released as soon as another VM of the zone
-//! can take it; without one, this VM gives the zone's orders until it exits.
+//! A planned stop goes through the phases of [`StopPhase`]. The zone's lease is released as soon as another VM of the
+//! zone can take it; without one, this VM gives the zone's orders until it exits.
 
 use crate::{
     direct::{
@@ -168,8 +168,8 @@
         &self.fleet
     }
 
-    /// Stops the daemon as planned: nothing is interrupted before the deadline `timing.stop_timeout`. Returns the number of
-    /// connections that were still open.
+    /// Stops the daemon as planned: nothing is interrupted before the deadline `timing.stop_timeout`. Returns the
+    /// number of connections that were still open.
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
         let started_at = Instant::now();
@@ -184,7 +184,8 @@
         self.fleet.begin_stop();
         let mut is_released = false;
         loop {
-            // Without a successor nobody would give the zone's orders, so this VM keeps the lease until the end of the stop.
+            // Without a successor nobody would give the zone's orders, so this VM keeps the lease until the end of the
+            // stop.
             if !is_released && self.fleet.has_successor() {
                 self.release().await;
                 is_released = true;
@@ -267,8 +268,8 @@
     }
 }
 
-/// Delay before the first listing. When a whole fleet starts for the first time, no callers are served yet. VMs with little
-/// CPU then let the others claim the zones first, and receive from them what each would have to list itself.
+/// Delay before the first listing. When a whole fleet starts for the first time, no callers are served yet. VMs with
+/// little CPU then let the others claim the zones first, and receive from them what each would have to list itself.
 fn first_list_delay(settings: &DirectSettings) -> Duration {
     if settings.is_first_start && settings.cpu_millicores < WEAK_VM_MILLICORES {
         MIN_WEAK_VM_DELAY.mul_f64(rand::rng().random_range(1.0..3.0))
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -2,8 +2,8 @@
 //!
 //! The log may be restored from a copy that is some seconds old. Records written after the copy are lost, offsets are
 //! reused, and the era number increases. State that has an order independent of the log stays in force on this VM:
-//! versions, and the lives of targets that are leaving. Everything else is listed again. Every log position contains its
-//! era, so VMs learn of a new era from the positions that they send to each other.
+//! versions, and the lives of targets that are leaving. Everything else is listed again. Every log position contains
+//! its era, so VMs learn of a new era from the positions that they send to each other.
 
 use crate::{
     clock::{self, CLOCK_ERROR},
@@ -57,7 +57,8 @@
         }
     }
 
-    /// The record of the current era, if the log lacks it. The first era needs none, as the log was never restored in it.
+    /// The record of the current era, if the log lacks it. The first era needs none, as the log was never restored in
+    /// it.
     pub(super) fn missing_era_record(&self) -> Option<EraRecord> {
         let era = self.store_era.filter(|era| !era.is_first())?;
         let is_recorded = self.era_record.is_some_and(|record| record.era == era);
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Records how long the stream took. During a planned stop, these durations decide which streams are still admitted.
+    /// Records how long the stream took. During a planned stop, these durations decide which streams are still
+    /// admitted.
     fn record_duration(&self) {
         let call = &self.call;
         let (Some(first), Some(events)) = (call.timeline.first(), self.cutter.last_id()) else {
@@ -138,7 +139,8 @@
             .note_end(events, duration, most_output, clock::now());
     }
 
-    /// Deadline of the next event. A resumable stream has a shorter one, so that it resumes before its caller times out.
+    /// Deadline of the next event. A resumable stream has a shorter one, so that it resumes before its caller times
+    /// out.
     fn next_event_deadline(&self) -> Instant {
         if self.is_resumable {
             self.call.deadline.min(Instant::now() + STALL_TIMEOUT)
@@ -175,8 +177,8 @@
         open.connection.target().to_string()
     }
 
-    /// Handles the end of the target's body. Without framing, an end inside an event cannot be told from a broken connection
-    /// and is an error.
+    /// Handles the end of the target's body. Without framing, an end inside an event cannot be told from a broken
+    /// connection and is an error.
     fn finish_stream(&mut self) -> Result<Option<Bytes>, String> {
         let rest = self.cutter.take_rest();
         let is_framed = self
--- a/crates/daemon/src/direct/record_cache.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of records in one message.
 const MAX_MESSAGE_RECORDS: usize = 64;
-/// Size in bytes from which a message takes no more records: about a tenth of a second at 10 Mbit/s, so that updates do not
-/// delay other messages on a slow link for long.
+/// Size in bytes from which a message takes no more records: about a tenth of a second at 10 Mbit/s, so that updates do
+/// not delay other messages on a slow link for long.
 const MESSAGE_SIZE_LIMIT: usize = 96 * 1024;
 
 type RecordKey = (FeedTopic, String);
@@ -88,8 +88,8 @@
         found.count() as u64 >= before.0.saturating_sub(from.0)
     }
 
-    /// Inserts a record that is newer than the cached one of its key. If `is_update` is false, the record gets no sequence
-    /// number of its own, but takes over that of an update of this key which links may still have to forward.
+    /// Inserts a record that is newer than the cached one of its key. If `is_update` is false, the record gets no
+    /// sequence number of its own, but takes over that of an update of this key which links may still have to forward.
     pub fn insert(
         &mut self,
         topic: FeedTopic,
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -1,7 +1,8 @@
 //! Reloads the settings file while the daemon runs.
 //!
-//! The file is read again on a hang-up signal (SIGHUP), and periodically, because it may change without a signal. Settings
-//! that can change in a running process take effect at once; the keys of all others are logged and need a restart.
+//! The file is read again on a hang-up signal (SIGHUP), and periodically, because it may change without a signal.
+//! Settings that can change in a running process take effect at once; the keys of all others are logged and need a
+//! restart.
 
 use crate::{
     direct::{daemon::DirectDaemon, settings::DirectSettings},
@@ -47,7 +48,8 @@
     /// Reads the file again and returns its settings if the text has changed.
     ///
     /// # Errors
-    /// Returns an error if the file cannot be read or its settings are invalid. The same invalid text is reported only once.
+    /// Returns an error if the file cannot be read or its settings are invalid. The same invalid text is reported only
+    /// once.
     pub fn read_changes(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
         let text = read_text(&self.path)?;
         if text == self.text {
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the direct mode, read from the JSON settings file.
 //!
-//! All faults of a file are collected and reported together. A key that is absent from the file has a default, except for
-//! names and addresses.
+//! All faults of a file are collected and reported together. A key that is absent from the file has a default, except
+//! for names and addresses.
 
 use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
 use hoplanding_core::{
@@ -14,12 +14,12 @@
 use serde_json::Value;
 use std::{net::SocketAddr, time::Duration};
 
-/// Share of `pace.config_bound_ms`, the time within which a new configuration has to be in force, that is reserved for reading
-/// it and forwarding it to other VMs.
+/// Share of `pace.config_bound_ms`, the time within which a new configuration has to be in force, that is reserved for
+/// reading it and forwarding it to other VMs.
 const CONFIG_MARGIN: Duration = Duration::from_millis(600);
 
-/// Share of `recovery.bound_s`, the time within which callers have to be served again after the loss of all VMs, that is
-/// reserved for starting up.
+/// Share of `recovery.bound_s`, the time within which callers have to be served again after the loss of all VMs, that
+/// is reserved for starting up.
 const STARTUP_MARGIN: Duration = Duration::from_secs(3);
 
 /// Settings of a daemon in direct mode.
@@ -47,7 +47,8 @@
     pub is_first_start: bool,
     /// Retry budget of the fleet.
     pub retries: RetryRule,
-    /// How long a revoked key may still be accepted; `None` if a VM that has lost contact need not learn of revocations.
+    /// How long a revoked key may still be accepted; `None` if a VM that has lost contact need not learn of
+    /// revocations.
     pub revocation: Option<RevocationRule>,
     /// How long operators take to rewrite the records that a restored log lacks.
     pub recovery: RewriteRule,
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -1,8 +1,8 @@
 //! Records of suspected requests, that is requests during which targets ended, in the platform's log.
 //!
-//! A suspicion has to survive the loss of all VMs, so each suspected request has a record from the first ended target on.
-//! The gateway that saw the end writes the record before it answers its caller or retries the request: when the request
-//! can come back, the end is already stored. Calls do not wait for the record while the log does not answer.
+//! A suspicion has to survive the loss of all VMs, so each suspected request has a record from the first ended target
+//! on. The gateway that saw the end writes the record before it answers its caller or retries the request: when the
+//! request can come back, the end is already stored. Calls do not wait for the record while the log does not answer.
 //!
 //! The zone holder that grants a request's trials maintains its record (see [`recorder`](super::recorder)): it writes
 //! records that a gateway could not write or that a restored copy of the log lacks, and deletes the record of a request
@@ -119,7 +119,8 @@
     Some(RequestFingerprint(number))
 }
 
-/// Whether a zone's holder maintains the record of a request. That is the holder of the first zone that grants its trials.
+/// Whether a zone's holder maintains the record of a request. That is the holder of the first zone that grants its
+/// trials.
 #[must_use]
 pub fn is_record_owner(
     zone: &AvailabilityZone,
@@ -130,7 +131,8 @@
 }
 
 impl FleetBooks {
-    /// The value to write as the record of a request, if the log has a different one; an empty value deletes the record.
+    /// The value to write as the record of a request, if the log has a different one; an empty value deletes the
+    /// record.
     fn due_value(&self, fingerprint: RequestFingerprint) -> Option<Bytes> {
         let now = clock::now();
         let written = self
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -333,7 +333,8 @@
                 held.is_yielding = true;
                 held.planner.stop_orders();
             }
-            // A lease request that names an older record or is a repeat; the others are handled before, or need nothing.
+            // A lease request that names an older record or is a repeat; the others are handled before, or need
+            // nothing.
             ZoneEvent::LeaseWanted(..)
             | ZoneEvent::LeaseRetained(_)
             | ZoneEvent::PlacePlain(..)
@@ -439,8 +440,9 @@
         }
     }
 
-    /// Time until which no other VM can give orders: after its claim, a successor waits for one lease turn unless this VM
-    /// released the lease or ended. The turn counts from the last read of the fleet topic, which would have shown a claim.
+    /// Time until which no other VM can give orders: after its claim, a successor waits for one lease turn unless this
+    /// VM released the lease or ended. The turn counts from the last read of the fleet topic, which would have shown a
+    /// claim.
     fn exclusive_until(&self) -> Instant {
         let read_at = self.fleet.books().fleet_read_at;
         read_at.unwrap_or_default().after(self.settings.leases.turn)
@@ -482,8 +484,8 @@
         }
     }
 
-    /// Replaces the token after this VM's lease was recorded again because the log was restored from a copy. Planner and
-    /// ledger keep their state.
+    /// Replaces the token after this VM's lease was recorded again because the log was restored from a copy. Planner
+    /// and ledger keep their state.
     fn renew_token(&mut self, token: FencingToken) {
         event!(
             Event::LeaseRenewed,
--- a/crates/daemon/tests/direct/keys.rs
+++ b/crates/daemon/tests/direct/keys.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, organisations and quotas over sockets.
+//! Callers' keys, organisations, quotas and suspected requests over real sockets.
 
 use crate::support::{
     Answer, config_json, good_answer, is_ready, model_headers, post_request, route_json,
@@ -14,14 +14,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Bound of revocation in these tests.
-const REVOKE: Duration = Duration::from_millis(1_500);
+/// Time within which a revocation has to be in force in these tests.
+const REVOCATION_BOUND: Duration = Duration::from_millis(1_500);
 
 pub fn test_organisation(keys: &[&str]) -> Value {
     json!({ "name": "mill", "api_keys": keys, "priority": 3, "unit": "token_count", "plain_tokens": 200 })
 }
 
-/// The usual configuration with an open route and organisations.
+/// The usual configuration with an anonymous route and organisations.
 pub fn keyed_config(version: u64, organisations: &Value) -> String {
     let mut keyed: Value = serde_json::from_str(&config_json(version)).expect("a configuration");
     let mut open = route_json("open", "idempotent", "ledger");
@@ -33,13 +33,14 @@
 
 pub fn strict_revocation_settings(vm: &str, log: &KeyedLog) -> DirectSettings {
     let mut settings = vm_settings(vm, log);
-    settings.revocation =
-        Some(hoplanding_core::direct::freshness::RevocationRule { bound: REVOKE });
+    settings.revocation = Some(hoplanding_core::direct::freshness::RevocationRule {
+        bound: REVOCATION_BOUND,
+    });
     settings
 }
 
-/// A daemon that has taken the configuration over.
-async fn keyed_site(
+/// Starts a daemon and waits until a configuration with these organisations is in force.
+async fn start_keyed_daemon(
     log: &KeyedLog,
     targets: &[(&str, &str, std::net::SocketAddr)],
     organisations: &Value,
@@ -58,8 +59,8 @@
     send_request(daemon.caller_address, &post_request(path, id, headers)).await
 }
 
-/// What a target was sent for calls.
-fn calls(target: &RawTarget) -> Vec<RawRequest> {
+/// The requests of callers that a target received.
+fn received_calls(target: &RawTarget) -> Vec<RawRequest> {
     let mut seen = target.requests();
     seen.retain(|request| !request.line().contains("/hoplanding/"));
     seen
@@ -67,12 +68,13 @@
 
 pub const KEY: &str = "Authorization: Bearer k1\r\n";
 
+/// Guards against forged organisation headers, and against keys that are forwarded to targets.
 #[tokio::test]
-async fn a_key_becomes_its_organisation_and_goes_no_further() {
+async fn key_is_replaced_by_its_organisation_and_not_forwarded() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     let forged = format!(
         "{KEY}Hoplanding-Tenant: port\r\nHOPLANDING-TENANT: yard\r\nConnection: hoplanding-tenant, authorization\r\n"
     );
@@ -80,7 +82,7 @@
         send_call(&daemon, "/scan/1", "r1", &forged).await.status,
         200
     );
-    // An open route needs no key, and none makes an organisation of a caller.
+    // An anonymous route needs no key; without a valid one the caller has no organisation.
     let anyone = "Hoplanding-Tenant: port\r\n";
     assert_eq!(
         send_call(&daemon, "/open/1", "r2", anyone).await.status,
@@ -92,12 +94,12 @@
         200
     );
     assert_eq!(send_call(&daemon, "/open/1", "r4", KEY).await.status, 200);
-    let seen = calls(&target);
-    let told = seen
+    let seen = received_calls(&target);
+    let organisations = seen
         .iter()
         .map(|request| request.header("hoplanding-tenant"));
     assert_eq!(
-        told.collect::<Vec<_>>(),
+        organisations.collect::<Vec<_>>(),
         [Some("mill"), None, None, Some("mill")]
     );
     for request in &seen {
@@ -109,12 +111,13 @@
     }
 }
 
+/// Guards against absent, unknown, repeated, malformed or oversized keys that let a call through.
 #[tokio::test]
-async fn calls_without_a_key_in_force_are_refused_and_reach_nobody() {
+async fn calls_without_a_valid_key_are_refused_and_not_sent() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     for headers in [
         String::new(),
         "Authorization: Bearer k2\r\n".to_owned(),
@@ -128,15 +131,17 @@
     }
     let long = format!("Authorization: Bearer {}\r\n", "k".repeat(100_000));
     assert_eq!(send_call(&daemon, "/scan/1", "r1", &long).await.status, 431);
-    assert!(calls(&target).is_empty());
+    assert!(received_calls(&target).is_empty());
 }
 
+/// Guards against a revoked key that stays valid, and against an invalid key list that replaces the one in force.
 #[tokio::test]
-async fn a_key_that_is_taken_away_stops_and_an_unusable_list_changes_nothing() {
+async fn revoked_key_is_refused_and_an_invalid_key_list_is_ignored() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1", "k2"])])).await;
+    let daemon =
+        start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1", "k2"])])).await;
     let twice = json!([test_organisation(&["k1"]), { "name": "port", "api_keys": ["k1"] }]);
     log.put("keyed.op", "config", Some(&keyed_config(3, &twice)));
     sleep(Duration::from_millis(700)).await;
@@ -151,14 +156,16 @@
     assert_eq!(send_call(&daemon, "/scan/1", "r3", other).await.status, 200);
 }
 
+/// Guards against a VM that has lost the log and accepts a key that may be revoked, or rejects one that may be valid:
+/// it answers 503 with a retry time until the log is back.
 #[tokio::test]
-async fn a_vm_that_cannot_know_of_a_revocation_promises_and_does_not_deny() {
+async fn vm_without_a_current_proof_answers_503_instead_of_401() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     log.set_faults(|faults| faults.is_out = true);
-    sleep(REVOKE).await;
+    sleep(REVOCATION_BOUND).await;
     for headers in [KEY, "Authorization: Bearer k2\r\n", ""] {
         let answer = send_call(&daemon, "/scan/1", "r1", headers).await;
         assert_eq!(answer.status, 503, "{headers}");
@@ -166,7 +173,7 @@
     }
     assert!(!is_ready(&daemon).await);
     assert_eq!(send_call(&daemon, "/open/1", "r2", "").await.status, 200);
-    assert_eq!(calls(&target).len(), 1);
+    assert_eq!(received_calls(&target).len(), 1);
     log.set_faults(|faults| faults.is_out = false);
     wait_for("the log's return", async || {
         send_call(&daemon, "/scan/1", "r3", KEY).await.status == 200
@@ -174,25 +181,27 @@
     .await;
 }
 
-/// The log does not wake reads that wait: the proof counts from when they were sent, and they are short.
+/// Guards against a revocation that is learned too late because the log does not wake waiting reads. Reads are short,
+/// and a proof counts from the time at which its read was sent.
 #[tokio::test]
-async fn a_revocation_that_wakes_no_read_is_known_within_the_bound() {
+async fn revocation_that_wakes_no_waiting_read_is_known_within_the_bound() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     log.set_faults(|faults| faults.is_deaf = true);
     log.put("keyed.op", "config", Some(&keyed_config(3, &json!([]))));
-    sleep(REVOKE).await;
+    sleep(REVOCATION_BOUND).await;
     assert_eq!(send_call(&daemon, "/scan/1", "r1", KEY).await.status, 401);
 }
 
+/// Guards against a VM that refuses calls because the log does not serve it, although another VM has a current proof.
 #[tokio::test]
-async fn a_vm_that_the_log_turns_away_serves_by_anothers_proof() {
+async fn vm_that_the_log_does_not_serve_uses_another_vms_proof() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
     let mut settings = strict_revocation_settings("vm-2", &log);
@@ -200,22 +209,23 @@
     let second = DirectDaemon::start(settings).await.expect("it starts");
     wait_for("readiness", async || is_ready(&second).await).await;
     relay.set(LinkState::Frozen);
-    sleep(REVOKE * 2).await;
+    sleep(REVOCATION_BOUND * 2).await;
     assert_eq!(send_call(&second, "/scan/1", "r1", KEY).await.status, 200);
     drop(daemon);
 }
 
+/// Guards against resumed streams that lose the organisation or rank of their call.
 #[tokio::test]
-async fn a_resumed_stream_carries_its_organisation_and_rank() {
+async fn resumed_stream_keeps_its_organisation_and_rank() {
     let log = KeyedLog::start().await.expect("a log");
     let breaking = RawTarget::start(|request: &RawRequest| stream_answer(request, Some(3)))
         .await
         .expect("an engine");
     let targets = [("e-1", "scribe", breaking.address)];
-    let daemon = keyed_site(&log, &targets, &json!([test_organisation(&["k1"])])).await;
+    let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
     let headers = format!("{KEY}{}", model_headers("a1"));
     send_call(&daemon, "/resumed/1", "r1", &headers).await;
-    let seen = calls(&breaking);
+    let seen = received_calls(&breaking);
     assert!(!seen.is_empty());
     for request in seen {
         assert_eq!(request.header("hoplanding-tenant"), Some("mill"));
@@ -223,20 +233,21 @@
     }
 }
 
-/// An organisation that may have 1,000 tokens a second and as many at once.
-fn limited() -> Value {
+/// An organisation with a rate of 1,000 tokens per second and a burst of the same size.
+fn limited_organisation() -> Value {
     let mut organisation = test_organisation(&["k1"]);
     organisation["rate_per_s"] = json!(1_000);
     organisation["burst"] = json!(1_000);
     json!([organisation])
 }
 
+/// Guards against a quota that is not enforced, and against a retry time after which the call is refused again.
 #[tokio::test]
-async fn calls_beyond_a_quota_are_refused_with_a_time_to_come_back_that_is_kept() {
+async fn calls_over_quota_are_refused_with_a_retry_time_that_holds() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
-    let daemon = keyed_site(&log, &targets, &limited()).await;
+    let daemon = start_keyed_daemon(&log, &targets, &limited_organisation()).await;
     let mut served = 0;
     let refusal = loop {
         let answer = send_call(&daemon, "/scan/1", "r1", KEY).await;
@@ -248,18 +259,21 @@
     };
     assert_eq!(refusal.status, 429);
     assert!(served >= 5, "{served}");
-    assert_eq!(calls(&target).len(), served);
+    assert_eq!(received_calls(&target).len(), served);
     let lower = refusal.head.to_ascii_lowercase();
-    let told = lower
+    let retry_after = lower
         .lines()
         .find_map(|line| line.strip_prefix("retry-after: "));
-    let told: f64 = told.and_then(|text| text.parse().ok()).expect("a time");
-    sleep(Duration::from_secs_f64(told * 2.5 + 0.1)).await;
+    let retry_after: f64 = retry_after
+        .and_then(|text| text.parse().ok())
+        .expect("a time");
+    sleep(Duration::from_secs_f64(retry_after * 2.5 + 0.1)).await;
     assert_eq!(send_call(&daemon, "/scan/1", "r2", KEY).await.status, 200);
 }
 
+/// Guards against charges for calls that no target ran: 60 such calls must not use up the quota.
 #[tokio::test]
-async fn a_call_that_did_not_run_is_not_charged() {
+async fn call_that_did_not_run_is_not_charged() {
     let log = KeyedLog::start().await.expect("a log");
     let full = RawTarget::start(|request: &RawRequest| {
         let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
@@ -268,22 +282,22 @@
     .await
     .expect("a target");
     let targets = [("i-1", "ledger", full.address)];
-    let daemon = keyed_site(&log, &targets, &limited()).await;
+    let daemon = start_keyed_daemon(&log, &targets, &limited_organisation()).await;
     for number in 0..60 {
         let answer = send_call(&daemon, "/scan/1", &format!("r{number}"), KEY).await;
         assert_eq!(answer.status, 503, "call {number}");
     }
 }
 
-/// An engine that ends when it is asked for one thing, and streams anything else.
-async fn mortal_engine() -> RawTarget {
+/// An engine that ends when it receives the body `kill`, and streams an answer to any other request.
+async fn engine_ended_by_kill() -> RawTarget {
     RawTarget::start_mortal(
         |request: &RawRequest| {
             if request.line().contains("/hoplanding/report") {
                 return good_answer(request);
             }
             let mut answer = stream_answer(request, None);
-            // Slow enough that others run beside the deadly one.
+            // Slow enough that other calls are running when the fatal request arrives.
             for (before, _) in answer.pieces.iter_mut().skip(1) {
                 *before = Duration::from_millis(60);
             }
@@ -295,18 +309,19 @@
     .expect("an engine")
 }
 
-fn deadly(id: &str) -> String {
+fn kill_request(id: &str) -> String {
     post_request("/plan/1", id, &model_headers("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
+/// Guards against a request that ends one target after another, and against failures of the calls that run beside it.
 #[tokio::test]
-async fn a_request_that_ends_its_targets_is_sent_to_two_of_them_and_its_bystanders_are_served() {
+async fn request_that_ends_its_targets_reaches_two_of_them_and_other_calls_are_served() {
     let log = KeyedLog::start().await.expect("a log");
     let engines = [
-        mortal_engine().await,
-        mortal_engine().await,
-        mortal_engine().await,
-        mortal_engine().await,
+        engine_ended_by_kill().await,
+        engine_ended_by_kill().await,
+        engine_ended_by_kill().await,
+        engine_ended_by_kill().await,
     ];
     let names = ["e-1", "e-2", "e-3", "e-4"];
     let targets: Vec<_> = names
@@ -320,7 +335,7 @@
         send_request(daemon.caller_address, &request).await.status == 200
     })
     .await;
-    let bystander = |number: u32| {
+    let other_call = |number: u32| {
         let address = daemon.caller_address;
         let request = post_request(
             &format!("/resumed/{number}"),
@@ -329,11 +344,12 @@
         );
         tokio::spawn(async move { send_request(address, &request).await })
     };
-    let beside: Vec<_> = (0..6).map(bystander).collect();
+    let other_calls: Vec<_> = (0..6).map(other_call).collect();
     sleep(Duration::from_millis(100)).await;
     let mut statuses = Vec::new();
     for number in 0..12 {
-        let answer = send_request(daemon.caller_address, &deadly(&format!("d{number}"))).await;
+        let answer =
+            send_request(daemon.caller_address, &kill_request(&format!("d{number}"))).await;
         statuses.push(answer.status);
         sleep(Duration::from_millis(30)).await;
     }
@@ -346,17 +362,18 @@
         statuses[2..].iter().all(|status| *status == 503),
         "{statuses:?}"
     );
-    for bystander in beside {
-        let answer = bystander.await.expect("an answer");
+    for other_call in other_calls {
+        let answer = other_call.await.expect("an answer");
         assert_eq!(answer.status, 200);
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         assert!(answer.is_whole && body.contains("token 6"), "{body}");
     }
 }
 
-/// A target that closes connections lives, and one that is cut off says nothing: neither is an end.
+/// Guards against suspicions because of a broken connection alone. A target that closes connections is still running,
+/// and one that is cut off gives no sign either way: neither counts as ended.
 #[tokio::test]
-async fn a_request_whose_connection_breaks_is_not_suspected_while_its_target_lives() {
+async fn request_is_not_suspected_for_a_broken_connection_to_a_running_target() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/") {
@@ -380,17 +397,22 @@
         )
         .await;
     }
-    assert_eq!(calls(&engine).len(), 6);
+    assert_eq!(received_calls(&engine).len(), 6);
 }
 
+/// Guards against missing metrics of quotas and refused keys, and against keys that appear on the metrics page.
 #[tokio::test]
-async fn the_metrics_page_tells_quotas_and_refused_keys_and_no_key() {
+async fn metrics_page_shows_quotas_and_key_refusals_but_no_key() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let mut settings = strict_revocation_settings("vm-1", &log);
     settings.metrics_address = Some("127.0.0.1:0".parse().expect("an address"));
     let daemon = start_daemon_with(settings, &log, &[("i-1", "ledger", target.address)]).await;
-    log.put("keyed.op", "config", Some(&keyed_config(2, &limited())));
+    log.put(
+        "keyed.op",
+        "config",
+        Some(&keyed_config(2, &limited_organisation())),
+    );
     wait_for("a call in the quota", async || {
         send_call(&daemon, "/scan/1", "r1", KEY).await.status == 200
     })
--- a/crates/daemon/tests/direct/main.rs
+++ b/crates/daemon/tests/direct/main.rs
@@ -1,4 +1,4 @@
-//! The direct mode over real sockets, against stand-ins of the users' platform and targets.
+//! Tests of the direct mode over real sockets, against stand-ins for the platform and the targets.
 
 mod calls;
 mod connections;
--- a/crates/daemon/tests/direct/reloads.rs
+++ b/crates/daemon/tests/direct/reloads.rs
@@ -1,10 +1,9 @@
-//! Settings files that change in series while calls are under way.
+//! Repeated reloads of the settings while calls are running.
 //!
-//! What users saw: after settings files had changed, an urgent write-up waited while routine summaries went through, and one
-//! dock scan showed twice. Order of events: files change often, on part of the VMs at a time; calls are queued, placed, sent and
-//! refused meanwhile. No play showed either; what a reload may touch is checked here, on a VM that is reloaded and beside
-//! one that is not. One fault was found by reading: a window of the retry budget that was shorter for a moment forgot
-//! what had been spent (`a_window_that_is_shorter_for_a_moment_forgets_nothing_that_was_spent`).
+//! The tests guard against reloads that run a call twice or change its rank. Settings files change often, on some of
+//! the VMs at a time, while calls are queued, placed, sent and refused. The tests check what a reload may affect, on a
+//! VM that is reloaded and on one that is not. A related fault, a retry budget that forgets its spending when its
+//! window is shortened temporarily, is covered by the tests of the retry budget.
 
 use crate::support::{
     good_answer, model_headers, post_request, seal_headers, send_request, start_daemon,
@@ -18,7 +17,7 @@
 use std::{collections::HashSet, time::Duration};
 use tokio::{task::JoinSet, time::sleep};
 
-/// A plain service that takes a while for each call.
+/// A plain service that answers each call after 150 ms.
 async fn slow_service() -> RawTarget {
     let answer = |request: &RawRequest| {
         let whole = RawAnswer::whole("200 OK", &seal_headers(request), "done");
@@ -34,8 +33,8 @@
     RawTarget::start(answer).await.expect("a target")
 }
 
-/// Settings that differ from those before in what a running process takes over.
-fn changed(log: &KeyedLog, round: u32) -> DirectSettings {
+/// Settings that differ between rounds in values that take effect without a restart.
+fn changed_settings(log: &KeyedLog, round: u32) -> DirectSettings {
     let mut settings = vm_settings("vm-1", log);
     settings.retries.slack = f64::from(round % 3) * 40.0;
     settings.retries.ratio = 0.1 * f64::from(round % 4);
@@ -43,15 +42,16 @@
     settings
 }
 
-async fn reload_in_series(daemon: &DirectDaemon, log: &KeyedLog, rounds: u32) {
+async fn reload_repeatedly(daemon: &DirectDaemon, log: &KeyedLog, rounds: u32) {
     for round in 0..rounds {
-        daemon.apply_settings(&changed(log, round));
+        daemon.apply_settings(&changed_settings(log, round));
         sleep(Duration::from_millis(15)).await;
     }
 }
 
+/// Guards against reloads that drop or repeat running calls, or that make the VM claim its lease again.
 #[tokio::test]
-async fn calls_under_way_run_once_and_are_answered() {
+async fn running_calls_are_sent_once_and_answered_during_reloads() {
     let log = KeyedLog::start().await.expect("a log");
     let target = slow_service().await;
     let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
@@ -64,7 +64,7 @@
             send_request(address, &post_request("/scan/1", &format!("r{number}"), "")).await
         });
     }
-    reload_in_series(&daemon, &log, 40).await;
+    reload_repeatedly(&daemon, &log, 40).await;
     while let Some(answer) = calls.join_next().await {
         let answer = answer.expect("the call ends");
         assert_eq!(
@@ -84,8 +84,9 @@
     assert_eq!(after, leases, "the lease is kept");
 }
 
+/// Guards against reloads that close idle connections to targets.
 #[tokio::test]
-async fn an_idle_connection_outlives_reloads() {
+async fn idle_connection_survives_reloads() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
@@ -93,13 +94,14 @@
         send_request(daemon.caller_address, &post_request("/lookup/1", id, "")).await
     };
     assert_eq!(send("r1").await.status, 200);
-    reload_in_series(&daemon, &log, 10).await;
+    reload_repeatedly(&daemon, &log, 10).await;
     assert_eq!(send("r2").await.status, 200);
     assert_eq!(target.connections(), 1);
 }
 
+/// Guards against requests that get another rank than their route's because VMs have different settings.
 #[tokio::test]
-async fn ranks_are_the_routes_before_and_after_and_on_every_vm() {
+async fn requests_keep_the_rank_of_their_route_on_every_vm() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| stream_answer(request, None))
         .await
@@ -107,8 +109,8 @@
     let first = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
     let (second, _relay) = start_second_vm(&log).await;
     for round in 0..6 {
-        // Only the first VM has the newest settings.
-        first.apply_settings(&changed(&log, round));
+        // Only the first VM is reloaded.
+        first.apply_settings(&changed_settings(&log, round));
         for (number, daemon) in [&first, &second].into_iter().enumerate() {
             let request = post_request(
                 "/plan/1",
--- a/crates/daemon/tests/direct/settings.rs
+++ b/crates/daemon/tests/direct/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the platform renders them, and as they change while the daemon runs.
+//! Settings files as the platform renders them from the deployment template, and their changes while the daemon runs.
 
 use hoplandingd::direct::{reload::SettingsFile, settings::DirectSettings};
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 
 const TEMPLATE: &str = include_str!("../../../../deploy/settings.json");
 
-/// Fields as the platform gives them.
+/// Template fields with values as the platform supplies them.
 fn fields() -> Value {
     json!({
         "node_name": "edge-1", "zone": "hall", "ip": "10.1.0.38", "bootstrap": true, "internal_ports": [7380, 7395],
@@ -23,13 +23,13 @@
 
 fn field<'a>(fields: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.')
-        .try_fold(fields, |value, step| match step.parse::<usize>() {
-            Ok(place) => value.get(place),
-            Err(_) => value.get(step),
+        .try_fold(fields, |value, key| match key.parse::<usize>() {
+            Ok(index) => value.get(index),
+            Err(_) => value.get(key),
         })
 }
 
-/// Fills the gaps of the template in the way that the platform's page describes.
+/// Renders the template by the rules that the platform documents: placeholders, sections and inverted sections.
 fn render(fields: &Value) -> String {
     let mut text = TEMPLATE.to_owned();
     let zones = field(fields, "zones").and_then(Value::as_object);
@@ -39,29 +39,29 @@
         .collect();
     text = text.replace("{{#zones}} \"{{@}}\"{{,}} {{/zones}}", &zones.join(","));
     while let Some(start) = text.find("{{") {
-        let end = start + text[start..].find("}}").expect("a gap ends");
-        let gap = text[start + 2..end].to_owned();
-        if let Some(path) = gap.strip_prefix('^') {
+        let end = start + text[start..].find("}}").expect("a placeholder is closed");
+        let placeholder = text[start + 2..end].to_owned();
+        if let Some(path) = placeholder.strip_prefix('^') {
             let close = format!("{{{{/{path}}}}}");
-            let close_at = text.find(&close).expect("a section ends");
-            let stands = field(fields, path).is_none_or(|value| *value == Value::Bool(false));
-            let inner = text[end + 2..close_at].to_owned();
-            let inner = if stands { inner } else { String::new() };
-            text.replace_range(start..close_at + close.len(), &inner);
+            let close_start = text.find(&close).expect("a section ends");
+            let is_rendered = field(fields, path).is_none_or(|value| *value == Value::Bool(false));
+            let inner = text[end + 2..close_start].to_owned();
+            let inner = if is_rendered { inner } else { String::new() };
+            text.replace_range(start..close_start + close.len(), &inner);
             continue;
         }
-        if let Some(path) = gap.strip_prefix('#') {
+        if let Some(path) = placeholder.strip_prefix('#') {
             let close = format!("{{{{/{path}}}}}");
-            let close_at = text.find(&close).expect("a section ends");
-            let stands = field(fields, path).is_some_and(|value| *value != Value::Bool(false));
-            let inner = text[end + 2..close_at].to_owned();
-            let inner = if stands { inner } else { String::new() };
-            text.replace_range(start..close_at + close.len(), &inner);
+            let close_start = text.find(&close).expect("a section ends");
+            let is_rendered = field(fields, path).is_some_and(|value| *value != Value::Bool(false));
+            let inner = text[end + 2..close_start].to_owned();
+            let inner = if is_rendered { inner } else { String::new() };
+            text.replace_range(start..close_start + close.len(), &inner);
             continue;
         }
-        let (path, is_json) = match gap.split_once('|') {
+        let (path, is_json) = match placeholder.split_once('|') {
             Some((path, "json")) => (path, true),
-            _ => (gap.as_str(), false),
+            _ => (placeholder.as_str(), false),
         };
         let value = match field(fields, path) {
             Some(Value::String(text)) if !is_json => text.clone(),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_template_gives_settings() {
+fn rendered_template_parses() {
     let settings = DirectSettings::parse(&render(&fields())).expect("settings in order");
     assert_eq!(settings.vm.as_str(), "edge-1");
     assert_eq!(settings.zones.len(), 2);
@@ -88,10 +88,10 @@
     assert_eq!(settings.retries.window, Duration::from_secs(10));
 }
 
-// All VMs of a deployment ended at start because one bound of the retry budget was 35.83 there, and the settings took
-// whole numbers only.
+// Guards against settings that accept only integers: a bound such as 35.83 for the retry budget then makes every VM
+// exit at startup.
 #[test]
-fn a_bound_with_a_fraction_is_a_bound() {
+fn fractional_bounds_are_accepted() {
     let settings = with_bound("budget_slack", json!(35.83)).expect("a fraction of a repeat");
     assert!((settings.retries.slack - 35.83).abs() < 1e-9);
     let settings = with_bound("budget_window_s", json!(7.5)).expect("half a second");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn bounds_that_are_true_or_false_are_taken_and_absent_ones_are_false() {
+fn boolean_bounds_are_accepted_and_default_to_false() {
     let settings = with_bound("strict_revoke", json!(true)).expect("a bound");
     assert_eq!(
         settings.revocation.map(|rule| rule.bound),
@@ -121,8 +121,9 @@
     assert!((settings.quotas.slack - 11_000.0).abs() < 1e-9);
 }
 
+// Guards against ranges of valid values that are narrower than the bounds that the platform may set.
 #[test]
-fn bounds_of_zero_and_large_ones_are_bounds() {
+fn zero_and_large_bounds_are_accepted() {
     let settings = with_bound("budget_slack", json!(0)).expect("no fixed number of repeats");
     assert!(settings.retries.slack.abs() < 1e-9);
     let settings = with_bound("retry_budget_ratio", json!(0.0)).expect("no repeats");
@@ -135,9 +136,10 @@
     with_bound("config_apply_ms", json!(3_600_000)).expect("an hour");
 }
 
+// Guards against a daemon that does not start because the platform omits a bound.
 #[test]
-fn an_absent_bound_leaves_the_default() {
-    let known = DirectSettings::parse(&render(&fields())).expect("settings in order");
+fn absent_bound_uses_the_default() {
+    let defaults = DirectSettings::parse(&render(&fields())).expect("settings in order");
     for name in [
         "retry_budget_ratio",
         "budget_slack",
@@ -151,7 +153,7 @@
         let text = render(&fields);
         let settings = DirectSettings::parse(&text)
             .unwrap_or_else(|error| panic!("without {name}: {error} in {text}"));
-        assert_eq!(settings.retries.window, known.retries.window);
+        assert_eq!(settings.retries.window, defaults.retries.window);
     }
     let mut fields = fields();
     fields["limits"] = json!({});
@@ -159,17 +161,19 @@
     assert_eq!(settings.cpu_millicores, 1_000);
 }
 
+// Guards against error messages that name neither the faulty key nor the remedy.
 #[test]
-fn a_bound_that_is_none_names_its_remedy() {
+fn invalid_bound_names_its_remedy() {
     for wrong in [json!(-1), json!(true), json!([1])] {
-        let fault = with_bound("budget_slack", wrong).expect_err("no number");
-        assert!(fault.contains("retries.slack"), "{fault}");
-        assert!(fault.contains("write a number from 0"), "{fault}");
+        let error = with_bound("budget_slack", wrong).expect_err("no number");
+        assert!(error.contains("retries.slack"), "{error}");
+        assert!(error.contains("write a number from 0"), "{error}");
     }
 }
 
+// Guards against the same error being logged at each check of the file, and against later valid settings being ignored.
 #[test]
-fn a_file_with_a_fault_is_reported_once_and_the_next_good_one_is_taken() {
+fn invalid_file_is_reported_once_and_the_next_valid_one_is_applied() {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("reloaded-settings.json");
     let write = |text: &str| fs::write(&path, text).expect("a file of the test's own");
     let good = render(&fields());
@@ -177,10 +181,10 @@
     let mut file = SettingsFile::open(path.to_str().expect("a plain path")).expect("it is there");
     assert!(file.read_changes().expect("in order").is_none());
     write(&good.replace("54", "\"many\""));
-    let fault = file.read_changes().expect_err("a fault").to_string();
-    assert!(fault.contains("retries.slack"), "{fault}");
+    let error = file.read_changes().expect_err("a fault").to_string();
+    assert!(error.contains("retries.slack"), "{error}");
     assert!(file.read_changes().expect("told once").is_none());
-    // A file that is being written is a fault too, and passes.
+    // A file that is only partly written is invalid too, and does not prevent the next change.
     write(&good[..good.len() / 2]);
     file.read_changes().expect_err("half a file");
     write(&good.replace("54", "35.83"));
--- a/crates/daemon/tests/direct/support.rs
+++ b/crates/daemon/tests/direct/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the direct mode share: small sites, requests as bytes, and answers.
+//! Shared helpers for the tests of the direct mode: daemons with few targets, raw HTTP requests, and answers.
 
 use hoplanding_core::direct::lease::ZoneLease;
 use hoplanding_standins::{
@@ -73,7 +73,7 @@
     .to_string()
 }
 
-/// Headers of a good answer to a request.
+/// Headers that identify a valid answer to this request.
 pub fn seal_headers(request: &RawRequest) -> String {
     let id = request.header("hoplanding-request-id").unwrap_or_default();
     format!("Hoplanding-Request-Id: {id}\r\nHoplanding-Server-Seal: seal\r\n")
@@ -91,7 +91,7 @@
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the answer's framing says that it is whole.
+    /// Whether the body is complete according to the answer's framing.
     pub is_whole: bool,
 }
 
@@ -104,17 +104,17 @@
 pub async fn send_request(address: SocketAddr, request: &str) -> Answer {
     let mut stream = TcpStream::connect(address)
         .await
-        .expect("the front accepts");
+        .expect("the daemon accepts the connection");
     stream
         .write_all(request.as_bytes())
         .await
-        .expect("it reads");
+        .expect("the daemon reads the request");
     timeout(TEST_TIMEOUT, read_answer(&mut stream))
         .await
         .expect("an answer in time")
 }
 
-/// Sends a call every few milliseconds, to each address in turn, and waits for all answers. The ids begin with the number of
+/// Sends a call every 20 ms, to each address in turn, and waits for all answers. Request ids start with the index of
 /// the address.
 pub async fn send_requests(
     addresses: &[SocketAddr],
@@ -188,7 +188,7 @@
     format!("Hoplanding-Model: base/{adapter}\r\nHoplanding-Token-Count: 100,20\r\n")
 }
 
-/// A runtime whose end ends a daemon as a kill does.
+/// A runtime that stands for a process: dropping it ends a daemon as a kill does.
 pub fn process_runtime() -> Runtime {
     Builder::new_multi_thread()
         .worker_threads(1)
@@ -224,12 +224,13 @@
     send_request(daemon.ready_address, question).await.status == 200
 }
 
-/// A daemon in front of targets, each with its service; ready, and with its zone's lease.
+/// Starts a daemon with targets given as name, service and address; returns once it is ready and holds its zone's
+/// lease.
 pub async fn start_daemon(log: &KeyedLog, targets: &[(&str, &str, SocketAddr)]) -> DirectDaemon {
     start_daemon_with(vm_settings("vm-1", log), log, targets).await
 }
 
-/// The same with settings of its own.
+/// Like [`start_daemon`], with the given settings.
 pub async fn start_daemon_with(
     settings: DirectSettings,
     log: &KeyedLog,
@@ -268,7 +269,7 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Streams events from an id on; breaks off inside the event `breaks_at`.
+/// Streams the events after the request's last event id up to event 6; breaks off inside event `breaks_at`.
 pub fn stream_answer(request: &RawRequest, breaks_at: Option<u32>) -> RawAnswer {
     if request.line().contains("/hoplanding/report") {
         return good_answer(request);
@@ -296,7 +297,7 @@
     }
 }
 
-/// The text of a chunked body.
+/// Decodes a chunked body to text.
 pub fn decode_chunked(mut body: &[u8]) -> String {
     let mut text = Vec::new();
     while let Some(line) = body.windows(2).position(|end| end == b"\r\n") {
@@ -312,7 +313,7 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// An engine whose streams make a pause before each event.
+/// An engine whose streams pause before each event.
 pub async fn slow_engine(pause: Duration) -> RawTarget {
     RawTarget::start(move |request: &RawRequest| {
         let mut answer = stream_answer(request, None);
@@ -325,7 +326,7 @@
     .expect("an engine")
 }
 
-/// Asks for a stream, and waits until its engine has the request.
+/// Starts a streaming call and waits until the engine has received it.
 pub async fn start_stream(address: SocketAddr, engine: &RawTarget) -> JoinHandle<Answer> {
     let request = post_request("/plan/1", "r1", &model_headers("a1"));
     let running = tokio::spawn(async move { send_request(address, &request).await });
@@ -337,7 +338,7 @@
     running
 }
 
-/// A second VM whose path to the log is a link of its own; ready, and known to itself beside the first.
+/// Starts a second VM that reaches the log through its own relay; returns once it is ready and knows both VMs.
 pub async fn start_second_vm(log: &KeyedLog) -> (DirectDaemon, LinkRelay) {
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -1,11 +1,10 @@
-//! Memory of prompts, and the version of the adapter that made it.
+//! Transfers of prompt memory (KV cache) between engines, and the version of the weights that computed it.
 //!
-//! What users saw: a request for an adapter ran under version 7 and used memory of its prompt that had been made under
-//! version 1. Its caller got a whole answer, signed and in time, part of which was computed from other weights. Order
-//! of events: the adapter is in demand, and stands on several engines; a new version of it is named; a copy that calls
-//! use stays behind until they end, the others are replaced; the next call goes to a new copy, and is told to take its
-//! prompt's shared part from the engine that has kept most of it. The cause is that the holder knows what engines have
-//! kept by the adapter's name alone, and that nothing on the way between two engines says which version made it.
+//! The tests guard against answers that are partly computed from the weights of another version, which callers cannot
+//! notice. It comes about as follows: several engines have an adapter, and a new version of it is published. Copies
+//! without calls are replaced at once, a copy in use is kept until its calls end. The next call goes to a new copy and
+//! is named_versions to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
+//! prompt memory by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
 
 use crate::{
     keeping::EngineYard,
@@ -34,17 +33,17 @@
     time::{Instant, sleep},
 };
 
-/// Tokens that prompts share; reading them takes a quarter of a second, so that a move pays.
+/// Tokens that all prompts share. Processing them takes a quarter of a second, so that a transfer is worthwhile.
 const SHARED_TOKENS: u32 = 6_300;
-/// Tokens of a prompt's own part.
+/// Tokens that are unique to a prompt.
 const OWN_TOKENS: u32 = 200;
 /// Tokens of an answer that keeps its copy in use for four seconds.
 const LONG_ANSWER: u32 = 200;
 /// Tokens of an answer that keeps its copy in use for a second.
-const MIDDLE_ANSWER: u32 = 50;
+const MEDIUM_ANSWER: u32 = 50;
 const SHORT_ANSWER: u32 = 3;
 
-/// A call for adapter a1 whose prompt shares its first part with all others.
+/// A call for adapter a1 whose prompt shares its first tokens with all others.
 fn request(number: u32, tokens: u32) -> String {
     let prompt = SHARED_TOKENS + OWN_TOKENS;
     format!(
@@ -56,8 +55,8 @@
     )
 }
 
-/// Asks until it is served, as callers do that are told to come back.
-async fn served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
+/// Repeats a call until it is served, as callers do that are named_versions to retry.
+async fn request_until_served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let answer = send_request(address, &request(number, tokens)).await;
@@ -71,46 +70,47 @@
     }
 }
 
-/// The operator names a version.
-fn name_version(log: &KeyedLog, yard: &EngineYard, version: u64) {
+/// Publishes a version as the operator does.
+fn publish_version(log: &KeyedLog, yard: &EngineYard, version: u64) {
     yard.set_newest(version);
     let record = json!({ "model": "base", "adapter": "a1", "version": version });
     log.put("keyed.op", "version/base.a1", Some(&record.to_string()));
 }
 
-/// Two engines with adapter a1, behind one VM.
-struct PairSite {
+/// Two engines with adapter a1 behind one VM.
+struct EnginePair {
     log: KeyedLog,
     yard: Arc<EngineYard>,
     daemon: DirectDaemon,
     _engines: [RawTarget; 2],
 }
 
-impl PairSite {
-    /// Both hold version 1.
-    async fn alike() -> Self {
+impl EnginePair {
+    /// Both engines have version 1 of the adapter.
+    async fn with_same_versions() -> Self {
         Self::start(1, &[("a1", 1)], &["a1@1"]).await
     }
 
-    /// Both hold version 1 of the adapter; one started later, with newer weights of the base model.
-    async fn alike_but_for_the_base() -> Self {
+    /// Both engines have version 1 of the adapter; the second one started later, with newer weights of the base model.
+    async fn with_different_base_versions() -> Self {
         Self::start(7, &[("a1", 1)], &["a1@1"]).await
     }
 
-    /// One holds version 1; the other brings in version 2 once it is told to load, and no VM has been told of that.
-    async fn unlike() -> Self {
-        let site = Self::start(1, &[], &[]).await;
-        site.yard.set_newest(2);
-        site
+    /// The first engine has version 1; the second one loads version 2 when it is ordered to, and no VM knows of version
+    /// 2.
+    async fn with_different_adapter_versions() -> Self {
+        let pair = Self::start(1, &[], &[]).await;
+        pair.yard.set_newest(2);
+        pair
     }
 
-    /// The first engine has version 1 of the base model and of the adapter, the second what is given.
+    /// The first engine has version 1 of the base model and of the adapter, the second one has the given versions.
     async fn start(base: u64, held: &[(&str, u64)], listed: &[&str]) -> Self {
         let log = KeyedLog::start().await.expect("a log");
         let yard = EngineYard::new(1);
         let one = yard.engine("i-1", 1, &[("a1", 1)]).await;
         let two = yard.engine("i-2", base, held).await;
-        // As users have it: a holder that may have been replaced for longer names no source.
+        // A deployment's usual lease turn. A holder that may have been replaced names no source for transfers.
         let mut settings = vm_settings("vm-1", &log);
         settings.leases.turn = Duration::from_secs(3);
         let daemon = start_daemon_with(settings, &log, &[("i-1", "scribe", one.address)]).await;
@@ -130,17 +130,17 @@
         }
     }
 
-    /// Calls whose answers are long, one more each time the one before runs, until both engines have run one.
-    async fn crowd(&self) {
+    /// Adds calls with long answers, each once the previous one runs, until both engines have run one.
+    async fn load_both_engines(&self) {
         const MOST: u32 = 15;
         let address = self.daemon.caller_address;
-        served(address, 0, SHORT_ANSWER).await;
+        request_until_served(address, 0, SHORT_ANSWER).await;
         let mut calls = JoinSet::new();
         for number in 1..=MOST {
             if self.engines_used() == 2 {
                 break;
             }
-            calls.spawn(served(address, number, LONG_ANSWER));
+            calls.spawn(request_until_served(address, number, LONG_ANSWER));
             wait_for("the next run", async || {
                 self.yard.runs().len() > number as usize
             })
@@ -157,68 +157,72 @@
     }
 }
 
-/// How the order to replace a copy goes.
+/// How the engine answers the order to replace a copy.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum OrderWay {
+enum OrderReply {
     Answered,
     Late,
 }
 
-/// A version is named while a long answer keeps one engine's copy in use: the other engine gets the new version, and
+/// Publishes a version while a long answer keeps one engine's copy in use: the other engine gets the new version and
 /// the next call.
-async fn a_copy_in_use_stays_behind(way: OrderWay) -> Vec<MemoryMismatch> {
-    let site = PairSite::alike().await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
-    served(address, 1, SHORT_ANSWER).await;
-    let long = tokio::spawn(served(address, 2, LONG_ANSWER));
+async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<MemoryMismatch> {
+    let pair = EnginePair::with_same_versions().await;
+    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
+    request_until_served(address, 1, SHORT_ANSWER).await;
+    let long = tokio::spawn(request_until_served(address, 2, LONG_ANSWER));
     wait_for("the long run", async || yard.runs().len() == 2).await;
     let busy = yard.runs()[1].engine.clone();
     let other = if busy == "i-1" { "i-2" } else { "i-1" };
-    if way == OrderWay::Late {
+    if reply == OrderReply::Late {
         yard.silence_order();
     }
-    name_version(&site.log, yard, 2);
+    publish_version(&pair.log, yard, 2);
     wait_for("the new version", async || {
         yard.version(other, "a1") == Some(2)
     })
     .await;
-    assert_eq!(yard.late_done() > 0, way == OrderWay::Late);
-    served(address, 3, SHORT_ANSWER).await;
+    assert_eq!(yard.late_done() > 0, reply == OrderReply::Late);
+    request_until_served(address, 3, SHORT_ANSWER).await;
     let runs = yard.runs();
     let last = (runs[2].engine.as_str(), runs[2].version);
     assert_eq!(last, (other, 2), "{runs:?}");
-    assert_eq!(yard.version(&busy, "a1"), Some(1), "it is in use still");
-    long.await.expect("it is served");
+    assert_eq!(
+        yard.version(&busy, "a1"),
+        Some(1),
+        "a copy in use is not replaced"
+    );
+    long.await.expect("the call is served");
     yard.mismatches()
 }
 
-/// A version is named while a call that is to take memory waits for its own engine's load. The engine that lends is
-/// free: it is replaced, and reads the same prompt for others, all before the call is there.
-async fn a_lender_is_replaced() -> Arc<EngineYard> {
-    /// So many that some go to the lender, though the borrower's engine has kept their prompt too.
+/// Publishes a version while a call that is to fetch prompt memory waits for a load on its own engine. The idle source
+/// engine gets the new version and processes the same prompt for other calls, all before the waiting call reaches it.
+async fn replace_memory_source() -> Arc<EngineYard> {
+    /// Enough calls that some go to the source engine, although the fetching engine has their prompt too.
     const OTHERS: u32 = 16;
-    let site = PairSite::start(1, &[], &[]).await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
-    name_version(&site.log, yard, 2);
+    let pair = EnginePair::start(1, &[], &[]).await;
+    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
+    publish_version(&pair.log, yard, 2);
     wait_for("version 2", async || yard.version("i-1", "a1") == Some(2)).await;
-    served(address, 0, SHORT_ANSWER).await;
+    request_until_served(address, 0, SHORT_ANSWER).await;
     yard.turn_away();
-    let borrower = tokio::spawn(served(address, 1, SHORT_ANSWER));
+    let fetching_call = tokio::spawn(request_until_served(address, 1, SHORT_ANSWER));
     wait_for("its load", async || yard.version("i-2", "a1") == Some(2)).await;
-    name_version(&site.log, yard, 3);
+    publish_version(&pair.log, yard, 3);
     let subject = AdapterName::new("base/a1");
     wait_for("version 3 at the VM", async || {
-        site.daemon.fleet().books().versions.get(&subject) == Some(&3)
+        pair.daemon.fleet().books().versions.get(&subject) == Some(&3)
     })
     .await;
-    let others = (2..2 + OTHERS).map(|number| served(address, number, SHORT_ANSWER));
+    let others = (2..2 + OTHERS).map(|number| request_until_served(address, number, SHORT_ANSWER));
     JoinSet::from_iter(others).join_all().await;
-    borrower.await.expect("it is served");
-    site.yard
+    fetching_call.await.expect("the call is served");
+    pair.yard
 }
 
-/// Version of the base model that an answer says it was made under.
-fn base_of(answer: &Answer) -> Option<u64> {
+/// Version of the base model that an answer names.
+fn base_version(answer: &Answer) -> Option<u64> {
     let head = answer.head.to_ascii_lowercase();
     head.lines().find_map(|line| {
         line.strip_prefix("hoplanding-weight-versions: ")?
@@ -227,67 +231,68 @@
     })
 }
 
-/// Callers that ask one after the other; by the ids of their answers the versions that these name.
-struct CallerCrowd {
-    is_over: Arc<AtomicBool>,
+/// Callers that each send one call after another; collects the versions that the answers name, by request id.
+struct CallerLoad {
+    is_stopped: Arc<AtomicBool>,
     callers: JoinSet<Vec<(String, Option<u64>)>>,
 }
 
-impl CallerCrowd {
+impl CallerLoad {
     fn start(address: SocketAddr, callers: u32) -> Self {
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_stopped = Arc::new(AtomicBool::new(false));
         let next = Arc::new(AtomicU32::new(0));
-        let crowd = (0..callers).map(|_| {
-            let (is_over, next) = (Arc::clone(&is_over), Arc::clone(&next));
+        let tasks = (0..callers).map(|_| {
+            let (is_stopped, next) = (Arc::clone(&is_stopped), Arc::clone(&next));
             async move {
-                let mut told = Vec::new();
-                while !is_over.load(Ordering::Relaxed) {
+                let mut named_versions = Vec::new();
+                while !is_stopped.load(Ordering::Relaxed) {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let is_middle = number.is_multiple_of(3);
-                    let tokens = if is_middle {
-                        MIDDLE_ANSWER
+                    let is_medium = number.is_multiple_of(3);
+                    let tokens = if is_medium {
+                        MEDIUM_ANSWER
                     } else {
                         SHORT_ANSWER
                     };
-                    let answer = served(address, number, tokens).await;
-                    told.push((format!("r{number}"), base_of(&answer)));
+                    let answer = request_until_served(address, number, tokens).await;
+                    named_versions.push((format!("r{number}"), base_version(&answer)));
                 }
-                told
+                named_versions
             }
         });
         Self {
-            callers: crowd.collect(),
-            is_over,
+            callers: tasks.collect(),
+            is_stopped,
         }
     }
 
     async fn end(self) -> HashMap<String, Option<u64>> {
-        self.is_over.store(true, Ordering::Relaxed);
-        let told = self.callers.join_all().await;
-        told.into_iter().flatten().collect()
+        self.is_stopped.store(true, Ordering::Relaxed);
+        let named_versions = self.callers.join_all().await;
+        named_versions.into_iter().flatten().collect()
     }
 }
 
-/// What a series of versions left behind.
-struct SeriesOutcome {
+/// Result of a series of versions.
+struct SeriesResult {
     yard: Arc<EngineYard>,
-    /// Versions that answers named, by the ids of their calls.
-    told: HashMap<String, Option<u64>>,
+    /// Versions that answers named, by request id.
+    named_versions: HashMap<String, Option<u64>>,
 }
 
-/// Versions in series beside calls. The first order of every other one is left unanswered and carried out late; in
-/// the middle the VM that gives the orders stops, and another one takes over while such an order is on its way.
-async fn versions_in_series(site: PairSite) -> SeriesOutcome {
+/// Publishes versions one after another while callers send calls. The first order of every second version is not
+/// answered and carried out late. In the middle of the series the zone's holder stops, and another VM takes the lease
+/// while such an order is pending.
+async fn publish_version_series(pair: EnginePair) -> SeriesResult {
     const NEWEST: u64 = 7;
     const STOPS_AT: u64 = 4;
-    let (second, _relay) = start_second_vm(&site.log).await;
-    let PairSite {
+    let (second, _relay) = start_second_vm(&pair.log).await;
+    let EnginePair {
         log,
         yard,
         daemon,
         _engines,
-    } = site;
-    let callers = CallerCrowd::start(second.caller_address, 12);
+    } = pair;
+    let callers = CallerLoad::start(second.caller_address, 12);
     let mut first = Some(daemon);
     for version in 2..=NEWEST {
         let runs = yard.runs().len();
@@ -298,7 +303,7 @@
         if version % 2 == 0 {
             yard.silence_order();
         }
-        name_version(&log, &yard, version);
+        publish_version(&log, &yard, version);
         if version == STOPS_AT
             && let Some(first) = first.take()
         {
@@ -311,128 +316,137 @@
         is_newest("i-1") && is_newest("i-2")
     })
     .await;
-    let told = callers.end().await;
+    let named_versions = callers.end().await;
     assert!(yard.late_done() > 0, "no order was carried out late");
-    SeriesOutcome { yard, told }
+    SeriesResult {
+        yard,
+        named_versions,
+    }
 }
 
-/// What callers would see: part of an answer that says version 2 was computed from version 1's weights. Order of events:
-/// the incident's; the same with an order that the engine carries out late; one in which the engine that lends memory is
-/// replaced before the borrower's call is there; and versions in series, late orders and a takeover beside callers who
-/// ask all the time.
+/// Guards against answers of version 2 that are partly computed from version 1's weights. Four cases: a copy in use
+/// keeps the old version; the same with an order that the engine carries out late; the source of a transfer is replaced
+/// before the fetching call starts; and a series of versions under constant load with late orders and a change of the
+/// holder.
 #[tokio::test]
-async fn memory_of_another_version_is_not_used_after_a_new_one_is_named() {
+async fn memory_of_an_older_version_is_not_used_after_a_version_change() {
     let (behind, late, lent, series) = tokio::join!(
-        a_copy_in_use_stays_behind(OrderWay::Answered),
-        a_copy_in_use_stays_behind(OrderWay::Late),
-        a_lender_is_replaced(),
-        versions_in_series(PairSite::alike().await)
+        replace_copy_during_long_answer(OrderReply::Answered),
+        replace_copy_during_long_answer(OrderReply::Late),
+        replace_memory_source(),
+        publish_version_series(EnginePair::with_same_versions().await)
     );
     let mismatches = [behind, late, lent.mismatches(), series.yard.mismatches()];
     assert!(
         mismatches.iter().all(Vec::is_empty),
-        "after an answered order, a late one, of a lender, in series: {mismatches:?}"
+        "answered order, late order, replaced source, series: {mismatches:?}"
     );
 }
 
-/// What callers would see: the same, though no version of the adapter was ever named. Order of events: calls crowd an
-/// engine, and the next goes to its neighbour, which has other weights. In one story the neighbour was told to load the
-/// adapter, without a version, and brought in the newest that the store has; in another it started later than the first,
-/// with newer weights of the base model under the same version of the adapter. The cause is that two versions which
-/// nobody knows pass for the same, that the base model's count for nothing, and that an engine is told to take memory
-/// without being asked for the version that made it.
+/// Guards against the same fault where no version of the adapter was published. Calls fill one engine, and the next
+/// call goes to another engine with different weights: either that engine was ordered to load the adapter without a
+/// version and loaded the newest one of the store, or it started later, with newer weights of the base model. It comes
+/// about if two unknown versions count as equal, if the base model's version is ignored, or if an engine is
+/// named_versions to fetch memory without the version that computed it.
 #[tokio::test]
-async fn memory_of_another_version_is_not_used_where_none_is_named() {
-    let sites = [
-        PairSite::unlike().await,
-        PairSite::alike_but_for_the_base().await,
-        PairSite::alike().await,
+async fn memory_of_unknown_versions_is_not_used() {
+    let pairs = [
+        EnginePair::with_different_adapter_versions().await,
+        EnginePair::with_different_base_versions().await,
+        EnginePair::with_same_versions().await,
     ];
-    let [unlike, base, alike] = &sites;
-    tokio::join!(unlike.crowd(), base.crowd(), alike.crowd());
-    let mismatches = sites.each_ref().map(|site| site.yard.mismatches());
-    let runs = sites.iter().flat_map(|site| site.yard.runs());
+    let [adapters, bases, same] = &pairs;
+    tokio::join!(
+        adapters.load_both_engines(),
+        bases.load_both_engines(),
+        same.load_both_engines()
+    );
+    let mismatches = pairs.each_ref().map(|pair| pair.yard.mismatches());
+    let runs = pairs.iter().flat_map(|pair| pair.yard.runs());
     let unchecked: Vec<_> = runs
         .filter(|run| run.source.is_some() && run.expected.is_none())
         .collect();
     assert!(
         mismatches.iter().all(Vec::is_empty) && unchecked.is_empty(),
-        "of unlike adapters, base models, none: {mismatches:?}, moves without a version: {unchecked:?}"
+        "with different adapters, different base models, same versions: {mismatches:?}, transfers without a version: {unchecked:?}"
     );
 }
 
-/// What callers would see if memory were no longer moved: first events that come a quarter of a second later. Order of
-/// events: two engines hold the same version; calls crowd one of them; the next goes to the other one, which takes the
-/// shared part of its prompt from the first.
+/// Guards against transfers that no longer take place, which delays first events by a quarter of a second. Two engines
+/// have the same version and calls fill one of them; the next call goes to the other engine, which fetches the shared
+/// part of its prompt from the first.
 #[tokio::test]
-async fn memory_of_the_same_version_is_moved() {
-    let site = PairSite::alike().await;
-    site.crowd().await;
-    let runs = site.yard.runs();
+async fn memory_of_the_same_version_is_transferred() {
+    let pair = EnginePair::with_same_versions().await;
+    pair.load_both_engines().await;
+    let runs = pair.yard.runs();
     assert!(runs.iter().any(|run| run.source.is_some()), "{runs:?}");
-    assert_eq!(site.yard.mismatches(), []);
+    assert_eq!(pair.yard.mismatches(), []);
 }
 
-/// What callers would see: answers that name another version than that of their run. Versions of the adapter come in
-/// series, and the engines have unlike weights of the base model; each run is under the version of the adapter that its
-/// engine was asked for, and each answer names the weights that it was made with.
+/// Guards against answers that name another version than that of their run. A series of adapter versions is published
+/// while the engines have different weights of the base model. Each run must use the adapter version that was requested
+/// of its engine, and each answer must name the weights that computed it.
 #[tokio::test]
-async fn answers_name_the_weights_and_runs_are_under_the_version_that_was_asked_for() {
-    let site = PairSite::alike_but_for_the_base().await;
-    let SeriesOutcome { yard, told } = versions_in_series(site).await;
+async fn answers_name_their_weights_and_runs_use_the_requested_version() {
+    let pair = EnginePair::with_different_base_versions().await;
+    let SeriesResult {
+        yard,
+        named_versions,
+    } = publish_version_series(pair).await;
     let runs = yard.runs();
     let asked: Vec<_> = runs.iter().filter_map(|run| run.expected).collect();
     assert!(asked.contains(&2) && asked.contains(&6), "{runs:?}");
     for run in runs {
-        assert_eq!(told[&run.id], Some(run.base), "{run:?}");
+        assert_eq!(named_versions[&run.id], Some(run.base), "{run:?}");
         assert_eq!(run.expected.unwrap_or(run.version), run.version, "{run:?}");
     }
 }
 
-/// What callers would see: they are turned away, or wait, while an engine with the new version stands ready. Order of
-/// events: a copy is on its way; a newer version is named; calls are sent to the copy all the same, with the newer
-/// version, and come back. The cause is that only a copy which is there is compared with the version that was named.
+/// Guards against calls that are rejected or wait while an engine with the new version is ready. A newer version is
+/// published while a copy is being loaded. If only loaded copies are compared with the published version, calls for the
+/// newer version are sent to the loading copy, and its engine rejects them.
 #[tokio::test]
-async fn no_call_is_sent_to_a_copy_that_comes_in_an_older_version() {
-    let yard = a_lender_is_replaced().await;
+async fn no_call_is_sent_to_a_copy_that_is_loading_an_older_version() {
+    let yard = replace_memory_source().await;
     assert_eq!(yard.misdirected(), 0, "{:?}", yard.runs());
 }
 
-/// What a caller would see: no answer until its deadline. Order of events: its call waits for the replacement of a copy;
-/// the order's answer does not come; the engine's report tells the copy as held, and its new version as on its way. The
-/// cause is that what is told twice is taken for new the second time, without the calls that use it or wait for it.
+/// Guards against a call that gets no answer until its deadline. The call waits for the replacement of a copy and the
+/// order is not answered; the engine's report lists the copy as loaded and its new version as loading. If the second
+/// entry is taken for another copy, the calls that use or wait for the first are lost.
 #[tokio::test]
-async fn a_call_that_waits_for_a_copy_which_is_told_twice_is_answered() {
-    let site = PairSite::alike().await;
-    let (yard, address) = (&site.yard, site.daemon.caller_address);
-    let long = tokio::spawn(served(address, 0, LONG_ANSWER));
+async fn call_waiting_for_a_copy_reported_twice_is_answered() {
+    let pair = EnginePair::with_same_versions().await;
+    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
+    let long = tokio::spawn(request_until_served(address, 0, LONG_ANSWER));
     wait_for("the long run", async || yard.runs().len() == 1).await;
     yard.replace_slowly();
     yard.silence_order();
-    name_version(&site.log, yard, 2);
+    publish_version(&pair.log, yard, 2);
     wait_for("an order without an answer", async || yard.is_silent()).await;
-    served(address, 1, SHORT_ANSWER).await;
+    request_until_served(address, 1, SHORT_ANSWER).await;
     assert!(
         !long.is_finished(),
-        "it was answered after one that ran for four seconds"
+        "the call was answered only after another one that ran for four seconds"
     );
 }
 
-/// What callers of the base model would see: they are turned away for as long as the engines live. Order of events: new
-/// weights of the base model are named; engines keep those that they have; each call asks for the new ones. The cause is
-/// that a version is asked for which nobody brings in.
+/// Guards against calls for the base model that are rejected for as long as the engines run. New weights of the base
+/// model are published, but running engines keep their weights. Calls that require the new version would never be
+/// served.
 #[tokio::test]
-async fn calls_for_a_base_model_are_served_while_its_engines_keep_older_weights() {
-    let site = PairSite::alike().await;
+async fn base_model_calls_are_served_while_engines_keep_older_weights() {
+    let pair = EnginePair::with_same_versions().await;
     let record = json!({ "model": "base", "version": 7 });
-    site.log
+    pair.log
         .put("keyed.op", "version/base", Some(&record.to_string()));
     let subject = AdapterName::new("base");
     wait_for("the version at the VM", async || {
-        site.daemon.fleet().books().versions.get(&subject) == Some(&7)
+        pair.daemon.fleet().books().versions.get(&subject) == Some(&7)
     })
     .await;
     let request = request(0, SHORT_ANSWER).replace("base/a1", "base");
-    let answer = send_request(site.daemon.caller_address, &request).await;
+    let answer = send_request(pair.daemon.caller_address, &request).await;
     assert_eq!(answer.status, 200, "{}", answer.head);
 }
