--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The record that tells VMs which start in an era when the era began.
+/// Record of when an era was first seen, for VMs that start during that era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraRecord {
     /// The era.
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -137,7 +137,7 @@
             self.logged_loads = summary;
             event!(
                 Event::LoadsLimited,
-                "to {} at once, {:?} each, {:?} without a crowd",
+                "at most {} at once, {:?} expected each, {:?} without concurrent loads",
                 summary.limit,
                 summary.expected,
                 summary.shortest
