--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -16,38 +16,38 @@
 
 mod admission;
 mod answers;
-mod ends;
-mod paying;
-mod placing;
+mod payment;
+mod placement;
 mod sending;
-mod stop;
+mod stop_plan;
+mod target_probe;
 mod timeline;
 
-pub use admission::EntryFault;
+pub use admission::AdmissionFault;
 pub use answers::{AnswerBody, BrokenAnswer, full, own_answer};
-pub use paying::CallPayment;
-pub use placing::Placing;
-pub use sending::{InFlightCount, OpenAnswer, SendOutcome};
-pub use stop::StopPlan;
+pub use payment::CallPayment;
+pub use placement::CallPlacement;
+pub use sending::{InFlightGuard, OpenAnswer, SendOutcome};
+pub use stop_plan::StopPlan;
 pub use timeline::CallTimeline;
 
 use crate::{
     clock,
     direct::{
-        access::ZoneAccess,
+        buffered_answer::buffer_answer,
         call::{
             admission::let_in,
             answers::{passed_answer, refusal},
-            ends::request_fingerprint,
+            target_probe::request_fingerprint,
         },
         event_relay::relay_events,
-        figures::{RequestKind, RequestOutcome},
         fleet::{ActiveConfig, FleetState},
-        sender::ConnectionPool,
+        holder_client::HolderClient,
+        metrics::{RequestKind, RequestOutcome},
         settings::DirectSettings,
         suspect_records::SuspectRecorder,
+        target_connections::ConnectionPool,
         trials::TrialPermit,
-        whole::take_whole,
     },
     event,
     events::Event,
@@ -55,7 +55,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        config::{AnswerShape, RepeatRule, RouteRule, ServiceRule},
+        config::{ResponseShape, RetryPolicy, RouteRule, ServiceRule},
         organisations::CallerIdentity,
         planner::RefusalCause,
         suspects::RequestFingerprint,
@@ -90,7 +90,7 @@
     /// The books.
     pub fleet: Arc<FleetState>,
     /// The way to holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Connections to targets.
     pub pool: Arc<ConnectionPool>,
     /// Records of targets that ended under calls.
@@ -138,7 +138,7 @@
     /// Targets that it need not be sent to again.
     pub tried: Vec<TargetName>,
     /// The engine that its engine takes kept parts of its prompt from.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_source: Option<SocketAddr>,
     /// Targets that may have run it.
     pub runs: u32,
     /// Zones that had no room for it when it was placed last, and why.
@@ -193,7 +193,7 @@
         return Ok(refusal(&head.id, come_back));
     }
     let (parts, body) = request.into_parts();
-    let limit = active.config.limits.body_bytes;
+    let limit = active.config.limits.max_body_bytes;
     let within = route.timeout.max(active.config.limits.header_timeout);
     let body = match timeout(within, Limited::new(body, limit).collect()).await {
         Err(_) => {
@@ -213,10 +213,10 @@
     };
     {
         let now = clock::now();
-        let mut books = context.fleet.books();
-        books.retries.count_request(&service.name, now);
+        let mut tables = context.fleet.tables();
+        tables.retries.record_request(&service.name, now);
         if let (Some(subject), true) = (&head.subject, service.engine.is_some()) {
-            books.demand.record(subject, now);
+            tables.demand.record(subject, now);
         }
     }
     let patience = head.deadline.unwrap_or(route.timeout).min(route.timeout);
@@ -240,7 +240,7 @@
         body,
         is_limited: false,
         tried: Vec::new(),
-        fetch: None,
+        fetch_source: None,
         runs: 0,
         refusals: Vec::new(),
         refused: 0,
@@ -258,7 +258,7 @@
 }
 
 fn count(context: &GatewayContext, kind: RequestKind, outcome: RequestOutcome) {
-    context.fleet.figures.count_request(kind, outcome);
+    context.fleet.metrics.count_request(kind, outcome);
 }
 
 impl CallState {
@@ -271,13 +271,13 @@
                 Ok(placed) => placed,
                 Err(_) => break,
             };
-            let (entry, version, ticket) = match placed {
-                Placing::At(entry, version, ticket) => (entry, version, ticket),
-                Placing::Nowhere(after) => {
+            let (entry, version, placed_call) = match placed {
+                CallPlacement::At(entry, version, placed_call) => (entry, version, placed_call),
+                CallPlacement::Unavailable(after) => {
                     come_back = after;
                     break;
                 }
-                Placing::OverQuota(after) => return self.over_quota(after),
+                CallPlacement::OverQuota(after) => return self.over_quota(after),
             };
             if self.remaining().is_zero() {
                 break;
@@ -289,7 +289,7 @@
                 return fault.answer(&self.context, &self.route, &self.head.id);
             }
             // A failure that came before is passed on only if nothing better comes.
-            match self.send(&entry, version, ticket, None).await {
+            match self.send(&entry, version, placed_call, None).await {
                 SendOutcome::Success(open) => match self.pass_on(*open).await {
                     Ok(answer) => return answer,
                     Err(call) => {
@@ -300,7 +300,7 @@
                     }
                 },
                 SendOutcome::Failure(open) => {
-                    let (parts, taken) = take_whole(*open, &self).await;
+                    let (parts, taken) = buffer_answer(*open, &self).await;
                     if let Ok(body) = taken {
                         failure = Some(passed_answer(&parts, body));
                     }
@@ -382,7 +382,7 @@
 
     /// Whether it may run again: its route allows it, and the fleet's budget pays for it.
     pub fn may_repeat(&mut self) -> bool {
-        self.route.repeat == RepeatRule::Idempotent
+        self.route.retry_policy == RetryPolicy::Idempotent
             && self.runs < self.route.max_attempts
             && self.has_time()
             && self.pay_for_repeat()
@@ -410,18 +410,18 @@
         let service = &self.service.name;
         let now = clock::now();
         let (standing, is_allowed) = {
-            let retries = &mut fleet.books().retries;
-            let standing = retries.standing(service, now);
-            (standing, retries.try_repeat(service, now))
+            let retries = &mut fleet.tables().retries;
+            let standing = retries.usage(service, now);
+            (standing, retries.try_retry(service, now))
         };
-        fleet.figures.count_repeat(is_allowed);
+        fleet.metrics.count_repeat(is_allowed);
         let decided = if is_allowed {
             Event::RepeatAllowed
         } else {
             Event::RepeatDenied
         };
         event!(decided, request = self.head.id; "of {service}, {} repeats of {:.1} for {} requests, {:?} after the start",
-            standing.repeats,
+            standing.retries,
             standing.allowed,
             standing.requests,
             fleet.age()
@@ -431,12 +431,12 @@
 
     /// Passes a success on to the caller; gives the call back if the answer broke before its first byte went out.
     async fn pass_on(self, open: OpenAnswer) -> Result<Response<AnswerBody>, Self> {
-        match self.route.shape {
-            AnswerShape::Events { resumable } => Ok(relay_events(self, open, resumable)),
-            AnswerShape::Whole => {
+        match self.route.response_shape {
+            ResponseShape::EventStream { resumable } => Ok(relay_events(self, open, resumable)),
+            ResponseShape::Buffered => {
                 let mut call = self;
                 let target = call.tried.len();
-                let (parts, taken) = take_whole(open, &call).await;
+                let (parts, taken) = buffer_answer(open, &call).await;
                 match taken {
                     Ok(body) => {
                         call.count(RequestOutcome::Answered);
--- a/crates/daemon/src/direct/call/stop.rs
+++ b/crates/daemon/src/direct/call/stop_plan.rs
@@ -2,8 +2,8 @@
 
 use crate::clock;
 use hoplanding_core::direct::{
-    config::{AnswerShape, RouteRule},
-    streams::StreamPace,
+    config::{ResponseShape, RouteRule},
+    stream_estimate::StreamEstimate,
 };
 use hoplanding_platform::front::CallHead;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct StopPlan {
     /// From here on only what is sure to end in time is taken.
-    pub choosy_from: Instant,
+    pub restricted_from: Instant,
     /// When the process ends with whatever is left.
     pub exit: Instant,
 }
@@ -27,18 +27,18 @@
         &self,
         route: &RouteRule,
         head: &CallHead,
-        streams: &StreamPace,
+        streams: &StreamEstimate,
     ) -> Result<(), Duration> {
         let now = Instant::now();
         let left = self.exit.saturating_duration_since(now);
-        let longest = match route.shape {
-            AnswerShape::Whole => route.timeout,
-            AnswerShape::Events { .. } => {
-                let longest = streams.longest(head.most_output, clock::now());
+        let longest = match route.response_shape {
+            ResponseShape::Buffered => route.timeout,
+            ResponseShape::EventStream { .. } => {
+                let longest = streams.max_duration(head.most_output, clock::now());
                 longest.min(route.timeout)
             }
         };
-        if now < self.choosy_from || longest < left {
+        if now < self.restricted_from || longest < left {
             Ok(())
         } else {
             Err(left + RESTART)
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -8,9 +8,9 @@
 use crate::{
     clock::{self, CLOCK_ERROR},
     direct::{
-        access::ZoneAccess,
-        fleet::{FleetBooks, FleetState, zone_key},
-        front::StopPhase,
+        caller_connections::StopPhase,
+        fleet::{FleetState, FleetTables, zone_key},
+        holder_client::HolderClient,
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -18,7 +18,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::lease::{HolderContact, HolderView, LeaseState, LeaseStep, ZoneLease},
+    direct::lease::{HolderContact, HolderView, LeaseAction, LeaseState, ZoneLease},
     ids::LogPosition,
 };
 use hoplanding_platform::{
@@ -45,7 +45,7 @@
     /// State of the fleet as known to this VM.
     pub fleet: Arc<FleetState>,
     /// Links to the holders of zones.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Settings of the daemon.
     pub settings: Arc<DirectSettings>,
     /// Phase of a planned stop.
@@ -97,9 +97,9 @@
         let lease = self.fleet.lease(&self.fleet.zone);
         let contact = match &lease {
             Some(lease) if lease.vm.is_some() => {
-                let contact = self.access.contact(&self.fleet.zone, lease);
+                let contact = self.holder_client.contact(&self.fleet.zone, lease);
                 if contact != HolderContact::Heard {
-                    self.access.redial(&self.fleet.zone, lease);
+                    self.holder_client.redial(&self.fleet.zone, lease);
                 }
                 contact
             }
@@ -107,47 +107,48 @@
         };
         let rank = self.fleet.rank();
         let now = clock::now();
-        let mut books = self.fleet.books();
-        let is_read = books
+        let mut tables = self.fleet.tables();
+        let is_read = tables
             .fleet_end
-            .is_some_and(|end| Some(end.era()) >= books.store_era);
-        if !is_read || books.active.is_none() {
+            .is_some_and(|end| Some(end.era()) >= tables.store_era);
+        if !is_read || tables.active.is_none() {
             return false;
         }
         let holder = lease.as_ref().and_then(|lease| lease.vm.as_ref());
         let view = HolderView {
             contact,
-            is_weaker: holder
-                .and_then(|vm| books.vms.get(vm))
+            is_holder_weaker: holder
+                .and_then(|vm| tables.vms.get(vm))
                 .is_some_and(|record| record.strength < self.fleet.strength),
             rank,
-            waited: lease.as_ref().and_then(min_claim_age),
-            is_outdated: books.is_outdated(&self.fleet.zone),
-            is_oneself: lease.as_ref().is_some_and(|lease| self.is_own_lease(lease)),
-            was_led: self.is_confirmed(&books)
-                && books
-                    .fleet_read_at
-                    .is_some_and(|read_at| now < read_at.after(self.settings.leases.turn)),
+            waiting_claim_age: lease.as_ref().and_then(min_claim_age),
+            is_log_restored: tables.is_outdated(&self.fleet.zone),
+            is_holder: lease.as_ref().is_some_and(|lease| self.is_own_lease(lease)),
+            is_sole_holder: self.is_confirmed(&tables)
+                && tables.fleet_read_at.is_some_and(|read_at| {
+                    now < read_at.after(self.settings.leases.handover_delay)
+                }),
         };
-        let state = books.leases.entry(self.fleet.zone.clone()).or_default();
+        let state = tables.leases.entry(self.fleet.zone.clone()).or_default();
         let position = state.position;
-        let step = state.step(&self.settings.leases, view, now);
-        if let LeaseStep::Claim { quiet } = step {
-            books.claim_quiet = quiet;
-            books.leads_from = now.after(quiet);
+        let step = state.next_action(&self.settings.leases, view, now);
+        if let LeaseAction::Claim { order_delay: quiet } = step {
+            tables.claim_delay = quiet;
+            tables.orders_from = now.after(quiet);
         }
-        drop(books);
-        if let (LeaseStep::AskFor, Some(lease)) = (step, &lease) {
+        drop(tables);
+        if let (LeaseAction::RequestTransfer, Some(lease)) = (step, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
-            self.access.ask_for_lease(&self.fleet.zone, lease, position);
+            self.holder_client
+                .request_lease(&self.fleet.zone, lease, position);
         }
-        matches!(step, LeaseStep::Claim { .. })
+        matches!(step, LeaseAction::Claim { .. })
     }
 
     /// Whether the newest record of the zone's lease is a confirmed claim of this VM.
-    fn is_confirmed(&self, books: &FleetBooks) -> bool {
-        let state = books.leases.get(&self.fleet.zone);
-        state.is_some_and(|state| books.confirmed == Some(state.token()))
+    fn is_confirmed(&self, tables: &FleetTables) -> bool {
+        let state = tables.leases.get(&self.fleet.zone);
+        state.is_some_and(|state| tables.confirmed_token == Some(state.token()))
     }
 
     /// Confirms a claim by reading the topic once more after the claim's turn. A log that was restored from a copy may
@@ -156,26 +157,26 @@
     async fn confirm_claim(&self, client: &mut StoreClient) {
         let now = clock::now();
         let lease = self.fleet.lease(&self.fleet.zone);
-        let (end, leads_from) = {
-            let books = self.fleet.books();
+        let (end, orders_from) = {
+            let tables = self.fleet.tables();
             let is_confirmation_due = lease.is_some_and(|lease| self.is_own_lease(&lease))
-                && !self.is_confirmed(&books)
-                && now >= books.leads_from;
-            let Some(end) = books.fleet_end.filter(|_| is_confirmation_due) else {
+                && !self.is_confirmed(&tables)
+                && now >= tables.orders_from;
+            let Some(end) = tables.fleet_end.filter(|_| is_confirmation_due) else {
                 return;
             };
-            (end, books.leads_from)
+            (end, tables.orders_from)
         };
         let is_read = self.read_fleet_from(client, end).await;
-        if !is_read && now < leads_from.after(self.settings.leases.turn) {
+        if !is_read && now < orders_from.after(self.settings.leases.handover_delay) {
             return;
         }
         let lease = self.fleet.lease(&self.fleet.zone);
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         let is_held = lease.is_some_and(|lease| self.is_own_lease(&lease));
-        if is_held && !books.is_outdated(&self.fleet.zone) {
-            let state = books.leases.get(&self.fleet.zone);
-            books.confirmed = state.map(LeaseState::token);
+        if is_held && !tables.is_outdated(&self.fleet.zone) {
+            let state = tables.leases.get(&self.fleet.zone);
+            tables.confirmed_token = state.map(LeaseState::token);
         }
     }
 
@@ -185,13 +186,13 @@
 
     /// Value of the claim's `waits_since_ms`: set if this VM waits before its first order.
     fn claim_waits_since_ms(&self) -> Option<u64> {
-        let quiet = self.fleet.books().claim_quiet;
+        let quiet = self.fleet.tables().claim_delay;
         (!quiet.is_zero()).then(clock::wall_ms)
     }
 
     /// Appends a claim.
     async fn claim(&self, client: &mut StoreClient) -> ClaimResult {
-        let Some(end) = self.fleet.books().fleet_end else {
+        let Some(end) = self.fleet.tables().fleet_end else {
             return ClaimResult::Unanswered;
         };
         let lease = ZoneLease {
@@ -212,11 +213,11 @@
             Ok(position) => {
                 event!(Event::LeaseClaimed, "{} at {position}", self.fleet.zone);
                 {
-                    let mut books = self.fleet.books();
-                    let is_at_once = books.claim_quiet.is_zero();
-                    books.confirmed = is_at_once.then(|| position.token());
+                    let mut tables = self.fleet.tables();
+                    let is_at_once = tables.claim_delay.is_zero();
+                    tables.confirmed_token = is_at_once.then(|| position.token());
                 }
-                self.fleet.take_own(key, value, position);
+                self.fleet.apply_own_record(key, value, position);
                 self.fleet.note_fleet_read(began);
                 ClaimResult::Recorded
             }
@@ -242,7 +243,7 @@
             .await
         {
             Ok(batch) => {
-                self.fleet.take_records(FeedTopic::Fleet, from, &batch);
+                self.fleet.apply_records(FeedTopic::Fleet, from, &batch);
                 true
             }
             Err(error) => {
@@ -267,9 +268,9 @@
 /// Start of this VM's wait before its first order, in milliseconds since 1970, if its claim is not confirmed yet. A
 /// release carries it over, so that the next holder counts the wait from there.
 fn pending_wait_since_ms(fleet: &FleetState) -> Option<u64> {
-    let books = fleet.books();
-    let state = books.leases.get(&fleet.zone)?;
-    let is_confirmed = books.confirmed == Some(state.token());
+    let tables = fleet.tables();
+    let state = tables.leases.get(&fleet.zone)?;
+    let is_confirmed = tables.confirmed_token == Some(state.token());
     state
         .lease
         .as_ref()
@@ -281,7 +282,7 @@
 /// record no longer names this VM.
 pub async fn release_lease(fleet: &FleetState, platform: SocketAddr, timeout: Duration) -> bool {
     let mut client = StoreClient::new(platform);
-    let Some(mut end) = fleet.books().fleet_end else {
+    let Some(mut end) = fleet.tables().fleet_end else {
         return false;
     };
     let lease = ZoneLease {
@@ -305,7 +306,7 @@
             .await
         {
             Ok(position) => {
-                fleet.take_own(key, value, position);
+                fleet.apply_own_record(key, value, position);
                 return true;
             }
             Err(StoreError::EndMoved(moved)) => end = moved,
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -5,20 +5,20 @@
 
 use crate::{
     direct::{
-        access::ZoneAccess,
         call::{GatewayContext, StopPlan},
+        caller_connections::{OpenConnections, StopPhase, accept_callers},
         claims::{ClaimWorker, release_lease},
         feeds::FeedWorker,
         fleet::FleetState,
-        front::{OpenConnections, StopPhase, accept_callers},
+        holder_client::HolderClient,
         links::accept_links,
         message::FeedTopic,
-        questions::{accept_questions, answer_metrics, answer_ready},
-        reach::StoreReach,
+        probes::{metrics_response, readiness_response, serve_probes},
+        reachability::StoreReachability,
         recorder::FleetRecorder,
-        sender::ConnectionPool,
         settings::DirectSettings,
         suspect_records::SuspectRecorder,
+        target_connections::ConnectionPool,
         zone::{ZoneEvent, ZoneWorker},
     },
     event,
@@ -90,11 +90,11 @@
         let settings = Arc::new(settings);
         let incarnation = rand::random::<u64>() >> 16;
         let fleet = Arc::new(FleetState::new(&settings, incarnation));
-        fleet.books().own_addresses = vec![caller_address, ready_address, settings.peer_address];
+        fleet.tables().own_addresses = vec![caller_address, ready_address, settings.peer_address];
         let pool = Arc::new(ConnectionPool::default());
         let (zone, zone_receiver) = mpsc::channel(ZONE_QUEUE_CAPACITY);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
-        let access = Arc::new(ZoneAccess::new(Arc::clone(&fleet), zone.clone()));
+        let holder_client = Arc::new(HolderClient::new(Arc::clone(&fleet), zone.clone()));
         let connections = Arc::new(OpenConnections::default());
         event!(
             Event::Started,
@@ -103,7 +103,7 @@
             settings.zone,
             settings.peer_address
         );
-        start_feeds(&settings, &fleet, &access);
+        start_feeds(&settings, &fleet, &holder_client);
         let worker = ZoneWorker::new(
             Arc::clone(&fleet),
             Arc::clone(&pool),
@@ -114,7 +114,7 @@
         tokio::spawn(accept_links(peers, Arc::clone(&fleet), zone.clone()));
         let claims = ClaimWorker {
             fleet: Arc::clone(&fleet),
-            access: Arc::clone(&access),
+            holder_client: Arc::clone(&holder_client),
             settings: Arc::clone(&settings),
             stop: stop_watch.clone(),
         };
@@ -132,7 +132,7 @@
         let context = Arc::new(GatewayContext {
             stop: Arc::clone(&plan),
             fleet: Arc::clone(&fleet),
-            access,
+            holder_client,
             pool,
             records: SuspectRecorder::start(&fleet, &settings),
             settings: Arc::clone(&settings),
@@ -174,9 +174,9 @@
         event!(Event::Stopping, "{} connections", self.connections.count());
         let started_at = Instant::now();
         let deadline = started_at + self.settings.timing.stop_timeout;
-        let choosy_from = started_at + self.settings.timing.drain_delay;
+        let restricted_from = started_at + self.settings.timing.drain_delay;
         let plan = StopPlan {
-            choosy_from,
+            restricted_from,
             exit: deadline,
         };
         // `stop` consumes the daemon, so the plan is set only once.
@@ -191,8 +191,9 @@
                 is_released = true;
             }
             let now = Instant::now();
-            self.stop.send_replace(phase_at(now, choosy_from, deadline));
-            if now >= deadline || (now >= choosy_from && self.connections.count() == 0) {
+            self.stop
+                .send_replace(phase_at(now, restricted_from, deadline));
+            if now >= deadline || (now >= restricted_from && self.connections.count() == 0) {
                 break;
             }
             sleep(STOP_POLL_INTERVAL).await;
@@ -219,10 +220,10 @@
     }
 }
 
-fn phase_at(now: Instant, choosy_from: Instant, deadline: Instant) -> StopPhase {
+fn phase_at(now: Instant, restricted_from: Instant, deadline: Instant) -> StopPhase {
     if now + ENDING_PERIOD >= deadline {
         StopPhase::Ending
-    } else if now >= choosy_from {
+    } else if now >= restricted_from {
         StopPhase::Closing
     } else {
         StopPhase::Leaving
@@ -237,20 +238,24 @@
     stop: watch::Receiver<StopPhase>,
 ) {
     let state = Arc::clone(fleet);
-    tokio::spawn(accept_questions(readiness_listener, move |path| {
+    tokio::spawn(serve_probes(readiness_listener, move |path| {
         let is_ready = state.is_ready() && *stop.borrow() == StopPhase::Serving;
-        answer_ready(path, is_ready)
+        readiness_response(path, is_ready)
     }));
     if let Some(metrics_listener) = metrics_listener {
         let state = Arc::clone(fleet);
-        tokio::spawn(accept_questions(metrics_listener, move |path| {
-            answer_metrics(path, || state.figures.page(&state))
+        tokio::spawn(serve_probes(metrics_listener, move |path| {
+            metrics_response(path, || state.metrics.page(&state))
         }));
     }
 }
 
-fn start_feeds(settings: &Arc<DirectSettings>, fleet: &Arc<FleetState>, access: &Arc<ZoneAccess>) {
-    let reach = StoreReach::new();
+fn start_feeds(
+    settings: &Arc<DirectSettings>,
+    fleet: &Arc<FleetState>,
+    holder_client: &Arc<HolderClient>,
+) {
+    let reachability = StoreReachability::new();
     let first_list_delay = first_list_delay(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
         let worker = FeedWorker {
@@ -258,8 +263,8 @@
             address: settings.platform_address,
             pace: settings.timing,
             fleet: Arc::clone(fleet),
-            access: Arc::clone(access),
-            reach: reach.clone(),
+            holder_client: Arc::clone(holder_client),
+            reachability: reachability.clone(),
             first_pause: first_list_delay,
             started: Instant::now(),
             failures: 0,
@@ -282,7 +287,7 @@
     let mut dropped_lines = 0;
     loop {
         sleep(SWEEP_INTERVAL).await;
-        pool.sweep();
+        pool.close_expired();
         fleet.expire();
         dropped_lines = report_dropped(dropped_lines);
     }
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -7,10 +7,10 @@
 use crate::{
     clock,
     direct::{
-        call::{AnswerBody, BrokenAnswer, CallState, OpenAnswer, Placing, SendOutcome},
-        cutter::EventCutter,
-        figures::RequestOutcome,
+        call::{AnswerBody, BrokenAnswer, CallPlacement, CallState, OpenAnswer, SendOutcome},
+        event_splitter::EventSplitter,
         message::CallEnd,
+        metrics::RequestOutcome,
     },
     event,
     events::Event,
@@ -29,7 +29,7 @@
 struct EventRelay {
     call: CallState,
     open: Option<OpenAnswer>,
-    cutter: EventCutter,
+    splitter: EventSplitter,
     is_resumable: bool,
     /// Whether the zone's holder has yet to be told of the first event of this send.
     awaits_first_event: bool,
@@ -42,7 +42,7 @@
     let relay = EventRelay {
         call,
         open: Some(open),
-        cutter: EventCutter::default(),
+        splitter: EventSplitter::default(),
         is_resumable,
         awaits_first_event: true,
     };
@@ -69,7 +69,7 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    match self.cutter.take(&data) {
+                    match self.splitter.push(&data) {
                         Ok(events) if events.is_empty() => continue,
                         Ok(events) => {
                             self.record_events();
@@ -94,7 +94,7 @@
             self.check_target(is_stalled).await;
             let target = self.end_open(CallEnd::Failed);
             event!(Event::StreamBroken, request = self.call.head.id; "at {target}: {cause}, last event {:?}",
-                self.cutter.last_id()
+                self.splitter.last_id()
             );
             if !self.is_resumable || !self.resume().await {
                 return Some(Err(self.break_off(&cause)));
@@ -106,21 +106,21 @@
         if self.call.timeline.note_event() {
             let elapsed = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
-            fleet.figures.note_first_event(elapsed);
-            fleet.books().streams.note_start(elapsed, clock::now());
+            fleet.metrics.note_first_event(elapsed);
+            fleet.tables().streams.record_start(elapsed, clock::now());
         }
         let Some(open) = self.open.as_ref().filter(|_| self.awaits_first_event) else {
             return;
         };
         self.awaits_first_event = false;
         let version = open.notice.version;
-        if let Some(source) = self.call.fetch {
+        if let Some(source) = self.call.fetch_source {
             event!(Event::MemoryUsed, request = self.call.head.id; "at {} with parts from {source}, by version {version:?}",
                 open.connection.target()
             );
         }
-        if let Some(ticket) = &open.ticket {
-            ticket.note_first_event(version);
+        if let Some(placed_call) = &open.placed_call {
+            placed_call.note_first_event(version);
         }
     }
 
@@ -128,15 +128,16 @@
     /// admitted.
     fn record_duration(&self) {
         let call = &self.call;
-        let (Some(first), Some(events)) = (call.timeline.first(), self.cutter.last_id()) else {
+        let (Some(first), Some(events)) = (call.timeline.first_event(), self.splitter.last_id())
+        else {
             return;
         };
         let duration = call.arrived.elapsed().saturating_sub(first);
-        let mut books = call.context.fleet.books();
+        let mut tables = call.context.fleet.tables();
         let most_output = call.head.most_output;
-        books
+        tables
             .streams
-            .note_end(events, duration, most_output, clock::now());
+            .record_end(events, duration, most_output, clock::now());
     }
 
     /// Deadline of the next event. A resumable stream has a shorter one, so that it resumes before its caller times
@@ -151,7 +152,7 @@
 
     fn break_off(&mut self, cause: &str) -> BrokenAnswer {
         event!(Event::AnswerIncomplete, request = self.call.head.id; "{cause}, last event {:?}",
-            self.cutter.last_id()
+            self.splitter.last_id()
         );
         self.call.count(RequestOutcome::BrokenOff);
         BrokenAnswer(cause.to_owned())
@@ -160,8 +161,8 @@
     /// Checks whether the target has ended, if it broke the stream off. A stalled target has not broken it off.
     async fn check_target(&self, is_stalled: bool) {
         if let Some(open) = self.open.as_ref().filter(|_| !is_stalled) {
-            let is_trial = open.count.is_trial();
-            self.call.look_at_break(&open.entry, is_trial).await;
+            let is_trial = open.in_flight.is_trial();
+            self.call.probe_after_failure(&open.entry, is_trial).await;
         }
     }
 
@@ -170,9 +171,9 @@
         let Some(open) = self.open.take() else {
             return String::new();
         };
-        open.count.note(end);
-        if let Some(ticket) = open.ticket {
-            ticket.end(end);
+        open.in_flight.finish(end);
+        if let Some(placed_call) = open.placed_call {
+            placed_call.finish(end);
         }
         open.connection.target().to_string()
     }
@@ -180,7 +181,7 @@
     /// Handles the end of the target's body. Without framing, an end inside an event cannot be told from a broken
     /// connection and is an error.
     fn finish_stream(&mut self) -> Result<Option<Bytes>, String> {
-        let rest = self.cutter.take_rest();
+        let rest = self.splitter.take_remainder();
         let is_framed = self
             .open
             .as_ref()
@@ -198,25 +199,25 @@
                 open.connection.target(),
                 self.call.timeline
             );
-            open.count.note(CallEnd::Good);
-            if let Some(ticket) = open.ticket {
-                ticket.end(CallEnd::Good);
+            open.in_flight.finish(CallEnd::Good);
+            if let Some(placed_call) = open.placed_call {
+                placed_call.finish(CallEnd::Good);
             }
-            self.call.give_back(open.connection, &open.notice);
+            self.call.return_connection(open.connection, &open.notice);
         }
         Ok((!rest.is_empty()).then_some(rest))
     }
 
     /// Continues the stream at another target after the last complete event; returns whether a target took it over.
     async fn resume(&mut self) -> bool {
-        let last = self.cutter.last_id().or(self.call.head.last_event);
-        self.cutter.take_rest();
+        let last = self.splitter.last_id().or(self.call.head.last_event);
+        self.splitter.take_remainder();
         while self.call.may_repeat() {
             let placed = timeout_at(self.call.deadline, self.call.place()).await;
-            let Ok(Placing::At(entry, version, ticket)) = placed else {
+            let Ok(CallPlacement::At(entry, version, placed_call)) = placed else {
                 return false;
             };
-            match self.call.send(&entry, version, ticket, last).await {
+            match self.call.send(&entry, version, placed_call, last).await {
                 SendOutcome::Success(open) => {
                     event!(Event::StreamResumed, request = self.call.head.id; "at {} from {last:?}",
                         entry.name
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -6,21 +6,21 @@
 };
 use hoplanding_core::{
     direct::{
-        limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAsk},
+        limits::AdvertisedLimit,
+        plain::PlainRequest,
+        planner::{CallKey, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
     },
     ids::{TargetName, VmName},
 };
 
 /// What a holder is asked.
-pub(super) enum HolderQuestion {
+pub(super) enum HolderRequest {
     /// Where a call goes.
-    Place(Box<PlacementAsk>),
+    Place(Box<PlacementRequest>),
     /// Where a call of a plain service goes.
-    Plain(Box<PlainAsk>),
+    Plain(Box<PlainRequest>),
     /// Whether a charge is paid.
     Pay(QuotaCharge),
     /// Whether a trial of a suspect is granted.
@@ -29,7 +29,7 @@
     Target(TargetName),
 }
 
-impl HolderQuestion {
+impl HolderRequest {
     pub(super) fn into_event(self, key: CallKey, reply: ReplySender) -> ZoneEvent {
         match self {
             Self::Place(ask) => ZoneEvent::Place(key, ask, reply),
@@ -60,9 +60,9 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A trial ended, answered well or not.
     TrialEnded(u64, RequestFingerprint, bool),
 }
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -4,11 +4,11 @@
 use hoplanding_core::{
     direct::{
         health::CallOutcome,
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         millis,
-        plain::{PlainAsk, PlainPlanner},
+        plain::{PlainPlanner, PlainRequest},
         planner::{CallKey, PlacementAnswer, RefusalCause},
-        quotas::{BucketCounts, BucketStart, QuotaCharge, QuotaLedger, StandingTimes},
+        quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaLedger},
         suspects::{RequestFingerprint, Suspicion},
         trials::{TrialAnswer, TrialTable},
     },
@@ -28,7 +28,7 @@
 }
 
 /// What came with a lease, and ends with it.
-pub struct ZoneLedger {
+pub struct HolderState {
     /// The lease's token.
     pub token: FencingToken,
     plain: PlainPlanner,
@@ -38,7 +38,7 @@
     declared: Option<u64>,
 }
 
-impl ZoneLedger {
+impl HolderState {
     /// The ledger of a lease.
     #[must_use]
     pub fn new(
@@ -51,13 +51,13 @@
         let start = if is_first {
             BucketStart::Full
         } else {
-            BucketStart::Spent
+            BucketStart::Exhausted
         };
         let zones = u32::try_from(settings.zones.len()).unwrap_or(u32::MAX);
-        let times = StandingTimes {
-            led_until,
-            began: now.after(lease.quiet),
-            is_contested: !lease.quiet.is_zero(),
+        let times = HolderTenure {
+            sole_until: led_until,
+            active_from: now.after(lease.quiet),
+            has_predecessor: !lease.quiet.is_zero(),
             window: settings.quotas.window,
         };
         Self {
@@ -71,21 +71,21 @@
 
     /// Takes over what the books say of quotas and targets.
     pub fn refresh(&mut self, fleet: &FleetState, now: Instant) {
-        let books = fleet.books();
-        if let Some(active) = &books.active
+        let tables = fleet.tables();
+        if let Some(active) = &tables.active
             && self.declared != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
-            self.quotas.declare(table.quotas(), now);
+            self.quotas.set_rules(table.quotas(), now);
             self.declared = Some(active.config.version);
         }
         self.plain
-            .retain(|run| books.catalog.get(&run.name).is_some());
+            .retain(|run| tables.catalog.get(&run.name).is_some());
     }
 
     /// Until then it is known that no other VM was the zone's holder.
     pub fn lead_until(&mut self, time: Instant) {
-        self.quotas.lead_until(time);
+        self.quotas.set_sole_until(time);
     }
 
     /// Pays a charge.
@@ -93,14 +93,14 @@
     /// # Errors
     /// When too little is left: the time until there is enough.
     pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
-        self.quotas.pay(charge, now)
+        self.quotas.charge(charge, now)
     }
 
     /// Pays for a call that is to be placed.
     ///
     /// # Errors
     /// When too little is left: the answer to the call.
-    pub fn pay_for_place(
+    pub fn charge_placement(
         &mut self,
         charge: Option<&QuotaCharge>,
         now: Instant,
@@ -113,8 +113,8 @@
     }
 
     /// Gives a charge back whose call did not run, or found no place.
-    pub fn give_back(&mut self, charge: &QuotaCharge, now: Instant) {
-        self.quotas.give_back(charge, now);
+    pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
+        self.quotas.refund(charge, now);
     }
 
     /// Places a call of a plain service, and pays for it if it finds a place.
@@ -122,34 +122,34 @@
         &mut self,
         fleet: &FleetState,
         key: CallKey,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         now: Instant,
     ) -> PlacementAnswer {
-        let suspicion = fleet.books().suspects.suspicion(ask.fingerprint, now);
+        let suspicion = fleet.tables().suspects.suspicion(ask.fingerprint, now);
         if !ask.is_trial && suspicion != Suspicion::Clear {
             return PlacementAnswer::Refuse {
                 retry_after_ms: 0,
                 cause: RefusalCause::NeedsTrial,
             };
         }
-        if let Err(refusal) = self.pay_for_place(ask.charge.as_ref(), now) {
+        if let Err(refusal) = self.charge_placement(ask.charge.as_ref(), now) {
             return refusal;
         }
         let targets: Vec<_> = {
-            let books = fleet.books();
-            books.catalog.ready(&ask.service).cloned().collect()
+            let tables = fleet.tables();
+            tables.catalog.ready(&ask.service).cloned().collect()
         };
         let answer = self.plain.place(key, ask, &targets, now);
         if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
-            self.give_back(charge, now);
+            self.refund(charge, now);
         }
         answer
     }
 
     /// Ends a call of a plain service; says whether it was one.
     pub fn end_plain(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) -> bool {
-        let is_plain = self.plain.knows(key);
-        self.plain.ended(key, outcome, now);
+        let is_plain = self.plain.has_call(key);
+        self.plain.call_ended(key, outcome, now);
         is_plain
     }
 
@@ -161,19 +161,20 @@
         key: CallKey,
         now: Instant,
     ) -> TrialAnswer {
-        let mut books = fleet.books();
-        books.suspects.note_return(fingerprint, now);
-        self.trials.ask(&books.suspects, fingerprint, key, now)
+        let mut tables = fleet.tables();
+        tables.suspects.refresh(fingerprint, now);
+        self.trials
+            .try_grant(&tables.suspects, fingerprint, key, now)
     }
 
     /// A trial ended.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
-        self.trials.end(fingerprint, key);
+        self.trials.release(fingerprint, key);
     }
 
     /// An answer told of a target's limit.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.plain.note_limit(named, now);
+    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
+        self.plain.record_limit(named, now);
     }
 
     /// All calls and trials of a gateway that can't be reached.
--- a/crates/daemon/src/direct/record_cache.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -6,7 +6,7 @@
 //! Updates are numbered in the order in which this VM learned of them, and each link keeps its own cursor. A slow link
 //! reads only the newest record of each key when it resumes, so no update is lost and no queue grows per link.
 
-use crate::direct::message::{FeedTopic, PassedRecord};
+use crate::direct::message::{FeedTopic, ForwardedRecord};
 use bytes::Bytes;
 use hoplanding_core::ids::{LogPosition, StoreEra};
 use std::{collections::BTreeMap, mem};
@@ -67,7 +67,7 @@
 
     /// The cached record of a key in the form sent to other VMs; none if the key is unknown or deleted.
     #[must_use]
-    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<PassedRecord> {
+    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<ForwardedRecord> {
         let key = (topic, key.to_owned());
         let cached = self.records.get(&key)?;
         cached.value.is_some().then(|| relayed_record(&key, cached))
@@ -126,7 +126,7 @@
 
     /// Updates from a sequence number on, as many as fit into one message, and the sequence number after them.
     #[must_use]
-    pub fn updates_from(&self, sequence: u64) -> (Vec<PassedRecord>, u64) {
+    pub fn updates_from(&self, sequence: u64) -> (Vec<ForwardedRecord>, u64) {
         let mut batch = MessageBatch::default();
         for (sequence, key) in self.updates.range(sequence..) {
             if batch.is_full() {
@@ -179,7 +179,7 @@
 
     /// Records of a topic from a position on, and those of earlier eras, which a restored log may lack.
     #[must_use]
-    pub fn records_since(&self, topic: FeedTopic, from: LogPosition) -> Vec<PassedRecord> {
+    pub fn records_since(&self, topic: FeedTopic, from: LogPosition) -> Vec<ForwardedRecord> {
         self.records
             .iter()
             .filter(|((record_topic, _), record)| {
@@ -194,7 +194,7 @@
 /// Records collected for one message.
 #[derive(Debug, Default)]
 struct MessageBatch {
-    records: Vec<PassedRecord>,
+    records: Vec<ForwardedRecord>,
     bytes: usize,
 }
 
@@ -203,7 +203,7 @@
         self.records.len() == MAX_MESSAGE_RECORDS || self.bytes >= MESSAGE_SIZE_LIMIT
     }
 
-    fn add(&mut self, record: PassedRecord) {
+    fn add(&mut self, record: ForwardedRecord) {
         self.bytes += record.value.as_ref().map_or(0, Bytes::len);
         self.records.push(record);
     }
@@ -211,7 +211,7 @@
 
 /// Splits records into batches of one message each; returns at least one, which may be empty.
 #[must_use]
-pub fn split_into_messages(records: Vec<PassedRecord>) -> Vec<Vec<PassedRecord>> {
+pub fn split_into_messages(records: Vec<ForwardedRecord>) -> Vec<Vec<ForwardedRecord>> {
     let mut batches = Vec::new();
     let mut batch = MessageBatch::default();
     for record in records {
@@ -224,8 +224,8 @@
     batches
 }
 
-fn relayed_record((topic, key): &RecordKey, cached: &CachedRecord) -> PassedRecord {
-    PassedRecord {
+fn relayed_record((topic, key): &RecordKey, cached: &CachedRecord) -> ForwardedRecord {
+    ForwardedRecord {
         topic: *topic,
         key: key.clone(),
         value: cached.value.clone(),
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -81,9 +81,9 @@
     /// Applies the settings that can change in a running process, and logs the keys that need a restart.
     pub fn apply_settings(&self, settings: &DirectSettings) {
         {
-            let mut books = self.fleet().books();
-            books.retries.set_rule(settings.retries);
-            books.policy = settings.policy;
+            let mut tables = self.fleet().tables();
+            tables.retries.set_rule(settings.retries);
+            tables.policy = settings.policy;
         }
         // Logs the change regardless of the previous and the new log level.
         set_level("info");
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -6,8 +6,9 @@
 use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
 use hoplanding_core::{
     direct::{
-        budget::RetryRule, copy_doubt::RewriteRule, freshness::RevocationRule, lease::LeaseTimes,
-        policy::PlacementPolicy, quotas::QuotaBounds, trials::TrialRule,
+        freshness::RevocationRule, lease::LeaseTimeouts, policy::PlacementPolicy,
+        quotas::QuotaBounds, restore_guard::RewriteRule, retry_budget::RetryBudgetRule,
+        trials::TrialRule,
     },
     ids::{AvailabilityZone, VmName},
 };
@@ -46,7 +47,7 @@
     /// Whether the whole fleet starts for the first time, before there are callers (`first_start` in the file).
     pub is_first_start: bool,
     /// Retry budget of the fleet.
-    pub retries: RetryRule,
+    pub retries: RetryBudgetRule,
     /// How long a revoked key may still be accepted; `None` if a VM that has lost contact need not learn of
     /// revocations.
     pub revocation: Option<RevocationRule>,
@@ -57,7 +58,7 @@
     /// Pauses before trials of suspected requests.
     pub trials: TrialRule,
     /// Timeouts of the zone leases.
-    pub leases: LeaseTimes,
+    pub leases: LeaseTimeouts,
     /// Whether engines reject orders with a fencing token older than one they have seen (`orders_fenced` in the file).
     pub has_order_fencing: bool,
     /// Weights and limits of placement decisions.
@@ -132,10 +133,10 @@
     }
 }
 
-fn read_retries(section: &SectionReader<'_>) -> RetryRule {
-    RetryRule {
+fn read_retries(section: &SectionReader<'_>) -> RetryBudgetRule {
+    RetryBudgetRule {
         ratio: section.fraction("ratio", 0.2, 0.0, 1e6),
-        slack: section.fraction("slack", 50.0, 0.0, 1e9),
+        extra_retries: section.fraction("slack", 50.0, 0.0, 1e9),
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
     }
 }
@@ -148,15 +149,15 @@
 fn read_recovery(section: &SectionReader<'_>) -> RewriteRule {
     let recovery_bound = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
     RewriteRule {
-        rewrite: recovery_bound.saturating_sub(STARTUP_MARGIN),
+        rewrite_time: recovery_bound.saturating_sub(STARTUP_MARGIN),
     }
 }
 
 fn read_quotas(section: &SectionReader<'_>) -> QuotaBounds {
     QuotaBounds {
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
-        over: section.fraction("over", 0.1, 0.0, 10.0),
-        slack: section.fraction("slack", 0.0, 0.0, 1e15),
+        tolerance_ratio: section.fraction("over", 0.1, 0.0, 10.0),
+        tolerance_units: section.fraction("slack", 0.0, 0.0, 1e15),
     }
 }
 
@@ -167,11 +168,11 @@
     }
 }
 
-fn read_leases(section: &SectionReader<'_>) -> LeaseTimes {
-    LeaseTimes {
-        silence: section.span("silence_ms", 1500, 100, 60_000),
+fn read_leases(section: &SectionReader<'_>) -> LeaseTimeouts {
+    LeaseTimeouts {
+        holder_timeout: section.span("silence_ms", 1500, 100, 60_000),
         stagger: section.span("stagger_ms", 120, 0, 10_000),
-        turn: section.span("turn_ms", 3000, 0, 600_000),
+        handover_delay: section.span("turn_ms", 3000, 0, 600_000),
     }
 }
 
@@ -184,30 +185,30 @@
         section.span(name, default_ms, 0, 600_000)
     };
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
-    let [urgent, normal, batch] = defaults.bearable_parts;
+    let [urgent, normal, batch] = defaults.max_wait_factors;
     PlacementPolicy {
-        swift_part: part("swift_part", defaults.swift_part),
-        bearable_parts: [
+        home_wait_fraction: part("swift_part", defaults.home_wait_fraction),
+        max_wait_factors: [
             part("bearable_urgent", urgent),
             part("bearable_normal", normal),
             part("bearable_batch", batch),
         ],
-        popular_per_s: part("popular_per_s", defaults.popular_per_s),
-        away_price: span("away_price_ms", defaults.away_price),
-        load_price: span("load_price_ms", defaults.load_price),
-        reload_price: span("reload_price_ms", defaults.reload_price),
-        fetch_time: span("fetch_time_ms", defaults.fetch_time),
-        fetch_gain: span("fetch_gain_ms", defaults.fetch_gain),
-        lately_kept: count("lately_kept", defaults.lately_kept),
-        crowded_places: part("crowded_places", defaults.crowded_places),
+        popular_rate_per_s: part("popular_per_s", defaults.popular_rate_per_s),
+        remote_zone_penalty: span("away_price_ms", defaults.remote_zone_penalty),
+        load_penalty: span("load_price_ms", defaults.load_penalty),
+        reload_penalty: span("reload_price_ms", defaults.reload_penalty),
+        cache_fetch_time: span("fetch_time_ms", defaults.cache_fetch_time),
+        min_fetch_saving: span("fetch_gain_ms", defaults.min_fetch_saving),
+        max_recent_adapters: count("lately_kept", defaults.max_recent_adapters),
+        crowded_slot_fraction: part("crowded_places", defaults.crowded_slot_fraction),
         crowded_backlog: span("crowded_backlog_ms", defaults.crowded_backlog),
-        crowding_part: part("crowding_part", defaults.crowding_part),
-        sought_part: part("sought_part", defaults.sought_part),
-        spare_part: part("spare_part", defaults.spare_part),
-        busy_part: part("busy_part", defaults.busy_part),
-        doubt_price: span("doubt_price_ms", defaults.doubt_price),
-        failing_price: span("failing_price_ms", defaults.failing_price),
-        shed_price: span("shed_price_ms", defaults.shed_price),
+        crowding_call_fraction: part("crowding_part", defaults.crowding_call_fraction),
+        hot_adapter_fraction: part("sought_part", defaults.hot_adapter_fraction),
+        speculative_load_fraction: part("spare_part", defaults.speculative_load_fraction),
+        busy_fraction: part("busy_part", defaults.busy_fraction),
+        doubt_penalty: span("doubt_price_ms", defaults.doubt_penalty),
+        failure_penalty: span("failing_price_ms", defaults.failure_penalty),
+        shed_penalty: span("shed_price_ms", defaults.shed_penalty),
     }
 }
 
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock,
     direct::{
-        fleet::{FleetBooks, FleetState, SUSPECT_KEY, suspect_key},
+        fleet::{FleetState, FleetTables, SUSPECT_KEY_PREFIX, suspect_key},
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        suspects::{EndedUnder, REMEMBERED_FOR, RequestFingerprint},
+        suspects::{RequestFingerprint, SUSPECT_TTL, TargetCrash},
         trials::trial_zones,
     },
     ids::{AvailabilityZone, Instant, TargetRun},
@@ -88,7 +88,7 @@
             StoredFormat::Timed(record) => record,
             StoredFormat::Untimed(ended) => Self {
                 ended,
-                until_ms: wall_ms_at(clock::now().after(REMEMBERED_FOR)),
+                until_ms: wall_ms_at(clock::now().after(SUSPECT_TTL)),
             },
         })
     }
@@ -97,7 +97,7 @@
     #[must_use]
     pub fn until(&self) -> Instant {
         let left = Duration::from_millis(self.until_ms.saturating_sub(clock::wall_ms()));
-        clock::now().after(left.min(REMEMBERED_FOR))
+        clock::now().after(left.min(SUSPECT_TTL))
     }
 
     fn encode(&self) -> Bytes {
@@ -114,7 +114,7 @@
 /// The fingerprint in a key of the fleet topic; none if it is not the key of a suspected request.
 #[must_use]
 pub fn suspect_fingerprint(key: &str) -> Option<RequestFingerprint> {
-    let text = key.strip_prefix(SUSPECT_KEY)?;
+    let text = key.strip_prefix(SUSPECT_KEY_PREFIX)?;
     let number = u64::from_str_radix(text, 16).ok()?;
     Some(RequestFingerprint(number))
 }
@@ -130,7 +130,7 @@
     trial_zones(fingerprint, zones).first() == Some(zone)
 }
 
-impl FleetBooks {
+impl FleetTables {
     /// The value to write as the record of a request, if the log has a different one; an empty value deletes the
     /// record.
     fn due_value(&self, fingerprint: RequestFingerprint) -> Option<Bytes> {
@@ -138,14 +138,14 @@
         let written = self
             .records
             .value(FeedTopic::Fleet, &suspect_key(fingerprint));
-        let Some(standing) = self.suspects.standing(fingerprint, now) else {
+        let Some(standing) = self.suspects.status(fingerprint, now) else {
             // A record that this version cannot decode was written by another version and is kept.
             let is_known = written.is_some_and(|value| SuspectRecord::decode(value).is_ok());
             return is_known.then(Bytes::new);
         };
         let due = SuspectRecord {
-            ended: standing.ended,
-            until_ms: wall_ms_at(standing.until),
+            ended: standing.crashes,
+            until_ms: wall_ms_at(standing.expires_at),
         };
         let Some(Ok(written)) = written.map(SuspectRecord::decode) else {
             return Some(due.encode());
@@ -165,13 +165,15 @@
         zones: &[AvailabilityZone],
     ) -> Option<(String, Bytes)> {
         let now = clock::now();
-        let recorded = self.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
+        let recorded = self
+            .records
+            .keys_with_value(FeedTopic::Fleet, SUSPECT_KEY_PREFIX);
         let recorded = recorded.filter_map(suspect_fingerprint);
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
-            let standing = self.suspects.standing(fingerprint, now);
+            let standing = self.suspects.status(fingerprint, now);
             let is_left_to_gateway =
-                standing.is_some_and(|standing| now.since(standing.since) < GATEWAY_GRACE_PERIOD);
+                standing.is_some_and(|standing| now.since(standing.last_crash) < GATEWAY_GRACE_PERIOD);
             if is_left_to_gateway || !is_record_owner(zone, zones, fingerprint) {
                 return None;
             }
@@ -290,10 +292,10 @@
     async fn write_batch(&mut self) -> Result<(), StoreError> {
         let written: Vec<_> = self.due.iter().take(MAX_APPEND_RECORDS).copied().collect();
         let records: Vec<_> = {
-            let books = self.fleet.books();
+            let tables = self.fleet.tables();
             let due = written.iter();
             due.filter_map(|fingerprint| {
-                let value = books.due_value(*fingerprint)?;
+                let value = tables.due_value(*fingerprint)?;
                 Some((suspect_key(*fingerprint), value))
             })
             .collect()
@@ -322,7 +324,7 @@
         }
         for (place, (key, value)) in (0..).zip(records) {
             let position = first.plus(place);
-            self.fleet.take_own(key, value.to_vec(), position);
+            self.fleet.apply_own_record(key, value.to_vec(), position);
         }
         Ok(())
     }
@@ -330,25 +332,25 @@
 
 /// Applies the record of a suspected request, or its deletion, to this VM's state.
 pub(super) fn apply_suspect_record(
-    books: &mut FleetBooks,
+    tables: &mut FleetTables,
     fingerprint: RequestFingerprint,
     value: Option<&[u8]>,
     now: Instant,
 ) -> serde_json::Result<()> {
     let Some(value) = value else {
         let key = suspect_key(fingerprint);
-        let dropped = books.records.value(FeedTopic::Fleet, &key);
+        let dropped = tables.records.value(FeedTopic::Fleet, &key);
         if let Some(Ok(record)) = dropped.map(SuspectRecord::decode) {
             // Ends that are not in the deleted record still count.
-            books.suspects.pardon_ends(fingerprint, &record.ended);
+            tables.suspects.clear_crashes(fingerprint, &record.ended);
         }
         return Ok(());
     };
     let record = SuspectRecord::decode(value)?;
     let until = record.until();
     for run in record.ended {
-        let ended = EndedUnder { fingerprint, run };
-        books.suspects.note_until(&ended, until, now);
+        let ended = TargetCrash { fingerprint, run };
+        tables.suspects.record_crash_until(&ended, until, now);
     }
     Ok(())
 }
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -178,7 +178,7 @@
         .collect();
     let daemon = start_daemon(&log, &targets).await;
     assert_eq!(log.listings("keyed.servers"), 1);
-    assert_eq!(daemon.fleet().books().catalog.iter().count(), 18);
+    assert_eq!(daemon.fleet().tables().catalog.iter().count(), 18);
 }
 
 #[tokio::test]
@@ -376,7 +376,7 @@
     log.put("keyed.op", "config", Some(&config_json(1)));
     let mut settings = vm_settings("vm-1", &log);
     // Longer than one dial takes, so that the silence has to be counted over several.
-    settings.leases.silence = Duration::from_millis(1_500);
+    settings.leases.holder_timeout = Duration::from_millis(1_500);
     let _daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
@@ -550,7 +550,7 @@
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     let later = |vm: &str| {
         let mut settings = vm_settings(vm, &log);
-        settings.leases.turn = TURN;
+        settings.leases.handover_delay = TURN;
         settings.has_order_fencing = true;
         settings
     };
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -6,7 +6,7 @@
     target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::{StoreEra, TargetLife, TargetName, TargetRun, VmName},
 };
 use hoplanding_standins::{
@@ -53,7 +53,7 @@
     wait_for("three known", async || {
         [&first, &second, &third]
             .iter()
-            .all(|vm| vm.fleet().books().vms.len() == 3)
+            .all(|vm| vm.fleet().tables().vms.len() == 3)
     })
     .await;
     for number in 2..=6 {
@@ -240,8 +240,8 @@
     log.restore(&[(TARGETS, 1)]);
     for vm in &vms {
         wait_for("the copy", async || {
-            let books = vm.fleet().books();
-            let since = books.since.get(&FeedTopic::Targets);
+            let tables = vm.fleet().tables();
+            let since = tables.known_since.get(&FeedTopic::Targets);
             since.is_some_and(|since| since.era() == StoreEra(2))
         })
         .await;
@@ -368,7 +368,7 @@
         };
         vms[0]
             .fleet()
-            .note_ended_under(&EndedUnder { fingerprint, run });
+            .note_ended_under(&TargetCrash { fingerprint, run });
     }
     let key = "suspect/0000000000000007";
     // A quarantine that the log had, whoever recorded it.
@@ -377,8 +377,8 @@
     log.put(FLEET, key, Some(quarantine));
     for vm in &vms {
         wait_for("the quarantine", async || {
-            let books = vm.fleet().books();
-            books.suspects.quarantine(fingerprint).is_some()
+            let tables = vm.fleet().tables();
+            tables.suspects.quarantine(fingerprint).is_some()
         })
         .await;
     }
@@ -397,7 +397,7 @@
     assert!(
         vms[0]
             .fleet()
-            .books()
+            .tables()
             .vms
             .contains_key(&VmName::new("vm-3"))
     );
@@ -470,8 +470,8 @@
     log.restore(&[]);
     log.set_faults(|faults| faults.delayed_key = None);
     wait_for("a claim of the new history", async || {
-        let books = daemon.fleet().books();
-        let state = books.leases.get(&daemon.fleet().zone);
+        let tables = daemon.fleet().tables();
+        let state = tables.leases.get(&daemon.fleet().zone);
         state.is_some_and(|state| state.position.era() == StoreEra(2))
     })
     .await;
@@ -501,7 +501,7 @@
     relay.set_target(log.address());
     let mut settings = vm_settings("vm-1", &log);
     settings.platform_address = relay.address;
-    settings.leases.turn = Duration::from_secs(2);
+    settings.leases.handover_delay = Duration::from_secs(2);
     settings.has_order_fencing = true;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
--- a/crates/daemon/tests/direct/settings.rs
+++ b/crates/daemon/tests/direct/settings.rs
@@ -93,11 +93,14 @@
 #[test]
 fn fractional_bounds_are_accepted() {
     let settings = with_bound("budget_slack", json!(35.83)).expect("a fraction of a repeat");
-    assert!((settings.retries.slack - 35.83).abs() < 1e-9);
+    assert!((settings.retries.extra_retries - 35.83).abs() < 1e-9);
     let settings = with_bound("budget_window_s", json!(7.5)).expect("half a second");
     assert_eq!(settings.retries.window, Duration::from_millis(7_500));
     let settings = with_bound("lease_ms", json!(2_999.5)).expect("half a millisecond");
-    assert_eq!(settings.leases.turn, Duration::from_micros(2_999_500));
+    assert_eq!(
+        settings.leases.handover_delay,
+        Duration::from_micros(2_999_500)
+    );
     let settings = with_bound("config_apply_ms", json!(2_000.25)).expect("a quarter of one");
     assert_eq!(
         settings.timing.max_config_wait,
@@ -118,14 +121,14 @@
     let settings = with_bound("require_fence", json!(true)).expect("a bound");
     assert!(settings.revocation.is_none() && settings.has_order_fencing);
     let settings = with_bound("quota_slack", json!(11_000.0)).expect("a bound");
-    assert!((settings.quotas.slack - 11_000.0).abs() < 1e-9);
+    assert!((settings.quotas.tolerance_units - 11_000.0).abs() < 1e-9);
 }
 
 // Guards against ranges of valid values that are narrower than the bounds that the platform may set.
 #[test]
 fn zero_and_large_bounds_are_accepted() {
     let settings = with_bound("budget_slack", json!(0)).expect("no fixed number of repeats");
-    assert!(settings.retries.slack.abs() < 1e-9);
+    assert!(settings.retries.extra_retries.abs() < 1e-9);
     let settings = with_bound("retry_budget_ratio", json!(0.0)).expect("no repeats");
     assert!(settings.retries.ratio.abs() < 1e-9);
     with_bound("lease_ms", json!(0)).expect("no turn");
@@ -189,5 +192,5 @@
     file.read_changes().expect_err("half a file");
     write(&good.replace("54", "35.83"));
     let settings = file.read_changes().expect("in order").expect("a change");
-    assert!((settings.retries.slack - 35.83).abs() < 1e-9);
+    assert!((settings.retries.extra_retries - 35.83).abs() < 1e-9);
 }
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -7,7 +7,7 @@
 //! prompt memory by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
 
 use crate::{
-    keeping::EngineYard,
+    engine_simulator::EngineSimulator,
     support::{
         Answer, HOST, TEST_TIMEOUT, send_request, start_daemon_with, start_second_vm, target_entry,
         vm_settings, wait_for,
@@ -71,8 +71,8 @@
 }
 
 /// Publishes a version as the operator does.
-fn publish_version(log: &KeyedLog, yard: &EngineYard, version: u64) {
-    yard.set_newest(version);
+fn publish_version(log: &KeyedLog, simulator: &EngineSimulator, version: u64) {
+    simulator.set_newest(version);
     let record = json!({ "model": "base", "adapter": "a1", "version": version });
     log.put("keyed.op", "version/base.a1", Some(&record.to_string()));
 }
@@ -80,7 +80,7 @@
 /// Two engines with adapter a1 behind one VM.
 struct EnginePair {
     log: KeyedLog,
-    yard: Arc<EngineYard>,
+    simulator: Arc<EngineSimulator>,
     daemon: DirectDaemon,
     _engines: [RawTarget; 2],
 }
@@ -100,31 +100,31 @@
     /// 2.
     async fn with_different_adapter_versions() -> Self {
         let pair = Self::start(1, &[], &[]).await;
-        pair.yard.set_newest(2);
+        pair.simulator.set_newest(2);
         pair
     }
 
     /// The first engine has version 1 of the base model and of the adapter, the second one has the given versions.
     async fn start(base: u64, held: &[(&str, u64)], listed: &[&str]) -> Self {
         let log = KeyedLog::start().await.expect("a log");
-        let yard = EngineYard::new(1);
-        let one = yard.engine("i-1", 1, &[("a1", 1)]).await;
-        let two = yard.engine("i-2", base, held).await;
+        let simulator = EngineSimulator::new(1);
+        let one = simulator.start_engine("i-1", 1, &[("a1", 1)]).await;
+        let two = simulator.start_engine("i-2", base, held).await;
         // A deployment's usual lease turn. A holder that may have been replaced names no source for transfers.
         let mut settings = vm_settings("vm-1", &log);
-        settings.leases.turn = Duration::from_secs(3);
+        settings.leases.handover_delay = Duration::from_secs(3);
         let daemon = start_daemon_with(settings, &log, &[("i-1", "scribe", one.address)]).await;
         let text = target_entry("scribe", two.address, "ready", listed);
         let text = text.replace("\"version\":1", &format!("\"version\":{base}"));
         log.put("keyed.servers", "i-2", Some(&text));
         wait_for("both engines", async || {
-            let engines = daemon.fleet().books().catalog.iter().count();
+            let engines = daemon.fleet().tables().catalog.iter().count();
             engines == 2
         })
         .await;
         Self {
             log,
-            yard,
+            simulator,
             daemon,
             _engines: [one, two],
         }
@@ -142,16 +142,16 @@
             }
             calls.spawn(request_until_served(address, number, LONG_ANSWER));
             wait_for("the next run", async || {
-                self.yard.runs().len() > number as usize
+                self.simulator.runs().len() > number as usize
             })
             .await;
         }
-        assert_eq!(self.engines_used(), 2, "{:?}", self.yard.runs());
+        assert_eq!(self.engines_used(), 2, "{:?}", self.simulator.runs());
         calls.join_all().await;
     }
 
     fn engines_used(&self) -> usize {
-        let runs = self.yard.runs();
+        let runs = self.simulator.runs();
         let names: HashSet<_> = runs.iter().map(|run| &run.engine).collect();
         names.len()
     }
@@ -168,57 +168,63 @@
 /// the next call.
 async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<MemoryMismatch> {
     let pair = EnginePair::with_same_versions().await;
-    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
+    let (simulator, address) = (&pair.simulator, pair.daemon.caller_address);
     request_until_served(address, 1, SHORT_ANSWER).await;
     let long = tokio::spawn(request_until_served(address, 2, LONG_ANSWER));
-    wait_for("the long run", async || yard.runs().len() == 2).await;
-    let busy = yard.runs()[1].engine.clone();
+    wait_for("the long run", async || simulator.runs().len() == 2).await;
+    let busy = simulator.runs()[1].engine.clone();
     let other = if busy == "i-1" { "i-2" } else { "i-1" };
     if reply == OrderReply::Late {
-        yard.silence_order();
+        simulator.delay_next_order();
     }
-    publish_version(&pair.log, yard, 2);
+    publish_version(&pair.log, simulator, 2);
     wait_for("the new version", async || {
-        yard.version(other, "a1") == Some(2)
+        simulator.version(other, "a1") == Some(2)
     })
     .await;
-    assert_eq!(yard.late_done() > 0, reply == OrderReply::Late);
+    assert_eq!(simulator.delayed_orders_done() > 0, reply == OrderReply::Late);
     request_until_served(address, 3, SHORT_ANSWER).await;
-    let runs = yard.runs();
+    let runs = simulator.runs();
     let last = (runs[2].engine.as_str(), runs[2].version);
     assert_eq!(last, (other, 2), "{runs:?}");
     assert_eq!(
-        yard.version(&busy, "a1"),
+        simulator.version(&busy, "a1"),
         Some(1),
         "a copy in use is not replaced"
     );
     long.await.expect("the call is served");
-    yard.mismatches()
+    simulator.mismatches()
 }
 
 /// Publishes a version while a call that is to fetch prompt memory waits for a load on its own engine. The idle source
 /// engine gets the new version and processes the same prompt for other calls, all before the waiting call reaches it.
-async fn replace_memory_source() -> Arc<EngineYard> {
+async fn replace_memory_source() -> Arc<EngineSimulator> {
     /// Enough calls that some go to the source engine, although the fetching engine has their prompt too.
     const OTHERS: u32 = 16;
     let pair = EnginePair::start(1, &[], &[]).await;
-    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
-    publish_version(&pair.log, yard, 2);
-    wait_for("version 2", async || yard.version("i-1", "a1") == Some(2)).await;
+    let (simulator, address) = (&pair.simulator, pair.daemon.caller_address);
+    publish_version(&pair.log, simulator, 2);
+    wait_for("version 2", async || {
+        simulator.version("i-1", "a1") == Some(2)
+    })
+    .await;
     request_until_served(address, 0, SHORT_ANSWER).await;
-    yard.turn_away();
+    simulator.reject_next_request();
     let fetching_call = tokio::spawn(request_until_served(address, 1, SHORT_ANSWER));
-    wait_for("its load", async || yard.version("i-2", "a1") == Some(2)).await;
-    publish_version(&pair.log, yard, 3);
+    wait_for("its load", async || {
+        simulator.version("i-2", "a1") == Some(2)
+    })
+    .await;
+    publish_version(&pair.log, simulator, 3);
     let subject = AdapterName::new("base/a1");
     wait_for("version 3 at the VM", async || {
-        pair.daemon.fleet().books().versions.get(&subject) == Some(&3)
+        pair.daemon.fleet().tables().versions.get(&subject) == Some(&3)
     })
     .await;
     let others = (2..2 + OTHERS).map(|number| request_until_served(address, number, SHORT_ANSWER));
     JoinSet::from_iter(others).join_all().await;
     fetching_call.await.expect("the call is served");
-    pair.yard
+    pair.simulator
 }
 
 /// Version of the base model that an answer names.
@@ -274,7 +280,7 @@
 
 /// Result of a series of versions.
 struct SeriesResult {
-    yard: Arc<EngineYard>,
+    simulator: Arc<EngineSimulator>,
     /// Versions that answers named, by request id.
     named_versions: HashMap<String, Option<u64>>,
 }
@@ -288,38 +294,43 @@
     let (second, _relay) = start_second_vm(&pair.log).await;
     let EnginePair {
         log,
-        yard,
+        simulator,
         daemon,
         _engines,
     } = pair;
     let callers = CallerLoad::start(second.caller_address, 12);
     let mut first = Some(daemon);
     for version in 2..=NEWEST {
-        let runs = yard.runs().len();
+        let runs = simulator.runs().len();
         wait_for("calls between two versions", async || {
-            yard.runs().len() > runs + 25
+            simulator.runs().len() > runs + 25
         })
         .await;
         if version % 2 == 0 {
-            yard.silence_order();
+            simulator.delay_next_order();
         }
-        publish_version(&log, &yard, version);
+        publish_version(&log, &simulator, version);
         if version == STOPS_AT
             && let Some(first) = first.take()
         {
-            wait_for("an order without an answer", async || yard.is_silent()).await;
+            wait_for("an order without an answer", async || {
+                simulator.has_delayed_order()
+            })
+            .await;
             tokio::spawn(first.stop());
         }
     }
     wait_for("the newest version everywhere", async || {
-        let is_newest = |name| yard.version(name, "a1") == Some(NEWEST);
+        let is_newest = |name| simulator.version(name, "a1") == Some(NEWEST);
         is_newest("i-1") && is_newest("i-2")
     })
     .await;
     let named_versions = callers.end().await;
-    assert!(yard.late_done() > 0, "no order was carried out late");
-    SeriesResult {
-        yard,
+    assert!(
+        simulator.delayed_orders_done() > 0,
+        "no order was carried out late"
+    );
+    SeriesResult { simulator,
         named_versions,
     }
 }
@@ -336,7 +347,12 @@
         replace_memory_source(),
         publish_version_series(EnginePair::with_same_versions().await)
     );
-    let mismatches = [behind, late, lent.mismatches(), series.yard.mismatches()];
+    let mismatches = [
+        behind,
+        late,
+        lent.mismatches(),
+        series.simulator.mismatches(),
+    ];
     assert!(
         mismatches.iter().all(Vec::is_empty),
         "answered order, late order, replaced source, series: {mismatches:?}"
@@ -361,8 +377,8 @@
         bases.load_both_engines(),
         same.load_both_engines()
     );
-    let mismatches = pairs.each_ref().map(|pair| pair.yard.mismatches());
-    let runs = pairs.iter().flat_map(|pair| pair.yard.runs());
+    let mismatches = pairs.each_ref().map(|pair| pair.simulator.mismatches());
+    let runs = pairs.iter().flat_map(|pair| pair.simulator.runs());
     let unchecked: Vec<_> = runs
         .filter(|run| run.source.is_some() && run.expected.is_none())
         .collect();
@@ -379,9 +395,9 @@
 async fn memory_of_the_same_version_is_transferred() {
     let pair = EnginePair::with_same_versions().await;
     pair.load_both_engines().await;
-    let runs = pair.yard.runs();
+    let runs = pair.simulator.runs();
     assert!(runs.iter().any(|run| run.source.is_some()), "{runs:?}");
-    assert_eq!(pair.yard.mismatches(), []);
+    assert_eq!(pair.simulator.mismatches(), []);
 }
 
 /// Guards against answers that name another version than that of their run. A series of adapter versions is published
@@ -390,11 +406,10 @@
 #[tokio::test]
 async fn answers_name_their_weights_and_runs_use_the_requested_version() {
     let pair = EnginePair::with_different_base_versions().await;
-    let SeriesResult {
-        yard,
+    let SeriesResult { simulator,
         named_versions,
     } = publish_version_series(pair).await;
-    let runs = yard.runs();
+    let runs = simulator.runs();
     let asked: Vec<_> = runs.iter().filter_map(|run| run.expected).collect();
     assert!(asked.contains(&2) && asked.contains(&6), "{runs:?}");
     for run in runs {
@@ -408,8 +423,13 @@
 /// newer version are sent to the loading copy, and its engine rejects them.
 #[tokio::test]
 async fn no_call_is_sent_to_a_copy_that_is_loading_an_older_version() {
-    let yard = replace_memory_source().await;
-    assert_eq!(yard.misdirected(), 0, "{:?}", yard.runs());
+    let simulator = replace_memory_source().await;
+    assert_eq!(
+        simulator.misdirected_requests(),
+        0,
+        "{:?}",
+        simulator.runs()
+    );
 }
 
 /// Guards against a call that gets no answer until its deadline. The call waits for the replacement of a copy and the
@@ -418,13 +438,16 @@
 #[tokio::test]
 async fn call_waiting_for_a_copy_reported_twice_is_answered() {
     let pair = EnginePair::with_same_versions().await;
-    let (yard, address) = (&pair.yard, pair.daemon.caller_address);
+    let (simulator, address) = (&pair.simulator, pair.daemon.caller_address);
     let long = tokio::spawn(request_until_served(address, 0, LONG_ANSWER));
-    wait_for("the long run", async || yard.runs().len() == 1).await;
-    yard.replace_slowly();
-    yard.silence_order();
-    publish_version(&pair.log, yard, 2);
-    wait_for("an order without an answer", async || yard.is_silent()).await;
+    wait_for("the long run", async || simulator.runs().len() == 1).await;
+    simulator.use_slow_loads();
+    simulator.delay_next_order();
+    publish_version(&pair.log, simulator, 2);
+    wait_for("an order without an answer", async || {
+        simulator.has_delayed_order()
+    })
+    .await;
     request_until_served(address, 1, SHORT_ANSWER).await;
     assert!(
         !long.is_finished(),
@@ -443,7 +466,7 @@
         .put("keyed.op", "version/base", Some(&record.to_string()));
     let subject = AdapterName::new("base");
     wait_for("the version at the VM", async || {
-        pair.daemon.fleet().books().versions.get(&subject) == Some(&7)
+        pair.daemon.fleet().tables().versions.get(&subject) == Some(&7)
     })
     .await;
     let request = request(0, SHORT_ANSWER).replace("base/a1", "base");
