--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -1,9 +1,9 @@
 //! Claims and releases of the lease of this VM's zone.
 //!
 //! The lease is a record in the fleet topic of the platform's log. A claim is a conditional append: it succeeds only if
-//! this VM has read the topic to its end, so concurrent claims cannot both succeed. Unless the
-//! previous holder released the lease or its process ended, it may give orders for one lease turn after the claim. The
-//! claimant waits for that long and reads the topic once more before its first order.
+//! this VM has read the topic to its end, so concurrent claims cannot both succeed. Unless the previous holder released
+//! the lease or its process ended, it may give orders until the handover delay has passed since the claim. The claimant
+//! waits for that long and reads the topic once more before its first order.
 
 use crate::{
     clock::{self, CLOCK_ERROR},
@@ -131,18 +131,18 @@
         };
         let state = tables.leases.entry(self.fleet.zone.clone()).or_default();
         let position = state.position;
-        let step = state.next_action(&self.settings.leases, view, now);
-        if let LeaseAction::Claim { order_delay: quiet } = step {
-            tables.claim_delay = quiet;
-            tables.orders_from = now.after(quiet);
+        let action = state.next_action(&self.settings.leases, view, now);
+        if let LeaseAction::Claim { order_delay } = action {
+            tables.claim_delay = order_delay;
+            tables.orders_from = now.after(order_delay);
         }
         drop(tables);
-        if let (LeaseAction::RequestTransfer, Some(lease)) = (step, &lease) {
+        if let (LeaseAction::RequestTransfer, Some(lease)) = (action, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
             self.holder_client
                 .request_lease(&self.fleet.zone, lease, position);
         }
-        matches!(step, LeaseAction::Claim { .. })
+        matches!(action, LeaseAction::Claim { .. })
     }
 
     /// Whether the newest record of the zone's lease is a confirmed claim of this VM.
@@ -151,9 +151,9 @@
         state.is_some_and(|state| tables.confirmed_token == Some(state.token()))
     }
 
-    /// Confirms a claim by reading the topic once more after the claim's turn. A log that was restored from a copy may
-    /// lack the claim, and another VM may hold the zone since then. If the log is unreachable, the claim counts as
-    /// confirmed after one more turn, which would suffice if the log were never restored.
+    /// Confirms a claim by reading the topic once more after the claim's order delay. A log that was restored from a
+    /// copy may lack the claim, and another VM may hold the zone since then. If the log is unreachable, the claim
+    /// counts as confirmed after one more handover delay, which would suffice if the log were never restored.
     async fn confirm_claim(&self, client: &mut StoreClient) {
         let now = clock::now();
         let lease = self.fleet.lease(&self.fleet.zone);
@@ -186,8 +186,8 @@
 
     /// Value of the claim's `waits_since_ms`: set if this VM waits before its first order.
     fn claim_waits_since_ms(&self) -> Option<u64> {
-        let quiet = self.fleet.tables().claim_delay;
-        (!quiet.is_zero()).then(clock::wall_ms)
+        let order_delay = self.fleet.tables().claim_delay;
+        (!order_delay.is_zero()).then(clock::wall_ms)
     }
 
     /// Appends a claim.
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -49,7 +49,8 @@
 }
 
 impl FleetTables {
-    /// Applies the log's era record. A record of an earlier era was restored with the copy and ends no doubt.
+    /// Applies the log's era record. A record of an earlier era was restored with the copy and is ignored by the
+    /// restore guard.
     pub(super) fn apply_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
         if Some(record.era) == self.store_era && record.is_settled(rule) {
@@ -68,7 +69,7 @@
     }
 
     /// Treats the restored log as possibly incomplete, unless this VM had a recent proof of the newest state.
-    fn doubt_copy(&mut self, era: StoreEra, rule: RewriteRule) {
+    fn guard_restored_log(&mut self, era: StoreEra, rule: RewriteRule) {
         let now = clock::now();
         let proven = self.proof.age(now);
         self.copy_doubt.enter_era(era, proven, rule, now);
@@ -117,7 +118,7 @@
             let Some(known) = tables.store_era else {
                 tables.store_era = Some(era);
                 if !self.is_first_start {
-                    tables.doubt_copy(era, self.rewrites);
+                    tables.guard_restored_log(era, self.rewrites);
                 }
                 self.eras.send_replace(era);
                 return;
@@ -128,7 +129,7 @@
             event!(Event::HistoryChanged, "era {era} after {known}");
             tables.store_era = Some(era);
             tables.stored_version = 0;
-            tables.doubt_copy(era, self.rewrites);
+            tables.guard_restored_log(era, self.rewrites);
             for run in tables.catalog.note_log_restored(clock::now()) {
                 tables.leaving.push(run);
             }
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -158,7 +158,7 @@
         BrokenAnswer(cause.to_owned())
     }
 
-    /// Checks whether the target has ended, if it broke the stream off. A stalled target has not broken it off.
+    /// Checks whether the target crashed, if it broke the stream off. A stalled target has not broken it off.
     async fn check_target(&self, is_stalled: bool) {
         if let Some(open) = self.open.as_ref().filter(|_| !is_stalled) {
             let is_trial = open.in_flight.is_trial();
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -9,26 +9,26 @@
 //! | [`settings`], [`reload`] | settings of this mode, and their changes while the daemon runs |
 //! | [`daemon`] | startup and planned stop |
 //! | [`fleet`], [`folding`] | state of the fleet as known to this VM, and how log records change it |
-//! | [`intake`] | incoming records, and which of them have to be forwarded |
+//! | [`ingest`] | incoming records, and which of them have to be forwarded |
 //! | [`exchange`], [`sharing`] | exchange of the log's records between VMs, and the part that one link forwards |
 //! | [`record_cache`] | newest record of each key, with the updates to forward |
 //! | [`feeds`], [`listing`] | reading and listing of the log's topics |
-//! | [`reach`] | reachability of the log, shared by the readers of a VM |
+//! | [`reachability`] | reachability of the log, shared by the readers of a VM |
 //! | [`eras`] | eras of the log, which change when it is restored from a copy |
 //! | [`recorder`] | records that this VM maintains in the log |
-//! | [`suspect_records`], [`trials`] | records and trials of requests during which targets ended |
-//! | [`front`] | connections of callers |
-//! | [`questions`], [`figures`] | readiness check and metrics page |
+//! | [`suspect_records`], [`trials`] | records and trials of requests during which targets crashed |
+//! | [`caller_connections`] | connections of callers |
+//! | [`probes`], [`metrics`] | readiness check and metrics page |
 //! | [`call`] | one caller's request from its head to its answer |
-//! | [`whole`], [`event_relay`] | answers buffered as a whole, and answers streamed event by event |
-//! | [`cutter`] | splits the bytes of a stream into complete events |
-//! | [`sender`] | connections to targets, and single requests over them |
+//! | [`buffered_answer`], [`event_relay`] | answers buffered as a whole, and answers streamed event by event |
+//! | [`event_splitter`] | splits the bytes of a stream into complete events |
+//! | [`target_connections`] | connections to targets, and single requests over them |
 //! | [`notices`] | notices that targets include in their answers |
 //! | [`skipped`] | limits log lines about unusable entries |
 //! | [`zone`], [`claims`] | the worker that runs a held zone, and claims of the zone's lease |
-//! | [`ledger`] | the holder's quota shares, and calls of plain services |
-//! | [`engine_calls`] | orders to engines, and their reports |
-//! | [`access`] | a gateway's access to the holder of a zone, with the requests and notifications sent to it |
+//! | [`holder_state`] | the holder's quota shares, and calls of plain services |
+//! | [`engine_client`] | orders to engines, and their reports |
+//! | [`holder_client`] | a gateway's access to the holder of a zone, with the requests and notifications sent to it |
 //! | [`links`], [`message`] | links between VMs, and their messages |
 
 pub mod buffered_answer;
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -1,8 +1,8 @@
-//! Records of suspected requests, that is requests during which targets ended, in the platform's log.
+//! Records of suspected requests, that is requests during which targets crashed, in the platform's log.
 //!
-//! A suspicion has to survive the loss of all VMs, so each suspected request has a record from the first ended target
-//! on. The gateway that saw the end writes the record before it answers its caller or retries the request: when the
-//! request can come back, the end is already stored. Calls do not wait for the record while the log does not answer.
+//! A suspicion has to survive the loss of all VMs, so each suspected request has a record from its first crash on. The
+//! gateway that saw the crash writes the record before it answers its caller or retries the request: when the request
+//! can come back, the crash is already stored. Calls do not wait for the record while the log does not answer.
 //!
 //! The zone holder that grants a request's trials maintains its record (see [`recorder`](super::recorder)): it writes
 //! records that a gateway could not write or that a restored copy of the log lacks, and deletes the record of a request
@@ -45,7 +45,7 @@
     time::{sleep, timeout},
 };
 
-/// Maximum time for which a call waits until the end of its target is recorded; the log usually answers within a few
+/// Maximum time for which a call waits until the crash of its target is recorded; the log usually answers within a few
 /// milliseconds.
 const RECORD_TIMEOUT: Duration = Duration::from_millis(250);
 /// Pause after a failed append before the records are retried.
@@ -54,7 +54,7 @@
 const MAX_APPEND_RECORDS: usize = 64;
 /// Capacity of the writer's queue.
 const QUEUE_CAPACITY: usize = 1024;
-/// Time for the gateway that saw an end to record it; the holder writes the record only after that.
+/// Time for the gateway that saw a crash to record it; the holder writes the record only after that.
 const GATEWAY_GRACE_PERIOD: Duration = Duration::from_secs(2);
 /// Maximum difference between a record's expiry and the expiry in memory before the record is written again.
 const MAX_EXPIRY_LAG: Duration = Duration::from_secs(6 * 3_600);
@@ -62,7 +62,7 @@
 /// The value of a suspected request's record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// Targets that ended while they ran the request.
+    /// Targets that crashed while they ran the request.
     pub ended: Vec<TargetRun>,
     /// Expiry: wall-clock time in milliseconds since 1970. Clock errors of a few seconds do not matter, as records last
     /// for a day.
@@ -74,7 +74,7 @@
 #[serde(untagged)]
 enum StoredFormat {
     Timed(SuspectRecord),
-    /// The ended targets without an expiry; the full retention period counts from the moment of reading.
+    /// The crashed targets without an expiry; the full retention period counts from the moment of reading.
     Untimed(Vec<TargetRun>),
 }
 
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Expiry by this process's clock, at most [`REMEMBERED_FOR`] from now.
+    /// Expiry by this process's clock, at most [`SUSPECT_TTL`] from now.
     #[must_use]
     pub fn until(&self) -> Instant {
         let left = Duration::from_millis(self.until_ms.saturating_sub(clock::wall_ms()));
@@ -138,14 +138,14 @@
         let written = self
             .records
             .value(FeedTopic::Fleet, &suspect_key(fingerprint));
-        let Some(standing) = self.suspects.status(fingerprint, now) else {
+        let Some(status) = self.suspects.status(fingerprint, now) else {
             // A record that this version cannot decode was written by another version and is kept.
             let is_known = written.is_some_and(|value| SuspectRecord::decode(value).is_ok());
             return is_known.then(Bytes::new);
         };
         let due = SuspectRecord {
-            ended: standing.crashes,
-            until_ms: wall_ms_at(standing.expires_at),
+            ended: status.crashes,
+            until_ms: wall_ms_at(status.expires_at),
         };
         let Some(Ok(written)) = written.map(SuspectRecord::decode) else {
             return Some(due.encode());
@@ -171,9 +171,9 @@
         let recorded = recorded.filter_map(suspect_fingerprint);
         let mut known = self.suspects.suspected(now).chain(recorded);
         known.find_map(|fingerprint| {
-            let standing = self.suspects.status(fingerprint, now);
+            let status = self.suspects.status(fingerprint, now);
             let is_left_to_gateway =
-                standing.is_some_and(|standing| now.since(standing.last_crash) < GATEWAY_GRACE_PERIOD);
+                status.is_some_and(|status| now.since(status.last_crash) < GATEWAY_GRACE_PERIOD);
             if is_left_to_gateway || !is_record_owner(zone, zones, fingerprint) {
                 return None;
             }
@@ -239,7 +239,7 @@
     }
 }
 
-/// Writes the records of requests during which targets ended, for the calls of this VM.
+/// Writes the records of requests during which targets crashed, for the calls of this VM.
 struct SuspectWriter {
     fleet: Arc<FleetState>,
     settings: Arc<DirectSettings>,
@@ -322,8 +322,8 @@
         if !self.fleet.observe_era(first.era()) {
             return Err(StoreError::OtherEra(first.era()));
         }
-        for (place, (key, value)) in (0..).zip(records) {
-            let position = first.plus(place);
+        for (index, (key, value)) in (0..).zip(records) {
+            let position = first.plus(index);
             self.fleet.apply_own_record(key, value.to_vec(), position);
         }
         Ok(())
@@ -341,7 +341,7 @@
         let key = suspect_key(fingerprint);
         let dropped = tables.records.value(FeedTopic::Fleet, &key);
         if let Some(Ok(record)) = dropped.map(SuspectRecord::decode) {
-            // Ends that are not in the deleted record still count.
+            // Crashes that are not in the deleted record still count.
             tables.suspects.clear_crashes(fingerprint, &record.ended);
         }
         return Ok(());
@@ -349,8 +349,8 @@
     let record = SuspectRecord::decode(value)?;
     let until = record.until();
     for run in record.ended {
-        let ended = TargetCrash { fingerprint, run };
-        tables.suspects.record_crash_until(&ended, until, now);
+        let crash = TargetCrash { fingerprint, run };
+        tables.suspects.record_crash_until(&crash, until, now);
     }
     Ok(())
 }
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -1,7 +1,7 @@
 //! The worker that runs this VM's zone while this VM holds the zone's lease.
 //!
 //! The worker owns the planner. It answers placement requests of gateways, sends orders to the engines and reads
-//! their reports. Quotas, trials and plain services are handled by the [`ZoneLedger`], which exists for as long as the
+//! their reports. Quotas, trials and plain services are handled by the [`HolderState`], which exists for as long as the
 //! lease is usable; the planner exists only if a service with engines is configured as well.
 
 use crate::{
@@ -45,9 +45,9 @@
 
 /// Interval of the planner's timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Interval at which the planner takes over what the target list says about adapters loaded in engines. Such updates
-/// do not wake the worker, and a copy that was loaded without a version lends no prompt memory until the list names
-/// its version.
+/// Interval at which the planner takes over what the target list says about adapters loaded in engines. Such updates do
+/// not wake the worker, and the KV cache of a copy that was loaded without a version is not transferred until the list
+/// names its version.
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The holder's reply to a request of a gateway.
@@ -85,7 +85,7 @@
     ChargeQuota(CallKey, QuotaCharge, ReplySender),
     /// Refund a call that was charged and did not run.
     RefundQuota(QuotaCharge),
-    /// A target ended while it ran a request.
+    /// A target crashed while it ran a request.
     TargetEnded(TargetCrash),
     /// An answer of a target named the target's limit.
     TargetLimit(AdvertisedLimit),
@@ -209,9 +209,9 @@
                     self.update_metrics();
                 }
                 _ = tick.tick(), if self.holder_state.is_some() => {
-                    let exclusive_until = self.exclusive_until();
+                    let sole_until = self.sole_until();
                     if let Some(holder_state) = &mut self.holder_state {
-                        holder_state.lead_until(exclusive_until);
+                        holder_state.lead_until(sole_until);
                     }
                     self.sync_suspects();
                     let confirmed = self.fleet.tables().confirmed_token;
@@ -219,7 +219,7 @@
                         if confirmed != Some(held.token) {
                             held.planner.hold_orders(clock::now().after(2 * TICK_INTERVAL));
                         }
-                        held.planner.set_lead_until(exclusive_until);
+                        held.planner.set_lead_until(sole_until);
                         held.planner.tick(clock::now());
                         held.log_load_changes();
                     }
@@ -237,7 +237,7 @@
             send_reply(&key, reply, HolderReply::Target(record));
             return;
         }
-        let Some(event) = self.handle_ledger_event(event, now) else {
+        let Some(event) = self.handle_holder_event(event, now) else {
             return;
         };
         let Some(held) = &mut self.held else {
@@ -257,8 +257,8 @@
             return;
         };
         match event {
-            ZoneEvent::Place(key, ask, reply) => {
-                let charge = ask.charge.clone();
+            ZoneEvent::Place(key, request, reply) => {
+                let charge = request.charge.clone();
                 let charged = self.holder_state.as_mut().map_or(Ok(()), |holder_state| {
                     holder_state.charge_placement(charge.as_ref(), now)
                 });
@@ -268,25 +268,28 @@
                 }
                 let pending = PendingPlacement { reply, charge };
                 self.pending.insert(key.clone(), pending);
-                held.planner.place(key, *ask, now);
+                held.planner.place(key, *request, now);
             }
             ZoneEvent::FirstEvent(key, target, version) => {
                 held.planner.call_started(&key, &target, version, now);
             }
-            ZoneEvent::CallEnded(vm, ending) => {
+            ZoneEvent::CallEnded(vm, completed) => {
                 let key = CallKey {
                     vm,
-                    number: ending.number,
+                    number: completed.number,
                 };
                 // The outcome of a call to an earlier life says nothing about the target's present health.
-                let is_known = held.planner.is_current_life(&ending.target, ending.life);
-                let health = ending.outcome.and_then(CallEnd::health);
+                let is_known = held
+                    .planner
+                    .is_current_life(&completed.target, completed.life);
+                let health = completed.outcome.and_then(CallEnd::health);
                 let health = health.filter(|_| is_known);
-                if ending.outcome == Some(CallEnd::Absent) {
-                    held.planner.report_missing_copy(&key, &ending.target, now);
+                if completed.outcome == Some(CallEnd::Absent) {
+                    held.planner
+                        .report_missing_copy(&key, &completed.target, now);
                 }
                 held.planner
-                    .call_ended(&key, Some(&ending.target), health, now);
+                    .call_ended(&key, Some(&completed.target), health, now);
             }
             ZoneEvent::PlacementWithdrawn(key) => {
                 let pending = self.pending.remove(&key);
@@ -349,8 +352,8 @@
         }
     }
 
-    /// Lets the ledger handle an event; returns the event if the planner has to handle it too.
-    fn handle_ledger_event(&mut self, event: ZoneEvent, now: Instant) -> Option<ZoneEvent> {
+    /// Lets the holder state handle an event; returns the event if the planner has to handle it too.
+    fn handle_holder_event(&mut self, event: ZoneEvent, now: Instant) -> Option<ZoneEvent> {
         let Some(holder_state) = &mut self.holder_state else {
             return match event {
                 ZoneEvent::ChargeQuota(key, _, reply)
@@ -387,23 +390,23 @@
                 }
                 None
             }
-            ZoneEvent::TargetLimit(named) => {
-                self.fleet.tables().limits.record(&named, now);
-                holder_state.note_limit(&named, now);
+            ZoneEvent::TargetLimit(limit) => {
+                self.fleet.tables().limits.record(&limit, now);
+                holder_state.note_limit(&limit, now);
                 if let Some(held) = &mut self.held {
-                    held.planner.record_limit(&named, now);
+                    held.planner.record_limit(&limit, now);
                 }
                 None
             }
-            ZoneEvent::TargetEnded(ended) => {
-                self.fleet.note_ended_under(&ended);
+            ZoneEvent::TargetEnded(crash) => {
+                self.fleet.note_ended_under(&crash);
                 if let Some(held) = &mut self.held {
-                    held.planner.target_ended(&ended, now);
+                    held.planner.target_ended(&crash, now);
                 }
                 None
             }
-            ZoneEvent::PlacePlain(key, ask, reply) => {
-                let answer = holder_state.place_plain(&self.fleet, key.clone(), &ask, now);
+            ZoneEvent::PlacePlain(key, request, reply) => {
+                let answer = holder_state.place_plain(&self.fleet, key.clone(), &request, now);
                 send_reply(&key, reply, HolderReply::Placement(answer));
                 None
             }
@@ -411,12 +414,12 @@
                 let is_plain = holder_state.end_plain(key, None, now);
                 (!is_plain).then_some(event)
             }
-            ZoneEvent::CallEnded(ref vm, ref ending) => {
+            ZoneEvent::CallEnded(ref vm, ref completed) => {
                 let key = CallKey {
                     vm: vm.clone(),
-                    number: ending.number,
+                    number: completed.number,
                 };
-                let outcome = ending.outcome.and_then(CallEnd::health);
+                let outcome = completed.outcome.and_then(CallEnd::health);
                 let is_plain = holder_state.end_plain(&key, outcome, now);
                 (!is_plain).then_some(event)
             }
@@ -441,10 +444,10 @@
         }
     }
 
-    /// Time until which no other VM can give orders: after its claim, a successor waits for one lease turn unless this
-    /// VM released the lease or ended. The turn counts from the last read of the fleet topic, which would have shown a
-    /// claim.
-    fn exclusive_until(&self) -> Instant {
+    /// Time until which no other VM can give orders: after its claim, a successor waits for the handover delay unless
+    /// this VM released the lease or ended. The delay counts from the last read of the fleet topic, which would have
+    /// shown a claim.
+    fn sole_until(&self) -> Instant {
         let read_at = self.fleet.tables().fleet_read_at;
         read_at
             .unwrap_or_default()
@@ -468,7 +471,8 @@
         tokio::spawn(async move {
             let timeout = settings.timing.platform_timeout;
             if !release_lease(&fleet, settings.platform_address, timeout).await {
-                // The append may still be recorded, and a successor may act on it, so no orders are given for one turn.
+                // The append may still be recorded, and a successor may act on it, so no orders are given during the
+                // handover delay.
                 sleep(settings.leases.handover_delay).await;
                 // The channel closes only when the process ends.
                 let _ = events.send(ZoneEvent::LeaseRetained(token)).await;
@@ -476,7 +480,7 @@
         });
     }
 
-    /// Drops the planner and the ledger, and refers all waiting calls to another holder.
+    /// Drops the planner and the holder state, and refers all waiting calls to another holder.
     fn drop_zone(&mut self) {
         if self.held.take().is_some() {
             event!(Event::LeaseLost, "{}", self.fleet.zone);
@@ -488,7 +492,7 @@
     }
 
     /// Replaces the token after this VM's lease was recorded again because the log was restored from a copy. Planner
-    /// and ledger keep their state.
+    /// and holder state are kept.
     fn renew_token(&mut self, token: FencingToken) {
         event!(
             Event::LeaseRenewed,
@@ -524,7 +528,7 @@
     /// Starts, renews or drops the zone according to the lease record, and updates the planner's configuration.
     fn refresh(&mut self) {
         let now = clock::now();
-        let exclusive_until = self.exclusive_until();
+        let sole_until = self.sole_until();
         let tables = self.fleet.tables();
         let lease = tables.leases.get(&self.fleet.zone).filter(|state| {
             state.lease.as_ref().is_some_and(|lease| {
@@ -533,8 +537,8 @@
             })
         });
         let token = lease.map(LeaseState::token);
-        let is_copied = lease.is_some_and(|state| state.is_from_earlier_era);
-        let renewed = lease.and_then(|state| state.renewed_token);
+        let is_from_earlier_era = lease.is_some_and(|state| state.is_from_earlier_era);
+        let renewed_token = lease.and_then(|state| state.renewed_token);
         let had_holder = tables
             .leases
             .get(&self.fleet.zone)
@@ -555,15 +559,15 @@
             .iter()
             .map(|(subject, version)| (subject.clone(), *version))
             .collect();
-        let named_limits: Vec<_> = tables.limits.advertised().collect();
+        let advertised_limits: Vec<_> = tables.limits.advertised().collect();
         drop(tables);
         let held = self
             .holder_state
             .as_ref()
             .map(|holder_state| holder_state.token);
         // A claim that was recorded in an earlier era does not entitle a VM to start holding the zone.
-        let token = token.filter(|token| !is_copied || held == Some(*token));
-        let is_renewal = held.is_some() && held == renewed && order_delay.is_zero();
+        let token = token.filter(|token| !is_from_earlier_era || held == Some(*token));
+        let is_renewal = held.is_some() && held == renewed_token && order_delay.is_zero();
         let usable = token.filter(|token| Some(*token) != self.unusable_token && !self.is_released);
         if let (Some(token), true) = (usable, is_renewal) {
             self.renew_token(token);
@@ -585,14 +589,14 @@
                 had_holder,
                 quiet: order_delay,
             };
-            let mut holder_state = HolderState::new(&self.settings, lease, exclusive_until, now);
-            for named in &named_limits {
-                holder_state.note_limit(named, now);
+            let mut holder_state = HolderState::new(&self.settings, lease, sole_until, now);
+            for limit in &advertised_limits {
+                holder_state.note_limit(limit, now);
             }
             holder_state
         });
         holder_state.refresh(&self.fleet, now);
-        holder_state.lead_until(exclusive_until);
+        holder_state.lead_until(sole_until);
         let Some((service, limits)) = service else {
             return;
         };
@@ -621,12 +625,12 @@
         held.planner.set_policy(policy);
         held.planner
             .set_order_fencing(self.settings.has_order_fencing);
-        held.planner.set_lead_until(exclusive_until);
+        held.planner.set_lead_until(sole_until);
         held.planner
             .set_targets(self.fleet.zone_targets(&service, &self.fleet.zone), now);
         if is_newly_held {
-            for named in &named_limits {
-                held.planner.record_limit(named, now);
+            for limit in &advertised_limits {
+                held.planner.record_limit(limit, now);
             }
         }
         for (subject, version) in versions {
@@ -654,7 +658,7 @@
                     }
                     send_reply(&key, pending.reply, HolderReply::Placement(answer));
                 }
-                // An engine that asked for rest is treated like one that refuses orders.
+                // An engine that asked for a backoff is treated like one that refuses orders.
                 PlannerAction::Order(entry, _) if self.fleet.is_resting(&entry.run()) => {
                     let outcome = OrderOutcome::Refused;
                     held.planner.order_ended(&entry.name, outcome, clock::now());
@@ -681,8 +685,8 @@
                             .await;
                     });
                 }
-                PlannerAction::RecordTransfer(moved) => {
-                    self.fleet.metrics.count_prompt_move(&moved)
+                PlannerAction::RecordTransfer(transfer) => {
+                    self.fleet.metrics.count_prompt_move(&transfer)
                 }
                 PlannerAction::FetchReport(entry) => {
                     let fleet = Arc::clone(&self.fleet);
--- a/crates/daemon/tests/direct/keys.rs
+++ b/crates/daemon/tests/direct/keys.rs
@@ -289,8 +289,8 @@
     }
 }
 
-/// An engine that ends when it receives the body `kill`, and streams an answer to any other request.
-async fn engine_ended_by_kill() -> RawTarget {
+/// An engine that crashes when it receives the body `kill`, and streams an answer to any other request.
+async fn engine_crashed_by_kill() -> RawTarget {
     RawTarget::start_mortal(
         |request: &RawRequest| {
             if request.line().contains("/hoplanding/report") {
@@ -313,15 +313,16 @@
     post_request("/plan/1", id, &model_headers("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
-/// Guards against a request that ends one target after another, and against failures of the calls that run beside it.
+/// Guards against a request that crashes one target after another, and against failures of the calls that run beside
+/// it.
 #[tokio::test]
-async fn request_that_ends_its_targets_reaches_two_of_them_and_other_calls_are_served() {
+async fn request_that_crashes_its_targets_reaches_two_of_them_and_other_calls_are_served() {
     let log = KeyedLog::start().await.expect("a log");
     let engines = [
-        engine_ended_by_kill().await,
-        engine_ended_by_kill().await,
-        engine_ended_by_kill().await,
-        engine_ended_by_kill().await,
+        engine_crashed_by_kill().await,
+        engine_crashed_by_kill().await,
+        engine_crashed_by_kill().await,
+        engine_crashed_by_kill().await,
     ];
     let names = ["e-1", "e-2", "e-3", "e-4"];
     let targets: Vec<_> = names
@@ -371,7 +372,7 @@
 }
 
 /// Guards against suspicions because of a broken connection alone. A target that closes connections is still running,
-/// and one that is cut off gives no sign either way: neither counts as ended.
+/// and one that is cut off gives no sign either way: neither counts as crashed.
 #[tokio::test]
 async fn request_is_not_suspected_for_a_broken_connection_to_a_running_target() {
     let log = KeyedLog::start().await.expect("a log");
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -1,10 +1,10 @@
-//! Transfers of prompt memory (KV cache) between engines, and the version of the weights that computed it.
+//! Transfers of KV cache between engines, and the version of the weights that computed it.
 //!
 //! The tests guard against answers that are partly computed from the weights of another version, which callers cannot
 //! notice. It comes about as follows: several engines have an adapter, and a new version of it is published. Copies
 //! without calls are replaced at once, a copy in use is kept until its calls end. The next call goes to a new copy and
-//! is named_versions to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
-//! prompt memory by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
+//! is told to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
+//! the cache by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
 
 use crate::{
     engine_simulator::EngineSimulator,
@@ -55,7 +55,7 @@
     )
 }
 
-/// Repeats a call until it is served, as callers do that are named_versions to retry.
+/// Repeats a call until it is served, as callers do that are told to retry.
 async fn request_until_served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -110,7 +110,7 @@
         let simulator = EngineSimulator::new(1);
         let one = simulator.start_engine("i-1", 1, &[("a1", 1)]).await;
         let two = simulator.start_engine("i-2", base, held).await;
-        // A deployment's usual lease turn. A holder that may have been replaced names no source for transfers.
+        // The default handover delay. A holder that may have been replaced names no source for transfers.
         let mut settings = vm_settings("vm-1", &log);
         settings.leases.handover_delay = Duration::from_secs(3);
         let daemon = start_daemon_with(settings, &log, &[("i-1", "scribe", one.address)]).await;
@@ -182,7 +182,10 @@
         simulator.version(other, "a1") == Some(2)
     })
     .await;
-    assert_eq!(simulator.delayed_orders_done() > 0, reply == OrderReply::Late);
+    assert_eq!(
+        simulator.delayed_orders_done() > 0,
+        reply == OrderReply::Late
+    );
     request_until_served(address, 3, SHORT_ANSWER).await;
     let runs = simulator.runs();
     let last = (runs[2].engine.as_str(), runs[2].version);
@@ -196,9 +199,9 @@
     simulator.mismatches()
 }
 
-/// Publishes a version while a call that is to fetch prompt memory waits for a load on its own engine. The idle source
+/// Publishes a version while a call that is to fetch KV cache waits for a load on its own engine. The idle source
 /// engine gets the new version and processes the same prompt for other calls, all before the waiting call reaches it.
-async fn replace_memory_source() -> Arc<EngineSimulator> {
+async fn replace_cache_source() -> Arc<EngineSimulator> {
     /// Enough calls that some go to the source engine, although the fetching engine has their prompt too.
     const OTHERS: u32 = 16;
     let pair = EnginePair::start(1, &[], &[]).await;
@@ -330,7 +333,8 @@
         simulator.delayed_orders_done() > 0,
         "no order was carried out late"
     );
-    SeriesResult { simulator,
+    SeriesResult {
+        simulator,
         named_versions,
     }
 }
@@ -340,11 +344,11 @@
 /// before the fetching call starts; and a series of versions under constant load with late orders and a change of the
 /// holder.
 #[tokio::test]
-async fn memory_of_an_older_version_is_not_used_after_a_version_change() {
+async fn cache_of_an_older_version_is_not_used_after_a_version_change() {
     let (behind, late, lent, series) = tokio::join!(
         replace_copy_during_long_answer(OrderReply::Answered),
         replace_copy_during_long_answer(OrderReply::Late),
-        replace_memory_source(),
+        replace_cache_source(),
         publish_version_series(EnginePair::with_same_versions().await)
     );
     let mismatches = [
@@ -363,9 +367,9 @@
 /// call goes to another engine with different weights: either that engine was ordered to load the adapter without a
 /// version and loaded the newest one of the store, or it started later, with newer weights of the base model. It comes
 /// about if two unknown versions count as equal, if the base model's version is ignored, or if an engine is
-/// named_versions to fetch memory without the version that computed it.
+/// told to fetch a cache without the version that computed it.
 #[tokio::test]
-async fn memory_of_unknown_versions_is_not_used() {
+async fn cache_of_unknown_versions_is_not_used() {
     let pairs = [
         EnginePair::with_different_adapter_versions().await,
         EnginePair::with_different_base_versions().await,
@@ -392,7 +396,7 @@
 /// have the same version and calls fill one of them; the next call goes to the other engine, which fetches the shared
 /// part of its prompt from the first.
 #[tokio::test]
-async fn memory_of_the_same_version_is_transferred() {
+async fn cache_of_the_same_version_is_transferred() {
     let pair = EnginePair::with_same_versions().await;
     pair.load_both_engines().await;
     let runs = pair.simulator.runs();
@@ -406,7 +410,8 @@
 #[tokio::test]
 async fn answers_name_their_weights_and_runs_use_the_requested_version() {
     let pair = EnginePair::with_different_base_versions().await;
-    let SeriesResult { simulator,
+    let SeriesResult {
+        simulator,
         named_versions,
     } = publish_version_series(pair).await;
     let runs = simulator.runs();
@@ -423,7 +428,7 @@
 /// newer version are sent to the loading copy, and its engine rejects them.
 #[tokio::test]
 async fn no_call_is_sent_to_a_copy_that_is_loading_an_older_version() {
-    let simulator = replace_memory_source().await;
+    let simulator = replace_cache_source().await;
     assert_eq!(
         simulator.misdirected_requests(),
         0,
