--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -72,20 +72,20 @@
     /// # Errors
     /// Returns the I/O error if an address cannot be bound.
     pub async fn start(settings: DirectSettings) -> io::Result<Self> {
-        let callers = TcpListener::bind(settings.caller_address).await?;
+        let caller_listener = TcpListener::bind(settings.caller_address).await?;
         let readiness_listener = TcpListener::bind(settings.ready_address).await?;
-        let peers = TcpListener::bind(settings.peer_address).await?;
+        let peer_listener = TcpListener::bind(settings.peer_address).await?;
         let metrics_listener = match settings.metrics_address {
             Some(address) => Some(TcpListener::bind(address).await?),
             None => None,
         };
         let mut settings = settings;
-        settings.peer_address = peers.local_addr()?;
+        settings.peer_address = peer_listener.local_addr()?;
         let metrics_address = match &metrics_listener {
             Some(bound_listener) => Some(bound_listener.local_addr()?),
             None => None,
         };
-        let caller_address = callers.local_addr()?;
+        let caller_address = caller_listener.local_addr()?;
         let ready_address = readiness_listener.local_addr()?;
         let settings = Arc::new(settings);
         let incarnation = rand::random::<u64>() >> 16;
@@ -111,7 +111,11 @@
             Arc::clone(&settings),
         );
         tokio::spawn(worker.run(zone_receiver));
-        tokio::spawn(accept_links(peers, Arc::clone(&fleet), zone.clone()));
+        tokio::spawn(accept_links(
+            peer_listener,
+            Arc::clone(&fleet),
+            zone.clone(),
+        ));
         let claims = ClaimWorker {
             fleet: Arc::clone(&fleet),
             holder_client: Arc::clone(&holder_client),
@@ -138,7 +142,7 @@
             settings: Arc::clone(&settings),
         });
         tokio::spawn(accept_callers(
-            callers,
+            caller_listener,
             context,
             Arc::clone(&connections),
             stop_watch,
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -179,7 +179,7 @@
 /// Reads the weights and limits of placement decisions; docs/POLICY.md explains each default.
 fn read_policy(section: &SectionReader<'_>) -> PlacementPolicy {
     let defaults = PlacementPolicy::default();
-    let part = |name, value| section.fraction(name, value, 0.0, 100.0);
+    let fraction = |name, value| section.fraction(name, value, 0.0, 100.0);
     let span = |name, value: Duration| {
         let default_ms = u64::try_from(value.as_millis()).unwrap_or(u64::MAX);
         section.span(name, default_ms, 0, 600_000)
@@ -187,25 +187,25 @@
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
     let [urgent, normal, batch] = defaults.max_wait_factors;
     PlacementPolicy {
-        home_wait_fraction: part("swift_part", defaults.home_wait_fraction),
+        home_wait_fraction: fraction("swift_part", defaults.home_wait_fraction),
         max_wait_factors: [
-            part("bearable_urgent", urgent),
-            part("bearable_normal", normal),
-            part("bearable_batch", batch),
+            fraction("bearable_urgent", urgent),
+            fraction("bearable_normal", normal),
+            fraction("bearable_batch", batch),
         ],
-        popular_rate_per_s: part("popular_per_s", defaults.popular_rate_per_s),
+        popular_rate_per_s: fraction("popular_per_s", defaults.popular_rate_per_s),
         remote_zone_penalty: span("away_price_ms", defaults.remote_zone_penalty),
         load_penalty: span("load_price_ms", defaults.load_penalty),
         reload_penalty: span("reload_price_ms", defaults.reload_penalty),
         cache_fetch_time: span("fetch_time_ms", defaults.cache_fetch_time),
         min_fetch_saving: span("fetch_gain_ms", defaults.min_fetch_saving),
         max_recent_adapters: count("lately_kept", defaults.max_recent_adapters),
-        crowded_slot_fraction: part("crowded_places", defaults.crowded_slot_fraction),
+        crowded_slot_fraction: fraction("crowded_places", defaults.crowded_slot_fraction),
         crowded_backlog: span("crowded_backlog_ms", defaults.crowded_backlog),
-        crowding_call_fraction: part("crowding_part", defaults.crowding_call_fraction),
-        hot_adapter_fraction: part("sought_part", defaults.hot_adapter_fraction),
-        speculative_load_fraction: part("spare_part", defaults.speculative_load_fraction),
-        busy_fraction: part("busy_part", defaults.busy_fraction),
+        crowding_call_fraction: fraction("crowding_part", defaults.crowding_call_fraction),
+        hot_adapter_fraction: fraction("sought_part", defaults.hot_adapter_fraction),
+        speculative_load_fraction: fraction("spare_part", defaults.speculative_load_fraction),
+        busy_fraction: fraction("busy_part", defaults.busy_fraction),
         doubt_penalty: span("doubt_price_ms", defaults.doubt_penalty),
         failure_penalty: span("failing_price_ms", defaults.failure_penalty),
         shed_penalty: span("shed_price_ms", defaults.shed_penalty),
