--- a/crates/daemon/src/direct/buffered_answer.rs
+++ b/crates/daemon/src/direct/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are taken whole before they are passed on.
+//! Buffering of answers that are passed on only when they are complete.
 
 use crate::{
     direct::{
@@ -13,13 +13,13 @@
 use http_body_util::{BodyExt, Limited};
 use tokio::time::timeout_at;
 
-/// Largest answer that is taken whole.
-const ANSWER_BYTES: usize = 8 << 20;
+/// Largest answer that is buffered.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Takes the rest of an answer, and ends the call's counts.
+/// Reads the body of an answer, reports the call's outcome to the holder, and returns the connection to the pool.
 ///
 /// # Errors
-/// The target, if the answer broke off.
+/// The target's name, if the answer broke off or was not complete before the deadline.
 pub async fn buffer_answer(
     open: OpenAnswer,
     call: &CallState,
@@ -34,8 +34,12 @@
         in_flight,
     } = open;
     let target = connection.target().clone();
-    let taken = timeout_at(call.deadline, Limited::new(body, ANSWER_BYTES).collect()).await;
-    let (end, result) = match taken {
+    let collected = timeout_at(
+        call.deadline,
+        Limited::new(body, MAX_ANSWER_BYTES).collect(),
+    )
+    .await;
+    let (end, result) = match collected {
         Ok(Ok(body)) => {
             let end = if parts.status.is_server_error() {
                 CallEnd::Failed
@@ -51,7 +55,7 @@
             (CallEnd::Failed, Err(target))
         }
         Err(_) => {
-            event!(Event::AnswerBroken, request = call.head.id; "at {target}: not whole before the deadline"
+            event!(Event::AnswerBroken, request = call.head.id; "at {target}: not complete before the deadline"
             );
             (CallEnd::Failed, Err(target))
         }
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -245,7 +245,7 @@
                     self.context.fleet.note_sought(&self.subject());
                 }
                 let metrics = &self.context.fleet.metrics;
-                metrics.note_placing(self.arrived.elapsed());
+                metrics.observe_placement(self.arrived.elapsed());
                 self.timeline.note_placed(expected_ms);
                 let lease = self.context.fleet.lease(zone);
                 sleep(Duration::from_millis(u64::from(wait_ms))).await;
--- a/crates/daemon/src/direct/caller_connections.rs
+++ b/crates/daemon/src/direct/caller_connections.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Server side of callers' connections: accepts them, serves HTTP/1.1 on each, and closes them in a planned stop.
 
 use crate::{
     direct::call::{GatewayContext, answer_call},
@@ -22,41 +22,41 @@
 };
 
 /// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Time for the head of a request on a connection that comes late in a stop.
-const LATE_HEAD: Duration = Duration::from_secs(1);
-/// Least buffer that the library allows for a head.
-const HEAD_LEAST: usize = 8 * 1024;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Time limit for the request head on a connection that is accepted during a planned stop.
+const STOPPING_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Smallest buffer that `hyper` allows for a request head.
+const MIN_HEAD_BUFFER_BYTES: usize = 8 * 1024;
 
-/// How far a planned stop is.
+/// Phases of a planned stop, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// The daemon serves.
+    /// No stop is under way.
     Serving,
-    /// The balancer is told to send no more callers.
+    /// The readiness check fails, so that the load balancer sends no new callers.
     Leaving,
-    /// Open connections end with the answer that is under way.
+    /// Open connections are closed after the answer under way.
     Closing,
-    /// No connection is accepted any more.
+    /// No new connections are accepted.
     Ending,
 }
 
-/// Callers' connections that are open.
+/// Counter of open callers' connections.
 #[derive(Debug, Default)]
 pub struct OpenConnections {
     count: AtomicUsize,
 }
 
 impl OpenConnections {
-    /// How many there are.
+    /// Number of open connections.
     #[must_use]
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
 }
 
-/// Accepts callers until the process is about to end. Where a whole zone stops the balancer goes on sending callers: they
-/// are better told when to come back than refused a connection.
+/// Accepts callers until the process is about to end. While all VMs of a zone stop, the load balancer still sends callers to
+/// them: an answer with `Retry-After` serves these callers better than a refused connection.
 pub async fn accept_callers(
     listener: TcpListener,
     context: Arc<GatewayContext>,
@@ -82,7 +82,7 @@
             }
             Err(error) => {
                 event!(Event::AcceptFailed, "{error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -93,7 +93,7 @@
     context: Arc<GatewayContext>,
     mut stop: watch::Receiver<StopPhase>,
 ) {
-    // Without it small writes wait for acknowledgements; the connection works all the same.
+    // The connection also works without the option, only slower: small writes wait for acknowledgements.
     let _ = stream.set_nodelay(true);
     let limits = context
         .fleet
@@ -101,28 +101,28 @@
         .map(|active| active.config.limits)
         .unwrap_or_default();
     let service = service_fn(move |request| answer_call(Arc::clone(&context), request));
-    // A connection that comes late in a stop has one answer: closing it gracefully now would end it before its request.
-    let is_late = *stop.borrow() >= StopPhase::Closing;
-    let head_timeout = if is_late {
-        LATE_HEAD
+    // A connection accepted during the closing phase gets one answer. A graceful shutdown would close it before its request.
+    let is_closing = *stop.borrow() >= StopPhase::Closing;
+    let head_timeout = if is_closing {
+        STOPPING_HEAD_TIMEOUT
     } else {
         limits.idle_timeout + limits.header_timeout
     };
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .keep_alive(!is_late)
+        .keep_alive(!is_closing)
         .header_read_timeout(head_timeout)
-        .max_buf_size(limits.header_bytes.max(HEAD_LEAST))
+        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let closing = async {
-        if is_late {
+        if is_closing {
             pending::<()>().await;
         }
-        // The sender lives as long as the daemon.
+        // Fails only when the sender is dropped, which is when the daemon ends.
         let _ = stop.wait_for(|phase| *phase >= StopPhase::Closing).await;
     };
-    // Callers that leave end connections with errors: nothing to be done about them.
+    // Callers that disconnect end their connections with errors, which need no handling.
     tokio::select! {
         ended = connection.as_mut() => drop(ended),
         () = closing => {
--- a/crates/daemon/src/direct/event_splitter.rs
+++ b/crates/daemon/src/direct/event_splitter.rs
@@ -1,56 +1,56 @@
-//! Whole events out of a stream's bytes.
+//! Splitting the bytes of a server-sent event stream at event boundaries.
 //!
-//! A target may break off inside an event. Callers only get whole events, so that a stream can go on from the last one
-//! at another target.
+//! A target may break off inside an event. Callers get only complete events, so that another target can resume the stream after
+//! the last one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event beyond which the stream counts as broken.
-const EVENT_BYTES: usize = 1 << 20;
+/// Largest event; a stream with a larger one counts as broken.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// An event that is too large to hold.
+/// An event that exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event of a stream is larger than {EVENT_BYTES} bytes: look at the target")]
+#[error("stream event larger than {MAX_EVENT_BYTES} bytes: check what the target sends")]
 pub struct OversizedEvent;
 
-/// Cuts a stream into whole events.
+/// Buffers the bytes of a stream until they complete an event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    rest: BytesMut,
+    remainder: BytesMut,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes bytes; returns the whole events that they complete.
+    /// Adds bytes of the stream; returns the complete events up to their last boundary, or nothing.
     ///
     /// # Errors
-    /// When an event is too large.
+    /// If an event is larger than 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, OversizedEvent> {
-        if self.rest.is_empty()
-            && let Some(end) = last_end(bytes)
+        if self.remainder.is_empty()
+            && let Some(end) = last_boundary(bytes)
             && end == bytes.len()
         {
             self.note_ids(bytes);
             return Ok(bytes.clone());
         }
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.rest) else {
-            if self.rest.len() > EVENT_BYTES {
+        self.remainder.extend_from_slice(bytes);
+        let Some(end) = last_boundary(&self.remainder) else {
+            if self.remainder.len() > MAX_EVENT_BYTES {
                 return Err(OversizedEvent);
             }
             return Ok(Bytes::new());
         };
-        let whole = self.rest.split_to(end).freeze();
-        self.note_ids(&whole);
-        Ok(whole)
+        let events = self.remainder.split_to(end).freeze();
+        self.note_ids(&events);
+        Ok(events)
     }
 
-    /// What is left after the stream's end; dropped from here on.
+    /// Takes the bytes after the last complete event out of the buffer.
     pub fn take_remainder(&mut self) -> Bytes {
-        self.rest.split().freeze()
+        self.remainder.split().freeze()
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event that had a numeric one.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
@@ -68,8 +68,8 @@
     }
 }
 
-/// Offset behind the last empty line, which ends an event.
-fn last_end(bytes: &[u8]) -> Option<usize> {
+/// Offset after the last empty line, which ends an event.
+fn last_boundary(bytes: &[u8]) -> Option<usize> {
     (1..bytes.len())
         .rev()
         .find(|&at| {
--- a/crates/daemon/src/direct/holder_state.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -1,4 +1,5 @@
-//! What a zone's holder has beside its engines: a part of every quota, and the calls of plain services.
+//! State that a zone's holder has besides its engines: its shares of the quotas, the calls of plain services, and the trials of
+//! suspects. It is created with a lease and dropped with it.
 
 use crate::direct::{fleet::FleetState, settings::DirectSettings};
 use hoplanding_core::{
@@ -16,30 +17,31 @@
 };
 use std::time::Duration;
 
-/// How a lease was come by.
+/// How this VM acquired a lease.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseOrigin {
-    /// Its token.
+    /// Fencing token of the lease.
     pub token: FencingToken,
     /// Whether the zone had a holder before.
     pub had_holder: bool,
-    /// Time from now for which that one may go on as before.
+    /// Time from now for which the previous holder may go on acting as one, because it may not know of the new lease yet.
     pub quiet: Duration,
 }
 
-/// What came with a lease, and ends with it.
+/// Quotas, plain calls and trials of a holder, for the duration of one lease.
 pub struct HolderState {
-    /// The lease's token.
+    /// Fencing token of the lease.
     pub token: FencingToken,
     plain: PlainPlanner,
     quotas: QuotaLedger,
     trials: TrialTable,
-    /// Version of the configuration whose quotas are declared.
-    declared: Option<u64>,
+    /// Version of the configuration from which the quotas were taken.
+    quota_version: Option<u64>,
 }
 
 impl HolderState {
-    /// The ledger of a lease.
+    /// The state of a new lease. Quotas start full only in the fleet's first start; a successor assumes that they were spent,
+    /// because it does not know what the previous holder paid out.
     #[must_use]
     pub fn new(
         settings: &DirectSettings,
@@ -65,41 +67,41 @@
             plain: PlainPlanner::default(),
             trials: TrialTable::new(settings.trials),
             quotas: QuotaLedger::new(settings.quotas, zones, start, times),
-            declared: None,
+            quota_version: None,
         }
     }
 
-    /// Takes over what the books say of quotas and targets.
+    /// Takes over new quotas from the configuration, and drops targets that are no longer listed.
     pub fn refresh(&mut self, fleet: &FleetState, now: Instant) {
         let books = fleet.books();
         if let Some(active) = &books.active
-            && self.declared != Some(active.config.version)
+            && self.quota_version != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
             self.quotas.declare(table.quotas(), now);
-            self.declared = Some(active.config.version);
+            self.quota_version = Some(active.config.version);
         }
         self.plain
             .retain(|run| books.catalog.get(&run.name).is_some());
     }
 
-    /// Until then it is known that no other VM was the zone's holder.
+    /// Records that no other VM is the zone's holder until this time.
     pub fn lead_until(&mut self, time: Instant) {
         self.quotas.lead_until(time);
     }
 
-    /// Pays a charge.
+    /// Pays a charge out of its organisation's quota.
     ///
     /// # Errors
-    /// When too little is left: the time until there is enough.
+    /// If too little is left: the time until there is enough.
     pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
         self.quotas.pay(charge, now)
     }
 
-    /// Pays for a call that is to be placed.
+    /// Pays for a call before it is placed.
     ///
     /// # Errors
-    /// When too little is left: the answer to the call.
+    /// If too little is left: the refusal of the call.
     pub fn charge_placement(
         &mut self,
         charge: Option<&QuotaCharge>,
@@ -112,12 +114,12 @@
         })
     }
 
-    /// Gives a charge back whose call did not run, or found no place.
+    /// Refunds the charge of a call that was not placed or not executed.
     pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
         self.quotas.give_back(charge, now);
     }
 
-    /// Places a call of a plain service, and pays for it if it finds a place.
+    /// Places a call of a plain service, and pays for it if a target is found. A suspect without a trial is refused.
     pub fn place_plain(
         &mut self,
         fleet: &FleetState,
@@ -146,14 +148,14 @@
         answer
     }
 
-    /// Ends a call of a plain service; says whether it was one.
+    /// Ends a call of a plain service; returns whether the call was one.
     pub fn end_plain(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) -> bool {
         let is_plain = self.plain.knows(key);
         self.plain.ended(key, outcome, now);
         is_plain
     }
 
-    /// Grants a trial of a suspect, or says when to come back.
+    /// Decides about a trial of a suspect; a refusal states when to retry.
     pub fn ask_trial(
         &mut self,
         fleet: &FleetState,
@@ -166,23 +168,23 @@
         self.trials.ask(&books.suspects, fingerprint, key, now)
     }
 
-    /// A trial ended.
+    /// Ends a trial, so that the next one can be granted.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
         self.trials.end(fingerprint, key);
     }
 
-    /// An answer told of a target's limit.
+    /// Records the rate limit that a target stated in an answer.
     pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
         self.plain.note_limit(named, now);
     }
 
-    /// All calls and trials of a gateway that can't be reached.
+    /// Ends all calls and trials of a gateway that cannot be reached.
     pub fn forget_gateway(&mut self, vm: &VmName, now: Instant) {
         self.trials.forget_gateway(vm);
         self.plain.forget_gateway(vm, now);
     }
 
-    /// What was paid out of every quota.
+    /// Units paid and refused since the start of the lease, by organisation.
     pub fn counts(&self) -> impl Iterator<Item = (&OrganisationName, BucketCounts)> {
         self.quotas.counts()
     }
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -1,6 +1,6 @@
-//! Counts of this VM, as a page in the text format that collectors read.
+//! Metrics of this VM in direct mode, as a page in the OpenMetrics text format.
 //!
-//! `cadence` counts towards statsd and knows no such page, so the direct mode counts with `prometheus-client`.
+//! The `cadence` crate only sends to statsd and serves no page, so the direct mode uses `prometheus-client`.
 
 use crate::{
     clock,
@@ -26,28 +26,28 @@
 };
 use std::{cmp::Reverse, fs, time::Duration};
 
-/// Upper bounds of the histograms' buckets, in seconds: what the users' objectives and deadlines lie between.
-const BUCKETS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0];
-/// Organisations that the page names.
-const ORGANISATIONS_MOST: usize = 64;
-/// Bytes of a page of memory, as `/proc/self/statm` counts them.
+/// Upper bounds of the histogram buckets, in seconds. They cover the range of callers' latency objectives and deadlines.
+const BUCKET_BOUNDS_S: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 10.0];
+/// Organisations that have a time series of their own.
+const MAX_ORGANISATIONS: usize = 64;
+/// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4096;
 
-/// Kind of a request.
+/// Kind of a request, by how its answer is passed on and whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestKind {
-    /// Its answer is a stream of events.
+    /// The answer is a stream of events.
     Stream,
-    /// It may run more than once.
+    /// The answer is passed on whole, and the request may run more than once.
     Idempotent,
-    /// It may run once.
+    /// The answer is passed on whole, and the request may run only once.
     Once,
-    /// Its host and path have no route.
+    /// No route matches host and path.
     Unrouted,
 }
 
 impl RequestKind {
-    /// The kind that a route's requests are of.
+    /// Kind of the requests of a route.
     #[must_use]
     pub fn of(route: &RouteRule) -> Self {
         match (&route.shape, route.repeat) {
@@ -61,15 +61,15 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestOutcome {
-    /// Its whole answer went out.
+    /// The complete answer was passed on.
     Answered,
-    /// A target's own failure went out.
+    /// A target's failure answer was passed on.
     TargetFailed,
-    /// It was refused as not run.
+    /// Refused without having run.
     Refused,
-    /// It may have run, and its answer was lost.
+    /// The request may have run, but no complete answer came.
     Lost,
-    /// Its stream broke off.
+    /// The stream broke off after its start.
     BrokenOff,
 }
 
@@ -79,12 +79,12 @@
     outcome: RequestOutcome,
 }
 
-/// What came of a call to the platform's log.
+/// Outcome of a call to the platform's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum LogOutcome {
-    /// It was answered.
+    /// The log answered.
     Answered,
-    /// It was refused, or had no answer.
+    /// The log refused the call or did not answer.
     Failed,
 }
 
@@ -94,12 +94,12 @@
     outcome: LogOutcome,
 }
 
-/// Why a record is passed on to another VM.
+/// Why a record is forwarded to another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum ForwardReason {
-    /// It is news.
+    /// The record is new to the other VM.
     News,
-    /// The other VM has asked for it.
+    /// The other VM asked for the record.
     Answer,
 }
 
@@ -140,7 +140,7 @@
     stage: &'static str,
 }
 
-/// Counts of this VM.
+/// Metrics of this VM in direct mode.
 #[derive(Debug)]
 pub struct DirectMetrics {
     registry: Registry,
@@ -165,7 +165,7 @@
 }
 
 impl DirectMetrics {
-    /// Counts that begin at zero.
+    /// Registers all metrics, starting at zero.
     #[must_use]
     pub fn new() -> Self {
         let mut metrics = Self {
@@ -177,8 +177,8 @@
             suspects: Family::default(),
             log_calls: Family::default(),
             passed: Family::default(),
-            placing: Histogram::new(BUCKETS),
-            first_event: Histogram::new(BUCKETS),
+            placing: Histogram::new(BUCKET_BOUNDS_S),
+            first_event: Histogram::new(BUCKET_BOUNDS_S),
             targets: Family::default(),
             doubted: Gauge::default(),
             moves: Family::default(),
@@ -278,26 +278,27 @@
         );
     }
 
-    /// A request ended.
+    /// Counts a request that ended.
     pub fn count_request(&self, kind: RequestKind, outcome: RequestOutcome) {
         let labels = RequestLabels { kind, outcome };
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// A request was not let in for its key.
+    /// Counts a request that was not admitted.
     pub fn count_entry_fault(&self, fault: AdmissionFault) {
         let cause = fault.label();
         self.entries.get_or_create(&EntryLabels { cause }).inc();
     }
 
-    /// What a zone's holder has paid out of organisations' quotas; of those that asked for most, so that their number is bounded.
+    /// Sets the units paid and refused by a zone's holder, for the organisations that asked for the most. Their number is limited
+    /// to bound the number of time series.
     pub fn set_quota_counts<'a>(
         &self,
         counts: impl Iterator<Item = (&'a OrganisationName, BucketCounts)>,
     ) {
         let mut counts: Vec<_> = counts.collect();
         counts.sort_by_key(|(name, counts)| (Reverse(counts.paid + counts.refused), *name));
-        counts.truncate(ORGANISATIONS_MOST);
+        counts.truncate(MAX_ORGANISATIONS);
         self.quotas.clear();
         for (name, counts) in counts {
             for (outcome, units) in [("paid", counts.paid), ("refused", counts.refused)] {
@@ -306,38 +307,41 @@
                     organisation,
                     outcome,
                 };
-                self.quotas.get_or_create(&labels).set(signed(units));
+                self.quotas
+                    .get_or_create(&labels)
+                    .set(saturating_i64(units));
             }
         }
     }
 
-    /// Requests that a zone's holder suspects, and those of them that it sends nowhere.
+    /// Sets the number of requests that a zone's holder suspects, and the number of those that are quarantined.
     pub fn set_suspect_counts(&self, (suspected, quarantined): (usize, usize)) {
         for (state, count) in [("suspected", suspected), ("sent_nowhere", quarantined)] {
             let labels = SuspectLabels { state };
             self.suspects
                 .get_or_create(&labels)
-                .set(signed(count as u64));
+                .set(saturating_i64(count as u64));
         }
     }
 
-    /// A repeat was asked for.
+    /// Counts a retry that was requested from the retry budget.
     pub fn count_repeat(&self, allowed: bool) {
         self.repeats.get_or_create(&RepeatLabels { allowed }).inc();
     }
 
-    /// An engine could take parts of a prompt from another one, and is told to or not.
-    pub fn count_prompt_move(&self, moved: &PromptMove) {
+    /// Counts, and logs, a prompt of which the chosen engine could fetch cached parts from another one, whether or not it is told
+    /// to.
+    pub fn count_prompt_move(&self, prompt_move: &PromptMove) {
         let now = clock::now();
-        let versions = match moved.versions() {
+        let versions = match prompt_move.versions() {
             VersionMatch::Same => "same",
             VersionMatch::Unlike => "unlike",
             VersionMatch::Unknown => "unknown",
         };
-        let told = moved.is_told;
+        let told = prompt_move.is_told;
         let labels = MoveLabels { versions, told };
         self.moves.get_or_create(&labels).inc();
-        let known = |versions: &MemoryVersions| {
+        let describe = |versions: &MemoryVersions| {
             let [base, adapter] =
                 [versions.base, versions.adapter].map(|sight| SightAge { sight, now });
             format!("base {base}, adapter {adapter}")
@@ -345,45 +349,46 @@
         event!(
             Event::MemoryMoved,
             "{}#{}: {} from {} ({}) to {} ({}), named {:?}, told {told}",
-            moved.key.vm,
-            moved.key.number,
-            moved.subject,
-            moved.source,
-            known(&moved.source_versions),
-            moved.target,
-            known(&moved.target_versions),
-            moved.named
+            prompt_move.key.vm,
+            prompt_move.key.number,
+            prompt_move.subject,
+            prompt_move.source,
+            describe(&prompt_move.source_versions),
+            prompt_move.target,
+            describe(&prompt_move.target_versions),
+            prompt_move.named
         );
     }
 
-    /// The log was called.
+    /// Counts a call to the platform's log.
     pub fn count_log_call(&self, topic: &'static str, outcome: LogOutcome) {
         let labels = LogLabels { topic, outcome };
         self.log_calls.get_or_create(&labels).inc();
     }
 
-    /// Records were passed on to another VM.
+    /// Counts records that were forwarded to another VM.
     pub fn count_forwarded_records(&self, reason: ForwardReason, records: usize) {
         let labels = PassLabels { reason };
         self.passed.get_or_create(&labels).inc_by(records as u64);
     }
 
-    /// A request was given a target after this time.
-    pub fn note_placing(&self, held: Duration) {
-        self.placing.observe(held.as_secs_f64());
+    /// Records the time from a request's arrival until it had a target.
+    pub fn observe_placement(&self, elapsed: Duration) {
+        self.placing.observe(elapsed.as_secs_f64());
     }
 
-    /// A stream's first event went out after this time.
-    pub fn note_first_event(&self, held: Duration) {
-        self.first_event.observe(held.as_secs_f64());
+    /// Records the time from a stream's request to its first event.
+    pub fn note_first_event(&self, elapsed: Duration) {
+        self.first_event.observe(elapsed.as_secs_f64());
     }
 
-    /// The page, with what the books say now.
+    /// The metrics page, with gauges taken from the current fleet state.
     #[must_use]
     pub fn page(&self, fleet: &FleetState) -> String {
-        self.take_books(fleet);
-        self.lines_dropped.set(signed(dropped_lines() as u64));
-        self.memory.set(signed(resident_bytes()));
+        self.update_gauges(fleet);
+        self.lines_dropped
+            .set(saturating_i64(dropped_lines() as u64));
+        self.memory.set(saturating_i64(resident_bytes()));
         let mut page = String::new();
         if let Err(error) = encode(&mut page, &self.registry) {
             event!(Event::MetricsFailed, "{error}");
@@ -391,7 +396,7 @@
         page
     }
 
-    fn take_books(&self, fleet: &FleetState) {
+    fn update_gauges(&self, fleet: &FleetState) {
         let books = fleet.books();
         for (stage, name) in [
             (TargetStage::Ready, "ready"),
@@ -399,17 +404,18 @@
         ] {
             let count = books.catalog.iter().filter(|entry| entry.stage == stage);
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
-            gauge.set(signed(count.count() as u64));
+            gauge.set(saturating_i64(count.count() as u64));
         }
-        self.doubted.set(signed(books.catalog.doubted() as u64));
+        self.doubted
+            .set(saturating_i64(books.catalog.doubted() as u64));
         let in_flight: u32 = books.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
         let version = books
             .active
             .as_ref()
             .map_or(0, |active| active.config.version);
-        self.config_version.set(signed(version));
-        self.vms.set(signed(books.vms.len() as u64));
+        self.config_version.set(saturating_i64(version));
+        self.vms.set(saturating_i64(books.vms.len() as u64));
         let holder = books
             .leases
             .get(&fleet.zone)
@@ -424,11 +430,11 @@
     }
 }
 
-fn signed(count: u64) -> i64 {
+fn saturating_i64(count: u64) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-/// Resident memory of this process; 0 where the system does not tell.
+/// Resident memory of this process; 0 if the system does not report it.
 fn resident_bytes() -> u64 {
     let pages = fs::read_to_string("/proc/self/statm")
         .ok()
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -1,7 +1,8 @@
-//! What targets say of themselves in their answers, of whatever kind.
+//! Notices that targets give about themselves in the headers of their answers: that they are leaving, and that they want a VM to
+//! back off.
 //!
-//! That a target leaves is true for the whole fleet, so each VM passes it on over all its links: while the platform's log
-//! is away nothing else tells of it.
+//! A leaving target takes no new work from any VM, so each VM forwards such a notice over all its links. While the platform's log
+//! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was given to.
 
 use crate::{clock, direct::fleet::FleetState, event, events::Event};
 use hoplanding_core::{direct::notices::TargetNotice, ids::TargetRun};
@@ -9,50 +10,55 @@
 use http::{HeaderMap, StatusCode};
 use std::{collections::BTreeMap, slice};
 
-/// Targets told of in one message.
-const MESSAGE_TARGETS: usize = 64;
+/// Targets that one message names at most.
+const MAX_TARGETS_PER_MESSAGE: usize = 64;
 
-/// Targets that said that they leave, in the order in which this VM heard of it.
+/// Targets that are known to be leaving, in the order in which this VM learned of them. Each link reads the list from its own
+/// position on.
 #[derive(Debug, Default)]
 pub struct LeavingTargets {
     runs: BTreeMap<u64, TargetRun>,
-    /// Place behind the newest.
+    /// Position after the newest entry.
     head: u64,
 }
 
 impl LeavingTargets {
-    /// Adds a target.
+    /// Adds a target at the end.
     pub fn push(&mut self, run: TargetRun) {
         self.runs.insert(self.head, run);
         self.head += 1;
     }
 
-    /// Place behind the newest.
+    /// Position after the newest entry.
     #[must_use]
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// Targets from a place on, as many as go into one message, and the place behind them.
+    /// Targets from a position on, as many as fit into one message, and the position after them.
     #[must_use]
-    pub fn after(&self, place: u64) -> (Vec<TargetRun>, u64) {
-        let told: Vec<_> = self.runs.range(place..).take(MESSAGE_TARGETS).collect();
-        let behind = match told.last() {
-            Some((last, _)) if told.len() == MESSAGE_TARGETS => **last + 1,
+    pub fn after(&self, position: u64) -> (Vec<TargetRun>, u64) {
+        let runs: Vec<_> = self
+            .runs
+            .range(position..)
+            .take(MAX_TARGETS_PER_MESSAGE)
+            .collect();
+        let next = match runs.last() {
+            Some((last, _)) if runs.len() == MAX_TARGETS_PER_MESSAGE => **last + 1,
             _ => self.head,
         };
-        let runs = told.into_iter().map(|(_, run)| run.clone()).collect();
-        (runs, behind)
+        let runs = runs.into_iter().map(|(_, run)| run.clone()).collect();
+        (runs, next)
     }
 
-    /// Forgets targets that are gone.
+    /// Removes the targets that `keep` rejects, such as those that are no longer listed.
     pub fn retain(&mut self, keep: impl Fn(&TargetRun) -> bool) {
         self.runs.retain(|_, run| keep(run));
     }
 }
 
 impl FleetState {
-    /// Takes in what an answer of a target says of it; the answer must be known to be the target's own.
+    /// Applies the notice in an answer of a target. The caller must have made sure that the answer is from this target.
     pub fn apply_target_notice(
         &self,
         run: &TargetRun,
@@ -62,37 +68,38 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.faults {
-            if let Some(untold) = self.books().unread.note(now) {
+            if let Some(suppressed) = self.books().unread.note(now) {
                 event!(
                     Event::NoticeUnreadable,
-                    "{}: {fault}; {untold} more before it",
+                    "{}: {fault}; {suppressed} earlier ones not logged",
                     run.name
                 );
             }
         }
         let notice = decoded.notice;
         if notice.is_leaving {
-            self.mark_leaving(slice::from_ref(run), "by its own answer");
+            self.mark_leaving(slice::from_ref(run), "stated in its own answer");
         }
         if let Some(rest) = notice.rest {
-            let kept = self.books().rests.note(run, rest, now);
+            let applied = self.books().rests.note(run, rest, now);
             event!(
                 Event::RestAsked,
-                "{} for {rest:?}, kept for {kept:?}",
+                "{} for {rest:?}, applied for {applied:?}",
                 run.name
             );
         }
         notice
     }
 
-    /// Whether a target wants nothing from this VM now.
+    /// Whether a target has asked this VM to back off and the backoff has not ended.
     #[must_use]
     pub fn is_resting(&self, run: &TargetRun) -> bool {
         let now = clock::now();
         self.books().rests.remaining(run, now).is_some()
     }
 
-    /// Takes in that targets said that they leave.
+    /// Marks targets as leaving, and announces those of them that were not known to be. `source` names the origin of the notice in
+    /// the log.
     pub fn mark_leaving(&self, runs: &[TargetRun], source: &str) {
         let mut books = self.books();
         let head = books.leaving.head();
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -1,4 +1,7 @@
-//! Trials of suspected requests: the permit of a gateway, and what this VM notes of suspects.
+//! The gateway's side of trials of suspects, and the changes of suspicion in this VM's fleet state.
+//!
+//! A request under which a target terminated is a suspect. It runs again only as a trial, for which a zone's holder grants a
+//! permit, one at a time.
 
 use crate::{
     clock,
@@ -12,11 +15,11 @@
 };
 use std::sync::Arc;
 
-/// Leave to send a suspect once; tells holders of the trial's end when dropped.
+/// Permission to send a suspect once; reports the end of the trial to the holders when dropped.
 #[derive(Debug)]
 pub struct TrialPermit {
     holder_client: Arc<HolderClient>,
-    /// The zone whose holder granted it.
+    /// The zone whose holder was asked for the permit.
     zone: AvailabilityZone,
     number: u64,
     fingerprint: RequestFingerprint,
@@ -24,7 +27,7 @@
 }
 
 impl TrialPermit {
-    /// The permit that a zone's holder granted to the question with this number.
+    /// The permit requested from a zone's holder under this call number.
     #[must_use]
     pub fn new(
         holder_client: &Arc<HolderClient>,
@@ -41,13 +44,13 @@
         }
     }
 
-    /// The zone whose holder answered.
+    /// The zone whose holder decided about the trial.
     #[must_use]
     pub fn zone(&self) -> &AvailabilityZone {
         &self.zone
     }
 
-    /// The request was answered well.
+    /// Marks the trial as successful.
     pub fn note_good(&mut self) {
         self.is_good = true;
     }
@@ -61,7 +64,7 @@
 }
 
 impl FleetState {
-    /// Notes that a target ended under a request; says whether that is news.
+    /// Records that a target terminated while it ran a request; returns whether that was not known before.
     pub fn note_ended_under(&self, ended: &EndedUnder) -> bool {
         let now = clock::now();
         let mut books = self.books();
@@ -71,14 +74,14 @@
         let (suspected, quarantined) = books.suspects.counts(now);
         event!(
             Event::RequestSuspected,
-            "{:016x}: {} ended under it, {suspected} suspected, {quarantined} quarantined",
+            "{:016x}: target {} ended under it; {suspected} requests suspected, {quarantined} of them quarantined",
             ended.fingerprint.0,
             ended.run.name
         );
         true
     }
 
-    /// Notes that a trial of a request was answered well.
+    /// Clears the suspicion of a request, after a successful trial.
     pub fn clear_suspicion(&self, fingerprint: RequestFingerprint) {
         if self.books().suspects.pardon(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
