--- a/crates/daemon/tests/direct/calls.rs
+++ b/crates/daemon/tests/direct/calls.rs
@@ -1,4 +1,4 @@
-//! Calls and their answers.
+//! Calls and their answers: what reaches targets, what reaches callers, and how failures are reported.
 
 use crate::support::{
     HOST, ask, config, entry, event, good, is_ready, model, post, sealed, settings, site, stream,
@@ -14,10 +14,11 @@
     atomic::{AtomicUsize, Ordering},
 };
 
+/// All errors of a settings file are reported together, and each states what to write instead.
 #[test]
-fn the_sample_settings_are_in_order_and_faults_name_their_remedy() {
+fn sample_settings_parse_and_errors_name_a_remedy() {
     let sample = include_str!("../../../../docs/hoplandingd.direct.sample.json");
-    DirectSettings::parse(sample).expect("the sample is in order");
+    DirectSettings::parse(sample).expect("the sample settings are valid");
     let wrong = sample
         .replace("\"cores\": 0.25", "\"cores\": \"many\"")
         .replace("list_every_ms", "list_evry_ms")
@@ -30,8 +31,9 @@
     }
 }
 
+/// A VM that has read no configuration cannot tell a wrong path or key from a right one, so it must not answer 404 or 401.
 #[tokio::test]
-async fn a_vm_without_a_configuration_promises_and_never_denies() {
+async fn a_vm_without_a_configuration_answers_503_with_retry_after() {
     let log = KeyedLog::start().await.expect("a log");
     let daemon = DirectDaemon::start(settings("vm-1", &log))
         .await
@@ -42,8 +44,9 @@
     assert!(!is_ready(&daemon).await);
 }
 
+/// Path, query, body and the caller's own headers reach the target as sent, with the remaining deadline.
 #[tokio::test]
-async fn a_call_reaches_its_service_unchanged_and_its_answer_the_caller() {
+async fn calls_and_answers_pass_through_unchanged() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -68,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn the_metrics_page_counts_what_became_of_requests() {
+async fn the_metrics_page_counts_requests_by_outcome() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     log.put(
@@ -103,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn unknown_hosts_large_bodies_and_large_heads_are_refused_and_reach_nobody() {
+async fn unknown_hosts_and_invalid_or_oversized_requests_reach_no_target() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -123,8 +126,9 @@
     assert!(target.requests().is_empty());
 }
 
+/// A request with both `Content-Length` and `Transfer-Encoding` must not be read as two requests.
 #[tokio::test]
-async fn a_body_in_chunks_arrives_whole_and_nothing_behind_it_is_smuggled() {
+async fn a_chunked_body_arrives_whole_without_request_smuggling() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -140,8 +144,9 @@
     }
 }
 
+/// A target answers with another request's id, as over a connection whose answers are out of step.
 #[tokio::test]
-async fn an_answer_of_another_request_never_reaches_a_caller() {
+async fn an_answer_to_another_request_never_reaches_a_caller() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|_| {
         let headers = "Hoplanding-Request-Id: other\r\nHoplanding-Server-Seal: seal\r\n";
@@ -156,12 +161,12 @@
     assert_eq!(
         target.requests().len(),
         1,
-        "it may have run, so it goes out once"
+        "the call may have run, so it is sent once"
     );
 }
 
 #[tokio::test]
-async fn an_unsealed_or_encoded_success_is_no_success() {
+async fn an_unsealed_or_encoded_success_is_rejected() {
     for extra in [
         "",
         "Hoplanding-Server-Seal: seal\r\nContent-Encoding: gzip\r\n",
@@ -180,8 +185,9 @@
     }
 }
 
+/// A target sends a second answer after the first one; the next request over the connection must not receive it.
 #[tokio::test]
-async fn bytes_behind_a_whole_answer_belong_to_no_request() {
+async fn bytes_after_a_complete_answer_reach_no_caller() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|request: &RawRequest| {
         let mut answer = good(request);
@@ -206,8 +212,10 @@
     }
 }
 
+/// The target closes the connection without an answer, so the call may have run and must neither be retried nor be reported as
+/// not executed.
 #[tokio::test]
-async fn a_call_that_may_run_once_is_sent_once_and_its_failure_promises_nothing() {
+async fn a_non_idempotent_call_is_sent_once_and_fails_with_502() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|_| RawAnswer::close())
         .await
@@ -225,8 +233,9 @@
     assert_eq!(target.requests().len() + other.requests().len(), 1);
 }
 
+/// The first target may have run the call; the second one states that it did not. The second answer must not be passed on.
 #[tokio::test]
-async fn a_repeatable_call_goes_to_a_second_target_and_never_ends_as_not_run_once_it_ran() {
+async fn a_retried_call_that_may_have_run_never_ends_as_not_executed() {
     let log = KeyedLog::start().await.expect("a log");
     let first = AtomicUsize::new(0);
     let answer_in_turn = Arc::new(move |request: &RawRequest| {
@@ -251,11 +260,11 @@
     let daemon = site(&log, &targets).await;
     let answer = ask(daemon.caller_address, &post("/lookup/1", "r1", "")).await;
     assert_eq!(target.requests().len() + other.requests().len(), 2);
-    assert_eq!(answer.status, 502, "the first target may have run it");
+    assert_eq!(answer.status, 502, "the first target may have run the call");
 }
 
 #[tokio::test]
-async fn a_target_that_did_not_run_a_call_leads_to_another_or_to_a_promise() {
+async fn a_call_rejected_by_its_target_goes_elsewhere_or_ends_with_503() {
     let refuse = |request: &RawRequest| {
         let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
         RawAnswer::whole("503 Service Unavailable", &headers, "")
@@ -281,8 +290,9 @@
     .await;
 }
 
+/// The engine breaks off inside an event. The caller gets only complete events, and no final chunk.
 #[tokio::test]
-async fn a_broken_stream_ends_behind_a_whole_event_and_does_not_look_complete() {
+async fn a_broken_stream_ends_after_a_complete_event_and_looks_incomplete() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| stream(request, Some(4)))
         .await
@@ -295,7 +305,7 @@
 }
 
 #[tokio::test]
-async fn a_resumable_stream_goes_on_at_another_target_without_a_gap() {
+async fn a_resumable_stream_continues_at_another_target_without_a_gap() {
     let log = KeyedLog::start().await.expect("a log");
     let broken = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
--- a/crates/daemon/tests/direct/connections.rs
+++ b/crates/daemon/tests/direct/connections.rs
@@ -1,12 +1,8 @@
-//! A target accepts a number of connections from all VMs together, and resets those beyond it.
+//! Targets that accept a limited number of connections from all VMs together, and reset those beyond it.
 //!
-//! What callers saw: 502 for calls that may run only once, though they had reached no target (97 of 5,870 on a day of 100 VMs before
-//! three plain targets of 100 connections each; more at 300). What happens: each VM keeps what it used for 3.5 s, up to eight
-//! connections a target, whatever the others keep. Then a target resets new ones, as calls go out over them, and their VM
-//! can't tell whether they have run.
-//!
-//! Evidence: "servers reset 124 to 139 connections that were over their cap" on three such days, E811 "connection error", and
-//! none of these answers on three sweeps of a trial that kept no connection (2 to 5 before).
+//! A VM keeps idle connections for 3.5 s, up to eight per target. If every VM did so regardless of the others, the target would
+//! reset new connections while calls go out over them. The VM could not tell whether such a call ran, and a call that may run only
+//! once would fail with 502 although it reached no target.
 
 use crate::support::{ask, config, good, is_ready, post, settings, site, wait_for};
 use futures_util::future::join_all;
@@ -18,10 +14,10 @@
 use std::time::Duration;
 
 const VMS: usize = 6;
-/// Connections that the target accepts: two a VM.
-const ACCEPTED: usize = 12;
-/// Calls that a VM has under way at once.
-const AT_ONCE: usize = 3;
+/// Connections that the target accepts: two per VM.
+const MAX_CONNECTIONS: usize = 12;
+/// Concurrent calls of a VM.
+const CONCURRENT_CALLS: usize = 3;
 
 fn slow(request: &RawRequest) -> RawAnswer {
     let mut answer = good(request);
@@ -30,9 +26,9 @@
 }
 
 #[tokio::test]
-async fn vms_that_share_a_target_leave_each_other_connections() {
+async fn vms_share_the_connection_limit_of_a_target() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start_bounded(slow, ACCEPTED)
+    let target = RawTarget::start_bounded(slow, MAX_CONNECTIONS)
         .await
         .expect("a target");
     let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
@@ -40,25 +36,25 @@
         let daemon = DirectDaemon::start(settings(&format!("vm-{number}"), &log)).await;
         fleet.push(daemon.expect("the daemon starts"));
     }
-    let all = format!("\"max_connections\":{ACCEPTED},\"name\":\"ledger\"");
-    let told = config(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &all);
-    assert!(told.contains(&all), "{told}");
-    log.put("keyed.op", "config", Some(&told));
+    let limit = format!("\"max_connections\":{MAX_CONNECTIONS},\"name\":\"ledger\"");
+    let limited_config = config(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &limit);
+    assert!(limited_config.contains(&limit), "{limited_config}");
+    log.put("keyed.op", "config", Some(&limited_config));
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
-        wait_for("the bound and all VMs known", async || {
+        wait_for("the limit and all VMs to be known", async || {
             let books = daemon.fleet().books();
             let version = books.active.as_ref().map(|active| active.config.version);
             version == Some(2) && books.vms.len() == VMS
         })
         .await;
     }
-    // No VM has more under way than it leaves room for, and one after the other calls.
+    // The VMs call one after another, each with no more calls at once than the limit leaves room for.
     for (vm, daemon) in fleet.iter().enumerate() {
-        let calls = (0..AT_ONCE).map(|call| {
+        let calls = (0..CONCURRENT_CALLS).map(|call| {
             let request = post(&format!("/scan/{call}"), &format!("r{vm}{call}"), "");
             async move { ask(daemon.caller_address, &request).await.status }
         });
-        assert_eq!(join_all(calls).await, [200; AT_ONCE], "VM {vm}");
+        assert_eq!(join_all(calls).await, [200; CONCURRENT_CALLS], "VM {vm}");
     }
 }
--- a/crates/daemon/tests/direct/copies.rs
+++ b/crates/daemon/tests/direct/copies.rs
@@ -1,4 +1,7 @@
-//! Keys that were taken away in the seconds that a copy of the log lacks.
+//! Revoked keys after a restore of the platform's log from a copy that lacks the last seconds, and with them the revocation.
+//!
+//! Operators have the rewrite time to write again what the copy lacks. Until then a VM that does not know better must not serve a
+//! call by its key.
 
 use crate::{
     keys::{KEY, call, keyed_config, mill, strict_settings},
@@ -11,14 +14,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Time that operators have in these tests to write again what a copy lacks.
-const REWRITE: Duration = Duration::from_secs(5);
-/// Longer than any test.
-const NEVER: Duration = Duration::from_secs(3_600);
-/// A time of day long before any test.
+/// Rewrite time in these tests.
+const REWRITE_TIME: Duration = Duration::from_secs(5);
+/// A rewrite time longer than any test.
+const ENDLESS_REWRITE_TIME: Duration = Duration::from_secs(3_600);
+/// Unix time, in milliseconds, long before any test.
 const LONG_AGO_MS: u64 = 1_000;
 
-fn is_known(version: u64) -> impl Fn(&DirectDaemon) -> bool {
+fn has_config(version: u64) -> impl Fn(&DirectDaemon) -> bool {
     move |daemon| {
         let active = daemon.fleet().active();
         active.is_some_and(|active| active.config.version == version)
@@ -28,7 +31,9 @@
 fn later_settings(vm: &str, log: &KeyedLog) -> DirectSettings {
     let mut settings = strict_settings(vm, log);
     settings.is_first_start = false;
-    settings.rewrites = RewriteRule { rewrite: REWRITE };
+    settings.rewrites = RewriteRule {
+        rewrite: REWRITE_TIME,
+    };
     settings
 }
 
@@ -47,20 +52,24 @@
     keyed_config(version, &json!([mill(&["k2"])]))
 }
 
-/// Configuration 3 takes `k1` away and is known to the only VM; that one is killed as the log comes back without it.
-async fn killed_at_the_return() -> (KeyedLog, RawTarget, DirectDaemon) {
+/// Configuration 3 revokes `k1` and is known to the only VM, which is killed before the log is restored without it. Returns a new VM
+/// that has read configuration 2 from the restored log.
+async fn restore_without_revocation() -> (KeyedLog, RawTarget, DirectDaemon) {
     let (log, target) = keyed_log().await;
     let life = process();
     let mut settings = later_settings("vm-1", &log);
     settings.is_first_start = true;
     let daemon = start_in(&life, settings).await;
     log.put("keyed.op", "config", Some(&without_key(3)));
-    wait_for("the key's end", async || is_known(3)(&daemon)).await;
+    wait_for("the revocation", async || has_config(3)(&daemon)).await;
     life.shutdown_background();
     log.restore(&[("keyed.op", 1)]);
     let daemon = DirectDaemon::start(later_settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
-    wait_for("the copy", async || is_known(2)(&daemon)).await;
+    wait_for("the restored configuration", async || {
+        has_config(2)(&daemon)
+    })
+    .await;
     (log, target, daemon)
 }
 
@@ -68,15 +77,16 @@
     call(daemon, "/scan/1", "r1", KEY).await.status
 }
 
+/// The restored log still has the key, and the only VM that knew of the revocation was killed.
 #[tokio::test]
-async fn a_key_that_a_copy_still_has_is_not_served_before_operators_write_again() {
-    let (log, target, daemon) = killed_at_the_return().await;
+async fn a_revoked_key_in_a_restored_log_is_not_served_before_operators_rewrite() {
+    let (log, target, daemon) = restore_without_revocation().await;
     for number in 0..10 {
         assert_eq!(status(&daemon).await, 503, "call {number}");
         sleep(Duration::from_millis(100)).await;
     }
     log.put("keyed.op", "config", Some(&without_key(3)));
-    wait_for("the key's end", async || status(&daemon).await != 503).await;
+    wait_for("the revocation", async || status(&daemon).await != 503).await;
     assert_eq!(status(&daemon).await, 401);
     let other = "Authorization: Bearer k2\r\n";
     assert_eq!(call(&daemon, "/scan/1", "r2", other).await.status, 200);
@@ -87,11 +97,12 @@
     assert_eq!(served.count(), 1);
 }
 
+/// Operators write the missing changes one by one, less than the rewrite time apart; an intermediate configuration has the key.
 #[tokio::test]
-async fn operators_who_write_one_by_one_have_written_the_last_before_keys_count() {
-    let (log, _target, daemon) = killed_at_the_return().await;
+async fn keys_do_not_count_before_the_last_of_several_rewrites() {
+    let (log, _target, daemon) = restore_without_revocation().await;
     let kept = keyed_config(4, &json!([mill(&["k1", "k2"])]));
-    // One that came late is older than the one in force by then.
+    // The last configuration written is older than the one in force, and must not replace it.
     for (config, pause) in [(kept, 900), (without_key(5), 900), (without_key(3), 0)] {
         log.put("keyed.op", "config", Some(&config));
         let until = tokio::time::Instant::now() + Duration::from_millis(pause);
@@ -100,20 +111,21 @@
             sleep(Duration::from_millis(50)).await;
         }
     }
-    wait_for("the key's end", async || status(&daemon).await != 503).await;
+    wait_for("the revocation", async || status(&daemon).await != 503).await;
     assert_eq!(status(&daemon).await, 401);
 }
 
 #[tokio::test]
-async fn a_copy_counts_where_operators_write_nothing_in_their_time() {
-    let (_log, _target, daemon) = killed_at_the_return().await;
+async fn a_restored_log_counts_if_operators_write_nothing_within_the_rewrite_time() {
+    let (_log, _target, daemon) = restore_without_revocation().await;
     assert_eq!(status(&daemon).await, 503);
     wait_for("service", async || is_ready(&daemon).await).await;
     assert_eq!(status(&daemon).await, 200);
 }
 
+/// A VM that ran before the restore knows the newest configuration, and vouches for it to a VM that starts afterwards.
 #[tokio::test]
-async fn a_vm_that_starts_beside_one_of_before_serves_by_its_proof() {
+async fn a_new_vm_serves_by_the_proof_of_one_that_ran_before_the_restore() {
     let (log, _target) = keyed_log().await;
     let first = process();
     let mut settings = later_settings("vm-1", &log);
@@ -123,7 +135,7 @@
     sleep(Duration::from_millis(500)).await;
     assert_eq!(status(&before).await, 200);
     let mut settings = later_settings("vm-2", &log);
-    settings.rewrites.rewrite = NEVER;
+    settings.rewrites.rewrite = ENDLESS_REWRITE_TIME;
     let after = DirectDaemon::start(settings).await;
     let after = after.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&after).await).await;
@@ -131,22 +143,24 @@
     first.shutdown_background();
 }
 
+/// The era record shows that the rewrite time has passed.
 #[tokio::test]
-async fn a_vm_that_starts_long_after_the_return_serves_at_once() {
+async fn a_vm_that_starts_long_after_a_restore_serves_at_once() {
     let (log, _target) = keyed_log().await;
     log.restore(&[]);
     let record = json!({ "era": 2, "seen_ms": LONG_AGO_MS }).to_string();
     log.put("keyed.fleet", "era", Some(&record));
     let mut settings = later_settings("vm-1", &log);
-    settings.rewrites.rewrite = NEVER;
+    settings.rewrites.rewrite = ENDLESS_REWRITE_TIME;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
     assert_eq!(status(&daemon).await, 200);
 }
 
+/// The record was restored with the log, so its time says nothing about the present restore.
 #[tokio::test]
-async fn a_record_of_an_earlier_era_that_came_with_the_copy_vouches_for_nothing() {
+async fn an_era_record_of_an_earlier_era_proves_nothing() {
     let (log, _target) = keyed_log().await;
     let record = json!({ "era": 1, "seen_ms": LONG_AGO_MS }).to_string();
     log.put("keyed.fleet", "era", Some(&record));
--- a/crates/daemon/tests/direct/engine_simulator.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -1,9 +1,10 @@
-//! Engines that keep what they read of prompts and take parts from each other, whatever version made them.
+//! Simulated engines that cache the parts of prompts that they have read, and fetch parts from each other without checking which
+//! version computed them.
 //!
-//! A yard holds the engines of a site, what each of them runs, and every run that used memory of another version.
-//! Engines serve one base model, each with the weights that it started with; memory is made by both the base model and
-//! the adapter. What is due at an engine (a load, an order that is carried out late) happens when somebody looks at the
-//! yard next, which a task of the yard does all the time.
+//! The simulator holds the engines of a site, their runs, and every run that used a cache computed by another version. Engines serve
+//! one base model, each with the weights that it started with; a cache depends on the versions of both base model and adapter. Due
+//! changes at an engine, such as a load or a delayed order, are applied when the simulator's state is accessed next; a background
+//! task accesses it at a short interval.
 
 use crate::support::{chunk, event, sealed};
 use hoplanding_standins::{
@@ -20,44 +21,44 @@
 };
 use tokio::time::sleep;
 
-/// Time to read a token; engines of the users read some 25 in a millisecond.
-const READ_TOKEN: Duration = Duration::from_micros(40);
-/// Time to take parts from another engine, by the users' sheets.
-const TAKE_PARTS: Duration = Duration::from_millis(20);
-/// Time between two tokens of an answer; one of 200 tokens keeps its copy in use for four seconds.
-const TOKEN_PAUSE: Duration = Duration::from_millis(20);
-/// Time that a copy takes to come; one that an engine had lately takes the users' engines 25 ms.
-const COPY_LOAD: Duration = Duration::from_millis(20);
-/// The same where copies come slowly; a report tells of it in this time.
-const SLOW_LOAD: Duration = Duration::from_millis(600);
-/// Time after which an order without an answer is carried out; nobody waits so long for an answer or a report.
-const LATE_BY: Duration = Duration::from_secs(1);
-/// Age of what a report tells; the users' pages speak of some hundred milliseconds.
+/// Time to read a token of a prompt; real engines read about 25 in a millisecond.
+const READ_TIME_PER_TOKEN: Duration = Duration::from_micros(40);
+/// Time to fetch cached parts from another engine, as for real engines.
+const FETCH_TIME: Duration = Duration::from_millis(20);
+/// Time between two tokens of an answer; one of 200 tokens keeps its adapter in use for four seconds.
+const TIME_PER_OUTPUT_TOKEN: Duration = Duration::from_millis(20);
+/// Time to load an adapter; real engines take 25 ms for one that they had recently.
+const LOAD_TIME: Duration = Duration::from_millis(20);
+/// Time of a slow load, long enough that a report shows the adapter as being loaded.
+const SLOW_LOAD_TIME: Duration = Duration::from_millis(600);
+/// Delay of an order that gets no answer; longer than the holder waits for an answer or a report.
+const ORDER_DELAY: Duration = Duration::from_secs(1);
+/// Age of the state that a report shows; reports of real engines are some hundred milliseconds old.
 const REPORT_AGE: Duration = Duration::from_millis(150);
-/// Pause between two looks at the yard; a small part of the spans above.
+/// Interval at which the background task applies due changes; a small part of the times above.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a version of the base model counts in the mark of memory; the adapter's version is added.
-const BASE_MARK: u64 = 1_000;
+/// Factor of the base model's version in the version of a cache; the adapter's version is added to the product.
+const BASE_VERSION_FACTOR: u64 = 1_000;
 
-/// A run at an engine.
+/// A request that an engine ran.
 #[derive(Clone, Debug)]
 pub struct PromptRun {
-    /// Its request.
+    /// Id of the request.
     pub id: String,
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// Version of the base model that it runs under; its answer tells this one.
+    /// Version of the base model used, which the answer states.
     pub base: u64,
-    /// Version of the adapter that it runs under.
+    /// Version of the adapter used.
     pub version: u64,
-    /// Version of the adapter that it was asked for.
+    /// Version of the adapter that the request asked for.
     pub expected: Option<u64>,
-    /// The engine that it took parts from.
+    /// Address of the engine from which cached parts were fetched.
     pub source: Option<SocketAddr>,
 }
 
-/// The engines of a site.
+/// The simulated engines of a site.
 #[derive(Default)]
 pub struct EngineSimulator {
     net: MemoryNet,
@@ -67,51 +68,51 @@
 #[derive(Default)]
 struct SimulatorState {
     newest: u64,
-    desks: BTreeMap<String, SimulatedEngine>,
+    engines: BTreeMap<String, SimulatedEngine>,
     runs: Vec<PromptRun>,
     mismatches: Vec<MemoryMismatch>,
-    /// Orders that are yet to be left without an answer.
-    to_silence: usize,
-    /// Orders that were carried out late.
+    /// Number of load orders still to be delayed.
+    orders_to_delay: usize,
+    /// Number of delayed orders that were applied.
     delayed_orders_done: usize,
-    /// Requests that are yet to be turned away.
-    to_turn_away: usize,
-    /// Requests that came for another version than the engine's.
+    /// Number of requests still to be rejected.
+    requests_to_reject: usize,
+    /// Number of requests for a version that the engine did not have.
     misdirected_requests: usize,
 }
 
 struct SimulatedEngine {
     address: SocketAddr,
-    /// Version of its base model.
+    /// Version of the base model.
     base: u64,
     sequence: u64,
     token: u64,
     copies: BTreeMap<String, AdapterCopy>,
-    /// Orders that were left without an answer, and when they are carried out.
-    late: Vec<(Instant, WireOrder)>,
-    /// Whether copies come slowly, and one that is being replaced is told as held and as on its way.
-    replaces_slowly: bool,
-    /// What it held, and since when: what its reports tell now, and what they will.
-    told: VecDeque<(Instant, String)>,
-    /// When it will have read the prompts that it has.
+    /// Delayed orders, which got no answer, and when they are applied.
+    delayed_orders: Vec<(Instant, WireOrder)>,
+    /// Whether loads are slow, and reports show an adapter that is being replaced both as held and as being loaded.
+    has_slow_loads: bool,
+    /// Past states, and since when they held: the one that reports show now, and the later ones.
+    report_history: VecDeque<(Instant, String)>,
+    /// When the engine will have read all prompts sent to it.
     read_until: Instant,
 }
 
 /// An adapter at an engine.
 struct AdapterCopy {
-    /// Its version; none until it has come.
+    /// Version of the adapter; `None` until the first load is done.
     version: Option<u64>,
     change: Option<CopyChange>,
-    /// When its runs will have ended.
+    /// When all of its runs will have ended.
     busy_until: Instant,
-    /// Parts kept for it, whoever made them.
-    kept: HashMap<u64, u32>,
+    /// Cached prompt parts and their tokens, whichever version computed them.
+    cached_parts: HashMap<u64, u32>,
 }
 
-/// What becomes of a copy.
+/// A pending load or unload of an adapter.
 #[derive(Clone, Copy)]
 struct CopyChange {
-    /// Its next version; none where it goes.
+    /// Version after the change; `None` for an unload.
     to: Option<u64>,
     at: Instant,
 }
@@ -132,13 +133,13 @@
             version,
             change: None,
             busy_until: now,
-            kept: HashMap::new(),
+            cached_parts: HashMap::new(),
         }
     }
 }
 
 impl EngineSimulator {
-    /// A yard whose store has a version as the newest.
+    /// A simulator whose weight store has this version as the newest.
     pub fn new(newest: u64) -> Arc<Self> {
         let simulator = Arc::new(Self::default());
         simulator.lock().newest = newest;
@@ -169,56 +170,59 @@
             let copy = AdapterCopy::new(Some(*version), now);
             ((*adapter).to_owned(), copy)
         });
-        let desk = SimulatedEngine {
+        let engine = SimulatedEngine {
             address: target.address,
             base,
             sequence: 0,
             token: 0,
             copies: copies.collect(),
-            late: Vec::new(),
-            replaces_slowly: false,
-            told: VecDeque::new(),
+            delayed_orders: Vec::new(),
+            has_slow_loads: false,
+            report_history: VecDeque::new(),
             read_until: now,
         };
-        self.lock().desks.insert(name.to_owned(), desk);
+        self.lock().engines.insert(name.to_owned(), engine);
         target
     }
 
-    /// The store has a new version from now on.
+    /// Sets the newest version in the weight store.
     pub fn set_newest(&self, version: u64) {
         self.lock().newest = version;
     }
 
-    /// Leaves the next load order without an answer, and carries it out late. Its engine tells no report until then, so
-    /// that nobody gives the order again.
+    /// Leaves the next load order without an answer, and applies it after a delay. The engine sends no report until then, so that
+    /// the order is not repeated.
     pub fn delay_next_order(&self) {
-        self.lock().to_silence += 1;
+        self.lock().orders_to_delay += 1;
     }
 
-    /// Turns the next request away.
+    /// Rejects the next request with 503, as not executed.
     pub fn reject_next_request(&self) {
-        self.lock().to_turn_away += 1;
+        self.lock().requests_to_reject += 1;
     }
 
-    /// From now on copies come slowly, and reports tell one that is being replaced twice: as held, and as on its way.
+    /// Makes loads slow, and reports show an adapter that is being replaced twice: as held and as being loaded.
     pub fn use_slow_loads(&self) {
-        for desk in self.lock().desks.values_mut() {
-            desk.replaces_slowly = true;
+        for engine in self.lock().engines.values_mut() {
+            engine.has_slow_loads = true;
         }
     }
 
-    /// Requests that came for another version than the engine's.
+    /// Number of requests for a version that the engine did not have.
     pub fn misdirected_requests(&self) -> usize {
         self.lock().misdirected_requests
     }
 
-    /// Whether an order waits to be carried out late.
+    /// Whether a delayed order is pending.
     pub fn has_delayed_order(&self) -> bool {
         let state = self.settled();
-        state.desks.values().any(|desk| !desk.late.is_empty())
+        state
+            .engines
+            .values()
+            .any(|engine| !engine.delayed_orders.is_empty())
     }
 
-    /// Orders that were carried out late.
+    /// Number of delayed orders that were applied.
     pub fn delayed_orders_done(&self) -> usize {
         self.settled().delayed_orders_done
     }
@@ -226,7 +230,7 @@
     /// Version of an adapter at an engine.
     pub fn version(&self, engine: &str, adapter: &str) -> Option<u64> {
         let state = self.settled();
-        state.desks.get(engine)?.copies.get(adapter)?.version
+        state.engines.get(engine)?.copies.get(adapter)?.version
     }
 
     /// The runs so far, in order.
@@ -234,7 +238,7 @@
         self.lock().runs.clone()
     }
 
-    /// Runs that used memory of another version.
+    /// Runs that used a cache computed by another version.
     pub fn mismatches(&self) -> Vec<MemoryMismatch> {
         self.lock().mismatches.clone()
     }
@@ -243,25 +247,29 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// The yard as it stands now.
+    /// Applies all due changes, and returns the current state.
     fn settled(&self) -> MutexGuard<'_, SimulatorState> {
         let mut state = self.lock();
         let now = Instant::now();
         let SimulatorState {
             newest,
-            desks,
+            engines,
             delayed_orders_done,
             ..
         } = &mut *state;
-        for desk in desks.values_mut() {
-            let (due, waiting) = desk.late.drain(..).partition(|(at, _)| *at <= now);
-            desk.late = waiting;
+        for engine in engines.values_mut() {
+            let (due, waiting) = engine
+                .delayed_orders
+                .drain(..)
+                .partition(|(at, _)| *at <= now);
+            engine.delayed_orders = waiting;
             for (at, order) in due {
-                desk.change_copies(&self.net, at);
-                *delayed_orders_done += usize::from(desk.take_order(&order, *newest, at) == 202);
+                engine.apply_changes(&self.net, at);
+                *delayed_orders_done +=
+                    usize::from(engine.handle_order(&order, *newest, at) == 202);
             }
-            desk.change_copies(&self.net, now);
-            desk.note_report(now);
+            engine.apply_changes(&self.net, now);
+            engine.record_report(now);
         }
         state
     }
@@ -272,17 +280,17 @@
             .header("hoplanding-expect-instance")
             .is_none_or(|meant| meant == name);
         if !is_meant {
-            return turned_away(request, "421 Misdirected Request");
+            return rejection(request, "421 Misdirected Request");
         }
         if request.line().starts_with("GET /hoplanding/report") {
-            return state.desks[name].report();
+            return state.engines[name].report();
         }
         if request.line().starts_with("POST /hoplanding/order") {
             return state.order(name, request);
         }
         match state.run(name, request, &self.net) {
             Ok(answer) => answer,
-            Err(status) => turned_away(request, status),
+            Err(status) => rejection(request, status),
         }
     }
 }
@@ -292,13 +300,13 @@
         let order: WireOrder = serde_json::from_slice(&request.body).expect("an order");
         let now = Instant::now();
         let newest = self.newest;
-        let desk = self.desks.get_mut(name).expect("it is in the yard");
-        if self.to_silence > 0 && order.operation == "load" {
-            self.to_silence -= 1;
-            desk.late.push((now + LATE_BY, order));
+        let engine = self.engines.get_mut(name).expect("the engine is simulated");
+        if self.orders_to_delay > 0 && order.operation == "load" {
+            self.orders_to_delay -= 1;
+            engine.delayed_orders.push((now + ORDER_DELAY, order));
             return no_answer();
         }
-        let status = match desk.take_order(&order, newest, now) {
+        let status = match engine.handle_order(&order, newest, now) {
             200 => "200 OK",
             202 => "202 Accepted",
             409 => "409 Conflict",
@@ -314,8 +322,8 @@
         request: &RawRequest,
         net: &MemoryNet,
     ) -> Result<RawAnswer, &'static str> {
-        if self.to_turn_away > 0 {
-            self.to_turn_away -= 1;
+        if self.requests_to_reject > 0 {
+            self.requests_to_reject -= 1;
             return Err("503 Service Unavailable");
         }
         let subject = request.header("hoplanding-model").unwrap_or_default();
@@ -327,11 +335,15 @@
             .header("kv-fetch")
             .and_then(|source| source.parse().ok());
         let lent: HashMap<_, _> = source
-            .and_then(|source| self.desks.values().find(|desk| desk.address == source))
-            .and_then(|desk| Some(desk.copies.get(adapter)?.kept.clone()))
+            .and_then(|source| {
+                self.engines
+                    .values()
+                    .find(|engine| engine.address == source)
+            })
+            .and_then(|engine| Some(engine.copies.get(adapter)?.cached_parts.clone()))
             .unwrap_or_default();
-        let desk = self.desks.get_mut(name).expect("it is in the yard");
-        let copy = desk.copies.get_mut(adapter);
+        let engine = self.engines.get_mut(name).expect("the engine is simulated");
+        let copy = engine.copies.get_mut(adapter);
         let Some(copy) = copy.filter(|copy| copy.version.is_some()) else {
             return Err("421 Misdirected Request");
         };
@@ -347,17 +359,17 @@
         let parts: Vec<_> = prompt.iter().map(|(part, _)| *part).collect();
         let read = ReadPrompt {
             adapter,
-            version: desk.base * BASE_MARK + version,
+            version: engine.base * BASE_VERSION_FACTOR + version,
             parts: &parts,
             source,
         };
-        self.mismatches.extend(net.read(desk.address, &read));
+        self.mismatches.extend(net.read(engine.address, &read));
         let now = Instant::now();
-        let took = reading_time(&prompt, &copy.kept, &lent);
-        copy.kept.extend(prompt);
-        desk.read_until = desk.read_until.max(now) + took;
+        let took = reading_time(&prompt, &copy.cached_parts, &lent);
+        copy.cached_parts.extend(prompt);
+        engine.read_until = engine.read_until.max(now) + took;
         let tokens = most_output(request);
-        let end = desk.read_until + TOKEN_PAUSE * tokens;
+        let end = engine.read_until + TIME_PER_OUTPUT_TOKEN * tokens;
         copy.busy_until = copy.busy_until.max(end);
         self.runs.push(PromptRun {
             id: request
@@ -365,12 +377,17 @@
                 .unwrap_or_default()
                 .to_owned(),
             engine: name.to_owned(),
-            base: desk.base,
+            base: engine.base,
             version,
             expected,
             source,
         });
-        Ok(events(request, desk.base, desk.read_until - now, tokens))
+        Ok(events(
+            request,
+            engine.base,
+            engine.read_until - now,
+            tokens,
+        ))
     }
 }
 
@@ -382,19 +399,20 @@
         request: &RawRequest,
         expected: Option<u64>,
     ) -> Result<RawAnswer, &'static str> {
-        let version = self.desks[name].base;
+        let version = self.engines[name].base;
         if expected.is_some_and(|expected| expected != version) {
             self.misdirected_requests += 1;
             return Err("421 Misdirected Request");
         }
-        let took = READ_TOKEN * prompt_parts(request).iter().map(|(_, tokens)| tokens).sum();
+        let took =
+            READ_TIME_PER_TOKEN * prompt_parts(request).iter().map(|(_, tokens)| tokens).sum();
         Ok(events(request, version, took, most_output(request)))
     }
 }
 
 impl SimulatedEngine {
-    /// Takes an order; returns the status of its answer.
-    fn take_order(&mut self, order: &WireOrder, newest: u64, now: Instant) -> u16 {
+    /// Handles an order; returns the status of the answer.
+    fn handle_order(&mut self, order: &WireOrder, newest: u64, now: Instant) -> u16 {
         let Some(adapter) = order.adapter.as_ref().filter(|_| order.model == "base") else {
             return 400;
         };
@@ -415,9 +433,9 @@
         self.sequence += 1;
         let copy = self.copies.entry(adapter.clone());
         let copy = copy.or_insert_with(|| AdapterCopy::new(None, now));
-        let takes = match (is_load, self.replaces_slowly) {
-            (true, true) => SLOW_LOAD,
-            (true, false) => COPY_LOAD,
+        let takes = match (is_load, self.has_slow_loads) {
+            (true, true) => SLOW_LOAD_TIME,
+            (true, false) => LOAD_TIME,
             (false, _) => Duration::ZERO,
         };
         let at = copy.busy_until.max(now) + takes;
@@ -425,12 +443,12 @@
         if is_load || at > now { 202 } else { 200 }
     }
 
-    /// Notes what it tells from now on. A copy that is being replaced is one on its way.
-    fn note_report(&mut self, now: Instant) {
+    /// Adds the current state to the report history. An adapter that is being replaced is shown as being loaded.
+    fn record_report(&mut self, now: Instant) {
         let held = self.copies.iter().filter_map(|(adapter, copy)| {
             let version = copy
                 .version
-                .filter(|_| self.replaces_slowly || copy.change.is_none())?;
+                .filter(|_| self.has_slow_loads || copy.change.is_none())?;
             Some(format!("{adapter}@{version}"))
         });
         let coming = self.copies.iter().filter_map(|(adapter, copy)| {
@@ -445,34 +463,40 @@
             "active": active.count(),
         });
         let report = report.to_string();
-        if self.told.back().is_none_or(|(_, told)| *told != report) {
-            self.told.push_back((now, report));
+        if self
+            .report_history
+            .back()
+            .is_none_or(|(_, last)| *last != report)
+        {
+            self.report_history.push_back((now, report));
         }
         while self
-            .told
+            .report_history
             .get(1)
             .is_some_and(|(since, _)| now - *since > REPORT_AGE)
         {
-            self.told.pop_front();
+            self.report_history.pop_front();
         }
     }
 
     fn report(&self) -> RawAnswer {
-        match self.told.front() {
-            Some((_, report)) if self.late.is_empty() => RawAnswer::whole("200 OK", "", report),
+        match self.report_history.front() {
+            Some((_, report)) if self.delayed_orders.is_empty() => {
+                RawAnswer::whole("200 OK", "", report)
+            }
             _ => no_answer(),
         }
     }
 
-    /// Carries out the changes that are due; what was kept for such a copy is dropped.
-    fn change_copies(&mut self, net: &MemoryNet, now: Instant) {
+    /// Applies the changes that are due, and drops the cached parts of the adapters concerned.
+    fn apply_changes(&mut self, net: &MemoryNet, now: Instant) {
         let address = self.address;
         self.copies.retain(|adapter, copy| {
             let Some(change) = copy.change.filter(|change| change.at <= now) else {
                 return true;
             };
             net.drop_adapter(address, adapter);
-            copy.kept.clear();
+            copy.cached_parts.clear();
             copy.change = None;
             copy.version = change.to;
             copy.version.is_some()
@@ -480,15 +504,15 @@
     }
 }
 
-/// Silence.
+/// Closes the connection without an answer, after the holder has stopped waiting.
 fn no_answer() -> RawAnswer {
     RawAnswer {
-        pieces: vec![(LATE_BY, Vec::new())],
+        pieces: vec![(ORDER_DELAY, Vec::new())],
         closes: true,
     }
 }
 
-fn turned_away(request: &RawRequest, status: &str) -> RawAnswer {
+fn rejection(request: &RawRequest, status: &str) -> RawAnswer {
     let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
     RawAnswer::whole(status, &headers, "")
 }
@@ -497,7 +521,7 @@
     request.header(name)?.parse().ok()
 }
 
-/// Parts of a prompt and their tokens.
+/// Parts of a prompt and their numbers of tokens.
 fn prompt_parts(request: &RawRequest) -> Vec<(u64, u32)> {
     let text = request
         .header("hoplanding-prompt-prefix")
@@ -518,22 +542,22 @@
     most.unwrap_or(1)
 }
 
-/// Time until a prompt is read: what the engine has kept costs nothing, what another one lends the way.
+/// Time to read a prompt. Parts in the engine's own cache cost nothing; parts fetched from another engine cost one fetch in all.
 fn reading_time(
     prompt: &[(u64, u32)],
-    kept: &HashMap<u64, u32>,
+    cached: &HashMap<u64, u32>,
     lent: &HashMap<u64, u32>,
 ) -> Duration {
     let found = prompt
         .iter()
-        .take_while(|(part, _)| kept.contains_key(part) || lent.contains_key(part));
-    let is_lent = found.clone().any(|(part, _)| !kept.contains_key(part));
+        .take_while(|(part, _)| cached.contains_key(part) || lent.contains_key(part));
+    let is_lent = found.clone().any(|(part, _)| !cached.contains_key(part));
     let found: u32 = found.map(|(_, tokens)| tokens).sum();
     let all: u32 = prompt.iter().map(|(_, tokens)| tokens).sum();
-    READ_TOKEN * (all - found) + if is_lent { TAKE_PARTS } else { Duration::ZERO }
+    READ_TIME_PER_TOKEN * (all - found) + if is_lent { FETCH_TIME } else { Duration::ZERO }
 }
 
-/// A stream of events whose first one comes when the prompt is read. Its head tells the version of the base model.
+/// A stream whose first event comes when the prompt has been read. Its head states the version of the base model.
 fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawAnswer {
     let headers = sealed(request);
     let head = format!(
@@ -542,7 +566,7 @@
     );
     let mut pieces = vec![(read, head.into_bytes())];
     pieces.push((Duration::ZERO, chunk(&event(1))));
-    pieces.extend((2..=tokens).map(|id| (TOKEN_PAUSE, chunk(&event(id)))));
+    pieces.extend((2..=tokens).map(|id| (TIME_PER_OUTPUT_TOKEN, chunk(&event(id)))));
     pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
     RawAnswer {
         pieces,
--- a/crates/daemon/tests/direct/foreign.rs
+++ b/crates/daemon/tests/direct/foreign.rs
@@ -1,7 +1,7 @@
-//! Entries of the target list that another writer wrote.
+//! Invalid entries of the target list, which is written by another system.
 //!
-//! They may lack fields, hold other types, name states and addresses that are none, or be no text at all. Such an entry
-//! names no target to use, whatever stood under its key before, and all others hold.
+//! An entry may lack fields, have fields of the wrong type, name invalid states or addresses, or not be JSON at all. Such an entry
+//! replaces the earlier one under its key and lists no target; all other entries stay in force.
 
 use crate::support::{ask, entry, good, is_ready, post, site, wait_for};
 use hoplanding_core::ids::{Instant, TargetName};
@@ -15,14 +15,15 @@
     books.catalog.get(&TargetName::new(name)).is_some()
 }
 
-async fn pass_by(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
+/// Puts a valid entry, and waits until it is listed: entries put before it have been read by then.
+async fn put_and_wait(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
     let text = entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
-    wait_for("the entry after", async || is_listed(daemon, name)).await;
+    wait_for("the entry that follows", async || is_listed(daemon, name)).await;
 }
 
-/// Texts that are no entries, made from one that is.
-fn unusable(address: SocketAddr, own: SocketAddr) -> Vec<String> {
+/// Invalid entries, most of them made from a valid one by changing one field.
+fn unusable_entries(address: SocketAddr, own: SocketAddr) -> Vec<String> {
     let good: Value =
         serde_json::from_str(&entry("ledger", address, "ready", &[])).expect("an entry");
     let with = |field: &str, value: Value| {
@@ -70,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_can_not_be_used_names_no_target_and_all_others_hold() {
+async fn an_unusable_entry_removes_its_target_and_no_other() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
@@ -79,29 +80,33 @@
         &[("i-1", "ledger", address), ("i-2", "ledger", address)],
     )
     .await;
-    for (number, text) in unusable(address, daemon.caller_address).iter().enumerate() {
+    for (number, text) in unusable_entries(address, daemon.caller_address)
+        .iter()
+        .enumerate()
+    {
         let shown: String = text.chars().take(60).collect();
         let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
         put(&entry("ledger", address, "ready", &[]));
-        wait_for("the good entry", async || is_listed(&daemon, "i-1")).await;
+        wait_for("the valid entry", async || is_listed(&daemon, "i-1")).await;
         put(text);
-        pass_by(&log, &daemon, &format!("m-{number}"), address).await;
+        put_and_wait(&log, &daemon, &format!("m-{number}"), address).await;
         assert!(!is_listed(&daemon, "i-1"), "{shown}");
         assert!(is_listed(&daemon, "i-2"), "{shown}");
     }
-    // A good one counts again.
+    // A valid entry under the same key lists the target again.
     log.put(
         "keyed.servers",
         "i-1",
         Some(&entry("ledger", address, "ready", &[])),
     );
-    wait_for("the good entry", async || is_listed(&daemon, "i-1")).await;
+    wait_for("the valid entry", async || is_listed(&daemon, "i-1")).await;
     let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
+/// The target's name is sent in a header; a name with control characters, spaces or non-ASCII characters must not end the daemon.
 #[tokio::test]
-async fn a_name_that_fits_in_no_header_is_not_used_and_ends_nothing() {
+async fn a_target_name_that_is_invalid_in_headers_is_skipped() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
@@ -110,7 +115,7 @@
         let text = entry("scribe", address, "ready", &["a1@1"]);
         log.put("keyed.servers", name, Some(&text));
     }
-    pass_by(&log, &daemon, "m-1", address).await;
+    put_and_wait(&log, &daemon, "m-1", address).await;
     for name in ["i\n2", "i 3", "i\u{e9}4", "i\u{0}5"] {
         assert!(!is_listed(&daemon, name), "{name:?}");
     }
@@ -119,7 +124,7 @@
 }
 
 #[tokio::test]
-async fn a_vm_that_starts_among_unusable_entries_is_ready_with_the_others() {
+async fn a_vm_starts_with_the_usable_entries_among_unusable_ones() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     for number in 0..40 {
@@ -137,7 +142,7 @@
 }
 
 #[test]
-fn a_flood_of_unusable_entries_is_counted_and_not_told_line_by_line() {
+fn a_flood_of_unusable_entries_is_counted_but_logged_sparsely() {
     let mut skipped = SkippedEntries::default();
     let told: Vec<_> = (0..10_000)
         .filter_map(|number| skipped.note(Instant(5_000_000 + number * 100)))
--- a/crates/daemon/tests/direct/headers.rs
+++ b/crates/daemon/tests/direct/headers.rs
@@ -1,4 +1,4 @@
-//! Callers that write headers of the system's own, over sockets: first sends, retries and resumed streams.
+//! Callers that forge the system's internal headers: none of them may reach a target with a first send, a retry or a resumed stream.
 
 use crate::support::{ask, event, good, model, post, site, stream, unchunk};
 use hoplanding_standins::{
@@ -10,12 +10,12 @@
     atomic::{AtomicUsize, Ordering},
 };
 
-const HOSTILE: &str = "HOPLANDING-HOLD: forged\r\nHoplanding-Pin-Ms: forged\r\nhoplanding-pin-ms: forged\r\n\
+const FORGED_HEADERS: &str = "HOPLANDING-HOLD: forged\r\nHoplanding-Pin-Ms: forged\r\nhoplanding-pin-ms: forged\r\n\
     Hoplanding-Kv-Backup: forged\r\nKv-From: forged\r\nKv-Fetch: forged\r\nHoplanding-Request-Priority: forged\r\n\
     Hoplanding-Expect-Version: forged\r\nHoplanding-Expect-Instance: forged\r\nHoplanding-Server-Seal: forged\r\n\
     Connection: hoplanding-request-id, hoplanding-model, kv-from\r\n";
 
-/// What a target was sent for calls.
+/// Calls that a target received, without requests of the gateways' own.
 fn calls(target: &RawTarget) -> Vec<RawRequest> {
     let mut seen = target.requests();
     seen.retain(|request| !request.line().contains("/hoplanding/"));
@@ -27,10 +27,11 @@
     assert_eq!(request.header("hoplanding-request-id"), Some(id));
 }
 
+/// Headers that callers may not set, in any case and named in `Connection`, must reach no target.
 #[tokio::test]
-async fn a_first_send_and_its_repeat_carry_no_header_that_a_caller_forged() {
+async fn a_first_send_and_its_retry_carry_no_forged_header() {
     let log = KeyedLog::start().await.expect("a log");
-    // Whichever target has the first call breaks it off, so there is a repeat at the other.
+    // The target that gets the first send breaks it off, so that a retry goes to the other one.
     let calls_seen = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
         let is_call = !request.line().contains("/hoplanding/");
@@ -51,21 +52,26 @@
         ("i-2", "ledger", second.address),
     ];
     let daemon = site(&log, &targets).await;
-    let answer = ask(daemon.caller_address, &post("/lookup/1", "r1", HOSTILE)).await;
+    let answer = ask(
+        daemon.caller_address,
+        &post("/lookup/1", "r1", FORGED_HEADERS),
+    )
+    .await;
     assert_eq!(answer.status, 200);
     for target in [&first, &second] {
         let sent = calls(target);
         assert_eq!(
             sent.len(),
             1,
-            "a first send and its repeat at another target"
+            "a first send and its retry at another target"
         );
         assert_clean(&sent[0], "r1");
     }
 }
 
+/// The same holds for the send that resumes a stream at another target.
 #[tokio::test]
-async fn a_resumed_stream_carries_no_header_that_a_caller_forged() {
+async fn a_resumed_stream_carries_no_forged_header() {
     let log = KeyedLog::start().await.expect("a log");
     let broken = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
@@ -85,7 +91,7 @@
         ("i-2", "scribe", second.address),
     ];
     let daemon = site(&log, &targets).await;
-    let headers = format!("{}{HOSTILE}", model("a1"));
+    let headers = format!("{}{FORGED_HEADERS}", model("a1"));
     let answer = ask(daemon.caller_address, &post("/resumed/1", "r1", &headers)).await;
     assert!(answer.is_whole);
     assert_eq!(
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -1,15 +1,9 @@
-//! Targets that leave without a word: their entry goes from the platform's list.
+//! Targets whose entries are removed from the platform's list without notice.
 //!
-//! What users saw: requests reached targets more than two seconds after their entries had gone, for as long as the
-//! targets still answered. Before each of them the log had turned some VMs away for half a second while it served the
-//! others. Order of events: a VM's call to the log failed; the log served it again; a target's entry went; other VMs
-//! read that at once; the first VM kept the target, because an entry that goes soon after an outage may have lapsed
-//! with the log and come back. The cause is that each VM took its own failed call, of whatever topic, for an outage of
-//! the log, and that what it held in doubt it told nobody, neither then nor when the doubt was over.
-//!
-//! Evidence: in a play of seven VMs one sent to two targets 2.14 s after their entries had gone, 0.76 s after its read
-//! of the configuration had come back; its reads of the target list had never failed. With removals never in doubt 0 of
-//! 33 such plays had late requests, with doubt 15.
+//! Soon after an outage of the log a removal is in doubt, because the entry may have expired with the log and be written again.
+//! Requests may reach a removed target for no more than two seconds. That bound is exceeded if a VM takes a failed call of its own
+//! for an outage of the log although the log served other VMs throughout, or if it does not tell the other VMs of a removal when
+//! its doubt ends.
 
 use crate::support::{entry, good, is_ready, second_vm, settings, site, wait_for};
 use futures_util::FutureExt;
@@ -24,7 +18,7 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::sleep;
 
-/// Calls to the log that a VM has counted, of the target list and with this outcome.
+/// Calls to the log for the target list with this outcome, by the VM's metrics.
 fn list_calls(daemon: &DirectDaemon, outcome: &str) -> u64 {
     let page = daemon.fleet().metrics.page(daemon.fleet());
     let start =
@@ -34,22 +28,24 @@
         .unwrap_or(0)
 }
 
+/// One VM is cut off from the log and returns, while the other one reads throughout. The removal that the second one reads must
+/// hold at the first one too.
 #[tokio::test]
-async fn a_removal_that_another_vm_read_throughout_is_in_doubt_nowhere() {
+async fn a_removal_read_by_an_uninterrupted_vm_is_in_doubt_nowhere() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let first = site(&log, &[("i-1", "ledger", target.address)]).await;
     let (second, relay) = second_vm(&log).await;
-    // Only the second VM is turned away, and is served again.
+    // The log fails for the second VM only, and serves it again.
     relay.set(LinkState::Cut);
-    wait_for("its failure", async || list_calls(&second, "Failed") > 0).await;
+    wait_for("a failed call", async || list_calls(&second, "Failed") > 0).await;
     relay.set(LinkState::Open);
     let before = list_calls(&second, "Answered");
-    wait_for("its return", async || {
+    wait_for("a successful call", async || {
         list_calls(&second, "Answered") > before
     })
     .await;
-    // From here on it hears of the list by way of the first VM only, in the order of the list.
+    // From here on the second VM learns of the list through the first one only, in the order of the log.
     relay.set(LinkState::Cut);
     sleep(Duration::from_millis(50)).await;
     log.put("keyed.servers", "i-1", None);
@@ -62,18 +58,20 @@
         "i-2",
         Some(&entry("ledger", target.address, "ready", &[])),
     );
-    wait_for("what came after it", async || {
+    wait_for("the next entry at the second VM", async || {
         !second.fleet().is_leaving("i-2")
     })
     .await;
     assert!(
         second.fleet().is_leaving("i-1"),
-        "a target whose entry went while another VM read the list is still sent to"
+        "the second VM still sends to a target whose removal the first one read"
     );
 }
 
+/// A removal after an outage is in doubt for a while. When the doubt ends, the VMs that learn of the list only from others must be
+/// told.
 #[tokio::test]
-async fn a_removal_that_was_in_doubt_reaches_the_vms_that_do_not_read() {
+async fn a_removal_once_in_doubt_reaches_the_vms_that_do_not_read_the_log() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
@@ -84,12 +82,12 @@
     }
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
-        wait_for("all known", async || {
+        wait_for("all VMs to be known", async || {
             daemon.fleet().books().vms.len() == fleet.len()
         })
         .await;
     }
-    // By now the VMs beyond the holder have stopped to read the log themselves.
+    // By now only the holder reads the log; the other VMs have stopped.
     sleep(Duration::from_millis(3_500)).await;
     log.set_faults(|faults| faults.is_out = true);
     let is_out = |daemon: &DirectDaemon| list_calls(daemon, "Failed") > 0;
@@ -104,10 +102,10 @@
     }
 }
 
-/// A link that stood still while much happened, as slow VMs do, has to pass on all of it: its other side reads nothing
-/// itself, and would keep sending to targets that left.
+/// More targets leave than a link's backlog of records holds while the link is stalled. Its other end reads nothing from the log
+/// itself, so it would keep sending to every target that the link skips.
 #[tokio::test]
-async fn a_link_that_lags_passes_on_every_target_that_left() {
+async fn a_lagging_link_forwards_every_target_that_left() {
     let log = KeyedLog::start().await.expect("a log");
     let address = log.address();
     let fleet = Arc::new(FleetState::new(&settings("vm-1", &log), 1));
--- a/crates/daemon/tests/direct/limits.rs
+++ b/crates/daemon/tests/direct/limits.rs
@@ -1,4 +1,5 @@
-//! Targets that name how many requests a second they take from all VMs together.
+//! Rate limits that targets state in their answers, for the requests of all VMs together. Each VM sees only its own calls, so the
+//! VMs must share the limit.
 
 use crate::support::{
     good, model, sealed, second_vm, send_many, settings, site_of, stream, wait_for,
@@ -9,16 +10,16 @@
 };
 use std::time::{Duration, Instant};
 
-/// Requests a second that the targets of these tests take.
-const LIMIT: f64 = 2.0;
+/// Stated limit of the targets, in requests per second.
+const LIMIT_PER_S: f64 = 2.0;
 
-/// What the users allow in a span, over all VMs that know the limit.
-fn allowed(span: Duration) -> f64 {
-    1.5 * LIMIT * span.as_secs_f64().max(4.0) + 5.0
+/// Requests that may reach a target in a time span, over all VMs that know the limit.
+fn max_requests(span: Duration) -> f64 {
+    1.5 * LIMIT_PER_S * span.as_secs_f64().max(4.0) + 5.0
 }
 
 fn limited(answer: RawAnswer) -> RawAnswer {
-    answer.with_header(&format!("Server-Limit: {LIMIT:.1}\r\n"))
+    answer.with_header(&format!("Server-Limit: {LIMIT_PER_S:.1}\r\n"))
 }
 
 fn calls(target: &RawTarget, path: &str) -> usize {
@@ -28,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn a_plain_target_gets_no_more_than_the_limit_that_it_names() {
+async fn a_plain_target_is_not_sent_more_than_its_stated_limit() {
     let log = KeyedLog::start().await.expect("a log");
     let narrow = RawTarget::start(|request: &RawRequest| limited(good(request))).await;
     let narrow = narrow.expect("a target");
@@ -42,14 +43,14 @@
     let answers = send_many(&addresses, "/lookup/1", "", 120).await;
     let got = (calls(&narrow, "/lookup/") - before) as f64;
     assert!(
-        got <= allowed(began.elapsed()),
+        got <= max_requests(began.elapsed()),
         "{got} of {}",
         answers.len()
     );
 }
 
 #[tokio::test]
-async fn an_engine_gets_no_more_than_the_limit_that_it_names() {
+async fn an_engine_is_not_sent_more_than_its_stated_limit() {
     let log = KeyedLog::start().await.expect("a log");
     let narrow = RawTarget::start(|request: &RawRequest| {
         let answer = stream(request, None);
@@ -68,7 +69,7 @@
     let first = site_of(settings("vm-1", &log), &log, &listed).await;
     let (second, _relay) = second_vm(&log).await;
     let addresses = [first.caller_address, second.caller_address];
-    wait_for("both engines at work", async || {
+    wait_for("a call at both engines", async || {
         send_many(&addresses, "/plan/0", &model("a1"), 8).await;
         calls(&narrow, "/plan/") > 0 && calls(&wide, "/plan/") > 0
     })
@@ -78,7 +79,7 @@
     let answers = send_many(&addresses, "/plan/1", &model("a1"), 120).await;
     let got = (calls(&narrow, "/plan/") - before) as f64;
     assert!(
-        got <= allowed(began.elapsed()),
+        got <= max_requests(began.elapsed()),
         "{got} of {}",
         answers.len()
     );
@@ -86,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn calls_beyond_the_limit_of_all_targets_are_refused_at_once_with_the_time_to_come_back() {
+async fn calls_over_the_limit_of_all_targets_are_refused_with_retry_after() {
     let log = KeyedLog::start().await.expect("a log");
     let only = RawTarget::start(|request: &RawRequest| limited(good(request))).await;
     let only = only.expect("a target");
@@ -105,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_limit_that_a_target_names_no_more_is_lifted() {
+async fn a_limit_that_a_target_no_longer_states_is_lifted() {
     let log = KeyedLog::start().await.expect("a log");
     let is_need = |request: &RawRequest| request.line().contains("/lookup/need");
     let target = RawTarget::start(move |request: &RawRequest| {
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in their answers: that they leave, and that they want rest.
+//! Notices that targets give about themselves in answers: `Server-Leaving`, and `Retry-After` to ask a VM to back off.
 
 use crate::support::{
     Answer, ask, config, entry, good, model, post, sealed, second_vm, send_many, settings, site_of,
@@ -21,18 +21,18 @@
 use tokio::time::sleep;
 
 const LEAVING: &str = "Server-Leaving: 1\r\n";
-/// Time for which a target asks for rest.
-const REST: Duration = Duration::from_secs(3);
-/// Time after an answer that asks for rest within which requests may have been under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// Requests that may reach a target from one VM in the rest that it asked for.
-const MOST_IN_REST: usize = 2;
+/// Backoff that a target asks for.
+const BACKOFF: Duration = Duration::from_secs(3);
+/// Time after the first request within which others may have been sent before its answer.
+const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
+/// Requests that one VM may send to a target during the backoff.
+const MAX_DURING_BACKOFF: usize = 2;
 
 fn is_call(request: &RawRequest) -> bool {
     request.line().starts_with("POST /lookup/") || request.line().starts_with("POST /plan/")
 }
 
-/// Calls that reached a target, by when and with which id.
+/// Calls that reached a target, with time and request id.
 #[derive(Clone, Default)]
 struct ArrivalLog(Arc<Mutex<Vec<(Instant, String)>>>);
 
@@ -49,8 +49,8 @@
         self.0.lock().expect("no holder panics").len()
     }
 
-    /// Calls of a VM within the rest that its first one was answered with.
-    fn in_rest(&self, vm: &str) -> usize {
+    /// Calls of a VM during the backoff that its first call was answered with.
+    fn during_backoff(&self, vm: &str) -> usize {
         let arrivals = self.0.lock().expect("no holder panics");
         let of_vm: Vec<_> = arrivals
             .iter()
@@ -59,12 +59,12 @@
         let Some((first, _)) = of_vm.first() else {
             return 0;
         };
-        let rest = *first + UNDER_WAY..*first + REST;
-        of_vm.iter().filter(|(at, _)| rest.contains(at)).count()
+        let backoff = *first + IN_FLIGHT_ALLOWANCE..*first + BACKOFF;
+        of_vm.iter().filter(|(at, _)| backoff.contains(at)).count()
     }
 }
 
-fn turned_away(request: &RawRequest, retry_after: &str) -> RawAnswer {
+fn rejection(request: &RawRequest, retry_after: &str) -> RawAnswer {
     let id = request.header("hoplanding-request-id").unwrap_or_default();
     let headers = format!(
         "Hoplanding-Request-Id: {id}\r\nHoplanding-Not-Executed: 1\r\nRetry-After: {retry_after}\r\n"
@@ -72,7 +72,7 @@
     RawAnswer::whole("503 Service Unavailable", &headers, "")
 }
 
-/// A target of plain calls and streams that answers calls as it is told, and everything else well.
+/// A target that answers calls by `answer`, and all other requests with success.
 async fn target(
     log: &ArrivalLog,
     answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
@@ -89,8 +89,8 @@
     target.await.expect("a target")
 }
 
-/// The good answer to a call.
-fn answered(request: &RawRequest) -> RawAnswer {
+/// A successful answer to a plain call or a stream.
+fn success(request: &RawRequest) -> RawAnswer {
     if request.line().contains("/plan/") {
         stream(request, None)
     } else {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Sends calls at once, so that every target gets some.
+/// Sends calls concurrently, so that every target gets some.
 async fn send_at_once(address: SocketAddr, path: &str, headers: &str) -> Vec<Answer> {
     let asked = (0..12).map(|number| {
         let request = post(path, &format!("first-{number}"), headers);
@@ -107,19 +107,19 @@
     join_all(asked).await
 }
 
-fn served(answers: &[Answer]) -> usize {
+fn count_served(answers: &[Answer]) -> usize {
     answers.iter().filter(|answer| answer.status == 200).count()
 }
 
-/// Two targets of a service, one of which answers as it is told, behind one VM.
-async fn pair(
+/// Two targets of a service behind one VM: `i-1` answers calls by `answer`, `i-2` with success.
+async fn start_pair(
     log: &KeyedLog,
     service: &str,
     arrivals: &ArrivalLog,
     answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
 ) -> (DirectDaemon, [RawTarget; 2]) {
     let named = target(arrivals, answer).await;
-    let other = target(&ArrivalLog::default(), answered).await;
+    let other = target(&ArrivalLog::default(), success).await;
     let listed = [
         ("i-1", service, named.address),
         ("i-2", service, other.address),
@@ -128,16 +128,17 @@
     (daemon, [named, other])
 }
 
+/// An entry written after the announcement still has the state `ready`, and must not bring the target back into use.
 #[tokio::test]
-async fn a_target_that_says_that_it_leaves_gets_nothing_more_though_its_entry_says_ready() {
+async fn a_target_that_announces_leaving_gets_no_calls_although_listed_as_ready() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
         ("scribe", "/plan/1", model("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
-        let (daemon, targets) = pair(&log, service, &arrivals, |request| {
-            answered(request).with_header(LEAVING)
+        let (daemon, targets) = start_pair(&log, service, &arrivals, |request| {
+            success(request).with_header(LEAVING)
         })
         .await;
         let address = [daemon.caller_address];
@@ -147,32 +148,32 @@
         })
         .await;
         let before = arrivals.count();
-        // Its entry is written once more, and says what it said before.
+        // The entry is written again with the same state.
         let mut text = entry(service, targets[0].address, "ready", &["a1@1"]);
         text = text.replace("\"slots\":8", "\"slots\":9");
         log.put("keyed.servers", "i-1", Some(&text));
         sleep(Duration::from_millis(200)).await;
         let answers = send_many(&address, path, &headers, 50).await;
         assert_eq!(arrivals.count() - before, 0, "{service}");
-        assert_eq!(served(&answers), answers.len(), "{service}");
+        assert_eq!(count_served(&answers), answers.len(), "{service}");
     }
 }
 
 #[tokio::test]
-async fn a_target_may_say_that_it_leaves_in_answers_of_every_kind() {
+async fn a_target_may_announce_leaving_in_answers_of_every_kind() {
     type MakeAnswer = fn(&RawRequest) -> RawAnswer;
     let kinds: [(&str, MakeAnswer); 3] = [
         ("a failure", |request| {
             RawAnswer::whole("500 Internal Server Error", &sealed(request), "")
         }),
-        ("a refusal", |request| turned_away(request, "0")),
+        ("a refusal", |request| rejection(request, "0")),
         ("a success", good),
     ];
     for (kind, make) in kinds {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
         let answer = move |request: &RawRequest| make(request).with_header(LEAVING);
-        let (daemon, _targets) = pair(&log, "ledger", &arrivals, answer).await;
+        let (daemon, _targets) = start_pair(&log, "ledger", &arrivals, answer).await;
         wait_for(kind, async || {
             send_at_once(daemon.caller_address, "/lookup/1", "").await;
             arrivals.count() > 0
@@ -184,17 +185,18 @@
 }
 
 #[tokio::test]
-async fn a_report_that_says_that_its_engine_leaves_is_heard() {
+async fn an_engine_may_announce_leaving_in_its_report() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| good(request).with_header(LEAVING));
     let engine = engine.await.expect("an engine");
     let listed = [("e-1", "scribe", engine.address)];
     let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
-    wait_for("its report", async || daemon.fleet().is_leaving("e-1")).await;
+    wait_for("the report", async || daemon.fleet().is_leaving("e-1")).await;
 }
 
+/// Another target may have taken over the address. Its answers show it by status 421 or by the id of another request.
 #[tokio::test]
-async fn an_answer_of_another_target_says_nothing_of_the_one_that_was_meant() {
+async fn a_notice_from_another_target_is_ignored() {
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
     let answer = |request: &RawRequest| {
@@ -207,7 +209,7 @@
             .with_header(LEAVING)
             .with_header("Retry-After: 3\r\n")
     };
-    let (daemon, _targets) = pair(&log, "ledger", &arrivals, answer).await;
+    let (daemon, _targets) = start_pair(&log, "ledger", &arrivals, answer).await;
     wait_for("calls", async || {
         send_at_once(daemon.caller_address, "/lookup/1", "").await;
         arrivals.count() > 1
@@ -216,11 +218,12 @@
     assert!(!daemon.fleet().is_leaving("i-1"));
 }
 
+/// The VM that is told forwards the announcement to VMs that run and to those that start later.
 #[tokio::test]
-async fn what_one_vm_is_told_of_a_leaving_target_all_know() {
+async fn an_announcement_of_leaving_reaches_all_vms() {
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
-    let (first, _targets) = pair(&log, "ledger", &arrivals, |request| {
+    let (first, _targets) = start_pair(&log, "ledger", &arrivals, |request| {
         good(request).with_header(LEAVING)
     })
     .await;
@@ -230,48 +233,52 @@
         arrivals.count() > 0
     })
     .await;
-    wait_for("word of it", async || first.fleet().is_leaving("i-1")).await;
-    // A VM that starts is told by those that know.
+    wait_for("the announcement at the other VM", async || {
+        first.fleet().is_leaving("i-1")
+    })
+    .await;
+    // A VM that starts later learns it from the others.
     let third = DirectDaemon::start(settings("vm-3", &log));
     let third = third.await.expect("the daemon starts");
-    wait_for("word at a new VM", async || {
+    wait_for("the announcement at a new VM", async || {
         third.fleet().books().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
     })
     .await;
 }
 
+/// The service has no other target, so calls are refused with the time at which the backoff ends.
 #[tokio::test]
-async fn a_target_that_asks_for_rest_gets_no_more_than_two_requests_in_it() {
+async fn a_target_that_asks_for_backoff_gets_at_most_two_requests_during_it() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
         ("scribe", "/plan/1", model("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
-        let only = target(&arrivals, |request| turned_away(request, "3")).await;
+        let only = target(&arrivals, |request| rejection(request, "3")).await;
         let listed = [("i-1", service, only.address)];
         let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
         let began = Instant::now();
         let answers = send_many(&[daemon.caller_address], path, &headers, 100).await;
-        let got = arrivals.in_rest("vm0");
+        let got = arrivals.during_backoff("vm0");
         assert!(
-            got <= MOST_IN_REST,
+            got <= MAX_DURING_BACKOFF,
             "{service}: {got} in {:?}",
             began.elapsed()
         );
         let refused = answers.iter().filter(|answer| answer.status == 503);
         assert_eq!(refused.count(), answers.len(), "{service}");
-        // The time at which the target is free again is what callers are told.
+        // Callers are told the time at which the backoff ends.
         assert!(
-            come_back(&answers[10]) > 2.0,
+            retry_after_s(&answers[10]) > 2.0,
             "{service}: {}",
             answers[10].head
         );
     }
 }
 
-/// The seconds after which an answer asks its caller to come back.
-fn come_back(answer: &Answer) -> f64 {
+/// The `Retry-After` of an answer, in seconds; 0 without one.
+fn retry_after_s(answer: &Answer) -> f64 {
     let lower = answer.head.to_ascii_lowercase();
     let line = lower
         .lines()
@@ -279,19 +286,17 @@
     line.and_then(|text| text.parse().ok()).unwrap_or(0.0)
 }
 
+/// A backoff holds for the VM that was asked, so each VM may send a call to the target until it is asked itself.
 #[tokio::test]
-async fn calls_go_elsewhere_while_a_target_rests_and_each_vm_keeps_the_rest_that_it_was_asked_for()
-{
+async fn each_vm_keeps_the_backoff_that_it_was_asked_for_and_calls_go_elsewhere() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
         ("scribe", "/plan/1", model("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
-        let (first, _targets) = pair(&log, service, &arrivals, |request| {
-            turned_away(request, "3")
-        })
-        .await;
+        let (first, _targets) =
+            start_pair(&log, service, &arrivals, |request| rejection(request, "3")).await;
         let (second, _relay) = second_vm(&log).await;
         let third = DirectDaemon::start(settings("vm-3", &log));
         let third = third.await.expect("the daemon starts");
@@ -303,11 +308,11 @@
         wait_for("readiness", async || crate::support::is_ready(&third).await).await;
         let answers = send_many(&addresses, path, &headers, 150).await;
         for vm in ["vm0", "vm1", "vm2"] {
-            let got = arrivals.in_rest(vm);
-            assert!(got <= MOST_IN_REST, "{service}: {got} of {vm}");
+            let got = arrivals.during_backoff(vm);
+            assert!(got <= MAX_DURING_BACKOFF, "{service}: {got} of {vm}");
         }
-        // Each VM may find out for itself once, and a call that does is sent on.
-        let lost = answers.len() - served(&answers);
+        // One call of each VM may find the target backing off, and is sent elsewhere then.
+        let lost = answers.len() - count_served(&answers);
         assert!(
             lost <= 3,
             "{service}: {lost} of {} not served",
@@ -317,14 +322,14 @@
 }
 
 #[tokio::test]
-async fn a_rest_that_is_over_ends() {
+async fn calls_resume_after_the_backoff() {
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
     let is_full = Arc::new(AtomicBool::new(true));
     let asked = Arc::clone(&is_full);
     let only = target(&arrivals, move |request| {
         if asked.load(Ordering::SeqCst) {
-            turned_away(request, "0.5")
+            rejection(request, "0.5")
         } else {
             good(request)
         }
@@ -337,13 +342,13 @@
     is_full.store(false, Ordering::SeqCst);
     wait_for("service", async || {
         let answers = send_many(&address, "/lookup/1", "", 10).await;
-        served(&answers) == answers.len()
+        count_served(&answers) == answers.len()
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_rest_that_cannot_be_read_loses_no_target() {
+async fn an_unreadable_retry_after_keeps_the_target_in_use() {
     for value in [
         "-3",
         "soon",
@@ -357,7 +362,7 @@
         let is_first = Arc::new(AtomicBool::new(true));
         let only = target(&arrivals, move |request| {
             if is_first.swap(false, Ordering::SeqCst) {
-                turned_away(request, value)
+                rejection(request, value)
             } else {
                 good(request)
             }
@@ -369,12 +374,13 @@
         send_many(&address, "/lookup/1", "", 2).await;
         sleep(Duration::from_millis(100)).await;
         let answers = send_many(&address, "/lookup/1", "", 4).await;
-        assert_eq!(served(&answers), answers.len(), "{value:?}");
+        assert_eq!(count_served(&answers), answers.len(), "{value:?}");
     }
 }
 
+/// The announcement belongs to one life of a target; a restart under the same name begins a new one.
 #[tokio::test]
-async fn a_new_life_of_a_target_that_left_is_sent_to() {
+async fn a_target_that_left_and_restarted_gets_calls_again() {
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
     let is_leaving = Arc::new(AtomicBool::new(true));
@@ -400,7 +406,7 @@
     })
     .await;
     let address = [daemon.caller_address];
-    wait_for("its word", async || {
+    wait_for("the announcement", async || {
         send_many(&address, "/lookup/1", "", 2).await;
         daemon.fleet().is_leaving("i-1")
     })
@@ -408,7 +414,7 @@
     is_leaving.store(false, Ordering::SeqCst);
     log.put("keyed.servers", "i-1", Some(&born(2)));
     wait_for("service", async || {
-        served(&send_many(&address, "/lookup/1", "", 4).await) == 4
+        count_served(&send_many(&address, "/lookup/1", "", 4).await) == 4
     })
     .await;
 }
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -1,4 +1,7 @@
-//! Requests that crash whatever runs them, and come back.
+//! Poison requests: requests that terminate every target that runs them, and that their callers repeat.
+//!
+//! A request under which a target terminated is a suspect, and runs again only as a trial. After a second end it is quarantined. Both
+//! must survive kills of holders and of all VMs, and restores of the platform's log.
 
 use crate::support::{
     ask, config, entry, good, is_ready, model, post, process, settings, site_of, start_in, stream,
@@ -41,7 +44,7 @@
     post(path, id, &model("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
-/// Engines whose events come after a pause each.
+/// Engines that pause before each event, and that terminate under requests for which `is_deadly` is true.
 async fn mortal_engines(
     count: usize,
     pause: Duration,
@@ -74,7 +77,7 @@
         .collect()
 }
 
-/// Lists five engines, and a configuration.
+/// Writes entries for five engines, and a configuration, to the log.
 fn list_engines(log: &KeyedLog, engines: &[RawTarget]) {
     let names = ["e-1", "e-2", "e-3", "e-4", "e-5"];
     for (name, service, address) in listed(&names, "scribe", engines) {
@@ -84,12 +87,13 @@
     log.put("keyed.op", "config", Some(&config(1)));
 }
 
-fn poisoned(targets: &[RawTarget]) -> usize {
+/// Number of poison requests that reached targets, each of which ended its target.
+fn poison_arrivals(targets: &[RawTarget]) -> usize {
     let seen = targets.iter().flat_map(RawTarget::requests);
     seen.filter(is_poison).count()
 }
 
-async fn serves_streams(daemon: &DirectDaemon) {
+async fn wait_for_stream(daemon: &DirectDaemon) {
     wait_for("a stream", async || {
         let request = post("/plan/1", "r0", &model("a1"));
         ask(daemon.caller_address, &request).await.status == 200
@@ -97,8 +101,9 @@
     .await;
 }
 
+/// The request terminates every target that runs it. It may cost two targets before it is quarantined.
 #[tokio::test]
-async fn a_poison_request_to_a_plain_service_reaches_two_of_its_targets() {
+async fn a_poison_request_reaches_two_targets_of_a_plain_service() {
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..4 {
@@ -116,24 +121,25 @@
         let id = format!("d{number}");
         ask(daemon.caller_address, &poison("/scan/1", &id)).await;
     }
-    assert_eq!(poisoned(&targets), 2);
-    let innocent = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
-    assert_eq!(innocent.status, 200);
+    assert_eq!(poison_arrivals(&targets), 2);
+    let harmless = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    assert_eq!(harmless.status, 200);
 }
 
+/// The quarantine must be restored from the records in the platform's log.
 #[tokio::test]
-async fn a_poison_request_stays_quarantined_when_all_vms_start_again() {
+async fn a_poison_request_stays_quarantined_after_a_restart_of_all_vms() {
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(5, Duration::from_millis(5), is_poison).await;
     list_engines(&log, &engines);
     let first_life = process();
     let daemon = start_in(&first_life, settings("vm-1", &log)).await;
-    serves_streams(&daemon).await;
+    wait_for_stream(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("d{number}"));
         ask(daemon.caller_address, &request).await;
     }
-    assert_eq!(poisoned(&engines), 2);
+    assert_eq!(poison_arrivals(&engines), 2);
     sleep(Duration::from_millis(200)).await;
     first_life.shutdown_background();
 
@@ -141,17 +147,17 @@
     let mut settings = settings("vm-1", &log);
     settings.is_first_start = false;
     let daemon = start_in(&second_life, settings).await;
-    serves_streams(&daemon).await;
+    wait_for_stream(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
         ask(daemon.caller_address, &request).await;
     }
-    assert_eq!(poisoned(&engines), 2);
+    assert_eq!(poison_arrivals(&engines), 2);
     second_life.shutdown_background();
 }
 
-/// A VM of each of two zones, each its zone's holder.
-async fn two_zones(
+/// Starts one VM in each of two zones, each the holder of its zone.
+async fn start_two_zones(
     log: &KeyedLog,
     targets: &[(&str, &str, SocketAddr)],
     adjust: impl Fn(&mut DirectSettings),
@@ -183,29 +189,30 @@
             are_held && is_ready(daemon).await
         })
         .await;
-        serves_streams(daemon).await;
+        wait_for_stream(daemon).await;
     }
     daemons
 }
 
+/// Callers at VMs of both zones repeat a suspect at once; only one trial of it may run.
 #[tokio::test]
 async fn a_suspect_runs_once_at_a_time_in_the_whole_fleet() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
     let log = KeyedLog::start().await.expect("a log");
     let is_suspect = |request: &RawRequest| request.line().contains("/plan/suspect");
-    // Its first target ends, whatever the cause; the later ones live.
+    // The first target terminates; the later ones run the request without harm.
     let has_ended = Arc::new(AtomicBool::new(false));
     let ends_once =
         move |request: &RawRequest| is_suspect(request) && !has_ended.swap(true, Ordering::SeqCst);
     let engines = mortal_engines(NAMES.len(), Duration::from_millis(150), ends_once).await;
-    let daemons = two_zones(&log, &listed(&NAMES, "scribe", &engines), |_| {}).await;
+    let daemons = start_two_zones(&log, &listed(&NAMES, "scribe", &engines), |_| {}).await;
     let runs = || {
         let seen = engines.iter().flat_map(RawTarget::requests);
         seen.filter(is_suspect).count()
     };
     let ask_for = |daemon: &DirectDaemon, id: &str| {
         let address = daemon.caller_address;
-        // A base model is at home in each zone.
+        // A base model has the VM's own zone as its home zone, so both zones are asked.
         let request = post("/plan/suspect", id, "Hoplanding-Model: base\r\n");
         tokio::spawn(async move { ask(address, &request).await })
     };
@@ -222,17 +229,18 @@
     }
 }
 
+/// Many callers repeat a poison request at all VMs as soon as its quarantine ends.
 #[tokio::test]
-async fn callers_of_all_vms_that_return_after_a_quarantine_make_one_trial() {
+async fn callers_that_return_after_a_quarantine_cause_one_trial() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
     const PAUSE: Duration = Duration::from_millis(1_500);
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(NAMES.len(), Duration::from_millis(5), is_poison).await;
-    let daemons = two_zones(&log, &listed(&NAMES, "scribe", &engines), |settings| {
+    let daemons = start_two_zones(&log, &listed(&NAMES, "scribe", &engines), |settings| {
         settings.trials.pause = PAUSE;
     })
     .await;
-    let herd = async |round: usize| {
+    let repeat_at_once = async |round: usize| {
         let asked: Vec<_> = (0..12)
             .map(|number| {
                 let address = daemons[number % 2].caller_address;
@@ -255,15 +263,15 @@
         let request = request.replace("\r\n\r\nbody", "\r\n\r\nkill");
         ask(daemon.caller_address, &request).await;
     }
-    assert_eq!(poisoned(&engines), 2);
-    herd(0).await;
-    assert_eq!(poisoned(&engines), 2);
+    assert_eq!(poison_arrivals(&engines), 2);
+    repeat_at_once(0).await;
+    assert_eq!(poison_arrivals(&engines), 2);
     sleep(PAUSE + Duration::from_millis(100)).await;
-    herd(1).await;
-    assert_eq!(poisoned(&engines), 3);
+    repeat_at_once(1).await;
+    assert_eq!(poison_arrivals(&engines), 3);
     sleep(PAUSE + Duration::from_millis(100)).await;
-    herd(2).await;
-    assert_eq!(poisoned(&engines), 3);
+    repeat_at_once(2).await;
+    assert_eq!(poison_arrivals(&engines), 3);
 }
 
 #[tokio::test]
@@ -275,43 +283,43 @@
     let holder = start_in(&killed, settings("vm-1", &log)).await;
     let successor = DirectDaemon::start(settings("vm-2", &log)).await;
     let successor = successor.expect("the daemon starts");
-    wait_for("both known", async || {
+    wait_for("both VMs to be known", async || {
         is_ready(&successor).await && successor.fleet().books().vms.len() == 2
     })
     .await;
-    serves_streams(&holder).await;
+    wait_for_stream(&holder).await;
     for number in 0..3 {
         let request = poison("/plan/1", &format!("d{number}"));
         ask(holder.caller_address, &request).await;
     }
-    assert_eq!(poisoned(&engines), 2);
+    assert_eq!(poison_arrivals(&engines), 2);
     wait_for("the record of the quarantine", async || {
         let books = successor.fleet().books();
         books.suspects.counts(clock::now()).1 == 1
     })
     .await;
     killed.shutdown_background();
-    wait_for("the successor", async || {
+    wait_for("the successor to hold the zone", async || {
         let lease = successor.fleet().lease(&AvailabilityZone::new(ZONES[0]));
         lease.is_some_and(|lease| lease.incarnation == successor.fleet().incarnation)
     })
     .await;
-    serves_streams(&successor).await;
+    wait_for_stream(&successor).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
         ask(successor.caller_address, &request).await;
     }
-    assert_eq!(poisoned(&engines), 2);
+    assert_eq!(poison_arrivals(&engines), 2);
 }
 
-/// Ends that the users bear: a third shows in the moment in which the second is known.
-const ENDS_BORNE: usize = 3;
+/// Targets that a poison request may end. A third one may be reached at the moment in which the second end becomes known.
+const MAX_ENDS: usize = 3;
 
-/// A site in front of engines that end under poison, with calls by a fresh VM each life.
+/// Engines that terminate under poison, and a single VM that is killed and started again.
 struct KilledSite {
     log: KeyedLog,
     engines: Vec<RawTarget>,
-    lives: u32,
+    starts: u32,
 }
 
 impl KilledSite {
@@ -321,54 +329,56 @@
         let site = Self {
             log,
             engines,
-            lives: 0,
+            starts: 0,
         };
-        site.list();
+        site.write_entries();
         site
     }
 
-    /// Lists the engines that have not ended.
-    fn list(&self) {
+    /// Writes the entries of the engines that have not ended, and removes the others.
+    fn write_entries(&self) {
         for (number, engine) in self.engines.iter().enumerate() {
-            let lives = !engine.requests().iter().any(is_poison);
+            let is_running = !engine.requests().iter().any(is_poison);
             let entry = entry("scribe", engine.address, "ready", &["a1@1"]);
-            let value = lives.then_some(entry.as_str());
+            let value = is_running.then_some(entry.as_str());
             self.log.put("keyed.servers", &format!("e-{number}"), value);
         }
-        if self.lives == 0 {
+        if self.starts == 0 {
             self.log.put("keyed.op", "config", Some(&config(1)));
         }
     }
 
-    /// Starts the only VM.
-    async fn begin_life(&mut self) -> (Runtime, DirectDaemon) {
-        self.list();
+    /// Starts the VM again, in a runtime of its own.
+    async fn start_vm(&mut self) -> (Runtime, DirectDaemon) {
+        self.write_entries();
         let mut settings = settings("vm-1", &self.log);
-        settings.is_first_start = self.lives == 0;
-        self.lives += 1;
+        settings.is_first_start = self.starts == 0;
+        self.starts += 1;
         let life = process();
         let daemon = start_in(&life, settings).await;
-        serves_streams(&daemon).await;
+        wait_for_stream(&daemon).await;
         (life, daemon)
     }
 
     fn ended(&self) -> usize {
-        poisoned(&self.engines)
+        poison_arrivals(&self.engines)
     }
 }
 
+/// All VMs are killed right after each answer. If the record came after the answer, every repeat would cost another engine.
 #[tokio::test]
-async fn a_first_end_is_known_though_all_vms_are_killed_right_after_the_answer() {
+async fn a_first_end_is_recorded_before_the_caller_is_answered() {
     let mut site = KilledSite::start(10).await;
     for number in 0..6 {
-        let (life, daemon) = site.begin_life().await;
+        let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("d{number}"));
         ask(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= ENDS_BORNE, "{} ended", site.ended());
+    assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
 }
 
+/// The same for calls of a plain service, whose targets serve no report.
 #[tokio::test]
 async fn a_first_end_under_a_plain_call_is_known_though_all_vms_are_killed() {
     let log = KeyedLog::start().await.expect("a log");
@@ -381,9 +391,9 @@
     log.put("keyed.op", "config", Some(&config(1)));
     for number in 0..5 {
         for (name, target) in names.iter().zip(&targets) {
-            let lives = !target.requests().iter().any(is_poison);
+            let is_running = !target.requests().iter().any(is_poison);
             let entry = entry("ledger", target.address, "ready", &[]);
-            log.put("keyed.servers", name, lives.then_some(entry.as_str()));
+            log.put("keyed.servers", name, is_running.then_some(entry.as_str()));
         }
         let life = process();
         let mut settings = settings("vm-1", &log);
@@ -393,18 +403,24 @@
         ask(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(poisoned(&targets) <= ENDS_BORNE, "{}", poisoned(&targets));
+    assert!(
+        poison_arrivals(&targets) <= MAX_ENDS,
+        "{}",
+        poison_arrivals(&targets)
+    );
 }
 
+/// An innocent request that runs on an engine while poison terminates it becomes a suspect too. A successful trial must clear it
+/// and remove its record from the log.
 #[tokio::test]
-async fn a_bystander_of_an_end_is_served_after_a_kill_of_all_and_its_record_dropped() {
+async fn a_bystander_is_served_after_a_restart_and_its_record_is_dropped() {
     let mut site = KilledSite::start(6).await;
-    let (life, daemon) = site.begin_life().await;
+    let (life, daemon) = site.start_vm().await;
     let bystander = |id: &str| post("/plan/bystander", id, &model("a1"));
-    // The engine of a stream that is under way ends by the poison beside it.
+    // The poison request terminates the engine on which the bystander's stream is running.
     let address = daemon.caller_address;
-    let beside = bystander("b0");
-    let running = tokio::spawn(async move { ask(address, &beside).await });
+    let request = bystander("b0");
+    let running = tokio::spawn(async move { ask(address, &request).await });
     for number in 0..2 {
         let request = poison("/plan/1", &format!("d{number}"));
         ask(daemon.caller_address, &request).await;
@@ -412,7 +428,7 @@
     drop(running.await);
     life.shutdown_background();
 
-    let (life, daemon) = site.begin_life().await;
+    let (life, daemon) = site.start_vm().await;
     for number in 0..20 {
         let answer = ask(daemon.caller_address, &bystander(&format!("c{number}"))).await;
         assert_eq!(answer.status, 200, "call {number}");
@@ -430,7 +446,7 @@
         let keys = books.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
         keys.map(str::to_owned).collect::<Vec<_>>()
     };
-    wait_for("records of the suspects alone", async || {
+    wait_for("records of exactly the suspects", async || {
         recorded() == suspects()
     })
     .await;
@@ -438,10 +454,11 @@
     life.shutdown_background();
 }
 
+/// The call does not wait for the log, so the record must be written later, before the VM is killed.
 #[tokio::test]
-async fn an_end_while_the_log_is_away_is_recorded_when_it_is_back() {
+async fn an_end_during_a_log_outage_is_recorded_afterwards() {
     let mut site = KilledSite::start(8).await;
-    let (life, daemon) = site.begin_life().await;
+    let (life, daemon) = site.start_vm().await;
     site.log.set_faults(|faults| faults.is_out = true);
     ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
     site.log.set_faults(|faults| faults.is_out = false);
@@ -449,55 +466,58 @@
     sleep(Duration::from_millis(1_500)).await;
     life.shutdown_background();
     for number in 0..3 {
-        let (life, daemon) = site.begin_life().await;
+        let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("e{number}"));
         ask(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= ENDS_BORNE, "{before}, {}", site.ended());
+    assert!(site.ended() <= MAX_ENDS, "{before}, {}", site.ended());
 }
 
+/// The log is restored from a copy without the record, while a VM still knows of the end.
 #[tokio::test]
-async fn an_end_that_a_copy_of_the_log_lacks_is_recorded_again() {
+async fn an_end_missing_from_a_restored_log_is_recorded_again() {
     let mut site = KilledSite::start(8).await;
-    let (life, daemon) = site.begin_life().await;
+    let (life, daemon) = site.start_vm().await;
     ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
     let records = site.log.len("keyed.fleet");
     site.log.restore(&[("keyed.fleet", records)]);
-    wait_for("the records of this VM", async || {
+    wait_for("the record of the zone's holder", async || {
         site.log.newest("keyed.fleet", "zone/hall").is_some()
     })
     .await;
     sleep(Duration::from_millis(1_500)).await;
     life.shutdown_background();
     for number in 0..4 {
-        let (life, daemon) = site.begin_life().await;
+        let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("e{number}"));
         ask(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= ENDS_BORNE, "{} ended", site.ended());
+    assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
 }
 
+/// The topic with the records of suspects cannot be listed, so any request could be poison.
 #[tokio::test]
-async fn a_vm_that_does_not_know_the_suspects_serves_nobody() {
+async fn a_vm_that_does_not_know_the_suspects_serves_no_calls() {
     let mut site = KilledSite::start(3).await;
-    let (life, _) = site.begin_life().await;
+    let (life, _) = site.start_vm().await;
     life.shutdown_background();
     let unlisted = vec!["keyed.fleet".to_owned()];
     site.log.set_faults(|faults| faults.unlisted = unlisted);
-    let blind = DirectDaemon::start(settings("vm-2", &site.log)).await;
-    let blind = blind.expect("the daemon starts");
+    let unaware = DirectDaemon::start(settings("vm-2", &site.log)).await;
+    let unaware = unaware.expect("the daemon starts");
     sleep(Duration::from_secs(1)).await;
-    assert!(!is_ready(&blind).await);
-    let answer = ask(blind.caller_address, &poison("/plan/1", "d0")).await;
+    assert!(!is_ready(&unaware).await);
+    let answer = ask(unaware.caller_address, &poison("/plan/1", "d0")).await;
     assert_eq!((answer.status, site.ended()), (503, 0));
 }
 
+/// The restored log still has the record of a suspect that was cleared since.
 #[tokio::test]
-async fn a_pardon_that_a_copy_of_the_log_lacks_is_written_again() {
+async fn a_cleared_suspicion_missing_from_a_restored_log_is_written_again() {
     let mut site = KilledSite::start(4).await;
-    let (life, daemon) = site.begin_life().await;
+    let (life, daemon) = site.start_vm().await;
     let fingerprint = RequestFingerprint(7);
     let key = suspect_key(fingerprint);
     let run = TargetRun {
@@ -509,9 +529,12 @@
     let is_recorded = || site.log.newest("keyed.fleet", &key).is_some();
     wait_for("the record", async || is_recorded()).await;
     fleet.clear_suspicion(fingerprint);
-    wait_for("its end", async || !is_recorded()).await;
+    wait_for("the removal of the record", async || !is_recorded()).await;
     site.log.restore(&[("keyed.fleet", 1)]);
     assert!(is_recorded());
-    wait_for("its end again", async || !is_recorded()).await;
+    wait_for("the removal of the restored record", async || {
+        !is_recorded()
+    })
+    .await;
     life.shutdown_background();
 }
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/repeats.rs
@@ -1,15 +1,8 @@
-//! Repeats in a fleet whose processes end and start again.
+//! The retry budget in a fleet whose processes are killed and restarted repeatedly.
 //!
-//! What users saw: within ten seconds a service received more arrivals beyond the first of their request than a fifth of
-//! its requests and the fixed number allow. Targets turned away half of their calls; meanwhile nearly all processes of
-//! the fleet were killed every second or two and started again. Order of events: a process spent its share of the
-//! budget on calls that were turned away; it was killed; the next one began with an empty window and a whole share. The
-//! cause is that what was spent was known to the process alone, and that no part of the budget was set aside for those
-//! that start.
-//!
-//! Evidence: in a play of seven VMs with 27 starts in ten seconds reel descriptions had 234 repeats for 659 requests,
-//! where 186 were allowed; of 16 such days four went beyond, all four with kills in series, and none of the same days
-//! once a process began without its fixed part.
+//! Within ten seconds a service may receive retries for a fifth of its requests, plus a fixed number. What was spent is known only
+//! to the process that spent it. If a new process began with a full share of the fixed number, each restart would allow that share
+//! to be spent once more, and the fleet would exceed the budget.
 
 use crate::support::{ask, is_ready, post, sealed, settings, site, wait_for};
 use hoplanding_core::ids::ServiceName;
@@ -22,23 +15,24 @@
     direct::{daemon::DirectDaemon, fleet::FleetState},
 };
 
-/// The settings' rule for repeats where they name none.
+/// Retry budget by the default settings: part of the requests, and fixed number.
 const RATIO: f64 = 0.2;
 const FIXED: f64 = 50.0;
 
-fn turns_away(request: &RawRequest) -> RawAnswer {
+fn reject(request: &RawRequest) -> RawAnswer {
     let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
     RawAnswer::whole("503 Service Unavailable", &headers, "")
 }
 
+/// All targets reject all calls, while the only process is replaced by a new one after every few calls.
 #[tokio::test]
-async fn processes_that_start_again_and_again_spend_no_more_than_the_fleet_may() {
-    const LIVES: usize = 16;
+async fn restarting_processes_stay_within_the_retry_budget_of_the_fleet() {
+    const PROCESSES: usize = 16;
     const REQUESTS: usize = 3;
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..3 {
-        targets.push(RawTarget::start(turns_away).await.expect("a target"));
+        targets.push(RawTarget::start(reject).await.expect("a target"));
     }
     let listed = ["i-1", "i-2", "i-3"];
     let listed: Vec<_> = listed
@@ -46,16 +40,16 @@
         .zip(&targets)
         .map(|(name, target)| (*name, "ledger", target.address))
         .collect();
-    let mut lives = vec![site(&log, &listed).await];
-    for life in 0..LIVES {
+    let mut daemons = vec![site(&log, &listed).await];
+    for life in 0..PROCESSES {
         if life > 0 {
-            // The life before is asked nothing any more, as one that was killed.
+            // The previous process gets no more calls, as if it had been killed.
             let mut settings = settings("vm-1", &log);
             settings.is_first_start = false;
             let next = DirectDaemon::start(settings).await;
-            lives.push(next.expect("the daemon starts"));
+            daemons.push(next.expect("the daemon starts"));
         }
-        let daemon = &lives[life];
+        let daemon = &daemons[life];
         wait_for("readiness", async || is_ready(daemon).await).await;
         for request in 0..REQUESTS {
             let id = format!("r{life}-{request}");
@@ -74,19 +68,19 @@
                 .count()
         })
         .sum();
-    let requests = LIVES * REQUESTS;
-    let repeats = arrivals - requests;
+    let requests = PROCESSES * REQUESTS;
+    let retries = arrivals - requests;
     let allowed = RATIO * requests as f64 + FIXED;
     assert!(
-        repeats as f64 <= allowed,
-        "{repeats} repeats for {requests} requests, {allowed} allowed to the whole fleet"
+        retries as f64 <= allowed,
+        "{retries} retries for {requests} requests, {allowed} allowed for the whole fleet"
     );
 }
 
-/// A process that starts while the log is out of reach knows no other VM. In a fleet of 75 its part of the fixed number
-/// is a seventy-fifth, and it took an eighth.
+/// A process that starts while the log is unavailable knows no other VM, and so not how small its share of the fixed number is: a
+/// seventy-fifth in a fleet of 75. It must not take a larger one, such as an eighth.
 #[tokio::test]
-async fn a_process_that_does_not_know_its_fleet_spends_nothing_of_the_fixed_number() {
+async fn a_process_that_does_not_know_the_fleet_spends_no_fixed_retries() {
     let log = KeyedLog::start().await.expect("a log");
     let fleet = FleetState::new(&settings("vm-1", &log), 1);
     let service = ServiceName::new("ledger");
