--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -46,7 +46,7 @@
     ) -> Response<AnswerBody> {
         let metrics = &context.fleet.metrics;
         metrics.count_request(RequestKind::of(route), RequestOutcome::Refused);
-        metrics.count_entry_fault(self);
+        metrics.count_admission_fault(self);
         match self {
             Self::Key(fault) => {
                 event!(Event::KeyRefused, request = id; "route {}: {fault:?}", route.name);
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -416,7 +416,7 @@
             let budget = retries.standing(service, now);
             (budget, retries.try_repeat(service, now))
         };
-        fleet.metrics.count_repeat(is_allowed);
+        fleet.metrics.count_retry(is_allowed);
         let event = if is_allowed {
             Event::RepeatAllowed
         } else {
@@ -437,7 +437,7 @@
             AnswerShape::Events { resumable } => Ok(relay_events(self, open, resumable)),
             AnswerShape::Whole => {
                 let mut call = self;
-                let tried = call.tried.len();
+                let tried_before = call.tried.len();
                 let (parts, taken) = buffer_answer(open, &call).await;
                 match taken {
                     Ok(body) => {
@@ -445,7 +445,7 @@
                         Ok(passed_answer(&parts, body))
                     }
                     Err(target) => {
-                        call.tried.truncate(tried);
+                        call.tried.truncate(tried_before);
                         call.tried.push(target);
                         Err(call)
                     }
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -94,7 +94,7 @@
     /// Records how the call ended: for its trial, and for the target's health.
     pub fn finish(mut self, end: CallEnd) {
         if let Some(trial) = self.trial.as_mut().filter(|_| end == CallEnd::Good) {
-            trial.note_good();
+            trial.mark_successful();
         }
         let TargetRun { name, life } = &self.run;
         let mut books = self.fleet.books();
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -187,13 +187,13 @@
         zone: &AvailabilityZone,
         number: u64,
         fingerprint: RequestFingerprint,
-        is_good: bool,
+        is_successful: bool,
     ) {
         let report = |zone: &AvailabilityZone| {
-            let notice = HolderNotice::TrialEnded(number, fingerprint, is_good);
+            let notice = HolderNotice::TrialEnded(number, fingerprint, is_successful);
             self.notify(zone, notice);
         };
-        if !is_good {
+        if !is_successful {
             report(zone);
             return;
         }
@@ -254,7 +254,7 @@
                             life: *life,
                             subject,
                         };
-                        Some(self.placed_call(number, call))
+                        Some(self.register_call(number, call))
                     }
                     PlacementAnswer::Refuse { .. } => None,
                 };
@@ -263,7 +263,7 @@
         }
     }
 
-    fn placed_call(self: &Arc<Self>, number: u64, call: OpenCall) -> PlacedCall {
+    fn register_call(self: &Arc<Self>, number: u64, call: OpenCall) -> PlacedCall {
         self.open
             .lock()
             .expect("no holder of the lock panics")
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -104,12 +104,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct PassLabels {
+struct ForwardLabels {
     reason: ForwardReason,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct EntryLabels {
+struct AdmissionFaultLabels {
     cause: &'static str,
 }
 
@@ -125,7 +125,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct RepeatLabels {
+struct RetryLabels {
     allowed: bool,
 }
 
@@ -145,17 +145,17 @@
 pub struct DirectMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
-    repeats: Family<RepeatLabels, Counter>,
-    entries: Family<EntryLabels, Counter>,
+    retries: Family<RetryLabels, Counter>,
+    admission_faults: Family<AdmissionFaultLabels, Counter>,
     quotas: Family<QuotaLabels, Gauge>,
     suspects: Family<SuspectLabels, Gauge>,
     log_calls: Family<LogLabels, Counter>,
-    passed: Family<PassLabels, Counter>,
+    forwarded_records: Family<ForwardLabels, Counter>,
     placing: Histogram,
     first_event: Histogram,
     targets: Family<StageLabels, Gauge>,
-    doubted: Gauge,
-    moves: Family<MoveLabels, Counter>,
+    doubted_targets: Gauge,
+    prompt_moves: Family<MoveLabels, Counter>,
     in_flight: Gauge,
     config_version: Gauge,
     vms: Gauge,
@@ -171,17 +171,17 @@
         let mut metrics = Self {
             registry: Registry::with_prefix("hoplanding"),
             requests: Family::default(),
-            repeats: Family::default(),
-            entries: Family::default(),
+            retries: Family::default(),
+            admission_faults: Family::default(),
             quotas: Family::default(),
             suspects: Family::default(),
             log_calls: Family::default(),
-            passed: Family::default(),
+            forwarded_records: Family::default(),
             placing: Histogram::new(BUCKET_BOUNDS_S),
             first_event: Histogram::new(BUCKET_BOUNDS_S),
             targets: Family::default(),
-            doubted: Gauge::default(),
-            moves: Family::default(),
+            doubted_targets: Gauge::default(),
+            prompt_moves: Family::default(),
             in_flight: Gauge::default(),
             config_version: Gauge::default(),
             vms: Gauge::default(),
@@ -203,12 +203,12 @@
         registry.register(
             "repeats",
             "Repeats asked of the retry budget",
-            self.repeats.clone(),
+            self.retries.clone(),
         );
         registry.register(
             "key_refusals",
             "Requests that were not let in for their key, by cause",
-            self.entries.clone(),
+            self.admission_faults.clone(),
         );
         registry.register(
             "quota_units",
@@ -228,7 +228,7 @@
         registry.register(
             "records_passed",
             "Records of the platform's log passed on to other VMs, by reason",
-            self.passed.clone(),
+            self.forwarded_records.clone(),
         );
         registry.register_with_unit(
             "placing",
@@ -246,12 +246,12 @@
         registry.register(
             "targets_doubted",
             "Targets whose removal is in doubt",
-            self.doubted.clone(),
+            self.doubted_targets.clone(),
         );
         registry.register(
             "prompt_moves",
             "Prompts of which another target has read parts, by how the versions of both stand and whether the parts move",
-            self.moves.clone(),
+            self.prompt_moves.clone(),
         );
         registry.register("in_flight", "Requests at targets", self.in_flight.clone());
         registry.register(
@@ -285,9 +285,11 @@
     }
 
     /// Counts a request that was not admitted.
-    pub fn count_entry_fault(&self, fault: AdmissionFault) {
+    pub fn count_admission_fault(&self, fault: AdmissionFault) {
         let cause = fault.label();
-        self.entries.get_or_create(&EntryLabels { cause }).inc();
+        self.admission_faults
+            .get_or_create(&AdmissionFaultLabels { cause })
+            .inc();
     }
 
     /// Sets the units paid and refused by a zone's holder, for the organisations that asked for the most. Their number is limited
@@ -325,8 +327,8 @@
     }
 
     /// Counts a retry that was requested from the retry budget.
-    pub fn count_repeat(&self, allowed: bool) {
-        self.repeats.get_or_create(&RepeatLabels { allowed }).inc();
+    pub fn count_retry(&self, allowed: bool) {
+        self.retries.get_or_create(&RetryLabels { allowed }).inc();
     }
 
     /// Counts, and logs, a prompt of which the chosen engine could fetch cached parts from another one, whether or not it is told
@@ -340,7 +342,7 @@
         };
         let told = prompt_move.is_told;
         let labels = MoveLabels { versions, told };
-        self.moves.get_or_create(&labels).inc();
+        self.prompt_moves.get_or_create(&labels).inc();
         let describe = |versions: &MemoryVersions| {
             let [base, adapter] =
                 [versions.base, versions.adapter].map(|sight| SightAge { sight, now });
@@ -368,8 +370,10 @@
 
     /// Counts records that were forwarded to another VM.
     pub fn count_forwarded_records(&self, reason: ForwardReason, records: usize) {
-        let labels = PassLabels { reason };
-        self.passed.get_or_create(&labels).inc_by(records as u64);
+        let labels = ForwardLabels { reason };
+        self.forwarded_records
+            .get_or_create(&labels)
+            .inc_by(records as u64);
     }
 
     /// Records the time from a request's arrival until it had a target.
@@ -406,7 +410,7 @@
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(saturating_i64(count.count() as u64));
         }
-        self.doubted
+        self.doubted_targets
             .set(saturating_i64(books.catalog.doubted() as u64));
         let in_flight: u32 = books.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -23,7 +23,7 @@
     zone: AvailabilityZone,
     number: u64,
     fingerprint: RequestFingerprint,
-    is_good: bool,
+    is_successful: bool,
 }
 
 impl TrialPermit {
@@ -40,7 +40,7 @@
             zone: zone.clone(),
             number,
             fingerprint,
-            is_good: false,
+            is_successful: false,
         }
     }
 
@@ -51,15 +51,19 @@
     }
 
     /// Marks the trial as successful.
-    pub fn note_good(&mut self) {
-        self.is_good = true;
+    pub fn mark_successful(&mut self) {
+        self.is_successful = true;
     }
 }
 
 impl Drop for TrialPermit {
     fn drop(&mut self) {
-        self.holder_client
-            .end_trial(&self.zone, self.number, self.fingerprint, self.is_good);
+        self.holder_client.end_trial(
+            &self.zone,
+            self.number,
+            self.fingerprint,
+            self.is_successful,
+        );
     }
 }
 
