--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -17,7 +17,7 @@
 };
 use hoplanding_core::direct::{
     config::RouteRule,
-    organisations::{CallerIdentity, KeyFault},
+    organisations::{CallerIdentity, KeyError},
 };
 use hoplanding_platform::front::CallHead;
 use http::{Response, StatusCode};
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionFault {
     /// The key is missing, malformed or not in force.
-    Key(KeyFault),
+    Key(KeyError),
     /// Keys may have been revoked without this VM knowing it yet.
     Stale,
 }
@@ -53,7 +53,7 @@
                 own_answer(id, StatusCode::UNAUTHORIZED, None)
             }
             Self::Stale => {
-                let doubt = context.fleet.key_doubt().unwrap_or_default();
+                let doubt = context.fleet.key_retry_after().unwrap_or_default();
                 let retry_after = doubt.clamp(DEFAULT_RETRY_AFTER, MAX_DOUBT_RETRY_AFTER);
                 event!(Event::KeysUncertain, request = id; "route {} not run, retry after {retry_after:?}, copy of the log in doubt for another {doubt:?}", route.name
                 );
@@ -65,9 +65,9 @@
     /// Value of the `cause` label in the metrics.
     pub fn label(self) -> &'static str {
         match self {
-            Self::Key(KeyFault::Absent) => "no_key",
-            Self::Key(KeyFault::Malformed) => "malformed_key",
-            Self::Key(KeyFault::Unknown) => "unknown_key",
+            Self::Key(KeyError::Absent) => "no_key",
+            Self::Key(KeyError::Malformed) => "malformed_key",
+            Self::Key(KeyError::Unknown) => "unknown_key",
             Self::Stale => "stale_configuration",
         }
     }
@@ -85,7 +85,7 @@
     let identity = CallerIdentity::of(table, route, &head.key);
     let needs_proof = !matches!(
         identity,
-        Ok(CallerIdentity::Unkeyed | CallerIdentity::Anyone)
+        Ok(CallerIdentity::Unkeyed | CallerIdentity::Anonymous)
     );
     if needs_proof && !context.fleet.may_trust_keys() {
         return Err(AdmissionFault::Stale);
@@ -106,7 +106,7 @@
         let identity = admit(&self.context, &active, &self.route, &self.head)?;
         match identity.organisation() {
             Some(held) if held.name == organisation.name => Ok(()),
-            _ => Err(AdmissionFault::Key(KeyFault::Unknown)),
+            _ => Err(AdmissionFault::Key(KeyError::Unknown)),
         }
     }
 }
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -41,12 +41,12 @@
             answers::{passed_answer, refusal},
             target_probe::request_fingerprint,
         },
-        events::relay_events,
+        event_relay::relay_events,
         fleet::{ActiveConfig, FleetState},
         holder_client::HolderClient,
         metrics::{RequestKind, RequestOutcome},
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
         target_connections::ConnectionPool,
         trials::TrialPermit,
     },
@@ -56,7 +56,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        config::{AnswerShape, RepeatRule, RouteRule, ServiceRule},
+        config::{ResponseShape, RetryPolicy, RouteRule, ServiceRule},
         organisations::CallerIdentity,
         planner::RefusalCause,
         suspects::RequestFingerprint,
@@ -95,7 +95,7 @@
     /// Idle connections to targets.
     pub pool: Arc<ConnectionPool>,
     /// Writer of records about requests under which targets terminated.
-    pub records: EndRecords,
+    pub records: SuspectRecorder,
     /// The daemon's settings.
     pub settings: Arc<DirectSettings>,
     /// Schedule of the planned stop, once it has begun.
@@ -194,7 +194,7 @@
         return Ok(refusal(&head.id, retry_after));
     }
     let (parts, body) = request.into_parts();
-    let limit = active.config.limits.body_bytes;
+    let limit = active.config.limits.max_body_bytes;
     let body_timeout = route.timeout.max(active.config.limits.header_timeout);
     let body = match timeout(body_timeout, Limited::new(body, limit).collect()).await {
         Err(_) => {
@@ -214,10 +214,10 @@
     };
     {
         let now = clock::now();
-        let mut books = context.fleet.books();
-        books.retries.count_request(&service.name, now);
+        let mut tables = context.fleet.tables();
+        tables.retries.record_request(&service.name, now);
         if let (Some(subject), true) = (&head.subject, service.engine.is_some()) {
-            books.demand.record(subject, now);
+            tables.demand.record(subject, now);
         }
     }
     let time_limit = head.deadline.unwrap_or(route.timeout).min(route.timeout);
@@ -384,7 +384,7 @@
     /// Whether the call may run again: its route allows it, time is left, and the retry budget pays for it. Takes the retry
     /// out of the budget.
     pub fn may_repeat(&mut self) -> bool {
-        self.route.repeat == RepeatRule::Idempotent
+        self.route.retry_policy == RetryPolicy::Idempotent
             && self.runs < self.route.max_attempts
             && self.has_retry_time()
             && self.pay_for_retry()
@@ -412,9 +412,9 @@
         let service = &self.service.name;
         let now = clock::now();
         let (budget, is_allowed) = {
-            let retries = &mut fleet.books().retries;
-            let budget = retries.standing(service, now);
-            (budget, retries.try_repeat(service, now))
+            let retries = &mut fleet.tables().retries;
+            let budget = retries.usage(service, now);
+            (budget, retries.try_retry(service, now))
         };
         fleet.metrics.count_retry(is_allowed);
         let event = if is_allowed {
@@ -423,7 +423,7 @@
             Event::RepeatDenied
         };
         event!(event, request = self.head.id; "service {service}, {} of {:.1} retries spent for {} requests, {:?} since the start",
-            budget.repeats,
+            budget.retries,
             budget.allowed,
             budget.requests,
             fleet.age()
@@ -433,9 +433,9 @@
 
     /// Passes a success on to the caller; returns the call if the answer broke off before any of it was passed on.
     async fn pass_on(self, open: OpenAnswer) -> Result<Response<AnswerBody>, Self> {
-        match self.route.shape {
-            AnswerShape::Events { resumable } => Ok(relay_events(self, open, resumable)),
-            AnswerShape::Whole => {
+        match self.route.response_shape {
+            ResponseShape::EventStream { resumable } => Ok(relay_events(self, open, resumable)),
+            ResponseShape::Buffered => {
                 let mut call = self;
                 let tried_before = call.tried.len();
                 let (parts, taken) = buffer_answer(open, &call).await;
--- a/crates/daemon/src/direct/call/payment.rs
+++ b/crates/daemon/src/direct/call/payment.rs
@@ -12,7 +12,7 @@
 use hoplanding_core::{
     direct::{
         organisations::CallerIdentity,
-        quotas::{GIVEN_BACK_WITHIN, QuotaCharge},
+        quotas::{QuotaCharge, REFUND_WINDOW},
     },
     ids::{AvailabilityZone, Instant},
 };
@@ -104,7 +104,7 @@
     /// refund would be spent in another quota window.
     pub(super) fn refund_payment(&self) {
         if let CallPayment::Paid(charge, at) = &self.payment
-            && clock::now().since(*at) < GIVEN_BACK_WITHIN
+            && clock::now().since(*at) < REFUND_WINDOW
         {
             self.context.holder_client.refund(charge.clone());
         }
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -17,9 +17,9 @@
     direct::{
         catalog::{TargetEntry, TargetStage},
         millis,
-        plain::{PlainAsk, pick_alone, placing_zones},
-        planner::{PlacementAnswer, PlacementAsk, RefusalCause, split_subject},
-        search::{SearchPass, ZoneQuestion, ZoneSearch},
+        plain::{PlainRequest, pick_without_holder, placement_zones},
+        planner::{PlacementAnswer, PlacementRequest, RefusalCause, split_subject},
+        search::{SearchPass, ZoneQuery, ZoneSearch},
         suspects::Suspicion,
         trials::TrialAnswer,
     },
@@ -59,7 +59,7 @@
         if let Some(retry_after) = self.backoff_of_all() {
             return CallPlacement::Unavailable(retry_after);
         }
-        if !self.context.fleet.knows_whole(FeedTopic::Fleet) {
+        if !self.context.fleet.is_topic_known(FeedTopic::Fleet) {
             // The request may be a suspect whose record this VM has not read yet.
             return CallPlacement::Unavailable(DEFAULT_RETRY_AFTER);
         }
@@ -72,16 +72,16 @@
             return self.place_plain().await;
         }
         let zones = self.ordered_zones();
-        let policy = self.context.fleet.books().policy;
+        let policy = self.context.fleet.tables().policy;
         let mut search = ZoneSearch::new(policy, zones.len());
         let mut pass = SearchPass::Compare;
-        while let Some(question) = search.ask_next() {
+        while let Some(question) = search.next_query() {
             if question.pass != pass {
                 pass = question.pass;
                 if !self.has_retry_time() {
                     break;
                 }
-                if pass == SearchPass::Again {
+                if pass == SearchPass::Retry {
                     sleep(REPLACE_DELAY).await;
                 }
             }
@@ -90,13 +90,13 @@
                 return found;
             }
         }
-        CallPlacement::Unavailable(search.come_back().unwrap_or(DEFAULT_RETRY_AFTER))
+        CallPlacement::Unavailable(search.retry_after().unwrap_or(DEFAULT_RETRY_AFTER))
     }
 
     /// Finds the target of a plain service's call. One holder places all calls of a service, so it knows how many are in
     /// flight at each target.
     async fn place_plain(&mut self) -> CallPlacement {
-        let zones = placing_zones(&self.service.name, &self.context.settings.zones);
+        let zones = placement_zones(&self.service.name, &self.context.settings.zones);
         for zone in &zones {
             let mut reply = self.place_plain_in(zone).await;
             if is_refused_for(&reply, RefusalCause::NeedsTrial) {
@@ -166,7 +166,7 @@
         zone: &AvailabilityZone,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let remaining = self.route.objective.saturating_sub(self.arrived.elapsed());
-        let ask = PlainAsk {
+        let ask = PlainRequest {
             service: self.service.name.clone(),
             rank: self.rank,
             left_ms: millis(remaining),
@@ -181,18 +181,18 @@
 
     /// Picks a plain service's target without a holder, by the calls and health that this VM knows of.
     fn pick_without_holder(&self) -> CallPlacement {
-        let mut books = self.context.fleet.books();
+        let mut tables = self.context.fleet.tables();
         let now = clock::now();
-        let ready = books.catalog.ready(&self.service.name);
+        let ready = tables.catalog.ready(&self.service.name);
         let targets: Vec<_> = ready
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .cloned()
             .collect();
-        let picked = pick_alone(
+        let picked = pick_without_holder(
             &self.context.fleet.zone,
-            &books.health,
-            &books.in_flight,
+            &tables.health,
+            &tables.in_flight,
             &self.tried,
             &targets,
             now,
@@ -200,7 +200,7 @@
         let Some(entry) = picked else {
             return CallPlacement::Unavailable(DEFAULT_RETRY_AFTER);
         };
-        books.limits.take(&entry.name, now);
+        tables.limits.take_token(&entry.name, now);
         CallPlacement::At(Arc::clone(entry), None, None)
     }
 
@@ -208,12 +208,12 @@
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
-        question: &ZoneQuestion,
+        question: &ZoneQuery,
         search: &mut ZoneSearch,
     ) -> Option<CallPlacement> {
         let ask = self.placement_ask(question, search);
         let Some((answer, placed_call)) = self.context.holder_client.place(zone, ask).await else {
-            search.take_silence(question.zone);
+            search.record_no_answer(question.zone);
             // The home zone has made an offer, and a zone whose holder is silent may be partitioned with its targets.
             let has_home_offer = question.pass == SearchPass::Compare && question.zone > 0;
             if has_home_offer {
@@ -286,7 +286,7 @@
                         }
                     }
                     _ => {
-                        search.take_refusal(question.zone, cause, retry_after_ms);
+                        search.record_refusal(question.zone, cause, retry_after_ms);
                         None
                     }
                 }
@@ -302,8 +302,8 @@
         target: &TargetName,
     ) -> Option<Arc<TargetEntry>> {
         let fleet = &self.context.fleet;
-        let known = || fleet.books().catalog.get(target).cloned();
-        if known().is_none() && !fleet.knows_whole(FeedTopic::Targets) {
+        let known = || fleet.tables().catalog.get(target).cloned();
+        if known().is_none() && !fleet.is_topic_known(FeedTopic::Targets) {
             self.context.holder_client.fetch_target(zone, target).await;
         }
         known()
@@ -329,8 +329,8 @@
 
     /// Whether exactly one target is listed at an address.
     fn is_unique_address(&self, address: SocketAddr) -> bool {
-        let books = self.context.fleet.books();
-        let listed = books
+        let tables = self.context.fleet.tables();
+        let listed = tables
             .catalog
             .iter()
             .filter(|entry| entry.address == address);
@@ -344,9 +344,9 @@
         let own = &self.context.fleet.zone;
         let is_popular = {
             let now = clock::now();
-            let books = self.context.fleet.books();
-            books.demand.rate(&subject, now) >= books.policy.popular_per_s
-                || books.is_sought(&subject, now)
+            let tables = self.context.fleet.tables();
+            tables.demand.rate(&subject, now) >= tables.policy.popular_rate_per_s
+                || tables.is_sought(&subject, now)
         };
         let has_adapter = split_subject(&subject).1.is_some();
         let mut zones = self.context.settings.zones.clone();
@@ -360,21 +360,21 @@
         zones
     }
 
-    fn placement_ask(&self, question: &ZoneQuestion, search: &ZoneSearch) -> PlacementAsk {
+    fn placement_ask(&self, question: &ZoneQuery, search: &ZoneSearch) -> PlacementRequest {
         let objective = self.route.objective;
         let remaining = objective.saturating_sub(self.arrived.elapsed());
         let bound = if self.runs > 0 && question.pass != SearchPass::Compare {
             // The call may have run already, so serving it late is better than reporting a failure.
             self.remaining()
         } else {
-            search.wait_bound(question.pass, self.rank, objective, remaining)
+            search.max_wait(question.pass, self.rank, objective, remaining)
         };
         let output = self
             .head
             .output_hint
             .unwrap_or(self.head.most_output / 2)
             .min(self.head.most_output.max(1));
-        PlacementAsk {
+        PlacementRequest {
             subject: self.subject(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: output,
@@ -393,21 +393,21 @@
 
     /// Targets that asked this VM to back off.
     fn resting(&self) -> Vec<TargetName> {
-        self.context.fleet.books().resting(clock::now())
+        self.context.fleet.tables().resting(clock::now())
     }
 
     /// `Retry-After` for the caller if every target of the service asked this VM to back off. The jitter spreads the callers,
     /// so that a few of them find out whether the targets take calls again.
     pub(super) fn backoff_of_all(&self) -> Option<Duration> {
-        let books = self.context.fleet.books();
-        let backoff = books.rest_of_all(&self.service.name, clock::now())?;
+        let tables = self.context.fleet.tables();
+        let backoff = tables.shortest_rest(&self.service.name, clock::now())?;
         Some(backoff + BACKOFF_JITTER.mul_f64(rand::random()))
     }
 
     /// Whether this VM knows of targets that terminated while they ran the request.
     fn is_suspected(&self) -> bool {
-        let books = self.context.fleet.books();
-        books.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
+        let tables = self.context.fleet.tables();
+        tables.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
     }
 
     /// Requests permission for a trial unless the call has it already; returns the refusal if it is not granted.
@@ -454,23 +454,23 @@
     /// Chooses a target without the zone's holder: one that is listed with the adapter.
     fn place_without_holder(&self, zone: &AvailabilityZone) -> Option<CallPlacement> {
         let subject = self.subject();
-        let mut books = self.context.fleet.books();
+        let mut tables = self.context.fleet.tables();
         // A new version of a base model's weights binds no call, because engines load it only when they start.
         let has_adapter = split_subject(&subject).1.is_some();
-        let named = books.versions.get(&subject).filter(|_| has_adapter);
+        let named = tables.versions.get(&subject).filter(|_| has_adapter);
         let version = named.copied();
         let now = clock::now();
-        let entry = books
+        let entry = tables
             .catalog
             .ready(&self.service.name)
             .filter(|entry| entry.zone == *zone && !self.tried.contains(&entry.name))
-            .filter(|entry| !books.health.is_out(&entry.name, now))
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| !tables.health.is_unreachable(&entry.name, now))
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .filter(|entry| has_subject(entry, &subject, version))
-            .min_by_key(|entry| books.in_flight.get(&entry.run()).copied().unwrap_or(0))
+            .min_by_key(|entry| tables.in_flight.get(&entry.run()).copied().unwrap_or(0))
             .cloned()?;
-        books.limits.take(&entry.name, now);
+        tables.limits.take_token(&entry.name, now);
         // The holder does not know of this call. Naming the version keeps the engine from running it under another version,
         // whose KV cache the holder would attribute to the wrong one.
         let version = version.or_else(|| listed_version(&entry, &subject));
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -16,10 +16,10 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetEntry, TargetStage},
-        config::RepeatRule,
-        limits::{NamedLimit, RequestRate},
+        config::RetryPolicy,
+        limits::{AdvertisedLimit, RequestRate},
         millis,
-        notices::TargetNotice,
+        target_notices::TargetNotice,
     },
     ids::TargetRun,
 };
@@ -77,7 +77,7 @@
 
 impl InFlightGuard {
     fn new(fleet: &Arc<FleetState>, entry: &TargetEntry, trial: Option<TrialPermit>) -> Self {
-        *fleet.books().in_flight.entry(entry.run()).or_default() += 1;
+        *fleet.tables().in_flight.entry(entry.run()).or_default() += 1;
         Self {
             fleet: Arc::clone(fleet),
             run: entry.run(),
@@ -97,23 +97,23 @@
             trial.mark_successful();
         }
         let TargetRun { name, life } = &self.run;
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         // The outcome of an earlier life of the target says nothing about the health of the current one.
         if let Some(outcome) = end.health()
-            && books.catalog.life(name) == *life
+            && tables.catalog.life(name) == *life
         {
-            books.health.note(name, outcome, clock::now());
+            tables.health.record(name, outcome, clock::now());
         }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut books = self.fleet.books();
-        if let Some(count) = books.in_flight.get_mut(&self.run) {
+        let mut tables = self.fleet.tables();
+        if let Some(count) = tables.in_flight.get_mut(&self.run) {
             *count -= 1;
             if *count == 0 {
-                books.in_flight.remove(&self.run);
+                tables.in_flight.remove(&self.run);
             }
         }
     }
@@ -135,9 +135,9 @@
                 placed_call.finish(end);
             }
         };
-        let reuse = match self.route.repeat {
-            RepeatRule::Idempotent => ReuseRule::Any,
-            RepeatRule::AtMostOnce => ReuseRule::FreshOnly,
+        let reuse = match self.route.retry_policy {
+            RetryPolicy::Idempotent => ReuseRule::Any,
+            RetryPolicy::AtMostOnce => ReuseRule::FreshOnly,
         };
         let connected = self
             .context
@@ -190,12 +190,16 @@
                 let fleet = &self.context.fleet;
                 let notice =
                     fleet.apply_target_notice(&entry.run(), response.status(), response.headers());
-                self.note_limit(entry, notice.rate);
+                self.note_limit(entry, notice.rate_limit);
                 notice
             }
         };
         if matches!(kind, AnswerKind::Success | AnswerKind::Failure) {
-            self.context.fleet.books().rests.answered(&entry.run());
+            self.context
+                .fleet
+                .tables()
+                .rests
+                .record_answer(&entry.run());
         }
         let (parts, body) = response.into_parts();
         let open_answer = |placed_call, in_flight| {
@@ -230,7 +234,7 @@
                     CallEnd::Absent
                 } else {
                     CallEnd::Shed {
-                        rest_ms: notice.rest.map_or(0, millis),
+                        rest_ms: notice.backoff.map_or(0, millis),
                     }
                 };
                 finish(placed_call, in_flight, outcome);
@@ -282,21 +286,21 @@
 impl CallState {
     /// Whether a target still takes new work from this VM, which may have changed while a connection to it was made.
     fn can_send_to(&self, entry: &TargetEntry) -> bool {
-        let mut books = self.context.fleet.books();
-        let known = books.catalog.get(&entry.name);
+        let mut tables = self.context.fleet.tables();
+        let known = tables.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && books.rests.admit(&entry.run(), clock::now())
+            && tables.rests.try_admit(&entry.run(), clock::now())
     }
 
     /// Records the rate limit that an answer states for its target, and tells the holders if they need to know.
     fn note_limit(&self, entry: &TargetEntry, rate: Option<RequestRate>) {
-        let named = NamedLimit {
+        let named = AdvertisedLimit {
             run: entry.run(),
             rate,
         };
         let is_change = {
-            let mut books = self.context.fleet.books();
-            books.limits.note(&named, clock::now())
+            let mut tables = self.context.fleet.tables();
+            tables.limits.record(&named, clock::now())
         };
         if is_change {
             let rate = named.rate.map(RequestRate::as_f64);
@@ -312,9 +316,9 @@
         if notice.is_closing {
             return;
         }
-        let vms = self.context.fleet.books().vms.len();
-        let share = self.service.idle_share(vms);
+        let vms = self.context.fleet.tables().vms.len();
+        let share = self.service.max_idle_connections(vms);
         let pool = &self.context.pool;
-        pool.put_back(connection, notice.idle, share);
+        pool.put_back(connection, notice.idle_timeout, share);
     }
 }
--- a/crates/daemon/src/direct/caller_connections.rs
+++ b/crates/daemon/src/direct/caller_connections.rs
@@ -112,7 +112,7 @@
         .timer(TokioTimer::new())
         .keep_alive(!is_closing)
         .header_read_timeout(head_timeout)
-        .max_buf_size(limits.header_bytes.max(MIN_HEAD_BUFFER_BYTES))
+        .max_buf_size(limits.max_header_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let closing = async {
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -10,11 +10,11 @@
         holder_client::HolderClient,
         links::accept_links,
         message::FeedTopic,
-        questions::{accept_questions, answer_metrics, answer_ready},
-        reach::StoreReach,
+        probes::{metrics_response, readiness_response, serve_probes},
+        reachability::StoreReachability,
         recorder::FleetRecorder,
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
         target_connections::ConnectionPool,
         zone::{ZoneEvent, ZoneWorker},
     },
@@ -87,7 +87,7 @@
         let settings = Arc::new(settings);
         let incarnation = rand::random::<u64>() >> 16;
         let fleet = Arc::new(FleetState::new(&settings, incarnation));
-        fleet.books().own_addresses = vec![caller_address, ready_address, settings.peer_address];
+        fleet.tables().own_addresses = vec![caller_address, ready_address, settings.peer_address];
         let pool = Arc::new(ConnectionPool::default());
         let (zone, zone_receiver) = mpsc::channel(ZONE_EVENTS);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
@@ -126,7 +126,7 @@
             fleet: Arc::clone(&fleet),
             holder_client,
             pool,
-            records: EndRecords::start(&fleet, &settings),
+            records: SuspectRecorder::start(&fleet, &settings),
             settings: Arc::clone(&settings),
         });
         tokio::spawn(accept_callers(
@@ -164,8 +164,8 @@
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
         let begun = Instant::now();
-        let bound = begun + self.settings.pace.stop_bound;
-        let restricted_from = begun + self.settings.pace.stop_notice;
+        let bound = begun + self.settings.timing.stop_timeout;
+        let restricted_from = begun + self.settings.timing.drain_delay;
         let plan = StopPlan {
             restricted_from,
             exit: bound,
@@ -199,10 +199,10 @@
     /// Gives the zone up, so that another VM gives the orders from here on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
-        if self.zone.send(ZoneEvent::Release(done)).await.is_err() {
+        if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
             return;
         }
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         if let Ok(Ok(true)) = timeout(within, released).await {
             // Where it fails, the others find this process ended and claim the zone.
             let _ = release_lease(&self.fleet, self.settings.platform_address, within).await;
@@ -228,14 +228,14 @@
     stop: watch::Receiver<StopPhase>,
 ) {
     let asked = Arc::clone(fleet);
-    tokio::spawn(accept_questions(questions, move |path| {
+    tokio::spawn(serve_probes(questions, move |path| {
         let is_up = asked.is_ready() && *stop.borrow() == StopPhase::Serving;
-        answer_ready(path, is_up)
+        readiness_response(path, is_up)
     }));
     if let Some(collectors) = collectors {
         let asked = Arc::clone(fleet);
-        tokio::spawn(accept_questions(collectors, move |path| {
-            answer_metrics(path, || asked.metrics.page(&asked))
+        tokio::spawn(serve_probes(collectors, move |path| {
+            metrics_response(path, || asked.metrics.page(&asked))
         }));
     }
 }
@@ -245,16 +245,16 @@
     fleet: &Arc<FleetState>,
     holder_client: &Arc<HolderClient>,
 ) {
-    let reach = StoreReach::new();
+    let reachability = StoreReachability::new();
     let first_pause = first_pause(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
         let worker = FeedWorker {
             topic,
             address: settings.platform_address,
-            pace: settings.pace,
+            pace: settings.timing,
             fleet: Arc::clone(fleet),
             holder_client: Arc::clone(holder_client),
-            reach: reach.clone(),
+            reachability: reachability.clone(),
             first_pause,
             started: Instant::now(),
             failures: 0,
@@ -266,7 +266,7 @@
 /// Pause before the first listing. At the first start of a whole fleet nobody is served yet, so weak VMs let the strong
 /// ones claim their zones, and learn from them what they would each have to list.
 fn first_pause(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.strength < WEAK_BELOW {
+    if settings.is_first_start && settings.cpu_millicores < WEAK_BELOW {
         WEAK_PAUSE.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -7,22 +7,22 @@
 use crate::{
     clock,
     direct::{
-        asking::{HolderNotice, HolderQuestion},
         fleet::FleetState,
-        links::{LinkContact, VmLink},
-        message::{CallEnd, CallEnding, VmMessage},
+        holder_requests::{HolderNotice, HolderRequest},
+        links::{LinkStatus, VmLink},
+        message::{CallEnd, CompletedCall, VmMessage},
         trials::TrialPermit,
-        zone::{PlaceReply, ReplyTo, ZoneEvent},
+        zone::{HolderReply, ReplySender, ZoneEvent},
     },
 };
 use hoplanding_core::{
     direct::{
         lease::{HolderContact, ZoneLease},
-        limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAnswer, PlacementAsk},
+        limits::AdvertisedLimit,
+        plain::PlainRequest,
+        planner::{CallKey, PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::{TrialAnswer, trial_zones},
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, VmName},
@@ -90,7 +90,7 @@
     pub async fn place(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlacementAsk,
+        ask: PlacementRequest,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
@@ -101,7 +101,7 @@
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Place(Box::new(ask));
+        let question = HolderRequest::Place(Box::new(ask));
         let reply = self.ask(zone, &lease, number, question).await?;
         self.open_call(withdrawal, zone, number, subject, reply)
     }
@@ -110,7 +110,7 @@
     pub async fn place_plain(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlainAsk,
+        ask: PlainRequest,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
@@ -120,7 +120,7 @@
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Plain(Box::new(ask));
+        let question = HolderRequest::Plain(Box::new(ask));
         let answer = self.ask(zone, &lease, number, question);
         let reply = timeout(PLAIN_TIMEOUT, answer).await.ok()??;
         self.open_call(withdrawal, zone, number, AdapterName::new(""), reply)
@@ -135,14 +135,14 @@
     ) -> Option<Result<(), Duration>> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Pay(charge);
+        let question = HolderRequest::Pay(charge);
         match self.ask(zone, &lease, number, question).await? {
-            PlaceReply::Paid(None) => Some(Ok(())),
-            PlaceReply::Paid(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
-            PlaceReply::Answer(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_)
-            | PlaceReply::NotHolder => None,
+            HolderReply::Charged(None) => Some(Ok(())),
+            HolderReply::Charged(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
+            HolderReply::Placement(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_)
+            | HolderReply::NotHolder => None,
         }
     }
 
@@ -159,9 +159,9 @@
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
             // Dropped if no answer comes, which ends a trial that the holder may have granted nevertheless.
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
-            let question = HolderQuestion::Trial(fingerprint);
+            let question = HolderRequest::Trial(fingerprint);
             let answer = self.ask(&zone, &lease, number, question);
-            if let Ok(Some(PlaceReply::Trial(decision))) = timeout(TRIAL_TIMEOUT, answer).await {
+            if let Ok(Some(HolderReply::Trial(decision))) = timeout(TRIAL_TIMEOUT, answer).await {
                 return Some((decision, permit));
             }
         }
@@ -174,10 +174,10 @@
             return;
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Target(target.clone());
+        let question = HolderRequest::Target(target.clone());
         let answer = self.ask(zone, &lease, number, question);
-        if let Ok(Some(PlaceReply::Target(Some(record)))) = timeout(TARGET_TIMEOUT, answer).await {
-            self.fleet.take_asked(record);
+        if let Ok(Some(HolderReply::Target(Some(record)))) = timeout(TARGET_TIMEOUT, answer).await {
+            self.fleet.apply_requested(record);
         }
     }
 
@@ -202,7 +202,7 @@
     }
 
     fn all_zones(&self) -> Vec<AvailabilityZone> {
-        self.fleet.books().leases.keys().cloned().collect()
+        self.fleet.tables().leases.keys().cloned().collect()
     }
 
     /// Asks a zone's holder; `None` if it does not answer.
@@ -211,11 +211,11 @@
         zone: &AvailabilityZone,
         lease: &ZoneLease,
         number: u64,
-        question: HolderQuestion,
-    ) -> Option<PlaceReply> {
+        question: HolderRequest,
+    ) -> Option<HolderReply> {
         if self.is_mine(lease) {
             let (sender, receiver) = oneshot::channel();
-            let event = question.into_event(self.key(number), ReplyTo::Local(sender));
+            let event = question.into_event(self.key(number), ReplySender::Local(sender));
             self.zone.send(event).await.ok()?;
             return receiver.await.ok();
         }
@@ -237,15 +237,15 @@
         zone: &AvailabilityZone,
         number: u64,
         subject: AdapterName,
-        reply: PlaceReply,
+        reply: HolderReply,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         withdrawal.is_settled = true;
         match reply {
-            PlaceReply::NotHolder
-            | PlaceReply::Paid(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_) => None,
-            PlaceReply::Answer(answer) => {
+            HolderReply::NotHolder
+            | HolderReply::Charged(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_) => None,
+            HolderReply::Placement(answer) => {
                 let placed_call = match &answer {
                     PlacementAnswer::Send { target, life, .. } => {
                         let call = OpenCall {
@@ -296,16 +296,16 @@
         };
         let known = known.filter(|link| link.incarnation == lease.incarnation);
         let is_new = known.is_none();
-        if let Some(LinkContact::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
+        if let Some(LinkStatus::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
             && clock::now().since(at) < REDIAL_DELAY
         {
             return None;
         }
         let link = self.link(zone, lease)?;
         match link.contact() {
-            LinkContact::Up => link.is_heard_within(HOLDER_TIMEOUT).then_some(link),
-            LinkContact::Dialling if is_new || !link.is_redial => Some(link),
-            LinkContact::Dialling | LinkContact::Ended { .. } => None,
+            LinkStatus::Up => link.is_heard_within(HOLDER_TIMEOUT).then_some(link),
+            LinkStatus::Dialling if is_new || !link.is_redial => Some(link),
+            LinkStatus::Dialling | LinkStatus::Ended { .. } => None,
         }
     }
 
@@ -319,14 +319,14 @@
             .filter(|link| link.incarnation == lease.incarnation)
             .cloned();
         if let Some(link) = &earlier
-            && !matches!(link.contact(), LinkContact::Ended { .. })
+            && !matches!(link.contact(), LinkStatus::Ended { .. })
         {
             return Some(link.clone());
         }
         let known_state: Vec<_> = {
-            let books = self.fleet.books();
-            let suspects = books.suspects.told(clock::now());
-            let limits = books.limits.told().map(VmMessage::LimitNamed);
+            let tables = self.fleet.tables();
+            let suspects = tables.suspects.crashes(clock::now());
+            let limits = tables.limits.advertised().map(VmMessage::LimitNamed);
             suspects.map(VmMessage::EndedUnder).chain(limits).collect()
         };
         let opening = self
@@ -374,13 +374,13 @@
         });
         match known.filter(|link| link.incarnation == lease.incarnation) {
             Some(link) => match link.contact() {
-                LinkContact::Up => HolderContact::Heard,
-                LinkContact::Dialling if !link.is_redial => HolderContact::Heard,
-                LinkContact::Ended {
+                LinkStatus::Up => HolderContact::Heard,
+                LinkStatus::Dialling if !link.is_redial => HolderContact::Heard,
+                LinkStatus::Ended {
                     is_process_gone: true,
                     ..
                 } => HolderContact::Ended,
-                LinkContact::Dialling | LinkContact::Ended { .. } => {
+                LinkStatus::Dialling | LinkStatus::Ended { .. } => {
                     HolderContact::Silent(link.heard())
                 }
             },
@@ -401,7 +401,7 @@
             .and_then(|vm| links.get(vm))
             .is_some_and(|link| {
                 link.incarnation == lease.incarnation
-                    && link.contact() == LinkContact::Up
+                    && link.contact() == LinkStatus::Up
                     && link.is_heard_within(within)
             })
     }
@@ -421,12 +421,12 @@
     }
 
     /// Reports the end of a call; waits in the background if the zone worker's queue is full.
-    fn report_end(&self, zone: &AvailabilityZone, ending: CallEnding) {
+    fn report_end(&self, zone: &AvailabilityZone, ending: CompletedCall) {
         let Some(lease) = self.fleet.lease(zone) else {
             return;
         };
         if self.is_mine(&lease) {
-            let event = ZoneEvent::Ended(self.fleet.vm.clone(), ending);
+            let event = ZoneEvent::CallEnded(self.fleet.vm.clone(), ending);
             if let Err(mpsc::error::TrySendError::Full(event)) = self.zone.try_send(event) {
                 let zone = self.zone.clone();
                 tokio::spawn(async move {
@@ -445,14 +445,14 @@
     }
 
     /// Tells every zone's holder that a target terminated while it ran a request.
-    pub fn tell_ended_under(&self, ended: &EndedUnder) {
+    pub fn tell_ended_under(&self, ended: &TargetCrash) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::EndedUnder(ended.clone()));
         }
     }
 
     /// Tells every zone's holder the rate limit that a target stated in an answer.
-    pub fn tell_limit(&self, named: &NamedLimit) {
+    pub fn tell_limit(&self, named: &AdvertisedLimit) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::LimitNamed(named.clone()));
         }
@@ -536,7 +536,7 @@
             .expect("no holder of the lock panics")
             .remove(&self.number);
         if let Some(call) = call {
-            let ending = CallEnding {
+            let ending = CompletedCall {
                 number: self.number,
                 target: call.target,
                 life: call.life,
--- a/crates/daemon/src/direct/asking.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -2,25 +2,25 @@
 
 use crate::direct::{
     message::VmMessage,
-    zone::{ReplyTo, ZoneEvent},
+    zone::{ReplySender, ZoneEvent},
 };
 use hoplanding_core::{
     direct::{
-        limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAsk},
+        limits::AdvertisedLimit,
+        plain::PlainRequest,
+        planner::{CallKey, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
     },
     ids::{TargetName, VmName},
 };
 
 /// What a holder is asked.
-pub(super) enum HolderQuestion {
+pub(super) enum HolderRequest {
     /// Where a call goes.
-    Place(Box<PlacementAsk>),
+    Place(Box<PlacementRequest>),
     /// Where a call of a plain service goes.
-    Plain(Box<PlainAsk>),
+    Plain(Box<PlainRequest>),
     /// Whether a charge is paid.
     Pay(QuotaCharge),
     /// Whether a trial of a suspect is granted.
@@ -29,14 +29,14 @@
     Target(TargetName),
 }
 
-impl HolderQuestion {
-    pub(super) fn into_event(self, key: CallKey, reply: ReplyTo) -> ZoneEvent {
+impl HolderRequest {
+    pub(super) fn into_event(self, key: CallKey, reply: ReplySender) -> ZoneEvent {
         match self {
             Self::Place(ask) => ZoneEvent::Place(key, ask, reply),
             Self::Plain(ask) => ZoneEvent::PlacePlain(key, ask, reply),
-            Self::Pay(charge) => ZoneEvent::Pay(key, charge, reply),
-            Self::Trial(fingerprint) => ZoneEvent::Trial(key, fingerprint, reply),
-            Self::Target(target) => ZoneEvent::Target(key, target, reply),
+            Self::Pay(charge) => ZoneEvent::ChargeQuota(key, charge, reply),
+            Self::Trial(fingerprint) => ZoneEvent::RequestTrial(key, fingerprint, reply),
+            Self::Target(target) => ZoneEvent::LookUpTarget(key, target, reply),
         }
     }
 
@@ -60,9 +60,9 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A trial ended, answered well or not.
     TrialEnded(u64, RequestFingerprint, bool),
 }
@@ -74,11 +74,13 @@
             number,
         };
         match self {
-            Self::Begun(number, target, version) => ZoneEvent::Begun(key(number), target, version),
-            Self::Withdrawn(number) => ZoneEvent::Withdrawn(key(number)),
-            Self::GiveBack(charge) => ZoneEvent::GiveBack(charge),
-            Self::EndedUnder(ended) => ZoneEvent::EndedUnder(ended),
-            Self::LimitNamed(named) => ZoneEvent::LimitNamed(named),
+            Self::Begun(number, target, version) => {
+                ZoneEvent::FirstEvent(key(number), target, version)
+            }
+            Self::Withdrawn(number) => ZoneEvent::PlacementWithdrawn(key(number)),
+            Self::GiveBack(charge) => ZoneEvent::RefundQuota(charge),
+            Self::EndedUnder(ended) => ZoneEvent::TargetEnded(ended),
+            Self::LimitNamed(named) => ZoneEvent::TargetLimit(named),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 ZoneEvent::TrialEnded(key(number), fingerprint, is_good)
             }
--- a/crates/daemon/src/direct/holder_state.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -5,11 +5,11 @@
 use hoplanding_core::{
     direct::{
         health::CallOutcome,
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         millis,
-        plain::{PlainAsk, PlainPlanner},
+        plain::{PlainPlanner, PlainRequest},
         planner::{CallKey, PlacementAnswer, RefusalCause},
-        quotas::{BucketCounts, BucketStart, QuotaCharge, QuotaLedger, StandingTimes},
+        quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaLedger},
         suspects::{RequestFingerprint, Suspicion},
         trials::{TrialAnswer, TrialTable},
     },
@@ -53,13 +53,13 @@
         let start = if is_first {
             BucketStart::Full
         } else {
-            BucketStart::Spent
+            BucketStart::Exhausted
         };
         let zones = u32::try_from(settings.zones.len()).unwrap_or(u32::MAX);
-        let times = StandingTimes {
-            led_until,
-            began: now.after(lease.quiet),
-            is_contested: !lease.quiet.is_zero(),
+        let times = HolderTenure {
+            sole_until: led_until,
+            active_from: now.after(lease.quiet),
+            has_predecessor: !lease.quiet.is_zero(),
             window: settings.quotas.window,
         };
         Self {
@@ -73,21 +73,21 @@
 
     /// Takes over new quotas from the configuration, and drops targets that are no longer listed.
     pub fn refresh(&mut self, fleet: &FleetState, now: Instant) {
-        let books = fleet.books();
-        if let Some(active) = &books.active
+        let tables = fleet.tables();
+        if let Some(active) = &tables.active
             && self.quota_version != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
-            self.quotas.declare(table.quotas(), now);
+            self.quotas.set_rules(table.quotas(), now);
             self.quota_version = Some(active.config.version);
         }
         self.plain
-            .retain(|run| books.catalog.get(&run.name).is_some());
+            .retain(|run| tables.catalog.get(&run.name).is_some());
     }
 
     /// Records that no other VM is the zone's holder until this time.
     pub fn lead_until(&mut self, time: Instant) {
-        self.quotas.lead_until(time);
+        self.quotas.set_sole_until(time);
     }
 
     /// Pays a charge out of its organisation's quota.
@@ -95,7 +95,7 @@
     /// # Errors
     /// If too little is left: the time until there is enough.
     pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
-        self.quotas.pay(charge, now)
+        self.quotas.charge(charge, now)
     }
 
     /// Pays for a call before it is placed.
@@ -116,7 +116,7 @@
 
     /// Refunds the charge of a call that was not placed or not executed.
     pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
-        self.quotas.give_back(charge, now);
+        self.quotas.refund(charge, now);
     }
 
     /// Places a call of a plain service, and pays for it if a target is found. A suspect without a trial is refused.
@@ -124,10 +124,10 @@
         &mut self,
         fleet: &FleetState,
         key: CallKey,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         now: Instant,
     ) -> PlacementAnswer {
-        let suspicion = fleet.books().suspects.suspicion(ask.fingerprint, now);
+        let suspicion = fleet.tables().suspects.suspicion(ask.fingerprint, now);
         if !ask.is_trial && suspicion != Suspicion::Clear {
             return PlacementAnswer::Refuse {
                 retry_after_ms: 0,
@@ -138,8 +138,8 @@
             return refusal;
         }
         let targets: Vec<_> = {
-            let books = fleet.books();
-            books.catalog.ready(&ask.service).cloned().collect()
+            let tables = fleet.tables();
+            tables.catalog.ready(&ask.service).cloned().collect()
         };
         let answer = self.plain.place(key, ask, &targets, now);
         if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
@@ -150,8 +150,8 @@
 
     /// Ends a call of a plain service; returns whether the call was one.
     pub fn end_plain(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) -> bool {
-        let is_plain = self.plain.knows(key);
-        self.plain.ended(key, outcome, now);
+        let is_plain = self.plain.has_call(key);
+        self.plain.call_ended(key, outcome, now);
         is_plain
     }
 
@@ -163,19 +163,20 @@
         key: CallKey,
         now: Instant,
     ) -> TrialAnswer {
-        let mut books = fleet.books();
-        books.suspects.note_return(fingerprint, now);
-        self.trials.ask(&books.suspects, fingerprint, key, now)
+        let mut tables = fleet.tables();
+        tables.suspects.refresh(fingerprint, now);
+        self.trials
+            .try_grant(&tables.suspects, fingerprint, key, now)
     }
 
     /// Ends a trial, so that the next one can be granted.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
-        self.trials.end(fingerprint, key);
+        self.trials.release(fingerprint, key);
     }
 
     /// Records the rate limit that a target stated in an answer.
-    pub fn note_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.plain.note_limit(named, now);
+    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
+        self.plain.record_limit(named, now);
     }
 
     /// Ends all calls and trials of a gateway that cannot be reached.
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -12,10 +12,10 @@
 use hoplanding_core::{
     direct::{
         catalog::TargetStage,
-        config::{AnswerShape, RepeatRule, RouteRule},
-        planner::PromptMove,
+        config::{ResponseShape, RetryPolicy, RouteRule},
+        planner::CacheTransfer,
         quotas::BucketCounts,
-        versions::{MemoryVersions, SightAge, VersionMatch},
+        versions::{CacheVersions, VersionAge, VersionMatch},
     },
     ids::OrganisationName,
 };
@@ -50,10 +50,10 @@
     /// Kind of the requests of a route.
     #[must_use]
     pub fn of(route: &RouteRule) -> Self {
-        match (&route.shape, route.repeat) {
-            (AnswerShape::Events { .. }, _) => Self::Stream,
-            (AnswerShape::Whole, RepeatRule::Idempotent) => Self::Idempotent,
-            (AnswerShape::Whole, RepeatRule::AtMostOnce) => Self::Once,
+        match (&route.response_shape, route.retry_policy) {
+            (ResponseShape::EventStream { .. }, _) => Self::Stream,
+            (ResponseShape::Buffered, RetryPolicy::Idempotent) => Self::Idempotent,
+            (ResponseShape::Buffered, RetryPolicy::AtMostOnce) => Self::Once,
         }
     }
 }
@@ -333,19 +333,21 @@
 
     /// Counts, and logs, a prompt of which the chosen engine could fetch cached parts from another one, whether or not it is told
     /// to.
-    pub fn count_prompt_move(&self, prompt_move: &PromptMove) {
+    pub fn count_prompt_move(&self, prompt_move: &CacheTransfer) {
         let now = clock::now();
-        let versions = match prompt_move.versions() {
+        let versions = match prompt_move.version_match() {
             VersionMatch::Same => "same",
-            VersionMatch::Unlike => "unlike",
+            VersionMatch::Different => "unlike",
             VersionMatch::Unknown => "unknown",
         };
-        let told = prompt_move.is_told;
+        let told = prompt_move.is_permitted;
         let labels = MoveLabels { versions, told };
         self.prompt_moves.get_or_create(&labels).inc();
-        let describe = |versions: &MemoryVersions| {
-            let [base, adapter] =
-                [versions.base, versions.adapter].map(|sight| SightAge { sight, now });
+        let describe = |versions: &CacheVersions| {
+            let [base, adapter] = [versions.base, versions.adapter].map(|sight| VersionAge {
+                observed: sight,
+                now,
+            });
             format!("base {base}, adapter {adapter}")
         };
         event!(
@@ -358,7 +360,7 @@
             describe(&prompt_move.source_versions),
             prompt_move.target,
             describe(&prompt_move.target_versions),
-            prompt_move.named
+            prompt_move.named_version
         );
     }
 
@@ -401,26 +403,26 @@
     }
 
     fn update_gauges(&self, fleet: &FleetState) {
-        let books = fleet.books();
+        let tables = fleet.tables();
         for (stage, name) in [
             (TargetStage::Ready, "ready"),
             (TargetStage::Draining, "draining"),
         ] {
-            let count = books.catalog.iter().filter(|entry| entry.stage == stage);
+            let count = tables.catalog.iter().filter(|entry| entry.stage == stage);
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(saturating_i64(count.count() as u64));
         }
         self.doubted_targets
-            .set(saturating_i64(books.catalog.doubted() as u64));
-        let in_flight: u32 = books.in_flight.values().sum();
+            .set(saturating_i64(tables.catalog.pending_removals() as u64));
+        let in_flight: u32 = tables.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
-        let version = books
+        let version = tables
             .active
             .as_ref()
             .map_or(0, |active| active.config.version);
         self.config_version.set(saturating_i64(version));
-        self.vms.set(saturating_i64(books.vms.len() as u64));
-        let holder = books
+        self.vms.set(saturating_i64(tables.vms.len() as u64));
+        let holder = tables
             .leases
             .get(&fleet.zone)
             .and_then(|state| state.holder());
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -29,7 +29,6 @@
 //! | [`suspect_records`] | records of suspects in the platform's log |
 //! | [`claims`] | claims of a zone's lease |
 
-mod asking;
 pub mod buffered_answer;
 pub mod call;
 pub mod caller_connections;
@@ -37,24 +36,25 @@
 pub mod daemon;
 pub mod engine_client;
 pub mod eras;
+pub mod event_relay;
 pub mod event_splitter;
-pub mod events;
 pub mod exchange;
 pub mod feeds;
 pub mod fleet;
 pub mod folding;
 pub mod holder_client;
+mod holder_requests;
 pub mod holder_state;
-pub mod intake;
+pub mod ingest;
 pub mod links;
 pub mod listing;
 pub mod message;
 pub mod metrics;
 pub mod notices;
-pub mod questions;
-pub mod reach;
+pub mod probes;
+pub mod reachability;
+pub mod record_cache;
 pub mod recorder;
-pub mod records;
 pub mod reload;
 pub mod settings;
 pub mod sharing;
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -5,7 +5,7 @@
 //! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was given to.
 
 use crate::{clock, direct::fleet::FleetState, event, events::Event};
-use hoplanding_core::{direct::notices::TargetNotice, ids::TargetRun};
+use hoplanding_core::{direct::target_notices::TargetNotice, ids::TargetRun};
 use hoplanding_platform::notices::decode_notice;
 use http::{HeaderMap, StatusCode};
 use std::{collections::BTreeMap, slice};
@@ -68,7 +68,7 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.faults {
-            if let Some(suppressed) = self.books().unread.note(now) {
+            if let Some(suppressed) = self.tables().unreadable_headers.note(now) {
                 event!(
                     Event::NoticeUnreadable,
                     "{}: {fault}; {suppressed} earlier ones not logged",
@@ -80,8 +80,8 @@
         if notice.is_leaving {
             self.mark_leaving(slice::from_ref(run), "stated in its own answer");
         }
-        if let Some(rest) = notice.rest {
-            let applied = self.books().rests.note(run, rest, now);
+        if let Some(rest) = notice.backoff {
+            let applied = self.tables().rests.record(run, rest, now);
             event!(
                 Event::RestAsked,
                 "{} for {rest:?}, applied for {applied:?}",
@@ -95,25 +95,25 @@
     #[must_use]
     pub fn is_resting(&self, run: &TargetRun) -> bool {
         let now = clock::now();
-        self.books().rests.remaining(run, now).is_some()
+        self.tables().rests.remaining(run, now).is_some()
     }
 
     /// Marks targets as leaving, and announces those of them that were not known to be. `source` names the origin of the notice in
     /// the log.
     pub fn mark_leaving(&self, runs: &[TargetRun], source: &str) {
-        let mut books = self.books();
-        let head = books.leaving.head();
+        let mut tables = self.tables();
+        let head = tables.leaving.head();
         for run in runs {
-            if books.catalog.note_leaving(run) {
+            if tables.catalog.note_leaving(run) {
                 event!(Event::TargetLeaving, "{}, {source}", run.name);
-                books.leaving.push(run.clone());
+                tables.leaving.push(run.clone());
             }
         }
-        if books.leaving.head() == head {
+        if tables.leaving.head() == head {
             return;
         }
-        self.announce(&books);
-        drop(books);
+        self.announce(&tables);
+        drop(tables);
         self.signal();
     }
 }
--- a/crates/daemon/src/direct/target_connections.rs
+++ b/crates/daemon/src/direct/target_connections.rs
@@ -246,7 +246,7 @@
         })?
         .to_bytes();
     if let Some(notice) = notice.filter(|notice| !notice.is_closing) {
-        pool.put_back(connection, notice.idle, MAX_IDLE_CONNECTIONS);
+        pool.put_back(connection, notice.idle_timeout, MAX_IDLE_CONNECTIONS);
     }
     Ok((status, body))
 }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -10,7 +10,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::AvailabilityZone,
 };
 use std::sync::Arc;
@@ -69,13 +69,13 @@
 
 impl FleetState {
     /// Records that a target terminated while it ran a request; returns whether that was not known before.
-    pub fn note_ended_under(&self, ended: &EndedUnder) -> bool {
+    pub fn note_ended_under(&self, ended: &TargetCrash) -> bool {
         let now = clock::now();
-        let mut books = self.books();
-        if !books.suspects.note_ended(ended, now) {
+        let mut tables = self.tables();
+        if !tables.suspects.record_crash(ended, now) {
             return false;
         }
-        let (suspected, quarantined) = books.suspects.counts(now);
+        let (suspected, quarantined) = tables.suspects.counts(now);
         event!(
             Event::RequestSuspected,
             "{:016x}: target {} ended under it; {suspected} requests suspected, {quarantined} of them quarantined",
@@ -87,7 +87,7 @@
 
     /// Clears the suspicion of a request, after a successful trial.
     pub fn clear_suspicion(&self, fingerprint: RequestFingerprint) {
-        if self.books().suspects.pardon(fingerprint) {
+        if self.tables().suspects.clear(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
         }
     }
--- a/crates/daemon/tests/direct/connections.rs
+++ b/crates/daemon/tests/direct/connections.rs
@@ -4,7 +4,10 @@
 //! reset new connections while calls go out over them. The VM could not tell whether such a call ran, and a call that may run only
 //! once would fail with 502 although it reached no target.
 
-use crate::support::{ask, config, good, is_ready, post, settings, site, wait_for};
+use crate::support::{
+    config_json, good_answer, is_ready, post_request, send_request, start_daemon, vm_settings,
+    wait_for,
+};
 use futures_util::future::join_all;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -20,7 +23,7 @@
 const CONCURRENT_CALLS: usize = 3;
 
 fn slow(request: &RawRequest) -> RawAnswer {
-    let mut answer = good(request);
+    let mut answer = good_answer(request);
     answer.pieces[0].0 = Duration::from_millis(60);
     answer
 }
@@ -31,29 +34,30 @@
     let target = RawTarget::start_bounded(slow, MAX_CONNECTIONS)
         .await
         .expect("a target");
-    let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
+    let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
     for number in 2..=VMS {
-        let daemon = DirectDaemon::start(settings(&format!("vm-{number}"), &log)).await;
+        let daemon = DirectDaemon::start(vm_settings(&format!("vm-{number}"), &log)).await;
         fleet.push(daemon.expect("the daemon starts"));
     }
     let limit = format!("\"max_connections\":{MAX_CONNECTIONS},\"name\":\"ledger\"");
-    let limited_config = config(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &limit);
+    let limited_config =
+        config_json(2).replace("\"max_connections\":100,\"name\":\"ledger\"", &limit);
     assert!(limited_config.contains(&limit), "{limited_config}");
     log.put("keyed.op", "config", Some(&limited_config));
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
         wait_for("the limit and all VMs to be known", async || {
-            let books = daemon.fleet().books();
-            let version = books.active.as_ref().map(|active| active.config.version);
-            version == Some(2) && books.vms.len() == VMS
+            let tables = daemon.fleet().tables();
+            let version = tables.active.as_ref().map(|active| active.config.version);
+            version == Some(2) && tables.vms.len() == VMS
         })
         .await;
     }
     // The VMs call one after another, each with no more calls at once than the limit leaves room for.
     for (vm, daemon) in fleet.iter().enumerate() {
         let calls = (0..CONCURRENT_CALLS).map(|call| {
-            let request = post(&format!("/scan/{call}"), &format!("r{vm}{call}"), "");
-            async move { ask(daemon.caller_address, &request).await.status }
+            let request = post_request(&format!("/scan/{call}"), &format!("r{vm}{call}"), "");
+            async move { send_request(daemon.caller_address, &request).await.status }
         });
         assert_eq!(join_all(calls).await, [200; CONCURRENT_CALLS], "VM {vm}");
     }
--- a/crates/daemon/tests/direct/engine_simulator.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -6,7 +6,7 @@
 //! changes at an engine, such as a load or a delayed order, are applied when the simulator's state is accessed next; a background
 //! task accesses it at a short interval.
 
-use crate::support::{chunk, event, sealed};
+use crate::support::{chunk, seal_headers, stream_event};
 use hoplanding_standins::{
     kept_memory::{MemoryMismatch, MemoryNet, ReadPrompt},
     raw_target::{RawAnswer, RawRequest, RawTarget},
@@ -513,7 +513,7 @@
 }
 
 fn rejection(request: &RawRequest, status: &str) -> RawAnswer {
-    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
     RawAnswer::whole(status, &headers, "")
 }
 
@@ -559,14 +559,14 @@
 
 /// A stream whose first event comes when the prompt has been read. Its head states the version of the base model.
 fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawAnswer {
-    let headers = sealed(request);
+    let headers = seal_headers(request);
     let head = format!(
         "HTTP/1.1 200 OK\r\n{headers}Hoplanding-Weight-Versions: {base}\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     );
     let mut pieces = vec![(read, head.into_bytes())];
-    pieces.push((Duration::ZERO, chunk(&event(1))));
-    pieces.extend((2..=tokens).map(|id| (TIME_PER_OUTPUT_TOKEN, chunk(&event(id)))));
+    pieces.push((Duration::ZERO, chunk(&stream_event(1))));
+    pieces.extend((2..=tokens).map(|id| (TIME_PER_OUTPUT_TOKEN, chunk(&stream_event(id)))));
     pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
     RawAnswer {
         pieces,
--- a/crates/daemon/tests/direct/foreign.rs
+++ b/crates/daemon/tests/direct/foreign.rs
@@ -3,21 +3,23 @@
 //! An entry may lack fields, have fields of the wrong type, name invalid states or addresses, or not be JSON at all. Such an entry
 //! replaces the earlier one under its key and lists no target; all other entries stay in force.
 
-use crate::support::{ask, entry, good, is_ready, post, site, wait_for};
+use crate::support::{
+    good_answer, is_ready, post_request, send_request, start_daemon, target_entry, wait_for,
+};
 use hoplanding_core::ids::{Instant, TargetName};
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget};
-use hoplandingd::direct::{daemon::DirectDaemon, skipped::SkippedEntries};
+use hoplandingd::direct::{daemon::DirectDaemon, skipped::EntryLogLimiter};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
 fn is_listed(daemon: &DirectDaemon, name: &str) -> bool {
-    let books = daemon.fleet().books();
-    books.catalog.get(&TargetName::new(name)).is_some()
+    let tables = daemon.fleet().tables();
+    tables.catalog.get(&TargetName::new(name)).is_some()
 }
 
 /// Puts a valid entry, and waits until it is listed: entries put before it have been read by then.
 async fn put_and_wait(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
-    let text = entry("other", address, "ready", &[]);
+    let text = target_entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
     wait_for("the entry that follows", async || is_listed(daemon, name)).await;
 }
@@ -25,7 +27,7 @@
 /// Invalid entries, most of them made from a valid one by changing one field.
 fn unusable_entries(address: SocketAddr, own: SocketAddr) -> Vec<String> {
     let good: Value =
-        serde_json::from_str(&entry("ledger", address, "ready", &[])).expect("an entry");
+        serde_json::from_str(&target_entry("ledger", address, "ready", &[])).expect("an entry");
     let with = |field: &str, value: Value| {
         let mut fields = good.clone();
         fields[field] = value;
@@ -73,9 +75,9 @@
 #[tokio::test]
 async fn an_unusable_entry_removes_its_target_and_no_other() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(
+    let daemon = start_daemon(
         &log,
         &[("i-1", "ledger", address), ("i-2", "ledger", address)],
     )
@@ -86,7 +88,7 @@
     {
         let shown: String = text.chars().take(60).collect();
         let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
-        put(&entry("ledger", address, "ready", &[]));
+        put(&target_entry("ledger", address, "ready", &[]));
         wait_for("the valid entry", async || is_listed(&daemon, "i-1")).await;
         put(text);
         put_and_wait(&log, &daemon, &format!("m-{number}"), address).await;
@@ -97,10 +99,10 @@
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("ledger", address, "ready", &[])),
+        Some(&target_entry("ledger", address, "ready", &[])),
     );
     wait_for("the valid entry", async || is_listed(&daemon, "i-1")).await;
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
@@ -108,25 +110,25 @@
 #[tokio::test]
 async fn a_target_name_that_is_invalid_in_headers_is_skipped() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     for name in ["i\n2", "i 3", "i\u{e9}4", "i\u{0}5"] {
-        let text = entry("scribe", address, "ready", &["a1@1"]);
+        let text = target_entry("scribe", address, "ready", &["a1@1"]);
         log.put("keyed.servers", name, Some(&text));
     }
     put_and_wait(&log, &daemon, "m-1", address).await;
     for name in ["i\n2", "i 3", "i\u{e9}4", "i\u{0}5"] {
         assert!(!is_listed(&daemon, name), "{name:?}");
     }
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
 #[tokio::test]
 async fn a_vm_starts_with_the_usable_entries_among_unusable_ones() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     for number in 0..40 {
         log.put(
             "keyed.servers",
@@ -134,16 +136,16 @@
             Some("{\"service\":7}"),
         );
     }
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     assert!(is_ready(&daemon).await);
-    assert_eq!(daemon.fleet().books().skipped.total(), 40);
-    let answer = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    assert_eq!(daemon.fleet().tables().skipped_entries.total(), 40);
+    let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
 #[test]
 fn a_flood_of_unusable_entries_is_counted_but_logged_sparsely() {
-    let mut skipped = SkippedEntries::default();
+    let mut skipped = EntryLogLimiter::default();
     let told: Vec<_> = (0..10_000)
         .filter_map(|number| skipped.note(Instant(5_000_000 + number * 100)))
         .collect();
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -5,14 +5,16 @@
 //! for an outage of the log although the log served other VMs throughout, or if it does not tell the other VMs of a removal when
 //! its doubt ends.
 
-use crate::support::{entry, good, is_ready, second_vm, settings, site, wait_for};
+use crate::support::{
+    good_answer, is_ready, start_daemon, start_second_vm, target_entry, vm_settings, wait_for,
+};
 use futures_util::FutureExt;
 use hoplanding_core::ids::{LogPosition, TargetName};
 use hoplanding_standins::{keyed_log::KeyedLog, raw_target::RawTarget, relay::LinkState};
 use hoplandingd::direct::{
     daemon::DirectDaemon,
     fleet::FleetState,
-    message::{FeedTopic, PassedRecord, VmMessage},
+    message::{FeedTopic, ForwardedRecord, VmMessage},
     sharing::RecordSharing,
 };
 use std::{sync::Arc, time::Duration};
@@ -33,9 +35,9 @@
 #[tokio::test]
 async fn a_removal_read_by_an_uninterrupted_vm_is_in_doubt_nowhere() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let first = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let (second, relay) = second_vm(&log).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let (second, relay) = start_second_vm(&log).await;
     // The log fails for the second VM only, and serves it again.
     relay.set(LinkState::Cut);
     wait_for("a failed call", async || list_calls(&second, "Failed") > 0).await;
@@ -56,7 +58,7 @@
     log.put(
         "keyed.servers",
         "i-2",
-        Some(&entry("ledger", target.address, "ready", &[])),
+        Some(&target_entry("ledger", target.address, "ready", &[])),
     );
     wait_for("the next entry at the second VM", async || {
         !second.fleet().is_leaving("i-2")
@@ -73,17 +75,17 @@
 #[tokio::test]
 async fn a_removal_once_in_doubt_reaches_the_vms_that_do_not_read_the_log() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let mut fleet = vec![site(&log, &[("i-1", "ledger", target.address)]).await];
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
     for number in 2..=7 {
         let name = format!("vm-{number}");
-        let daemon = DirectDaemon::start(settings(&name, &log)).await;
+        let daemon = DirectDaemon::start(vm_settings(&name, &log)).await;
         fleet.push(daemon.expect("the daemon starts"));
     }
     for daemon in &fleet {
         wait_for("readiness", async || is_ready(daemon).await).await;
         wait_for("all VMs to be known", async || {
-            daemon.fleet().books().vms.len() == fleet.len()
+            daemon.fleet().tables().vms.len() == fleet.len()
         })
         .await;
     }
@@ -108,28 +110,28 @@
 async fn a_lagging_link_forwards_every_target_that_left() {
     let log = KeyedLog::start().await.expect("a log");
     let address = log.address();
-    let fleet = Arc::new(FleetState::new(&settings("vm-1", &log), 1));
-    let record = |number: u64, state: &str, position: u64| PassedRecord {
+    let fleet = Arc::new(FleetState::new(&vm_settings("vm-1", &log), 1));
+    let record = |number: u64, state: &str, position: u64| ForwardedRecord {
         topic: FeedTopic::Targets,
         key: format!("i-{number}"),
-        value: Some(entry("ledger", address, state, &[]).into()),
+        value: Some(target_entry("ledger", address, state, &[]).into()),
         position: LogPosition(position),
     };
     let ready = (1..=600).map(|number| record(number, "ready", number));
-    fleet.take_passed(ready.collect());
+    fleet.apply_forwarded(ready.collect());
     let mut sharing = RecordSharing::new(&fleet, true);
     for number in 1..=600 {
-        fleet.take_passed(vec![record(number, "draining", 600 + number)]);
+        fleet.apply_forwarded(vec![record(number, "draining", 600 + number)]);
     }
-    let other = FleetState::new(&settings("vm-2", &log), 2);
-    other.take_passed(
+    let other = FleetState::new(&vm_settings("vm-2", &log), 2);
+    other.apply_forwarded(
         (1..=600)
             .map(|number| record(number, "ready", number))
             .collect(),
     );
     while let Some(message) = sharing.next().now_or_never() {
         if let VmMessage::Records(records) = message {
-            other.take_passed(records);
+            other.apply_forwarded(records);
         }
     }
     let kept: Vec<_> = (1..=600)
@@ -139,7 +141,7 @@
     assert!(kept.is_empty(), "{} targets kept as ready", kept.len());
     assert!(
         other
-            .books()
+            .tables()
             .catalog
             .get(&TargetName::new("i-600"))
             .is_some()
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -1,8 +1,9 @@
 //! Notices that targets give about themselves in answers: `Server-Leaving`, and `Retry-After` to ask a VM to back off.
 
 use crate::support::{
-    Answer, ask, config, entry, good, model, post, sealed, second_vm, send_many, settings, site_of,
-    stream, wait_for,
+    Answer, config_json, good_answer, model_headers, post_request, seal_headers, send_request,
+    send_requests, start_daemon_with, start_second_vm, stream_answer, target_entry, vm_settings,
+    wait_for,
 };
 use futures_util::future::join_all;
 use hoplanding_standins::{
@@ -83,7 +84,7 @@
         if is_call(request) {
             answer(request)
         } else {
-            good(request)
+            good_answer(request)
         }
     });
     target.await.expect("a target")
@@ -92,17 +93,17 @@
 /// A successful answer to a plain call or a stream.
 fn success(request: &RawRequest) -> RawAnswer {
     if request.line().contains("/plan/") {
-        stream(request, None)
+        stream_answer(request, None)
     } else {
-        good(request)
+        good_answer(request)
     }
 }
 
 /// Sends calls concurrently, so that every target gets some.
 async fn send_at_once(address: SocketAddr, path: &str, headers: &str) -> Vec<Answer> {
     let asked = (0..12).map(|number| {
-        let request = post(path, &format!("first-{number}"), headers);
-        async move { ask(address, &request).await }
+        let request = post_request(path, &format!("first-{number}"), headers);
+        async move { send_request(address, &request).await }
     });
     join_all(asked).await
 }
@@ -124,7 +125,7 @@
         ("i-1", service, named.address),
         ("i-2", service, other.address),
     ];
-    let daemon = site_of(settings("vm-1", log), log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", log), log, &listed).await;
     (daemon, [named, other])
 }
 
@@ -133,7 +134,7 @@
 async fn a_target_that_announces_leaving_gets_no_calls_although_listed_as_ready() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
@@ -149,11 +150,11 @@
         .await;
         let before = arrivals.count();
         // The entry is written again with the same state.
-        let mut text = entry(service, targets[0].address, "ready", &["a1@1"]);
+        let mut text = target_entry(service, targets[0].address, "ready", &["a1@1"]);
         text = text.replace("\"slots\":8", "\"slots\":9");
         log.put("keyed.servers", "i-1", Some(&text));
         sleep(Duration::from_millis(200)).await;
-        let answers = send_many(&address, path, &headers, 50).await;
+        let answers = send_requests(&address, path, &headers, 50).await;
         assert_eq!(arrivals.count() - before, 0, "{service}");
         assert_eq!(count_served(&answers), answers.len(), "{service}");
     }
@@ -164,10 +165,10 @@
     type MakeAnswer = fn(&RawRequest) -> RawAnswer;
     let kinds: [(&str, MakeAnswer); 3] = [
         ("a failure", |request| {
-            RawAnswer::whole("500 Internal Server Error", &sealed(request), "")
+            RawAnswer::whole("500 Internal Server Error", &seal_headers(request), "")
         }),
         ("a refusal", |request| rejection(request, "0")),
-        ("a success", good),
+        ("a success", good_answer),
     ];
     for (kind, make) in kinds {
         let log = KeyedLog::start().await.expect("a log");
@@ -187,10 +188,10 @@
 #[tokio::test]
 async fn an_engine_may_announce_leaving_in_its_report() {
     let log = KeyedLog::start().await.expect("a log");
-    let engine = RawTarget::start(|request: &RawRequest| good(request).with_header(LEAVING));
+    let engine = RawTarget::start(|request: &RawRequest| good_answer(request).with_header(LEAVING));
     let engine = engine.await.expect("an engine");
     let listed = [("e-1", "scribe", engine.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     wait_for("the report", async || daemon.fleet().is_leaving("e-1")).await;
 }
 
@@ -201,7 +202,7 @@
     let arrivals = ArrivalLog::default();
     let answer = |request: &RawRequest| {
         let strange = if request.header("hoplanding-request-id") == Some("first-0") {
-            RawAnswer::whole("421 Misdirected Request", &sealed(request), "")
+            RawAnswer::whole("421 Misdirected Request", &seal_headers(request), "")
         } else {
             RawAnswer::whole("200 OK", "Hoplanding-Request-Id: another\r\n", "")
         };
@@ -224,10 +225,10 @@
     let log = KeyedLog::start().await.expect("a log");
     let arrivals = ArrivalLog::default();
     let (first, _targets) = start_pair(&log, "ledger", &arrivals, |request| {
-        good(request).with_header(LEAVING)
+        good_answer(request).with_header(LEAVING)
     })
     .await;
-    let (second, _relay) = second_vm(&log).await;
+    let (second, _relay) = start_second_vm(&log).await;
     wait_for("a call at the leaving target", async || {
         send_at_once(second.caller_address, "/lookup/1", "").await;
         arrivals.count() > 0
@@ -238,10 +239,10 @@
     })
     .await;
     // A VM that starts later learns it from the others.
-    let third = DirectDaemon::start(settings("vm-3", &log));
+    let third = DirectDaemon::start(vm_settings("vm-3", &log));
     let third = third.await.expect("the daemon starts");
     wait_for("the announcement at a new VM", async || {
-        third.fleet().books().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
+        third.fleet().tables().catalog.iter().count() > 0 && third.fleet().is_leaving("i-1")
     })
     .await;
 }
@@ -251,15 +252,15 @@
 async fn a_target_that_asks_for_backoff_gets_at_most_two_requests_during_it() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
         let only = target(&arrivals, |request| rejection(request, "3")).await;
         let listed = [("i-1", service, only.address)];
-        let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+        let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
         let began = Instant::now();
-        let answers = send_many(&[daemon.caller_address], path, &headers, 100).await;
+        let answers = send_requests(&[daemon.caller_address], path, &headers, 100).await;
         let got = arrivals.during_backoff("vm0");
         assert!(
             got <= MAX_DURING_BACKOFF,
@@ -291,14 +292,14 @@
 async fn each_vm_keeps_the_backoff_that_it_was_asked_for_and_calls_go_elsewhere() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
-        ("scribe", "/plan/1", model("a1")),
+        ("scribe", "/plan/1", model_headers("a1")),
     ] {
         let log = KeyedLog::start().await.expect("a log");
         let arrivals = ArrivalLog::default();
         let (first, _targets) =
             start_pair(&log, service, &arrivals, |request| rejection(request, "3")).await;
-        let (second, _relay) = second_vm(&log).await;
-        let third = DirectDaemon::start(settings("vm-3", &log));
+        let (second, _relay) = start_second_vm(&log).await;
+        let third = DirectDaemon::start(vm_settings("vm-3", &log));
         let third = third.await.expect("the daemon starts");
         let addresses = [
             first.caller_address,
@@ -306,7 +307,7 @@
             third.caller_address,
         ];
         wait_for("readiness", async || crate::support::is_ready(&third).await).await;
-        let answers = send_many(&addresses, path, &headers, 150).await;
+        let answers = send_requests(&addresses, path, &headers, 150).await;
         for vm in ["vm0", "vm1", "vm2"] {
             let got = arrivals.during_backoff(vm);
             assert!(got <= MAX_DURING_BACKOFF, "{service}: {got} of {vm}");
@@ -331,17 +332,17 @@
         if asked.load(Ordering::SeqCst) {
             rejection(request, "0.5")
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await;
     let listed = [("i-1", "ledger", only.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     let address = [daemon.caller_address];
-    send_many(&address, "/lookup/1", "", 4).await;
+    send_requests(&address, "/lookup/1", "", 4).await;
     is_full.store(false, Ordering::SeqCst);
     wait_for("service", async || {
-        let answers = send_many(&address, "/lookup/1", "", 10).await;
+        let answers = send_requests(&address, "/lookup/1", "", 10).await;
         count_served(&answers) == answers.len()
     })
     .await;
@@ -364,16 +365,16 @@
             if is_first.swap(false, Ordering::SeqCst) {
                 rejection(request, value)
             } else {
-                good(request)
+                good_answer(request)
             }
         })
         .await;
         let listed = [("i-1", "ledger", only.address)];
-        let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+        let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
         let address = [daemon.caller_address];
-        send_many(&address, "/lookup/1", "", 2).await;
+        send_requests(&address, "/lookup/1", "", 2).await;
         sleep(Duration::from_millis(100)).await;
-        let answers = send_many(&address, "/lookup/1", "", 4).await;
+        let answers = send_requests(&address, "/lookup/1", "", 4).await;
         assert_eq!(count_served(&answers), answers.len(), "{value:?}");
     }
 }
@@ -387,19 +388,19 @@
     let says_so = Arc::clone(&is_leaving);
     let only = target(&arrivals, move |request| {
         if says_so.load(Ordering::SeqCst) {
-            good(request).with_header(LEAVING)
+            good_answer(request).with_header(LEAVING)
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await;
     let born = |born: u64| {
-        let text = entry("ledger", only.address, "ready", &["a1@1"]);
+        let text = target_entry("ledger", only.address, "ready", &["a1@1"]);
         text.replacen("{", &format!("{{\"born\":{born},"), 1)
     };
     log.put("keyed.servers", "i-1", Some(&born(1)));
-    log.put("keyed.op", "config", Some(&config(1)));
-    let daemon = DirectDaemon::start(settings("vm-1", &log));
+    log.put("keyed.op", "config", Some(&config_json(1)));
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log));
     let daemon = daemon.await.expect("the daemon starts");
     wait_for("readiness", async || {
         crate::support::is_ready(&daemon).await
@@ -407,14 +408,14 @@
     .await;
     let address = [daemon.caller_address];
     wait_for("the announcement", async || {
-        send_many(&address, "/lookup/1", "", 2).await;
+        send_requests(&address, "/lookup/1", "", 2).await;
         daemon.fleet().is_leaving("i-1")
     })
     .await;
     is_leaving.store(false, Ordering::SeqCst);
     log.put("keyed.servers", "i-1", Some(&born(2)));
     wait_for("service", async || {
-        count_served(&send_many(&address, "/lookup/1", "", 4).await) == 4
+        count_served(&send_requests(&address, "/lookup/1", "", 4).await) == 4
     })
     .await;
 }
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -4,11 +4,11 @@
 //! must survive kills of holders and of all VMs, and restores of the platform's log.
 
 use crate::support::{
-    ask, config, entry, good, is_ready, model, post, process, settings, site_of, start_in, stream,
-    wait_for,
+    config_json, good_answer, is_ready, model_headers, post_request, process_runtime, send_request,
+    start_daemon_in, start_daemon_with, stream_answer, target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::{AvailabilityZone, TargetLife, TargetName, TargetRun},
 };
 use hoplanding_standins::{
@@ -19,7 +19,7 @@
     clock,
     direct::{
         daemon::DirectDaemon,
-        fleet::{SUSPECT_KEY, suspect_key},
+        fleet::{SUSPECT_KEY_PREFIX, suspect_key},
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -41,7 +41,7 @@
 }
 
 fn poison(path: &str, id: &str) -> String {
-    post(path, id, &model("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
+    post_request(path, id, &model_headers("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
 /// Engines that pause before each event, and that terminate under requests for which `is_deadly` is true.
@@ -53,7 +53,7 @@
     let mut engines = Vec::new();
     for _ in 0..count {
         let answer = move |request: &RawRequest| {
-            let mut answer = stream(request, None);
+            let mut answer = stream_answer(request, None);
             for (before, _) in answer.pieces.iter_mut().skip(1) {
                 *before = pause;
             }
@@ -81,10 +81,10 @@
 fn list_engines(log: &KeyedLog, engines: &[RawTarget]) {
     let names = ["e-1", "e-2", "e-3", "e-4", "e-5"];
     for (name, service, address) in listed(&names, "scribe", engines) {
-        let entry = entry(service, address, "ready", &["a1@1"]);
+        let entry = target_entry(service, address, "ready", &["a1@1"]);
         log.put("keyed.servers", name, Some(&entry));
     }
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
 }
 
 /// Number of poison requests that reached targets, each of which ended its target.
@@ -95,8 +95,8 @@
 
 async fn wait_for_stream(daemon: &DirectDaemon) {
     wait_for("a stream", async || {
-        let request = post("/plan/1", "r0", &model("a1"));
-        ask(daemon.caller_address, &request).await.status == 200
+        let request = post_request("/plan/1", "r0", &model_headers("a1"));
+        send_request(daemon.caller_address, &request).await.status == 200
     })
     .await;
 }
@@ -107,22 +107,22 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..4 {
-        let target = RawTarget::start_mortal(good, is_poison).await;
+        let target = RawTarget::start_mortal(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4"];
-    let daemon = site_of(
-        settings("vm-1", &log),
+    let daemon = start_daemon_with(
+        vm_settings("vm-1", &log),
         &log,
         &listed(&names, "ledger", &targets),
     )
     .await;
     for number in 0..8 {
         let id = format!("d{number}");
-        ask(daemon.caller_address, &poison("/scan/1", &id)).await;
+        send_request(daemon.caller_address, &poison("/scan/1", &id)).await;
     }
     assert_eq!(poison_arrivals(&targets), 2);
-    let harmless = ask(daemon.caller_address, &post("/scan/1", "r1", "")).await;
+    let harmless = send_request(daemon.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(harmless.status, 200);
 }
 
@@ -132,25 +132,25 @@
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(5, Duration::from_millis(5), is_poison).await;
     list_engines(&log, &engines);
-    let first_life = process();
-    let daemon = start_in(&first_life, settings("vm-1", &log)).await;
+    let first_life = process_runtime();
+    let daemon = start_daemon_in(&first_life, vm_settings("vm-1", &log)).await;
     wait_for_stream(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poison_arrivals(&engines), 2);
     sleep(Duration::from_millis(200)).await;
     first_life.shutdown_background();
 
-    let second_life = process();
-    let mut settings = settings("vm-1", &log);
+    let second_life = process_runtime();
+    let mut settings = vm_settings("vm-1", &log);
     settings.is_first_start = false;
-    let daemon = start_in(&second_life, settings).await;
+    let daemon = start_daemon_in(&second_life, settings).await;
     wait_for_stream(&daemon).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poison_arrivals(&engines), 2);
     second_life.shutdown_background();
@@ -164,13 +164,13 @@
 ) -> Vec<DirectDaemon> {
     for (number, (name, service, address)) in targets.iter().enumerate() {
         let zone = format!("\"{}\"", ZONES[number % ZONES.len()]);
-        let entry = entry(service, *address, "ready", &["a1@1"]).replace("\"hall\"", &zone);
+        let entry = target_entry(service, *address, "ready", &["a1@1"]).replace("\"hall\"", &zone);
         log.put("keyed.servers", name, Some(&entry));
     }
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     let mut daemons = Vec::new();
     for (vm, zone) in ["vm-1", "vm-2"].iter().zip(ZONES) {
-        let mut settings = settings(vm, log);
+        let mut settings = vm_settings(vm, log);
         settings.zone = AvailabilityZone::new(zone);
         settings.zones = ZONES
             .iter()
@@ -213,8 +213,8 @@
     let ask_for = |daemon: &DirectDaemon, id: &str| {
         let address = daemon.caller_address;
         // A base model has the VM's own zone as its home zone, so both zones are asked.
-        let request = post("/plan/suspect", id, "Hoplanding-Model: base\r\n");
-        tokio::spawn(async move { ask(address, &request).await })
+        let request = post_request("/plan/suspect", id, "Hoplanding-Model: base\r\n");
+        tokio::spawn(async move { send_request(address, &request).await })
     };
     let first = ask_for(&daemons[0], "s0").await.expect("an answer");
     assert_ne!(first.status, 200);
@@ -245,9 +245,9 @@
             .map(|number| {
                 let address = daemons[number % 2].caller_address;
                 let id = format!("h{round}-{number}");
-                let request = post("/plan/1", &id, "Hoplanding-Model: base\r\n")
+                let request = post_request("/plan/1", &id, "Hoplanding-Model: base\r\n")
                     .replace("\r\n\r\nbody", "\r\n\r\nkill");
-                tokio::spawn(async move { ask(address, &request).await.status })
+                tokio::spawn(async move { send_request(address, &request).await.status })
             })
             .collect();
         for answer in asked {
@@ -255,13 +255,13 @@
         }
     };
     for (number, daemon) in daemons.iter().enumerate() {
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("d{number}"),
             "Hoplanding-Model: base\r\n",
         );
         let request = request.replace("\r\n\r\nbody", "\r\n\r\nkill");
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     assert_eq!(poison_arrivals(&engines), 2);
     repeat_at_once(0).await;
@@ -279,23 +279,23 @@
     let log = KeyedLog::start().await.expect("a log");
     let engines = mortal_engines(5, Duration::from_millis(5), is_poison).await;
     list_engines(&log, &engines);
-    let killed = process();
-    let holder = start_in(&killed, settings("vm-1", &log)).await;
-    let successor = DirectDaemon::start(settings("vm-2", &log)).await;
+    let killed = process_runtime();
+    let holder = start_daemon_in(&killed, vm_settings("vm-1", &log)).await;
+    let successor = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let successor = successor.expect("the daemon starts");
     wait_for("both VMs to be known", async || {
-        is_ready(&successor).await && successor.fleet().books().vms.len() == 2
+        is_ready(&successor).await && successor.fleet().tables().vms.len() == 2
     })
     .await;
     wait_for_stream(&holder).await;
     for number in 0..3 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(holder.caller_address, &request).await;
+        send_request(holder.caller_address, &request).await;
     }
     assert_eq!(poison_arrivals(&engines), 2);
     wait_for("the record of the quarantine", async || {
-        let books = successor.fleet().books();
-        books.suspects.counts(clock::now()).1 == 1
+        let tables = successor.fleet().tables();
+        tables.suspects.counts(clock::now()).1 == 1
     })
     .await;
     killed.shutdown_background();
@@ -307,7 +307,7 @@
     wait_for_stream(&successor).await;
     for number in 0..4 {
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(successor.caller_address, &request).await;
+        send_request(successor.caller_address, &request).await;
     }
     assert_eq!(poison_arrivals(&engines), 2);
 }
@@ -339,23 +339,23 @@
     fn write_entries(&self) {
         for (number, engine) in self.engines.iter().enumerate() {
             let is_running = !engine.requests().iter().any(is_poison);
-            let entry = entry("scribe", engine.address, "ready", &["a1@1"]);
+            let entry = target_entry("scribe", engine.address, "ready", &["a1@1"]);
             let value = is_running.then_some(entry.as_str());
             self.log.put("keyed.servers", &format!("e-{number}"), value);
         }
         if self.starts == 0 {
-            self.log.put("keyed.op", "config", Some(&config(1)));
+            self.log.put("keyed.op", "config", Some(&config_json(1)));
         }
     }
 
     /// Starts the VM again, in a runtime of its own.
     async fn start_vm(&mut self) -> (Runtime, DirectDaemon) {
         self.write_entries();
-        let mut settings = settings("vm-1", &self.log);
+        let mut settings = vm_settings("vm-1", &self.log);
         settings.is_first_start = self.starts == 0;
         self.starts += 1;
-        let life = process();
-        let daemon = start_in(&life, settings).await;
+        let life = process_runtime();
+        let daemon = start_daemon_in(&life, settings).await;
         wait_for_stream(&daemon).await;
         (life, daemon)
     }
@@ -372,7 +372,7 @@
     for number in 0..6 {
         let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
@@ -384,23 +384,23 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..8 {
-        let target = RawTarget::start_mortal(good, is_poison).await;
+        let target = RawTarget::start_mortal(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4", "l-5", "l-6", "l-7", "l-8"];
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     for number in 0..5 {
         for (name, target) in names.iter().zip(&targets) {
             let is_running = !target.requests().iter().any(is_poison);
-            let entry = entry("ledger", target.address, "ready", &[]);
+            let entry = target_entry("ledger", target.address, "ready", &[]);
             log.put("keyed.servers", name, is_running.then_some(entry.as_str()));
         }
-        let life = process();
-        let mut settings = settings("vm-1", &log);
+        let life = process_runtime();
+        let mut settings = vm_settings("vm-1", &log);
         settings.is_first_start = number == 0;
-        let daemon = start_in(&life, settings).await;
+        let daemon = start_daemon_in(&life, settings).await;
         let request = poison("/lookup/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(
@@ -416,34 +416,36 @@
 async fn a_bystander_is_served_after_a_restart_and_its_record_is_dropped() {
     let mut site = KilledSite::start(6).await;
     let (life, daemon) = site.start_vm().await;
-    let bystander = |id: &str| post("/plan/bystander", id, &model("a1"));
+    let bystander = |id: &str| post_request("/plan/bystander", id, &model_headers("a1"));
     // The poison request terminates the engine on which the bystander's stream is running.
     let address = daemon.caller_address;
     let request = bystander("b0");
-    let running = tokio::spawn(async move { ask(address, &request).await });
+    let running = tokio::spawn(async move { send_request(address, &request).await });
     for number in 0..2 {
         let request = poison("/plan/1", &format!("d{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
     }
     drop(running.await);
     life.shutdown_background();
 
     let (life, daemon) = site.start_vm().await;
     for number in 0..20 {
-        let answer = ask(daemon.caller_address, &bystander(&format!("c{number}"))).await;
+        let answer = send_request(daemon.caller_address, &bystander(&format!("c{number}"))).await;
         assert_eq!(answer.status, 200, "call {number}");
     }
     let fleet = daemon.fleet();
     let suspects = || {
-        let books = fleet.books();
-        let suspected = books.suspects.suspected(clock::now());
+        let tables = fleet.tables();
+        let suspected = tables.suspects.suspected(clock::now());
         let mut keys: Vec<_> = suspected.map(suspect_key).collect();
         keys.sort();
         keys
     };
     let recorded = || {
-        let books = fleet.books();
-        let keys = books.records.keys_with_value(FeedTopic::Fleet, SUSPECT_KEY);
+        let tables = fleet.tables();
+        let keys = tables
+            .records
+            .keys_with_value(FeedTopic::Fleet, SUSPECT_KEY_PREFIX);
         keys.map(str::to_owned).collect::<Vec<_>>()
     };
     wait_for("records of exactly the suspects", async || {
@@ -460,7 +462,7 @@
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
     site.log.set_faults(|faults| faults.is_out = true);
-    ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
+    send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
     site.log.set_faults(|faults| faults.is_out = false);
     let before = site.ended();
     sleep(Duration::from_millis(1_500)).await;
@@ -468,7 +470,7 @@
     for number in 0..3 {
         let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= MAX_ENDS, "{before}, {}", site.ended());
@@ -479,7 +481,7 @@
 async fn an_end_missing_from_a_restored_log_is_recorded_again() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
-    ask(daemon.caller_address, &poison("/plan/1", "d0")).await;
+    send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
     let records = site.log.len("keyed.fleet");
     site.log.restore(&[("keyed.fleet", records)]);
     wait_for("the record of the zone's holder", async || {
@@ -491,7 +493,7 @@
     for number in 0..4 {
         let (life, daemon) = site.start_vm().await;
         let request = poison("/plan/1", &format!("e{number}"));
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
     assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
@@ -505,11 +507,11 @@
     life.shutdown_background();
     let unlisted = vec!["keyed.fleet".to_owned()];
     site.log.set_faults(|faults| faults.unlisted = unlisted);
-    let unaware = DirectDaemon::start(settings("vm-2", &site.log)).await;
+    let unaware = DirectDaemon::start(vm_settings("vm-2", &site.log)).await;
     let unaware = unaware.expect("the daemon starts");
     sleep(Duration::from_secs(1)).await;
     assert!(!is_ready(&unaware).await);
-    let answer = ask(unaware.caller_address, &poison("/plan/1", "d0")).await;
+    let answer = send_request(unaware.caller_address, &poison("/plan/1", "d0")).await;
     assert_eq!((answer.status, site.ended()), (503, 0));
 }
 
@@ -525,7 +527,7 @@
         life: TargetLife::default(),
     };
     let fleet = daemon.fleet();
-    fleet.note_ended_under(&EndedUnder { fingerprint, run });
+    fleet.note_ended_under(&TargetCrash { fingerprint, run });
     let is_recorded = || site.log.newest("keyed.fleet", &key).is_some();
     wait_for("the record", async || is_recorded()).await;
     fleet.clear_suspicion(fingerprint);
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/repeats.rs
@@ -4,7 +4,9 @@
 //! to the process that spent it. If a new process began with a full share of the fixed number, each restart would allow that share
 //! to be spent once more, and the fleet would exceed the budget.
 
-use crate::support::{ask, is_ready, post, sealed, settings, site, wait_for};
+use crate::support::{
+    is_ready, post_request, seal_headers, send_request, start_daemon, vm_settings, wait_for,
+};
 use hoplanding_core::ids::ServiceName;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
@@ -20,7 +22,7 @@
 const FIXED: f64 = 50.0;
 
 fn reject(request: &RawRequest) -> RawAnswer {
-    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", sealed(request));
+    let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
     RawAnswer::whole("503 Service Unavailable", &headers, "")
 }
 
@@ -40,11 +42,11 @@
         .zip(&targets)
         .map(|(name, target)| (*name, "ledger", target.address))
         .collect();
-    let mut daemons = vec![site(&log, &listed).await];
+    let mut daemons = vec![start_daemon(&log, &listed).await];
     for life in 0..PROCESSES {
         if life > 0 {
             // The previous process gets no more calls, as if it had been killed.
-            let mut settings = settings("vm-1", &log);
+            let mut settings = vm_settings("vm-1", &log);
             settings.is_first_start = false;
             let next = DirectDaemon::start(settings).await;
             daemons.push(next.expect("the daemon starts"));
@@ -53,7 +55,8 @@
         wait_for("readiness", async || is_ready(daemon).await).await;
         for request in 0..REQUESTS {
             let id = format!("r{life}-{request}");
-            let answer = ask(daemon.caller_address, &post("/lookup/1", &id, "")).await;
+            let answer =
+                send_request(daemon.caller_address, &post_request("/lookup/1", &id, "")).await;
             assert_eq!(answer.status, 503);
         }
     }
@@ -82,8 +85,8 @@
 #[tokio::test]
 async fn a_process_that_does_not_know_the_fleet_spends_no_fixed_retries() {
     let log = KeyedLog::start().await.expect("a log");
-    let fleet = FleetState::new(&settings("vm-1", &log), 1);
+    let fleet = FleetState::new(&vm_settings("vm-1", &log), 1);
     let service = ServiceName::new("ledger");
-    let is_allowed = fleet.books().retries.try_repeat(&service, clock::now());
+    let is_allowed = fleet.tables().retries.try_retry(&service, clock::now());
     assert!(!is_allowed);
 }
