--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -10,7 +10,7 @@
 //! | `payment` | charges the organisation's quota, and refunds it |
 //! | `placement` | chooses the target of the next send |
 //! | `sending` | sends once, and classifies the answer |
-//! | `target_probe` | finds out whether a target terminated while it ran the call |
+//! | `target_probe` | finds out whether a target crashed while it ran the call |
 //! | `answers` | builds the answers to callers |
 //! | `timeline` | records the times of a stream's steps |
 //! | `stop_plan` | decides which calls are still admitted during a planned stop |
@@ -94,7 +94,7 @@
     pub holder_client: Arc<HolderClient>,
     /// Idle connections to targets.
     pub pool: Arc<ConnectionPool>,
-    /// Writer of records about requests under which targets terminated.
+    /// Writer of the suspects' records in the platform's log.
     pub records: SuspectRecorder,
     /// The daemon's settings.
     pub settings: Arc<DirectSettings>,
--- a/crates/daemon/src/direct/call/payment.rs
+++ b/crates/daemon/src/direct/call/payment.rs
@@ -100,7 +100,7 @@
         shortest_wait.map_or(PaymentOutcome::Unanswered, PaymentOutcome::UsedUp)
     }
 
-    /// Refunds the charge of a call that was not executed. A charge paid more than [`GIVEN_BACK_WITHIN`] ago stays, because its
+    /// Refunds the charge of a call that was not executed. A charge paid more than [`REFUND_WINDOW`] ago stays, because its
     /// refund would be spent in another quota window.
     pub(super) fn refund_payment(&self) {
         if let CallPayment::Paid(charge, at) = &self.payment
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -75,9 +75,9 @@
         let policy = self.context.fleet.tables().policy;
         let mut search = ZoneSearch::new(policy, zones.len());
         let mut pass = SearchPass::Compare;
-        while let Some(question) = search.next_query() {
-            if question.pass != pass {
-                pass = question.pass;
+        while let Some(query) = search.next_query() {
+            if query.pass != pass {
+                pass = query.pass;
                 if !self.has_retry_time() {
                     break;
                 }
@@ -85,8 +85,8 @@
                     sleep(REPLACE_DELAY).await;
                 }
             }
-            let zone = &zones[question.zone];
-            if let Some(found) = self.ask_zone(zone, &question, &mut search).await {
+            let zone = &zones[query.zone];
+            if let Some(found) = self.ask_zone(zone, &query, &mut search).await {
                 return found;
             }
         }
@@ -166,17 +166,17 @@
         zone: &AvailabilityZone,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let remaining = self.route.objective.saturating_sub(self.arrived.elapsed());
-        let ask = PlainRequest {
+        let request = PlainRequest {
             service: self.service.name.clone(),
             rank: self.rank,
             left_ms: millis(remaining),
             exclude: self.tried.clone(),
-            resting: self.resting(),
+            resting: self.backing_off(),
             fingerprint: self.fingerprint,
             is_trial: self.trial.is_some(),
             charge: self.payment.due().cloned(),
         };
-        self.context.holder_client.place_plain(zone, ask).await
+        self.context.holder_client.place_plain(zone, request).await
     }
 
     /// Picks a plain service's target without a holder, by the calls and health that this VM knows of.
@@ -208,14 +208,15 @@
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
-        question: &ZoneQuery,
+        query: &ZoneQuery,
         search: &mut ZoneSearch,
     ) -> Option<CallPlacement> {
-        let ask = self.placement_ask(question, search);
-        let Some((answer, placed_call)) = self.context.holder_client.place(zone, ask).await else {
-            search.record_no_answer(question.zone);
+        let request = self.placement_request(query, search);
+        let Some((answer, placed_call)) = self.context.holder_client.place(zone, request).await
+        else {
+            search.record_no_answer(query.zone);
             // The home zone has made an offer, and a zone whose holder is silent may be partitioned with its targets.
-            let has_home_offer = question.pass == SearchPass::Compare && question.zone > 0;
+            let has_home_offer = query.pass == SearchPass::Compare && query.zone > 0;
             if has_home_offer {
                 return None;
             }
@@ -275,18 +276,18 @@
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
                 match cause {
                     RefusalCause::NeedsTrial => match self.request_trial().await {
-                        None => Box::pin(self.ask_zone(zone, question, search)).await,
+                        None => Box::pin(self.ask_zone(zone, query, search)).await,
                         refused => refused,
                     },
                     RefusalCause::QuotaUsedUp => {
                         match self.pay_or_refuse(Some(zone), Some(retry_after)).await {
                             // The refusal came before the holder looked for a target, so the zone is asked again.
-                            None => Box::pin(self.ask_zone(zone, question, search)).await,
+                            None => Box::pin(self.ask_zone(zone, query, search)).await,
                             refused => refused,
                         }
                     }
                     _ => {
-                        search.record_refusal(question.zone, cause, retry_after_ms);
+                        search.record_refusal(query.zone, cause, retry_after_ms);
                         None
                     }
                 }
@@ -360,14 +361,14 @@
         zones
     }
 
-    fn placement_ask(&self, question: &ZoneQuery, search: &ZoneSearch) -> PlacementRequest {
+    fn placement_request(&self, query: &ZoneQuery, search: &ZoneSearch) -> PlacementRequest {
         let objective = self.route.objective;
         let remaining = objective.saturating_sub(self.arrived.elapsed());
-        let bound = if self.runs > 0 && question.pass != SearchPass::Compare {
+        let bound = if self.runs > 0 && query.pass != SearchPass::Compare {
             // The call may have run already, so serving it late is better than reporting a failure.
             self.remaining()
         } else {
-            search.max_wait(question.pass, self.rank, objective, remaining)
+            search.max_wait(query.pass, self.rank, objective, remaining)
         };
         let output = self
             .head
@@ -382,9 +383,9 @@
             priority: self.rank,
             bound_ms: millis(bound),
             exclude: self.tried.clone(),
-            resting: self.resting(),
-            may_load: question.may_load,
-            terms: question.terms,
+            resting: self.backing_off(),
+            may_load: query.may_load,
+            terms: query.terms,
             fingerprint: self.fingerprint,
             is_trial: self.trial.is_some(),
             charge: self.payment.due().cloned(),
@@ -392,7 +393,7 @@
     }
 
     /// Targets that asked this VM to back off.
-    fn resting(&self) -> Vec<TargetName> {
+    fn backing_off(&self) -> Vec<TargetName> {
         self.context.fleet.tables().resting(clock::now())
     }
 
@@ -404,7 +405,7 @@
         Some(backoff + BACKOFF_JITTER.mul_f64(rand::random()))
     }
 
-    /// Whether this VM knows of targets that terminated while they ran the request.
+    /// Whether this VM knows of targets that crashed while they ran the request.
     fn is_suspected(&self) -> bool {
         let tables = self.context.fleet.tables();
         tables.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -294,20 +294,20 @@
 
     /// Records the rate limit that an answer states for its target, and tells the holders if they need to know.
     fn note_limit(&self, entry: &TargetEntry, rate: Option<RequestRate>) {
-        let named = AdvertisedLimit {
+        let limit = AdvertisedLimit {
             run: entry.run(),
             rate,
         };
         let is_change = {
             let mut tables = self.context.fleet.tables();
-            tables.limits.record(&named, clock::now())
+            tables.limits.record(&limit, clock::now())
         };
         if is_change {
-            let rate = named.rate.map(RequestRate::as_f64);
+            let rate = limit.rate.map(RequestRate::as_f64);
             event!(Event::LimitNamed, request = self.head.id; "{}: {rate:?} requests per second", entry.name);
         }
-        if named.rate.is_some() || self.is_limited {
-            self.context.holder_client.tell_limit(&named);
+        if limit.rate.is_some() || self.is_limited {
+            self.context.holder_client.report_limit(&limit);
         }
     }
 
--- a/crates/daemon/src/direct/call/target_probe.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -1,7 +1,7 @@
-//! Finding out whether a target terminated while it ran a call, and reporting it to the holders and the platform's log.
+//! Finding out whether a target crashed while it ran a call, and reporting it to the holders and the platform's log.
 //!
 //! A broken connection alone is no evidence: the target may have closed it, or the network may be partitioned. A target counts
-//! as terminated when its address refuses connections or another target answers there.
+//! as crashed when its address refuses connections or another target answers there.
 
 use crate::{
     direct::{
@@ -56,39 +56,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeVerdict {
     /// Nothing listens at its address, or another target answers there.
-    Ended,
+    Crashed,
     /// The target answers.
     Alive,
-    /// No answer: the target may be terminating or merely busy.
+    /// No answer: the target may be crashing or merely busy.
     Unknown,
 }
 
 impl CallState {
-    /// Probes a target that broke this call off. If it has terminated, reports that to all holders and to the log before the
-    /// call is placed again or its caller answered. During a trial a target that does not answer counts as terminated.
+    /// Probes a target that broke this call off. If it has crashed, reports that to all holders and to the log before the
+    /// call is placed again or its caller answered. During a trial a target that does not answer counts as crashed.
     pub async fn probe_after_failure(&self, entry: &TargetEntry, is_trial: bool) {
         let mut verdict = self.probe(entry).await;
         if verdict == ProbeVerdict::Unknown {
-            // A terminating target's connections may close shortly before its address stops accepting.
+            // A crashing target's connections may close shortly before its address stops accepting.
             sleep(REPROBE_DELAY).await;
             verdict = self.probe(entry).await;
         }
-        let is_presumed_ended = verdict == ProbeVerdict::Unknown && is_trial;
-        if verdict != ProbeVerdict::Ended {
+        let is_presumed_crashed = verdict == ProbeVerdict::Unknown && is_trial;
+        if verdict != ProbeVerdict::Crashed {
             event!(Event::EndNotShown, request = self.head.id; "at {}, fingerprint {:016x}: {verdict:?}, trial {is_trial}", entry.name, self.fingerprint.0
             );
-            if !is_presumed_ended {
+            if !is_presumed_crashed {
                 return;
             }
         }
-        let ended = TargetCrash {
+        let crash = TargetCrash {
             fingerprint: self.fingerprint,
             run: entry.run(),
         };
         event!(Event::TargetEndedUnder, request = self.head.id; "at {}, fingerprint {:016x}", entry.name, self.fingerprint.0
         );
-        if self.context.fleet.note_ended_under(&ended) {
-            self.context.holder_client.tell_ended_under(&ended);
+        if self.context.fleet.note_ended_under(&crash) {
+            self.context.holder_client.report_crash(&crash);
         }
         self.context.records.record(self.fingerprint).await;
     }
@@ -117,7 +117,7 @@
             MAX_ANSWER_BYTES,
         );
         match exchanged.await {
-            Ok((StatusCode::MISDIRECTED_REQUEST, _)) => ProbeVerdict::Ended,
+            Ok((StatusCode::MISDIRECTED_REQUEST, _)) => ProbeVerdict::Crashed,
             Ok(_) => ProbeVerdict::Alive,
             Err(error) => verdict_of(&error),
         }
@@ -138,7 +138,7 @@
     match error {
         SendError::NotSent {
             is_refused: true, ..
-        } => ProbeVerdict::Ended,
+        } => ProbeVerdict::Crashed,
         SendError::NotSent { .. } | SendError::Unanswered { .. } => ProbeVerdict::Unknown,
     }
 }
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -1,7 +1,7 @@
 //! Client of the zones' holders: asks them where calls go, and tells them how calls ended.
 //!
-//! A question goes to the holder named by the zone's lease, either to this VM's own zone worker or over a link to another VM.
-//! A caller never waits for a holder that is not heard any more: every question ends with `None` then, and the gateway goes on
+//! A request goes to the holder named by the zone's lease, either to this VM's own zone worker or over a link to another VM.
+//! A caller never waits for a holder that is not heard any more: every request ends with `None` then, and the gateway goes on
 //! without an answer.
 
 use crate::{
@@ -90,19 +90,19 @@
     pub async fn place(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlacementRequest,
+        request: PlacementRequest,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let subject = ask.subject.clone();
+        let subject = request.subject.clone();
         let withdrawal = WithdrawalGuard {
             holder_client: self,
             zone,
             number,
             is_settled: false,
         };
-        let question = HolderRequest::Place(Box::new(ask));
-        let reply = self.ask(zone, &lease, number, question).await?;
+        let request = HolderRequest::Place(Box::new(request));
+        let reply = self.ask(zone, &lease, number, request).await?;
         self.open_call(withdrawal, zone, number, subject, reply)
     }
 
@@ -110,7 +110,7 @@
     pub async fn place_plain(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
-        ask: PlainRequest,
+        request: PlainRequest,
     ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
@@ -120,8 +120,8 @@
             number,
             is_settled: false,
         };
-        let question = HolderRequest::Plain(Box::new(ask));
-        let answer = self.ask(zone, &lease, number, question);
+        let request = HolderRequest::Plain(Box::new(request));
+        let answer = self.ask(zone, &lease, number, request);
         let reply = timeout(PLAIN_TIMEOUT, answer).await.ok()??;
         self.open_call(withdrawal, zone, number, AdapterName::new(""), reply)
     }
@@ -135,8 +135,8 @@
     ) -> Option<Result<(), Duration>> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderRequest::Pay(charge);
-        match self.ask(zone, &lease, number, question).await? {
+        let request = HolderRequest::Pay(charge);
+        match self.ask(zone, &lease, number, request).await? {
             HolderReply::Charged(None) => Some(Ok(())),
             HolderReply::Charged(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
             HolderReply::Placement(_)
@@ -159,8 +159,8 @@
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
             // Dropped if no answer comes, which ends a trial that the holder may have granted nevertheless.
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
-            let question = HolderRequest::Trial(fingerprint);
-            let answer = self.ask(&zone, &lease, number, question);
+            let request = HolderRequest::Trial(fingerprint);
+            let answer = self.ask(&zone, &lease, number, request);
             if let Ok(Some(HolderReply::Trial(decision))) = timeout(TRIAL_TIMEOUT, answer).await {
                 return Some((decision, permit));
             }
@@ -174,8 +174,8 @@
             return;
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderRequest::Target(target.clone());
-        let answer = self.ask(zone, &lease, number, question);
+        let request = HolderRequest::Target(target.clone());
+        let answer = self.ask(zone, &lease, number, request);
         if let Ok(Some(HolderReply::Target(Some(record)))) = timeout(TARGET_TIMEOUT, answer).await {
             self.fleet.apply_requested(record);
         }
@@ -211,16 +211,16 @@
         zone: &AvailabilityZone,
         lease: &ZoneLease,
         number: u64,
-        question: HolderRequest,
+        request: HolderRequest,
     ) -> Option<HolderReply> {
         if self.is_mine(lease) {
             let (sender, receiver) = oneshot::channel();
-            let event = question.into_event(self.key(number), ReplySender::Local(sender));
+            let event = request.into_event(self.key(number), ReplySender::Local(sender));
             self.zone.send(event).await.ok()?;
             return receiver.await.ok();
         }
         let link = self.usable_link(zone, lease)?;
-        let mut receiver = link.ask(number, question.into_message(number))?;
+        let mut receiver = link.ask(number, request.into_message(number))?;
         loop {
             match timeout(HOLDER_CHECK_INTERVAL, &mut receiver).await {
                 Ok(reply) => return reply.ok(),
@@ -444,17 +444,17 @@
         self.notify(&self.fleet.zone, HolderNotice::GiveBack(charge));
     }
 
-    /// Tells every zone's holder that a target terminated while it ran a request.
-    pub fn tell_ended_under(&self, ended: &TargetCrash) {
+    /// Tells every zone's holder that a target crashed while it ran a request.
+    pub fn report_crash(&self, crash: &TargetCrash) {
         for zone in &self.all_zones() {
-            self.notify(zone, HolderNotice::EndedUnder(ended.clone()));
+            self.notify(zone, HolderNotice::EndedUnder(crash.clone()));
         }
     }
 
     /// Tells every zone's holder the rate limit that a target stated in an answer.
-    pub fn tell_limit(&self, named: &AdvertisedLimit) {
+    pub fn report_limit(&self, limit: &AdvertisedLimit) {
         for zone in &self.all_zones() {
-            self.notify(zone, HolderNotice::LimitNamed(named.clone()));
+            self.notify(zone, HolderNotice::LimitNamed(limit.clone()));
         }
     }
 
@@ -465,7 +465,7 @@
         };
         if self.is_mine(&lease) {
             // A notice lost to a full queue does limited harm. A charge that is not refunded stays spent; other VMs report the
-            // same target's end; a trial delays the next one until it expires. A call that was begun or withdrawn is released
+            // same crash; a trial delays the next one until it expires. A call that was begun or withdrawn is released
             // by its end, and the prompt that it read is not offered to other engines.
             drop(self.zone.try_send(notice.into_event(&self.fleet.vm)));
         } else if let Some(link) = self.link(zone, &lease) {
--- a/crates/daemon/src/direct/holder_state.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -124,25 +124,25 @@
         &mut self,
         fleet: &FleetState,
         key: CallKey,
-        ask: &PlainRequest,
+        request: &PlainRequest,
         now: Instant,
     ) -> PlacementAnswer {
-        let suspicion = fleet.tables().suspects.suspicion(ask.fingerprint, now);
-        if !ask.is_trial && suspicion != Suspicion::Clear {
+        let suspicion = fleet.tables().suspects.suspicion(request.fingerprint, now);
+        if !request.is_trial && suspicion != Suspicion::Clear {
             return PlacementAnswer::Refuse {
                 retry_after_ms: 0,
                 cause: RefusalCause::NeedsTrial,
             };
         }
-        if let Err(refusal) = self.charge_placement(ask.charge.as_ref(), now) {
+        if let Err(refusal) = self.charge_placement(request.charge.as_ref(), now) {
             return refusal;
         }
         let targets: Vec<_> = {
             let tables = fleet.tables();
-            tables.catalog.ready(&ask.service).cloned().collect()
+            tables.catalog.ready(&request.service).cloned().collect()
         };
-        let answer = self.plain.place(key, ask, &targets, now);
-        if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
+        let answer = self.plain.place(key, request, &targets, now);
+        if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &request.charge) {
             self.refund(charge, now);
         }
         answer
@@ -175,8 +175,8 @@
     }
 
     /// Records the rate limit that a target stated in an answer.
-    pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
-        self.plain.record_limit(named, now);
+    pub fn note_limit(&mut self, limit: &AdvertisedLimit, now: Instant) {
+        self.plain.record_limit(limit, now);
     }
 
     /// Ends all calls and trials of a gateway that cannot be reached.
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -344,10 +344,8 @@
         let labels = MoveLabels { versions, told };
         self.prompt_moves.get_or_create(&labels).inc();
         let describe = |versions: &CacheVersions| {
-            let [base, adapter] = [versions.base, versions.adapter].map(|sight| VersionAge {
-                observed: sight,
-                now,
-            });
+            let [base, adapter] =
+                [versions.base, versions.adapter].map(|observed| VersionAge { observed, now });
             format!("base {base}, adapter {adapter}")
         };
         event!(
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -80,11 +80,11 @@
         if notice.is_leaving {
             self.mark_leaving(slice::from_ref(run), "stated in its own answer");
         }
-        if let Some(rest) = notice.backoff {
-            let applied = self.tables().rests.record(run, rest, now);
+        if let Some(backoff) = notice.backoff {
+            let applied = self.tables().rests.record(run, backoff, now);
             event!(
                 Event::RestAsked,
-                "{} for {rest:?}, applied for {applied:?}",
+                "{} for {backoff:?}, applied for {applied:?}",
                 run.name
             );
         }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -1,6 +1,6 @@
 //! The gateway's side of trials of suspects, and the changes of suspicion in this VM's fleet state.
 //!
-//! A request under which a target terminated is a suspect. It runs again only as a trial, for which a zone's holder grants a
+//! A request under which a target crashed is a suspect. It runs again only as a trial, for which a zone's holder grants a
 //! permit, one at a time.
 
 use crate::{
@@ -68,19 +68,19 @@
 }
 
 impl FleetState {
-    /// Records that a target terminated while it ran a request; returns whether that was not known before.
-    pub fn note_ended_under(&self, ended: &TargetCrash) -> bool {
+    /// Records that a target crashed while it ran a request; returns whether that was not known before.
+    pub fn note_ended_under(&self, crash: &TargetCrash) -> bool {
         let now = clock::now();
         let mut tables = self.tables();
-        if !tables.suspects.record_crash(ended, now) {
+        if !tables.suspects.record_crash(crash, now) {
             return false;
         }
         let (suspected, quarantined) = tables.suspects.counts(now);
         event!(
             Event::RequestSuspected,
-            "{:016x}: target {} ended under it; {suspected} requests suspected, {quarantined} of them quarantined",
-            ended.fingerprint.0,
-            ended.run.name
+            "{:016x}: target {} crashed while running it; {suspected} requests suspected, {quarantined} of them quarantined",
+            crash.fingerprint.0,
+            crash.run.name
         );
         true
     }
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -1,6 +1,6 @@
-//! Poison requests: requests that terminate every target that runs them, and that their callers repeat.
+//! Poison requests: requests that crash every target that runs them, and that their callers repeat.
 //!
-//! A request under which a target terminated is a suspect, and runs again only as a trial. After a second end it is quarantined. Both
+//! A request under which a target crashed is a suspect, and runs again only as a trial. After a second crash it is quarantined. Both
 //! must survive kills of holders and of all VMs, and restores of the platform's log.
 
 use crate::support::{
@@ -44,7 +44,7 @@
     post_request(path, id, &model_headers("a1")).replace("\r\n\r\nbody", "\r\n\r\nkill")
 }
 
-/// Engines that pause before each event, and that terminate under requests for which `is_deadly` is true.
+/// Engines that pause before each event, and that crash under requests for which `is_deadly` is true.
 async fn mortal_engines(
     count: usize,
     pause: Duration,
@@ -87,7 +87,7 @@
     log.put("keyed.op", "config", Some(&config_json(1)));
 }
 
-/// Number of poison requests that reached targets, each of which ended its target.
+/// Number of poison requests that reached targets, each of which crashed its target.
 fn poison_arrivals(targets: &[RawTarget]) -> usize {
     let seen = targets.iter().flat_map(RawTarget::requests);
     seen.filter(is_poison).count()
@@ -101,7 +101,7 @@
     .await;
 }
 
-/// The request terminates every target that runs it. It may cost two targets before it is quarantined.
+/// The request crashes every target that runs it. It may cost two targets before it is quarantined.
 #[tokio::test]
 async fn a_poison_request_reaches_two_targets_of_a_plain_service() {
     let log = KeyedLog::start().await.expect("a log");
@@ -200,10 +200,11 @@
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
     let log = KeyedLog::start().await.expect("a log");
     let is_suspect = |request: &RawRequest| request.line().contains("/plan/suspect");
-    // The first target terminates; the later ones run the request without harm.
-    let has_ended = Arc::new(AtomicBool::new(false));
-    let ends_once =
-        move |request: &RawRequest| is_suspect(request) && !has_ended.swap(true, Ordering::SeqCst);
+    // The first target crashes; the later ones run the request without harm.
+    let has_crashed = Arc::new(AtomicBool::new(false));
+    let ends_once = move |request: &RawRequest| {
+        is_suspect(request) && !has_crashed.swap(true, Ordering::SeqCst)
+    };
     let engines = mortal_engines(NAMES.len(), Duration::from_millis(150), ends_once).await;
     let daemons = start_two_zones(&log, &listed(&NAMES, "scribe", &engines), |_| {}).await;
     let runs = || {
@@ -312,10 +313,10 @@
     assert_eq!(poison_arrivals(&engines), 2);
 }
 
-/// Targets that a poison request may end. A third one may be reached at the moment in which the second end becomes known.
-const MAX_ENDS: usize = 3;
+/// Targets that a poison request may crash. A third one may be reached at the moment in which the second crash becomes known.
+const MAX_CRASHES: usize = 3;
 
-/// Engines that terminate under poison, and a single VM that is killed and started again.
+/// Engines that crash under poison, and a single VM that is killed and started again.
 struct KilledSite {
     log: KeyedLog,
     engines: Vec<RawTarget>,
@@ -335,7 +336,7 @@
         site
     }
 
-    /// Writes the entries of the engines that have not ended, and removes the others.
+    /// Writes the entries of the engines that have not crashed, and removes the others.
     fn write_entries(&self) {
         for (number, engine) in self.engines.iter().enumerate() {
             let is_running = !engine.requests().iter().any(is_poison);
@@ -360,14 +361,14 @@
         (life, daemon)
     }
 
-    fn ended(&self) -> usize {
+    fn crashed(&self) -> usize {
         poison_arrivals(&self.engines)
     }
 }
 
 /// All VMs are killed right after each answer. If the record came after the answer, every repeat would cost another engine.
 #[tokio::test]
-async fn a_first_end_is_recorded_before_the_caller_is_answered() {
+async fn a_first_crash_is_recorded_before_the_caller_is_answered() {
     let mut site = KilledSite::start(10).await;
     for number in 0..6 {
         let (life, daemon) = site.start_vm().await;
@@ -375,7 +376,7 @@
         send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
+    assert!(site.crashed() <= MAX_CRASHES, "{} crashed", site.crashed());
 }
 
 /// The same for calls of a plain service, whose targets serve no report.
@@ -404,20 +405,20 @@
         life.shutdown_background();
     }
     assert!(
-        poison_arrivals(&targets) <= MAX_ENDS,
+        poison_arrivals(&targets) <= MAX_CRASHES,
         "{}",
         poison_arrivals(&targets)
     );
 }
 
-/// An innocent request that runs on an engine while poison terminates it becomes a suspect too. A successful trial must clear it
+/// An innocent request that runs on an engine while poison crashes it becomes a suspect too. A successful trial must clear it
 /// and remove its record from the log.
 #[tokio::test]
 async fn a_bystander_is_served_after_a_restart_and_its_record_is_dropped() {
     let mut site = KilledSite::start(6).await;
     let (life, daemon) = site.start_vm().await;
     let bystander = |id: &str| post_request("/plan/bystander", id, &model_headers("a1"));
-    // The poison request terminates the engine on which the bystander's stream is running.
+    // The poison request crashes the engine on which the bystander's stream is running.
     let address = daemon.caller_address;
     let request = bystander("b0");
     let running = tokio::spawn(async move { send_request(address, &request).await });
@@ -458,13 +459,13 @@
 
 /// The call does not wait for the log, so the record must be written later, before the VM is killed.
 #[tokio::test]
-async fn an_end_during_a_log_outage_is_recorded_afterwards() {
+async fn a_crash_during_a_log_outage_is_recorded_afterwards() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
     site.log.set_faults(|faults| faults.is_out = true);
     send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
     site.log.set_faults(|faults| faults.is_out = false);
-    let before = site.ended();
+    let before = site.crashed();
     sleep(Duration::from_millis(1_500)).await;
     life.shutdown_background();
     for number in 0..3 {
@@ -473,12 +474,16 @@
         send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= MAX_ENDS, "{before}, {}", site.ended());
+    assert!(
+        site.crashed() <= MAX_CRASHES,
+        "{before}, {}",
+        site.crashed()
+    );
 }
 
-/// The log is restored from a copy without the record, while a VM still knows of the end.
+/// The log is restored from a copy without the record, while a VM still knows of the crash.
 #[tokio::test]
-async fn an_end_missing_from_a_restored_log_is_recorded_again() {
+async fn a_crash_missing_from_a_restored_log_is_recorded_again() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
     send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
@@ -496,7 +501,7 @@
         send_request(daemon.caller_address, &request).await;
         life.shutdown_background();
     }
-    assert!(site.ended() <= MAX_ENDS, "{} ended", site.ended());
+    assert!(site.crashed() <= MAX_CRASHES, "{} crashed", site.crashed());
 }
 
 /// The topic with the records of suspects cannot be listed, so any request could be poison.
@@ -512,7 +517,7 @@
     sleep(Duration::from_secs(1)).await;
     assert!(!is_ready(&unaware).await);
     let answer = send_request(unaware.caller_address, &poison("/plan/1", "d0")).await;
-    assert_eq!((answer.status, site.ended()), (503, 0));
+    assert_eq!((answer.status, site.crashed()), (503, 0));
 }
 
 /// The restored log still has the record of a suspect that was cleared since.
