--- a/crates/daemon/src/direct/holder_state.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -46,7 +46,7 @@
     pub fn new(
         settings: &DirectSettings,
         lease: LeaseOrigin,
-        led_until: Instant,
+        sole_until: Instant,
         now: Instant,
     ) -> Self {
         let is_first = settings.is_first_start && !lease.had_holder;
@@ -57,7 +57,7 @@
         };
         let zones = u32::try_from(settings.zones.len()).unwrap_or(u32::MAX);
         let times = HolderTenure {
-            sole_until: led_until,
+            sole_until,
             active_from: now.after(lease.quiet),
             has_predecessor: !lease.quiet.is_zero(),
             window: settings.quotas.window,
