--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -1,15 +1,15 @@
-//! The targets that may be sent to.
+//! Catalog of the targets that may be sent to.
 //!
-//! Entries come from the platform's list, each with the position of its record; the newest record of a target wins, in
-//! whatever order records arrive. A target may start again under its name: an entry of an older life changes nothing,
-//! whatever its position, and one of a newer life counts whatever came before.
+//! Entries come from the platform's list in the log, each with the position of its record. The newest record of a
+//! target wins, in whatever order records arrive. A target may restart under its name: an entry of an older life
+//! changes nothing, whatever its position, and an entry of a newer life always applies.
 //!
-//! A target that says in an answer that it leaves does so for the rest of that life, whatever its entry says: while the log is
-//! away its answers are the only word of it.
+//! A target that announces in an answer that it is leaving stays draining for the rest of that life, whatever its entry
+//! says, because its answers are the only source while the log is unreachable.
 //!
-//! While the log is away entries may lapse though their targets live, so a removal that
-//! this VM reads soon after the log's return waits for the entry's own return before it counts. A removal that another VM
-//! passes on counts at once: that VM has read it, and waited where it had to.
+//! Entries may expire while the log is unreachable although their targets are alive. A removal that this VM reads
+//! within [`RELIST_GRACE`] after the log's recovery is therefore pending until then, and is dropped if the entry comes
+//! back. A removal that another VM forwards applies at once, since that VM has read it and has waited where necessary.
 
 use crate::ids::{
     AdapterName, AvailabilityZone, Instant, LogPosition, ServiceName, TargetLife, TargetName,
@@ -22,52 +22,52 @@
     time::Duration,
 };
 
-/// Time after the log's return within which lapsed entries come back; the users name two seconds.
+/// Time after the log's recovery within which expired entries of live targets come back. Platforms need up to 2 s.
 pub const RELIST_GRACE: Duration = Duration::from_millis(2_200);
 
-/// Whether a target takes new work.
+/// Whether a target accepts new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetStage {
-    /// It takes new work.
+    /// It accepts new calls.
     Ready,
     /// It is about to leave.
     Draining,
 }
 
-/// An adapter and its version on a target.
+/// An adapter version on a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResidentAdapter {
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: AdapterName,
     /// Its version.
     pub version: u64,
 }
 
-/// One target as the platform lists it.
+/// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetEntry {
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Which of its lives this is.
+    /// Life of the target, which changes with each restart.
     pub life: TargetLife,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it is reached.
+    /// Address for calls.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: AvailabilityZone,
-    /// Calls that it works on at once.
+    /// Calls that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new calls.
     pub stage: TargetStage,
-    /// Time left until it is gone, where it was told so at short notice.
+    /// Time until it is gone, if its shutdown was announced at short notice.
     pub remaining: Option<Duration>,
-    /// Time for which it is still slow from its start.
+    /// Time for which it is still slow after its start.
     pub warmup_remaining: Duration,
-    /// The count in its entry. An engine's report counts orders under the same name; on the users' platform the entry's moves with each
-    /// write, so it says nothing of orders.
+    /// Counter in its entry. It counts orders in the report of an engine, but in the entry it may increase with each
+    /// write, so it must not be used to count orders.
     pub orders_taken: u64,
-    /// Its base models and their versions.
+    /// Its base models with their versions.
     pub models: Vec<(String, u64)>,
     /// Its adapters.
     pub adapters: Vec<ResidentAdapter>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Whether calls go to the same place by both entries; what an engine holds is its holder's concern.
+    /// Whether calls are routed alike by both entries. The adapters of an engine only concern its holder.
     #[must_use]
     pub fn routes_like(&self, other: &Self) -> bool {
         self.service == other.service
@@ -99,44 +99,47 @@
 #[derive(Clone, Debug)]
 struct CatalogRow {
     position: LogPosition,
-    /// The newest life that an entry told of.
+    /// Newest life of any entry.
     life: TargetLife,
-    /// The life in which the target said that it leaves.
-    leaving: Option<TargetLife>,
+    /// Life in which the target announced that it is leaving.
+    leaving_life: Option<TargetLife>,
     entry: Option<Arc<TargetEntry>>,
-    /// When a removal counts, if it is in doubt.
-    lapses_at: Option<Instant>,
+    /// Time at which a pending removal applies.
+    removal_due_at: Option<Instant>,
 }
 
 impl CatalogRow {
-    /// A target of which no entry is known.
-    fn unlisted(position: LogPosition) -> Self {
+    /// A target without a known entry.
+    fn without_entry(position: LogPosition) -> Self {
         Self {
             position,
             life: TargetLife::default(),
-            leaving: None,
+            leaving_life: None,
             entry: None,
-            lapses_at: None,
+            removal_due_at: None,
         }
     }
 
-    /// Takes an entry over, of a target that may have said that it leaves.
+    /// Sets the entry, as draining if the target announced in this life that it is leaving.
     fn set_entry(&mut self, mut entry: TargetEntry) {
-        if self.leaving == Some(entry.life) {
+        if self.leaving_life == Some(entry.life) {
             entry.stage = TargetStage::Draining;
         }
         self.life = entry.life;
         self.entry = Some(Arc::new(entry));
-        self.lapses_at = None;
+        self.removal_due_at = None;
     }
 
-    /// Takes the entry away, at once or when the doubt ends; says whether it is gone now.
-    fn remove(&mut self, doubt_ends: Option<Instant>) -> bool {
-        if let Some(ends) = doubt_ends.filter(|_| self.entry.is_some()) {
-            self.lapses_at = Some(self.lapses_at.map_or(ends, |known| known.min(ends)));
+    /// Removes the entry, at once or at the end of the grace period; returns whether it is gone now.
+    fn remove(&mut self, grace_end: Option<Instant>) -> bool {
+        if let Some(ends) = grace_end.filter(|_| self.entry.is_some()) {
+            self.removal_due_at = Some(
+                self.removal_due_at
+                    .map_or(ends, |previous| previous.min(ends)),
+            );
             return false;
         }
-        self.lapses_at = None;
+        self.removal_due_at = None;
         self.entry.take().is_some()
     }
 }
@@ -145,48 +148,50 @@
 #[derive(Clone, Debug, Default)]
 pub struct TargetCatalog {
     rows: HashMap<TargetName, CatalogRow>,
-    /// When the log came back from its last outage.
-    returned: Option<Instant>,
-    /// When the log was first seen to have come back from a copy, which may lack entries of targets that live.
-    restored: Option<Instant>,
+    /// When the log recovered from its last outage.
+    recovered_at: Option<Instant>,
+    /// When the log was first seen restored from a copy, which may lack entries of live targets.
+    restored_at: Option<Instant>,
 }
 
-/// A removal that counts, and the position of its record.
+/// A target whose removal applies, and the position of its record.
 pub type ConfirmedRemoval = (TargetName, LogPosition);
 
 impl TargetCatalog {
-    /// The log came back from its last outage then; none if there was no outage. Doubts end sooner if that is earlier
-    /// than was thought, and never later: a log that goes and comes again would keep a target that is gone for good.
-    pub fn note_log_recovered(&mut self, returned: Option<Instant>) {
-        if self.returned == returned {
+    /// Records when the log recovered from its last outage; `None` if there was none. Pending removals become due
+    /// earlier if the recovery was earlier than assumed, but never later: a log that fails repeatedly would otherwise
+    /// keep a target that is gone.
+    pub fn note_log_recovered(&mut self, recovered_at: Option<Instant>) {
+        if self.recovered_at == recovered_at {
             return;
         }
-        self.returned = returned;
-        let ends = returned.max(self.restored);
+        self.recovered_at = recovered_at;
+        let ends = recovered_at.max(self.restored_at);
         let ends = ends.map_or(Instant(0), |at| at.after(RELIST_GRACE));
         for row in self.rows.values_mut() {
-            row.lapses_at = row.lapses_at.map(|at| at.min(ends));
+            row.removal_due_at = row.removal_due_at.map(|at| at.min(ends));
         }
     }
 
-    /// The log has come back from a copy, which may say that a target is ready though it leaves since; gives those that leave.
+    /// Records that the log was restored from a copy, in which a target that is leaving may be listed as ready. Returns
+    /// the targets that are leaving.
     pub fn note_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
-        self.restored = Some(now);
+        self.restored_at = Some(now);
         let mut runs = Vec::new();
         for row in self.rows.values_mut() {
-            let leaving = row
+            let draining = row
                 .entry
                 .as_ref()
                 .filter(|entry| entry.stage == TargetStage::Draining);
-            if let Some(entry) = leaving {
-                row.leaving = Some(entry.life);
+            if let Some(entry) = draining {
+                row.leaving_life = Some(entry.life);
                 runs.push(entry.run());
             }
         }
         runs
     }
 
-    /// Folds one record that this VM read; none for a removal. Says whether it changes where calls may go.
+    /// Applies a record that this VM read; `entry` is `None` for a removal. Returns whether routing changes.
     pub fn apply(
         &mut self,
         name: &TargetName,
@@ -194,10 +199,10 @@
         entry: Option<TargetEntry>,
         now: Instant,
     ) -> bool {
-        let doubt_ends = self.doubt_ends(now);
+        let grace_end = self.grace_end(now);
         let Some(row) = self.rows.get_mut(name) else {
             let is_known = entry.is_some();
-            let mut row = CatalogRow::unlisted(position);
+            let mut row = CatalogRow::without_entry(position);
             if let Some(entry) = entry {
                 row.set_entry(entry);
             }
@@ -215,55 +220,56 @@
         row.position = position;
         match entry {
             Some(entry) => {
-                // Others may have counted a removal that is in doubt here: that the entry is back is news to them.
-                let is_news = row.lapses_at.is_some()
+                // Other VMs may have applied a removal that is pending here, so the entry's return is a change for
+                // them.
+                let is_change = row.removal_due_at.is_some()
                     || row
                         .entry
                         .as_ref()
-                        .is_none_or(|known| !known.routes_like(&entry));
+                        .is_none_or(|previous| !previous.routes_like(&entry));
                 row.set_entry(entry);
-                is_news
+                is_change
             }
-            None => row.remove(doubt_ends),
+            None => row.remove(grace_end),
         }
     }
 
-    /// Folds that a target said that it leaves; says whether that is news.
+    /// Records that a target announced that it is leaving; returns whether that was unknown.
     pub fn note_leaving(&mut self, run: &TargetRun) -> bool {
         let row = self
             .rows
             .entry(run.name.clone())
-            .or_insert_with(|| CatalogRow::unlisted(LogPosition(0)));
-        if row.leaving.is_some_and(|life| life >= run.life) {
+            .or_insert_with(|| CatalogRow::without_entry(LogPosition(0)));
+        if row.leaving_life.is_some_and(|life| life >= run.life) {
             return false;
         }
-        row.leaving = Some(run.life);
+        row.leaving_life = Some(run.life);
         if let Some(entry) = row.entry.take() {
-            let lapses_at = row.lapses_at;
+            let removal_due_at = row.removal_due_at;
             row.set_entry(Arc::unwrap_or_clone(entry));
-            row.lapses_at = lapses_at;
+            row.removal_due_at = removal_due_at;
         }
         true
     }
 
-    /// The newest life that a target's entries told of.
+    /// Newest life of any entry of a target.
     #[must_use]
     pub fn life(&self, name: &TargetName) -> TargetLife {
         self.rows.get(name).map(|row| row.life).unwrap_or_default()
     }
 
-    /// Until when a removal that is read now is in doubt.
-    fn doubt_ends(&self, now: Instant) -> Option<Instant> {
-        let ends = self.returned.max(self.restored)?.after(RELIST_GRACE);
+    /// End of the grace period for a removal that is read at `now`, if there is one.
+    fn grace_end(&self, now: Instant) -> Option<Instant> {
+        let ends = self.recovered_at.max(self.restored_at)?.after(RELIST_GRACE);
         (now < ends).then_some(ends)
     }
 
-    /// Folds a removal that is beyond doubt; says whether it changes where calls may go.
+    /// Applies a removal that is not pending; returns whether routing changes.
     pub fn confirm_removal(&mut self, name: &TargetName, position: LogPosition) -> bool {
         let row = self
             .rows
             .entry(name.clone())
-            .or_insert_with(|| CatalogRow::unlisted(position));
+            .or_insert_with(|| CatalogRow::without_entry(position));
         if row.position > position {
             return false;
         }
@@ -271,79 +277,79 @@
         row.remove(None)
     }
 
-    /// Removes what a whole listing taken at `end` lacks, unless it is known by a later record; gives the removals that
-    /// count at once.
+    /// Removes the targets that a full listing taken at `end` lacks, unless a later record of them is known. Returns
+    /// the removals that apply at once.
     pub fn remove_missing(
         &mut self,
         listed: &HashSet<&str>,
         end: LogPosition,
         now: Instant,
     ) -> Vec<ConfirmedRemoval> {
-        let doubt_ends = self.doubt_ends(now);
-        // A record at `end` itself comes after the listing.
+        let grace_end = self.grace_end(now);
+        // The record at `end` itself comes after the listing.
         let last = LogPosition(end.0.saturating_sub(1));
         let missing = self.rows.iter_mut().filter(|(name, row)| {
             row.entry.is_some() && row.position < end && !listed.contains(name.as_str())
         });
-        let mut counted = Vec::new();
+        let mut confirmed = Vec::new();
         for (name, row) in missing {
             row.position = last;
-            if row.remove(doubt_ends) {
-                counted.push((name.clone(), last));
+            if row.remove(grace_end) {
+                confirmed.push((name.clone(), last));
             }
         }
-        counted
+        confirmed
     }
 
-    /// Removes what was in doubt and did not come back; gives the removals.
+    /// Applies the pending removals that are due and returns them.
     pub fn expire_removals(&mut self, now: Instant) -> Vec<ConfirmedRemoval> {
-        let mut counted = Vec::new();
+        let mut confirmed = Vec::new();
         for (name, row) in &mut self.rows {
-            if row.lapses_at.is_some_and(|at| now >= at) {
-                row.lapses_at = None;
+            if row.removal_due_at.is_some_and(|at| now >= at) {
+                row.removal_due_at = None;
                 row.entry = None;
-                counted.push((name.clone(), row.position));
+                confirmed.push((name.clone(), row.position));
             }
         }
-        counted
+        confirmed
     }
 
-    /// Lowest position of a removal in doubt.
+    /// Lowest position of a pending removal.
     #[must_use]
     pub fn first_unconfirmed(&self) -> Option<LogPosition> {
         let rows = self.rows.values();
-        rows.filter(|row| row.lapses_at.is_some())
+        rows.filter(|row| row.removal_due_at.is_some())
             .map(|row| row.position)
             .min()
     }
 
-    /// Whether the removal of a target's entry is in doubt.
+    /// Whether the removal of a target is pending.
     #[must_use]
     pub fn is_removal_pending(&self, name: &TargetName) -> bool {
         self.rows
             .get(name)
-            .is_some_and(|row| row.lapses_at.is_some())
+            .is_some_and(|row| row.removal_due_at.is_some())
     }
 
-    /// Targets whose removal is in doubt.
+    /// Number of targets whose removal is pending.
     #[must_use]
     pub fn pending_removals(&self) -> usize {
         let rows = self.rows.values();
-        rows.filter(|row| row.lapses_at.is_some()).count()
+        rows.filter(|row| row.removal_due_at.is_some()).count()
     }
 
-    /// A target by name.
+    /// Entry of a target by name.
     #[must_use]
     pub fn get(&self, name: &TargetName) -> Option<&Arc<TargetEntry>> {
         self.rows.get(name)?.entry.as_ref()
     }
 
-    /// Every listed target.
+    /// Entries of all targets.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<TargetEntry>> {
         self.rows.values().filter_map(|row| row.entry.as_ref())
     }
 
-    /// Targets of a service that take new work.
+    /// Targets of a service that accept new calls.
     pub fn ready<'a>(
         &'a self,
         service: &'a ServiceName,
--- a/crates/core/src/direct/lease.rs
+++ b/crates/core/src/direct/lease.rs
@@ -1,133 +1,139 @@
-//! Which VM gives the orders in a zone.
+//! Decides which VM holds the lease of a zone and gives its orders.
 //!
-//! A claim is a record under the zone's key, appended only if nothing was appended since the claimant read; its position
-//! is the fencing token, so a later claim always has a higher one, also in a later era of the log. A log that came back from a
-//! copy may lack claims: the holder goes on and claims its zone again, and whoever else claims it waits before its first order. A holder stops as soon as it reads a newer record or
-//! a target refuses its token. A successor of a holder that may still be giving orders waits before its first one, and says so in its
-//! claim: should it end meanwhile, its own successor waits as well.
+//! A claim is a record under the zone's key that is appended only if nothing was appended since the claimant last read.
+//! Its position is the fencing token, so later claims have higher tokens, also in a later era of the log. A log that
+//! was restored from a copy may lack claims: the holder continues and claims its zone again, and any other claimant
+//! waits before its first order. A holder stops as soon as it reads a newer record or a target rejects its token. The
+//! successor of a holder that may still be giving orders waits before its first order and states so in its claim, so
+//! that its own successor also waits if it terminates meanwhile.
 //!
-//! Orders and placements of a whole zone are work, so a strong VM should do it. A weak one that took over while the
-//! strong ones were away is asked for the lease once they are back: it finishes the orders under way and gives it up.
+//! Orders and placements of a whole zone need computing power, so a strong VM should hold the lease. A weak VM that
+//! took over while the strong ones were away is asked for the lease once they are back; it completes its pending orders
+//! and releases the lease.
 
 use crate::ids::{FencingToken, Instant, LogPosition, StoreEra, VmName};
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, time::Duration};
 
-/// A zone's holder, as recorded; an empty VM means that it was given up.
+/// Record of a zone's holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLease {
-    /// The VM, or none.
+    /// Holder; `None` if the lease was released.
     pub vm: Option<VmName>,
-    /// The run of its process.
+    /// Incarnation of the holder's process.
     pub incarnation: u64,
-    /// Where other VMs reach it.
+    /// Address for other VMs.
     pub address: SocketAddr,
-    /// The era in which it was claimed; none in records of a version that knows no eras.
+    /// Era of the log in which the zone was claimed; `None` in records of versions that do not know eras.
     #[serde(default)]
     pub era: Option<StoreEra>,
-    /// When it was claimed, if its holder waits before its first order: wall-clock time in milliseconds since 1970.
+    /// When the zone was claimed, if the holder waits before its first order: wall-clock time in milliseconds since
+    /// 1970.
     #[serde(default)]
     pub waits_since_ms: Option<u64>,
 }
 
 impl ZoneLease {
-    /// The position at which it was claimed, of a record that is read at `position`. In a log that came back from a copy, what was
-    /// claimed before stands at its old offset.
+    /// Position at which the zone was claimed, for a record that is read at `position`. In a log that was restored from
+    /// a copy, earlier claims keep their old offset.
     fn claimed_at(&self, position: LogPosition) -> LogPosition {
         let era = self.era.unwrap_or_else(|| position.era());
         LogPosition::in_era(era.min(position.era()), position.offset())
     }
 }
 
-/// How the VM's contact with the recorded holder stands.
+/// State of the contact between this VM and the recorded holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderContact {
-    /// It is heard.
+    /// Heartbeats arrive.
     Heard,
-    /// Its address refuses connections, or answers as another run: the process ended.
+    /// Its address refuses connections or answers with another incarnation, so the process has terminated.
     Ended,
-    /// Nothing has come from it since.
+    /// No heartbeat since this time.
     Silent(Instant),
 }
 
-/// What to do about a zone's lease.
+/// Next step regarding a zone's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Nothing for now.
     Wait,
-    /// Ask the holder for it, as it is weaker than this VM.
+    /// Ask the holder to hand the lease over, as it is weaker than this VM.
     RequestTransfer,
-    /// Claim it; orders may begin this long after the claim was recorded.
+    /// Claim the lease.
     Claim {
-        /// Pause before the first order.
+        /// Time from the record of the claim until the first order.
         order_delay: Duration,
     },
 }
 
-/// Spans that decide when to claim.
+/// Times that decide when to claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTimeouts {
     /// Silence after which a holder is replaced.
     pub holder_timeout: Duration,
-    /// Pause for each VM that comes earlier in the order of claimants.
+    /// Wait for each VM that precedes this one in the order of claimants.
     pub stagger: Duration,
-    /// Time within which two holders may not take turns.
+    /// Time after which a holder that was replaced gives no more orders; also the interval of requests to a weaker
+    /// holder.
     pub handover_delay: Duration,
 }
 
-/// What a VM sees of its zone's holder, and its own place in the order of claimants.
+/// What a VM knows of its zone's holder, and its own place in the order of claimants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderView {
-    /// How the contact with the holder stands.
+    /// State of the contact with the holder.
     pub contact: HolderContact,
     /// Whether this VM is stronger than the holder.
     pub is_holder_weaker: bool,
-    /// VMs that claim before this one.
+    /// Number of VMs that claim before this one.
     pub rank: u32,
-    /// How long ago the zone was claimed at the least, if the claimant was to wait before its first order.
+    /// Least time since the zone was claimed, if the claimant had to wait before its first order.
     pub waiting_claim_age: Option<Duration>,
-    /// Whether the log has come back from a copy since the newest record: later ones may be lost, and their holders go on until
-    /// they know.
+    /// Whether the log was restored from a copy since the newest record. Later records may be lost, and their holders
+    /// continue until they know.
     pub is_log_restored: bool,
     /// Whether this process is the holder.
     pub is_holder: bool,
-    /// Whether this process gives the zone's orders, and no other VM can have done so meanwhile, though its claim may be lost.
+    /// Whether this process gives the zone's orders and no other VM can have done so meanwhile, even if its claim is
+    /// lost.
     pub is_sole_holder: bool,
 }
 
-/// One zone's lease, as this VM knows it.
+/// Lease of one zone, as this VM knows it.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseState {
-    /// The newest record.
+    /// Newest record.
     pub lease: Option<ZoneLease>,
-    /// Its position.
+    /// Position of the newest record.
     pub position: LogPosition,
-    /// Whether the zone has had a holder before the newest record's.
+    /// Whether the zone had a holder before the newest record.
     pub had_holder: bool,
-    /// Token of the record before, if the newest one was appended by the same holder.
+    /// Token of the previous record, if the same holder appended the newest one.
     pub renewed_token: Option<FencingToken>,
-    /// Whether the newest record was read in a later era than it was claimed in: nobody begins to hold the zone by it.
+    /// Whether the newest record was read in a later era than it was claimed in. Nobody becomes the holder by such a
+    /// record.
     pub is_from_earlier_era: bool,
-    /// When this VM first looked at the newest record.
+    /// When this VM first evaluated the newest record.
     seen_at: Option<Instant>,
-    /// Since when the zone has had no holder that can be reached.
+    /// Since when the zone has had no reachable holder.
     vacant_since: Option<Instant>,
-    /// Since when this VM has heard a holder that is weaker, or asked it last.
+    /// Since when this VM has heard a weaker holder, or when it last asked for the lease.
     weaker_since: Option<Instant>,
 }
 
 impl LeaseState {
-    /// Folds a record; older ones are passed over. Says whether it is news.
+    /// Applies a record unless it is older than the known one; returns whether it was applied.
     pub fn apply(&mut self, position: LogPosition, lease: Option<ZoneLease>) -> bool {
-        let read_at = position;
+        let read_position = position;
         let position = lease
             .as_ref()
-            .map_or(read_at, |lease| lease.claimed_at(read_at));
+            .map_or(read_position, |lease| lease.claimed_at(read_position));
         if self.lease.is_some() && position <= self.position {
             return false;
         }
-        self.is_from_earlier_era = position != read_at;
-        self.renewed_token = self.is_renewed_by(lease.as_ref()).then(|| self.token());
+        self.is_from_earlier_era = position != read_position;
+        self.renewed_token = self.is_renewal(lease.as_ref()).then(|| self.token());
         self.had_holder |= self.lease.is_some();
         self.position = position;
         self.lease = lease;
@@ -137,78 +143,83 @@
         true
     }
 
-    fn is_renewed_by(&self, lease: Option<&ZoneLease>) -> bool {
+    fn is_renewal(&self, lease: Option<&ZoneLease>) -> bool {
         let holder = |lease: &ZoneLease| Some((lease.vm.clone()?, lease.incarnation));
         let known = self.lease.as_ref().and_then(holder);
         known.is_some() && known == lease.and_then(holder)
     }
 
-    /// The token of the newest record.
+    /// Fencing token of the newest record.
     #[must_use]
     pub fn token(&self) -> FencingToken {
         self.position.token()
     }
 
-    /// The VM that holds the zone by the newest record.
+    /// Holder by the newest record.
     #[must_use]
     pub fn holder(&self) -> Option<&VmName> {
         self.lease.as_ref()?.vm.as_ref()
     }
 
-    /// Decides what this VM does about the lease.
+    /// Decides what this VM does about the lease at `now`.
     pub fn next_action(
         &mut self,
-        times: &LeaseTimeouts,
+        timeouts: &LeaseTimeouts,
         view: HolderView,
         now: Instant,
     ) -> LeaseAction {
         if view.is_log_restored && view.is_holder {
-            let quiet = if view.is_sole_holder {
+            let order_delay = if view.is_sole_holder {
                 Duration::ZERO
             } else {
-                times.handover_delay
+                timeouts.handover_delay
             };
-            return LeaseAction::Claim { order_delay: quiet };
+            return LeaseAction::Claim { order_delay };
         }
         let seen_at = *self.seen_at.get_or_insert(now);
-        let since_gone = match view.waiting_claim_age {
-            _ if view.is_log_restored => times.handover_delay,
-            // The holder before the one that is gone may go on.
-            Some(waited) => times
+        let successor_delay = match view.waiting_claim_age {
+            _ if view.is_log_restored => timeouts.handover_delay,
+            // The predecessor of the holder that is gone may still give orders.
+            Some(claim_age) => timeouts
                 .handover_delay
-                .saturating_sub(waited.max(now.since(seen_at))),
+                .saturating_sub(claim_age.max(now.since(seen_at))),
             None => Duration::ZERO,
         };
-        let (vacant_from, quiet) = match (self.holder(), view.contact) {
-            (None, _) => (Some(now), since_gone),
+        let (vacant_at, order_delay) = match (self.holder(), view.contact) {
+            (None, _) => (Some(now), successor_delay),
             (Some(_), HolderContact::Heard) => (None, Duration::ZERO),
-            (Some(_), HolderContact::Ended) => (Some(now), since_gone),
+            (Some(_), HolderContact::Ended) => (Some(now), successor_delay),
             (Some(_), HolderContact::Silent(since)) => {
-                let silent = now.since(since) >= times.holder_timeout;
-                (silent.then_some(now), times.handover_delay)
+                let is_silent = now.since(since) >= timeouts.holder_timeout;
+                (is_silent.then_some(now), timeouts.handover_delay)
             }
         };
-        let Some(from) = vacant_from else {
+        let Some(from) = vacant_at else {
             self.vacant_since = None;
-            return self.ask_weaker(times, view, now);
+            return self.request_from_weaker(timeouts, view, now);
         };
         self.weaker_since = None;
         let since = *self.vacant_since.get_or_insert(from);
-        if now.since(since) >= times.stagger * view.rank {
-            LeaseAction::Claim { order_delay: quiet }
+        if now.since(since) >= timeouts.stagger * view.rank {
+            LeaseAction::Claim { order_delay }
         } else {
             LeaseAction::Wait
         }
     }
 
-    /// Asks a weaker holder for the lease, once a turn: that long it has held it, and this VM has heard it.
-    fn ask_weaker(&mut self, times: &LeaseTimeouts, view: HolderView, now: Instant) -> LeaseAction {
+    /// Asks a weaker holder for the lease once it has been heard for the handover delay, and again at that interval.
+    fn request_from_weaker(
+        &mut self,
+        timeouts: &LeaseTimeouts,
+        view: HolderView,
+        now: Instant,
+    ) -> LeaseAction {
         if view.contact != HolderContact::Heard || !view.is_holder_weaker {
             self.weaker_since = None;
             return LeaseAction::Wait;
         }
         let since = *self.weaker_since.get_or_insert(now);
-        if now.since(since) < times.handover_delay {
+        if now.since(since) < timeouts.handover_delay {
             return LeaseAction::Wait;
         }
         self.weaker_since = Some(now);
--- a/crates/core/src/direct/suspects.rs
+++ b/crates/core/src/direct/suspects.rs
@@ -1,138 +1,139 @@
-//! Requests under which targets ended.
+//! Requests that may crash the targets they run on.
 //!
-//! A poison request crashes whatever runs it. Its caller comes back, and others send the same, so what has to be known is
-//! the request by what it asks, not its id: its fingerprint. When a target ends, every request that ran on it is a suspect: one
-//! of them may be the cause. Suspects run as trials only (see `trials`), and no two suspects of one end share a target
-//! again where there is another, so that a second end tells which of them is the cause.
+//! A poison request crashes every target that runs it. Its caller retries it and other callers send the same request,
+//! so it is identified by its content, the [`RequestFingerprint`], and not by its id. When a target terminates, every
+//! request that ran on it becomes a suspect, since any of them may be the cause. Suspects only run as trials (see
+//! [`trials`](crate::direct::trials)). Two suspects of the same crash share no target again if another one is
+//! available, so that a second crash identifies the cause.
 //!
-//! The count of ends outlives every pause between trials, and all VMs. It ends with a trial that is answered well, or once the
-//! request has stayed away for a day.
+//! The number of crashes is kept across the pauses between trials and across the loss of VMs. It is cleared by a trial
+//! that is answered successfully, or when the request has not been seen for [`SUSPECT_TTL`].
 
 use crate::ids::{Instant, TargetRun};
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, time::Duration};
 
-/// Ends from which a request is quarantined.
+/// Number of crashes from which a request is quarantined.
 pub const QUARANTINE_MIN_CRASHES: usize = 2;
-/// Time after which a request that stays away is forgotten.
+/// Time after which a suspect that has not been seen again is dropped.
 pub const SUSPECT_TTL: Duration = Duration::from_secs(24 * 3_600);
-/// Requests that are remembered; beyond that those with the fewest ends go first. A fleet that loses a quarter of 140 engines
-/// with 12 requests each has 420 of them.
-const KEPT_MOST: usize = 2_048;
-/// Ends of one request that are remembered, also those before its last good answer, which other VMs may still tell of.
-const ENDS_MOST: usize = 8;
+/// Suspects that are kept; beyond that, those with the fewest crashes are evicted first. A fleet that loses a quarter
+/// of 140 engines with 12 requests each has 420 suspects.
+const MAX_SUSPECTS: usize = 2_048;
+/// Crashes that are kept for each request, including those before its last successful trial, which other VMs may still
+/// report.
+const MAX_CRASHES: usize = 8;
 
-/// A request by what it asks: method, path, adapter, parts of the prompt and body.
+/// Hash of a request's content: method, path, adapter, parts of the prompt and body.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct RequestFingerprint(pub u64);
 
-/// A target that ended while a request ran there.
+/// A target that terminated while a request ran on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetCrash {
-    /// The request.
+    /// Request that ran on the target.
     pub fingerprint: RequestFingerprint,
     /// The target and its life.
     pub run: TargetRun,
 }
 
-/// How a request stands.
+/// Whether a request is a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Suspicion {
-    /// Nothing is known against it.
+    /// No crash counts against it.
     Clear,
-    /// Targets ended under it.
+    /// Targets terminated while it ran.
     Suspected {
-        /// How many.
+        /// Number of crashes.
         crashes: usize,
-        /// When the last end was noted.
+        /// When the last crash was recorded.
         last_crash: Instant,
     },
 }
 
 impl Suspicion {
-    /// Targets that ended under it.
+    /// Number of crashes that count against the request.
     #[must_use]
-    pub fn ends(self) -> usize {
+    pub fn crashes(self) -> usize {
         match self {
             Self::Clear => 0,
-            Self::Suspected { crashes: ends, .. } => ends,
+            Self::Suspected { crashes, .. } => crashes,
         }
     }
 }
 
-/// What counts against a request.
+/// Crashes that count against a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectStatus {
-    /// Targets that ended under it, in the order in which they were noted.
+    /// Targets that terminated while it ran, in the order of recording.
     pub crashes: Vec<TargetRun>,
-    /// When the last one was noted.
+    /// When the last crash was recorded.
     pub last_crash: Instant,
-    /// When it is forgotten unless it comes again.
+    /// When the record is dropped unless the request is seen again.
     pub expires_at: Instant,
 }
 
 #[derive(Clone, Debug)]
-struct NotedEnd {
+struct RecordedCrash {
     run: TargetRun,
-    /// Whether the request has been answered well since.
-    is_pardoned: bool,
+    /// Whether a later trial of the request succeeded, so that the crash no longer counts.
+    is_cleared: bool,
 }
 
 #[derive(Clone, Debug)]
 struct SuspectRow {
-    /// Targets that ended under it, in the order in which they were noted.
-    ends: Vec<NotedEnd>,
-    /// When the last one was noted.
-    since: Instant,
-    /// When it is forgotten.
-    until: Instant,
+    /// Crashes in the order of recording.
+    crashes: Vec<RecordedCrash>,
+    /// When the last crash was recorded.
+    last_crash: Instant,
+    expires_at: Instant,
 }
 
 impl SuspectRow {
     fn new(now: Instant) -> Self {
         Self {
-            ends: Vec::new(),
-            since: now,
-            until: now,
+            crashes: Vec::new(),
+            last_crash: now,
+            expires_at: now,
         }
     }
 
-    /// Ends that count against it.
-    fn counted(&self) -> impl Iterator<Item = &TargetRun> {
-        let counted = self.ends.iter().filter(|end| !end.is_pardoned);
-        counted.map(|end| &end.run)
+    /// Crashes that count against the request.
+    fn counted_crashes(&self) -> impl Iterator<Item = &TargetRun> {
+        let counted = self.crashes.iter().filter(|recorded| !recorded.is_cleared);
+        counted.map(|recorded| &recorded.run)
     }
 
     fn is_counted(&self, run: &TargetRun) -> bool {
-        self.counted().any(|counted| counted == run)
+        self.counted_crashes().any(|counted| counted == run)
     }
 
-    fn note(&mut self, run: &TargetRun, now: Instant) -> bool {
-        if self.ends.iter().any(|end| end.run == *run) {
+    fn add_crash(&mut self, run: &TargetRun, now: Instant) -> bool {
+        if self.crashes.iter().any(|recorded| recorded.run == *run) {
             return false;
         }
-        if self.ends.len() >= ENDS_MOST {
-            let Some(oldest) = self.ends.iter().position(|end| end.is_pardoned) else {
+        if self.crashes.len() >= MAX_CRASHES {
+            let Some(oldest) = self.crashes.iter().position(|recorded| recorded.is_cleared) else {
                 return false;
             };
-            self.ends.remove(oldest);
+            self.crashes.remove(oldest);
         }
-        self.ends.push(NotedEnd {
+        self.crashes.push(RecordedCrash {
             run: run.clone(),
-            is_pardoned: false,
+            is_cleared: false,
         });
-        self.since = now;
+        self.last_crash = now;
         true
     }
 
-    fn is_remembered(&self, now: Instant) -> bool {
-        now < self.until
+    fn is_current(&self, now: Instant) -> bool {
+        now < self.expires_at
     }
 }
 
-/// Requests under which targets ended.
+/// Suspects by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     rows: HashMap<RequestFingerprint, SuspectRow>,
@@ -140,152 +141,162 @@
 }
 
 impl SuspectTable {
-    /// Rises with every change.
+    /// Counter that increases with every change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes that a target ended under a request; says whether that is news.
-    pub fn record_crash(&mut self, ended: &TargetCrash, now: Instant) -> bool {
-        self.record_crash_until(ended, now.after(SUSPECT_TTL), now)
+    /// Records a crash for [`SUSPECT_TTL`]; returns whether it is new.
+    pub fn record_crash(&mut self, crash: &TargetCrash, now: Instant) -> bool {
+        self.record_crash_until(crash, now.after(SUSPECT_TTL), now)
     }
 
-    /// Notes an end that is remembered until a time; says whether it is news.
+    /// Records a crash that is kept until `expires_at`; returns whether it is new.
     pub fn record_crash_until(
         &mut self,
-        ended: &TargetCrash,
-        until: Instant,
+        crash: &TargetCrash,
+        expires_at: Instant,
         now: Instant,
     ) -> bool {
-        self.rows.retain(|_, row| row.is_remembered(now));
-        if until <= now {
+        self.rows.retain(|_, row| row.is_current(now));
+        if expires_at <= now {
             return false;
         }
-        let row = self.rows.entry(ended.fingerprint);
+        let row = self.rows.entry(crash.fingerprint);
         let row = row.or_insert_with(|| SuspectRow::new(now));
-        let is_news = row.note(&ended.run, now);
-        if is_news {
-            row.until = row.until.max(until);
-            self.drop_beyond(ended.fingerprint);
+        let is_new = row.add_crash(&crash.run, now);
+        if is_new {
+            row.expires_at = row.expires_at.max(expires_at);
+            self.evict_excess(crash.fingerprint);
             self.revision += 1;
         }
-        is_news
+        is_new
     }
 
-    fn drop_beyond(&mut self, newest: RequestFingerprint) {
-        if self.rows.len() <= KEPT_MOST {
+    fn evict_excess(&mut self, newest: RequestFingerprint) {
+        if self.rows.len() <= MAX_SUSPECTS {
             return;
         }
         let others = self.rows.iter().filter(|(known, _)| **known != newest);
-        let least = others.min_by_key(|(_, row)| (row.counted().count(), row.until));
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        let least_suspect =
+            others.min_by_key(|(_, row)| (row.counted_crashes().count(), row.expires_at));
+        if let Some(fingerprint) = least_suspect.map(|(fingerprint, _)| *fingerprint) {
             self.rows.remove(&fingerprint);
         }
     }
 
-    /// A trial of a request was answered well: it is not what ended targets before. Says whether it was a suspect.
+    /// Clears all crashes of a request after a successful trial, as it is not the cause. Returns whether it was a
+    /// suspect.
     pub fn clear(&mut self, fingerprint: RequestFingerprint) -> bool {
         let Some(row) = self.rows.get_mut(&fingerprint) else {
             return false;
         };
-        let was_suspect = row.counted().next().is_some();
-        row.ends.iter_mut().for_each(|end| end.is_pardoned = true);
+        let was_suspect = row.counted_crashes().next().is_some();
+        row.crashes
+            .iter_mut()
+            .for_each(|recorded| recorded.is_cleared = true);
         self.revision += u64::from(was_suspect);
         was_suspect
     }
 
-    /// Some ends of a request no longer count against it.
+    /// Clears the crashes of a request at the given targets.
     pub fn clear_crashes(&mut self, fingerprint: RequestFingerprint, runs: &[TargetRun]) {
         let Some(row) = self.rows.get_mut(&fingerprint) else {
             return;
         };
-        for end in row.ends.iter_mut().filter(|end| runs.contains(&end.run)) {
-            end.is_pardoned = true;
+        for recorded in row
+            .crashes
+            .iter_mut()
+            .filter(|recorded| runs.contains(&recorded.run))
+        {
+            recorded.is_cleared = true;
         }
         self.revision += 1;
     }
 
-    /// A suspect came again.
+    /// Extends the record of a suspect that was seen again.
     pub fn refresh(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if let Some(row) = self.rows.get_mut(&fingerprint) {
-            row.until = now.after(SUSPECT_TTL);
+            row.expires_at = now.after(SUSPECT_TTL);
         }
     }
 
-    /// How a request stands.
+    /// Whether a request is a suspect at `now`.
     #[must_use]
     pub fn suspicion(&self, fingerprint: RequestFingerprint, now: Instant) -> Suspicion {
         let row = self.rows.get(&fingerprint);
-        let row = row.filter(|row| row.is_remembered(now));
-        match row.map(|row| (row.counted().count(), row.since)) {
+        let row = row.filter(|row| row.is_current(now));
+        match row.map(|row| (row.counted_crashes().count(), row.last_crash)) {
             None | Some((0, _)) => Suspicion::Clear,
-            Some((ends, since)) => Suspicion::Suspected {
-                crashes: ends,
-                last_crash: since,
+            Some((crashes, last_crash)) => Suspicion::Suspected {
+                crashes,
+                last_crash,
             },
         }
     }
 
-    /// What counts against a request; nothing if it is clear.
+    /// Crashes that count against a request; `None` if it is not a suspect.
     #[must_use]
     pub fn status(&self, fingerprint: RequestFingerprint, now: Instant) -> Option<SuspectStatus> {
         let row = self.rows.get(&fingerprint)?;
-        let ended: Vec<_> = row.counted().cloned().collect();
-        let is_suspect = !ended.is_empty() && row.is_remembered(now);
+        let crashes: Vec<_> = row.counted_crashes().cloned().collect();
+        let is_suspect = !crashes.is_empty() && row.is_current(now);
         is_suspect.then_some(SuspectStatus {
-            crashes: ended,
-            last_crash: row.since,
-            expires_at: row.until,
+            crashes,
+            last_crash: row.last_crash,
+            expires_at: row.expires_at,
         })
     }
 
-    /// Requests that are suspected.
+    /// Fingerprints of all suspects.
     pub fn suspected(&self, now: Instant) -> impl Iterator<Item = RequestFingerprint> + '_ {
         let rows = self.rows.iter();
-        rows.filter(move |(_, row)| row.is_remembered(now) && row.counted().next().is_some())
+        rows.filter(move |(_, row)| row.is_current(now) && row.counted_crashes().next().is_some())
             .map(|(fingerprint, _)| *fingerprint)
     }
 
-    /// Targets that ended under a quarantined request; none if it is not quarantined.
+    /// Targets that a quarantined request crashed; `None` if it is not quarantined.
     #[must_use]
     pub fn quarantine(&self, fingerprint: RequestFingerprint) -> Option<Vec<TargetRun>> {
-        let counted: Vec<_> = self.rows.get(&fingerprint)?.counted().cloned().collect();
-        (counted.len() >= QUARANTINE_MIN_CRASHES).then_some(counted)
+        let crashes: Vec<_> = self
+            .rows
+            .get(&fingerprint)?
+            .counted_crashes()
+            .cloned()
+            .collect();
+        (crashes.len() >= QUARANTINE_MIN_CRASHES).then_some(crashes)
     }
 
-    /// Whether a target ended under both requests.
+    /// Whether the same crash counts against both requests.
     #[must_use]
     pub fn share_crash(&self, fingerprint: RequestFingerprint, other: RequestFingerprint) -> bool {
         let (Some(row), Some(other)) = (self.rows.get(&fingerprint), self.rows.get(&other)) else {
             return false;
         };
-        row.counted().any(|run| other.is_counted(run))
+        row.counted_crashes().any(|run| other.is_counted(run))
     }
 
-    /// What is known, to be told to another VM.
+    /// All crashes that count, to be sent to another VM.
     pub fn crashes(&self, now: Instant) -> impl Iterator<Item = TargetCrash> + '_ {
-        let rows = self
-            .rows
-            .iter()
-            .filter(move |(_, row)| row.is_remembered(now));
+        let rows = self.rows.iter().filter(move |(_, row)| row.is_current(now));
         rows.flat_map(|(fingerprint, row)| {
-            row.counted().map(|run| TargetCrash {
+            row.counted_crashes().map(|run| TargetCrash {
                 fingerprint: *fingerprint,
                 run: run.clone(),
             })
         })
     }
 
-    /// Requests that are suspected, and those of them that are quarantined.
+    /// Number of suspects, and how many of them are quarantined.
     #[must_use]
     pub fn counts(&self, now: Instant) -> (usize, usize) {
-        let rows = self.rows.values().filter(|row| row.is_remembered(now));
-        let ends = rows
-            .map(|row| row.counted().count())
-            .filter(|ends| *ends > 0);
-        ends.fold((0, 0), |(suspected, quarantined), ends| {
-            let is_quarantined = ends >= QUARANTINE_MIN_CRASHES;
+        let rows = self.rows.values().filter(|row| row.is_current(now));
+        let crashes = rows
+            .map(|row| row.counted_crashes().count())
+            .filter(|crashes| *crashes > 0);
+        crashes.fold((0, 0), |(suspected, quarantined), crashes| {
+            let is_quarantined = crashes >= QUARANTINE_MIN_CRASHES;
             (suspected + 1, quarantined + usize::from(is_quarantined))
         })
     }
--- a/crates/core/tests/direct_suspects.rs
+++ b/crates/core/tests/direct_suspects.rs
@@ -36,7 +36,7 @@
 }
 
 fn ends(table: &SuspectTable, fingerprint: u64, ms: u64) -> usize {
-    suspicion(table, fingerprint, ms).ends()
+    suspicion(table, fingerprint, ms).crashes()
 }
 
 fn call(vm: &str, number: u64) -> CallKey {
