--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -1,56 +1,56 @@
-//! Doubt about targets, from the outcomes of calls.
+//! Health of targets, from the outcomes of calls.
 //!
-//! A health check is one witness and may be wrong either way; what calls end with decides. A doubted target gets a
-//! trickle of calls, and leaves doubt by answering them, so the return is gradual and at no fixed time.
+//! A health check can be wrong in both directions, so the outcomes of real calls decide. A degraded target still gets a
+//! trickle of calls and recovers by answering them, so that its load returns gradually and after no fixed time.
 
 use crate::ids::{Instant, TargetName};
 use std::{collections::HashMap, time::Duration};
 
-/// Weight of the newest outcome in the running share of failures.
-const NEWEST_WEIGHT: f64 = 0.12;
-/// Share of failures from which a target is doubted.
-const DOUBT_FROM: f64 = 0.45;
-/// Failed connections in a row from which a target counts as out of reach.
-const UNREACHED_FROM: u32 = 1;
-/// Failed connections in a row from which calls are refused rather than sent there.
-const LOST_FROM: u32 = 2;
-/// Pause after a failed connection; doubles up to the longest.
-const UNREACHED_PAUSE: Duration = Duration::from_millis(300);
-const UNREACHED_LONGEST: Duration = Duration::from_millis(2_400);
+/// Weight of the newest outcome in the moving average of failures.
+const OUTCOME_WEIGHT: f64 = 0.12;
+/// Failure rate from which a target is degraded.
+const DEGRADED_FAILURE_RATE: f64 = 0.45;
+/// Consecutive connection failures from which a target is unreachable.
+const UNREACHABLE_MIN_FAILURES: u32 = 1;
+/// Consecutive connection failures from which a target is down, so that calls are refused instead of sent to it.
+const DOWN_MIN_FAILURES: u32 = 2;
+/// Backoff after a connection failure, which doubles up to its maximum.
+const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(300);
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_millis(2_400);
 
-/// How a call at a target ended, as far as the target's health goes.
+/// Outcome of a call with regard to the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was answered well.
+    /// It was answered successfully.
     Success,
-    /// The target stated a failure, or broke the answer off.
+    /// The target reported a failure or broke the answer off.
     Failed,
-    /// No connection could be made.
+    /// No connection was established.
     ConnectFailed,
-    /// The target turned it away as full, and asked for rest for so long.
+    /// The target refused it because of overload and requested this backoff.
     Overloaded(Duration),
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct TargetRecord {
-    failing: f64,
-    unreached: u32,
+    failure_rate: f64,
+    connect_failures: u32,
     retry_at: Option<Instant>,
-    shed_until: Option<Instant>,
+    overloaded_until: Option<Instant>,
 }
 
-/// Outcomes by target.
+/// Health of targets by name.
 #[derive(Clone, Debug, Default)]
 pub struct HealthTable {
     records: HashMap<TargetName, TargetRecord>,
 }
 
-/// Pause in which a target that turned a call away is passed over, if it asked for no longer one.
-const SHED_PAUSE: Duration = Duration::from_millis(60);
-const SHED_LONGEST: Duration = Duration::from_secs(30);
+/// Bounds of the backoff that an overloaded target requests.
+const MIN_OVERLOAD_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_OVERLOAD_BACKOFF: Duration = Duration::from_secs(30);
 
 impl HealthTable {
-    /// Notes an outcome.
+    /// Records the outcome of a call.
     pub fn record(&mut self, target: &TargetName, outcome: CallOutcome, now: Instant) {
         if !self.records.contains_key(target) {
             if outcome == CallOutcome::Success {
@@ -63,73 +63,74 @@
         };
         match outcome {
             CallOutcome::Success => {
-                record.failing *= 1.0 - NEWEST_WEIGHT;
-                record.unreached = 0;
+                record.failure_rate *= 1.0 - OUTCOME_WEIGHT;
+                record.connect_failures = 0;
                 record.retry_at = None;
             }
             CallOutcome::Failed => {
-                record.failing += (1.0 - record.failing) * NEWEST_WEIGHT;
-                record.unreached = 0;
+                record.failure_rate += (1.0 - record.failure_rate) * OUTCOME_WEIGHT;
+                record.connect_failures = 0;
             }
             CallOutcome::ConnectFailed => {
-                record.unreached += 1;
-                let doublings = (record.unreached - 1).min(3);
-                let pause = (UNREACHED_PAUSE * (1 << doublings)).min(UNREACHED_LONGEST);
-                record.retry_at = Some(now.after(pause));
+                record.connect_failures += 1;
+                let doublings = (record.connect_failures - 1).min(3);
+                let backoff = (MIN_CONNECT_BACKOFF * (1 << doublings)).min(MAX_CONNECT_BACKOFF);
+                record.retry_at = Some(now.after(backoff));
             }
-            CallOutcome::Overloaded(rest) => {
-                let until = now.after(rest.clamp(SHED_PAUSE, SHED_LONGEST));
-                record.shed_until = record.shed_until.max(Some(until));
+            CallOutcome::Overloaded(backoff) => {
+                let until = now.after(backoff.clamp(MIN_OVERLOAD_BACKOFF, MAX_OVERLOAD_BACKOFF));
+                record.overloaded_until = record.overloaded_until.max(Some(until));
             }
         }
     }
 
-    /// Running share of failures of a target.
+    /// Moving average of a target's failures, from 0 to 1.
     #[must_use]
     pub fn failure_rate(&self, target: &TargetName) -> f64 {
         self.records
             .get(target)
-            .map_or(0.0, |record| record.failing)
+            .map_or(0.0, |record| record.failure_rate)
     }
 
-    /// Whether a target is doubted, and should only get a trickle.
+    /// Whether a target fails so often that it should only get a trickle of calls.
     #[must_use]
     pub fn is_degraded(&self, target: &TargetName) -> bool {
-        self.failure_rate(target) >= DOUBT_FROM
+        self.failure_rate(target) >= DEGRADED_FAILURE_RATE
     }
 
-    /// Whether a target should not be tried now.
+    /// Whether a target should not be tried at `now` because connections failed.
     #[must_use]
     pub fn is_unreachable(&self, target: &TargetName, now: Instant) -> bool {
         self.records.get(target).is_some_and(|record| {
-            record.unreached >= UNREACHED_FROM && record.retry_at.is_some_and(|at| now < at)
+            record.connect_failures >= UNREACHABLE_MIN_FAILURES
+                && record.retry_at.is_some_and(|at| now < at)
         })
     }
 
-    /// Whether a target was out of reach more than once, the last time a moment ago: no call should wait for it.
+    /// Whether connections to a target failed repeatedly, the last one within its backoff; no call should wait for it.
     #[must_use]
     pub fn is_down(&self, target: &TargetName, now: Instant) -> bool {
         self.is_unreachable(target, now)
             && self
                 .records
                 .get(target)
-                .is_some_and(|record| record.unreached >= LOST_FROM)
+                .is_some_and(|record| record.connect_failures >= DOWN_MIN_FAILURES)
     }
 
-    /// Whether a target turned calls away a moment ago.
+    /// Whether a target is within the backoff that it requested because of overload.
     #[must_use]
     pub fn is_overloaded(&self, target: &TargetName, now: Instant) -> bool {
         self.records
             .get(target)
-            .is_some_and(|record| record.shed_until.is_some_and(|until| now < until))
+            .is_some_and(|record| record.overloaded_until.is_some_and(|until| now < until))
     }
 
-    /// Forgets a target, which has started again.
+    /// Forgets the outcomes of a target that has restarted.
     pub fn forget(&mut self, target: &TargetName) {
         self.records.remove(target);
     }
 
-    /// Forgets targets that are gone.
+    /// Keeps the targets that match.
     pub fn retain(&mut self, keep: impl Fn(&TargetName) -> bool) {
         self.records.retain(|target, _| keep(target));
     }
--- a/crates/core/src/direct/log_readers.rs
+++ b/crates/core/src/direct/log_readers.rs
@@ -1,48 +1,48 @@
-//! Which VMs of a zone read the platform's log.
+//! Decides which VMs of a zone read the platform's log.
 //!
-//! The holder of a zone reads and passes on what it reads; a few others stand in for it in a small zone, or while the log
-//! turns a VM away. Everybody else hears the holder. Whoever neither reads nor hears a holder goes on with what it knew,
-//! and sends calls to targets that have left: so that may last for less than the 2 s within which a leaving target has
-//! to be known.
+//! The holder of a zone reads the log and forwards what it reads. A few other VMs also read it in a small zone, or
+//! while the log refuses another VM. All others receive the records from the holder. A VM that neither reads nor hears
+//! a holder continues with its last state and sends calls to targets that have left, so this must last less than the 2
+//! s within which a leaving target has to be known.
 
 use std::time::Duration;
 
-/// Time after its start for which a VM waits for its link to the holder rather than read what that is about to pass on.
-/// A VM links within 0.6 s where the holder lives; half of the 2 s are left for the read.
+/// Time after its start during which a VM waits for its link to the holder instead of reading records that the holder
+/// is about to forward. Linking takes up to 0.6 s if the holder is alive, and half of the 2 s remain for the read.
 pub const LINK_GRACE: Duration = Duration::from_secs(1);
 /// VMs of a small zone that read the log beside its holder.
-const STAND_INS: u32 = 2;
-/// VMs of a zone up to which it counts as small. In a larger one stand-ins would inform hardly anybody: the others hear
-/// the holder, and read themselves once they do not.
-const SMALL_ZONE: usize = 4;
-/// VMs of a zone that read the log while another VM can't.
-const ANSWERERS: u32 = 3;
+const SMALL_ZONE_READERS: u32 = 2;
+/// Largest zone that counts as small. In a larger zone standby readers would have hardly anyone to inform: the other
+/// VMs hear the holder, and read for themselves once they do not.
+const MAX_SMALL_ZONE_VMS: usize = 4;
+/// VMs of a zone that read the log while it refuses another VM.
+const BACKUP_READERS: u32 = 3;
 
-/// What a VM sees of its zone's holder.
+/// What a VM knows of the holder of its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderPresence {
-    /// It is the holder itself.
+    /// This VM is the holder.
     Myself,
-    /// It hears the holder.
+    /// Heartbeats of the holder arrive.
     Heard,
-    /// There is a holder, and it is not heard.
+    /// A holder is recorded, but no heartbeats arrive.
     Silent,
     /// No holder is recorded.
     Vacant,
 }
 
-/// What a VM knows of itself and its zone when it decides whether to read a topic.
+/// State of a VM and its zone that decides whether the VM reads a topic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReaderView {
-    /// Time since its process started.
+    /// Time since the VM's process started.
     pub age: Duration,
-    /// Its zone's holder.
+    /// Holder of the zone.
     pub holder: HolderPresence,
-    /// Its place among the others of its zone, the strongest first.
+    /// Rank of the VM among the others of its zone, the strongest first.
     pub rank: u32,
-    /// VMs of its zone.
+    /// Number of VMs in the zone.
     pub zone_vms: usize,
-    /// Whether another VM has said lately that the log turns it away.
+    /// Whether another VM recently reported that the log refuses it.
     pub is_backup_requested: bool,
 }
 
@@ -50,13 +50,14 @@
     /// Whether the VM reads the topic itself.
     #[must_use]
     pub fn must_read(&self) -> bool {
-        let is_stand_in = self.zone_vms <= SMALL_ZONE && self.rank < STAND_INS;
-        let reads_for_others = self.is_backup_requested && self.rank < ANSWERERS;
+        let is_standby_reader =
+            self.zone_vms <= MAX_SMALL_ZONE_VMS && self.rank < SMALL_ZONE_READERS;
+        let is_backup_reader = self.is_backup_requested && self.rank < BACKUP_READERS;
         match self.holder {
             HolderPresence::Myself => true,
-            HolderPresence::Heard => is_stand_in || reads_for_others,
+            HolderPresence::Heard => is_standby_reader || is_backup_reader,
             HolderPresence::Silent | HolderPresence::Vacant => {
-                is_stand_in || self.age >= LINK_GRACE
+                is_standby_reader || self.age >= LINK_GRACE
             }
         }
     }
--- a/crates/core/src/direct/organisations.rs
+++ b/crates/core/src/direct/organisations.rs
@@ -1,8 +1,8 @@
-//! Organisations: for whom a caller acts, by the key that it gives.
+//! Organisations that callers act for, identified by API keys.
 //!
-//! Where a configuration names organisations, every call on a route that is not open needs one of their keys. The key decides the
-//! organisation, and with it the rank of the call and the quota that it is charged to. Keys are secrets: none of the types here
-//! shows one.
+//! If the configuration names organisations, each call needs one of their keys, unless its route allows anonymous
+//! calls. The key determines the organisation, and thereby the rank of the call and the quota that is charged. Keys are
+//! secrets, so no type in this module prints one.
 
 use crate::{
     direct::{config::RouteRule, quotas::QuotaRule},
@@ -10,7 +10,7 @@
 };
 use std::{collections::HashMap, fmt, sync::Arc};
 
-/// A secret by which callers say for whom they act.
+/// Secret by which a caller authenticates for an organisation.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Arc<str>);
 
@@ -28,28 +28,28 @@
     }
 }
 
-/// An organisation as operators declare it.
+/// An organisation as operators configure it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationName,
-    /// Rank of its calls, in place of their route's; 0 is the most urgent.
+    /// Rank of its calls, which replaces the rank of their route; 0 is the most urgent.
     pub rank: u8,
-    /// What it may ask for; none for no limit.
+    /// Its quota; `None` for no limit.
     pub quota: Option<QuotaRule>,
 }
 
-/// Why a list of organisations can't be used.
+/// Reason why a list of organisations is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrganisationError {
-    /// Two organisations have one name.
-    #[error("organisation {0} is named twice: give each a name of its own")]
+    /// Two organisations have the same name.
+    #[error("organisation {0} is named twice: give each organisation a unique name")]
     SameName(OrganisationName),
-    /// Two organisations have one key.
-    #[error("organisations {0} and {1} have the same key: give each keys of its own")]
+    /// Two organisations have the same key.
+    #[error("organisations {0} and {1} have the same key: give each organisation its own keys")]
     SharedKey(OrganisationName, OrganisationName),
     /// A key is empty.
-    #[error("organisation {0} has an empty key: take it out")]
+    #[error("organisation {0} has an empty key: remove the key")]
     EmptyKey(OrganisationName),
 }
 
@@ -61,15 +61,15 @@
 }
 
 impl OrganisationTable {
-    /// Builds the table of organisations and their keys.
+    /// Builds the table from organisations and their keys.
     ///
     /// # Errors
-    /// Names the organisations that are at fault, and no key.
+    /// Names the organisations that are in conflict or have an empty key; never contains a key.
     pub fn new(
-        listed: impl IntoIterator<Item = (Organisation, Vec<String>)>,
+        organisations: impl IntoIterator<Item = (Organisation, Vec<String>)>,
     ) -> Result<Self, OrganisationError> {
         let mut table = Self::default();
-        for (organisation, keys) in listed {
+        for (organisation, keys) in organisations {
             table.add(&Arc::new(organisation), &keys)?;
         }
         Ok(table)
@@ -89,12 +89,12 @@
             if key.is_empty() {
                 return Err(OrganisationError::EmptyKey(name.clone()));
             }
-            let known = self
+            let previous = self
                 .by_key
                 .insert(ApiKey::new(key), Arc::clone(organisation));
-            if let Some(known) = known.filter(|known| known.name != *name) {
+            if let Some(previous) = previous.filter(|previous| previous.name != *name) {
                 return Err(OrganisationError::SharedKey(
-                    known.name.clone(),
+                    previous.name.clone(),
                     name.clone(),
                 ));
             }
@@ -102,64 +102,64 @@
         Ok(())
     }
 
-    /// The quotas of the organisations that have one.
+    /// Organisations that have a quota, with the quota.
     pub fn quotas(&self) -> impl Iterator<Item = (&OrganisationName, &QuotaRule)> {
-        let limited = self.by_name.iter();
-        limited.filter_map(|(name, organisation)| Some((name, organisation.quota.as_ref()?)))
+        let organisations = self.by_name.iter();
+        organisations.filter_map(|(name, organisation)| Some((name, organisation.quota.as_ref()?)))
     }
 
-    /// An organisation by its name.
+    /// Organisation of this name.
     #[must_use]
     pub fn get(&self, name: &OrganisationName) -> Option<&Arc<Organisation>> {
         self.by_name.get(name)
     }
 
-    /// The organisation that has a key.
+    /// Organisation that owns a key.
     #[must_use]
     pub fn find_by_key(&self, key: &ApiKey) -> Option<&Arc<Organisation>> {
         self.by_key.get(key)
     }
 }
 
-/// What a caller's head says of its key.
+/// API key in the headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// Nothing.
+    /// There is none.
     #[default]
     Absent,
-    /// Something that is no key: another scheme, or more than one value.
+    /// The header is not a key: it has another scheme or more than one value.
     Malformed,
-    /// A key.
+    /// A well-formed key.
     Key(ApiKey),
 }
 
-/// Why a call is not let in for its key.
+/// Reason why a call is rejected for its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum KeyError {
-    /// It gives none.
+    /// The call has no key.
     Absent,
-    /// What it gives is no key.
+    /// The header is not a key.
     Malformed,
-    /// No organisation has the key.
+    /// No organisation owns the key.
     Unknown,
 }
 
-/// For whom a call is made.
+/// Organisation that a call is made for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerIdentity {
-    /// The configuration names no organisations.
+    /// The configuration names no organisations, so calls need no key.
     Unkeyed,
-    /// The route is open, and the call has no key that is known.
+    /// The route allows anonymous calls, and the call has no known key.
     Anonymous,
-    /// An organisation.
+    /// The call has a key of this organisation.
     Organisation(Arc<Organisation>),
 }
 
 impl CallerIdentity {
-    /// Decides for whom a call on a route is made.
+    /// Determines the organisation of a call on a route.
     ///
     /// # Errors
-    /// When the route is not open, and the call has no key that is known.
+    /// If the call has no known key and its route does not allow anonymous calls.
     pub fn of(
         table: Option<&OrganisationTable>,
         route: &RouteRule,
@@ -176,11 +176,11 @@
         match holder {
             Ok(organisation) => Ok(Self::Organisation(Arc::clone(organisation))),
             Err(_) if route.allows_anonymous => Ok(Self::Anonymous),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         }
     }
 
-    /// The organisation, if there is one.
+    /// The organisation, if the call has one.
     #[must_use]
     pub fn organisation(&self) -> Option<&Organisation> {
         match self {
--- a/crates/core/src/direct/trials.rs
+++ b/crates/core/src/direct/trials.rs
@@ -1,9 +1,9 @@
-//! Trials of suspected requests: the half-open state of a circuit breaker for each.
+//! Trials of suspect requests: a half-open circuit breaker for each request.
 //!
-//! A suspect is sent as a trial only. One zone's holder grants the trials of a request, and one at a time, so that many callers
-//! who come back at once make one trial out of many. Which zone's it is follows from the fingerprint; where that one does not answer
-//! the next takes its place. Each end under the request lengthens the pause before the next trial, and past the last of
-//! them there is none.
+//! A suspect is only sent as a trial. The holder of one zone grants the trials of a request, one at a time, so that
+//! many callers that retry at once cause a single trial. The zone follows from the fingerprint by rendezvous hashing;
+//! if its holder does not answer, the next zone takes its place. Each crash under the request lengthens the pause
+//! before the next trial, and after the last pause there are no more trials.
 
 use crate::{
     direct::{
@@ -17,19 +17,19 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, time::Duration};
 
-/// Time after which a trial whose end nobody told holds up no other: longer than any call.
-const TRIAL_MOST: Duration = Duration::from_secs(60);
-/// When it is worth coming back while a trial runs.
-const RUNNING_RETRY: Duration = Duration::from_millis(300);
-/// The same where there is no further trial.
-const NEVER_RETRY: Duration = Duration::from_secs(24 * 3_600);
+/// Time after which a trial whose end was not reported no longer blocks others; longer than any call.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(60);
+/// Retry delay for a caller while a trial is running.
+const RUNNING_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Retry delay for a caller when no further trial is granted.
+const NO_TRIAL_RETRY_AFTER: Duration = Duration::from_secs(24 * 3_600);
 
 /// Pauses before trials.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialRule {
-    /// After the second end.
+    /// Pause after the second crash.
     pub pause: Duration,
-    /// After the third.
+    /// Pause after the third crash.
     pub long_pause: Duration,
 }
 
@@ -43,9 +43,9 @@
 }
 
 impl TrialRule {
-    /// Pause before the next trial after so many ends; none if there is no further one.
-    fn pause_after(&self, ends: usize) -> Option<Duration> {
-        match ends {
+    /// Pause before the next trial; `None` if there is no further trial.
+    fn pause_after(&self, crashes: usize) -> Option<Duration> {
+        match crashes {
             0 | 1 => Some(Duration::ZERO),
             2 => Some(self.pause),
             3 => Some(self.long_pause),
@@ -54,18 +54,18 @@
     }
 }
 
-/// The answer to a gateway that wants to send a suspect.
+/// Answer to a gateway that asks for a trial of a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrialAnswer {
-    /// It may, once.
+    /// The request may be sent once.
     Granted,
-    /// Nothing is known against the request.
+    /// The request is not a suspect.
     Clear,
-    /// Not now.
+    /// The request may not be sent now.
     Refused {
-        /// Milliseconds after which it is worth coming back.
+        /// Milliseconds after which the caller should retry.
         retry_after_ms: u32,
-        /// Whether another trial of it runs.
+        /// Whether another trial of the request is running.
         is_running: bool,
     },
 }
@@ -73,10 +73,10 @@
 #[derive(Clone, Debug)]
 struct RunningTrial {
     key: CallKey,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// The trials that a zone's holder has granted.
+/// Trials that a zone's holder has granted and that have not ended.
 #[derive(Clone, Debug)]
 pub struct TrialTable {
     rule: TrialRule,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Grants a trial of a request, or says when to come back.
+    /// Grants a trial of a request, or returns when to retry.
     pub fn try_grant(
         &mut self,
         suspects: &SuspectTable,
@@ -102,30 +102,30 @@
         now: Instant,
     ) -> TrialAnswer {
         let Suspicion::Suspected {
-            crashes: ends,
-            last_crash: since,
+            crashes,
+            last_crash,
         } = suspects.suspicion(fingerprint, now)
         else {
             return TrialAnswer::Clear;
         };
-        let Some(pause) = self.rule.pause_after(ends) else {
-            return refused(NEVER_RETRY, false);
+        let Some(pause) = self.rule.pause_after(crashes) else {
+            return refused(NO_TRIAL_RETRY_AFTER, false);
         };
-        let due = since.after(pause);
-        if now < due {
-            return refused(due.since(now), false);
+        let due_at = last_crash.after(pause);
+        if now < due_at {
+            return refused(due_at.since(now), false);
         }
-        self.running.retain(|_, trial| now < trial.until);
+        self.running.retain(|_, trial| now < trial.expires_at);
         if self.running.contains_key(&fingerprint) {
-            return refused(RUNNING_RETRY, true);
+            return refused(RUNNING_RETRY_AFTER, true);
         }
-        let until = now.after(TRIAL_MOST);
+        let expires_at = now.after(TRIAL_TIMEOUT);
         self.running
-            .insert(fingerprint, RunningTrial { key, until });
+            .insert(fingerprint, RunningTrial { key, expires_at });
         TrialAnswer::Granted
     }
 
-    /// A trial ended.
+    /// Ends the trial that was granted to `key`.
     pub fn release(&mut self, fingerprint: RequestFingerprint, key: &CallKey) {
         let running = self.running.get(&fingerprint);
         if running.is_some_and(|trial| trial.key == *key) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// All trials of a gateway that can't be reached.
+    /// Ends all trials of a gateway that is unreachable.
     pub fn forget_gateway(&mut self, vm: &VmName) {
         self.running.retain(|_, trial| trial.key.vm != *vm);
     }
--- a/crates/core/src/direct/versions.rs
+++ b/crates/core/src/direct/versions.rs
@@ -1,37 +1,38 @@
-//! Which versions of a base model and of an adapter an engine has, and how its holder knows.
+//! Versions of base models and adapters on engines, and how their holder knows them.
 //!
-//! An engine lists and reports both, an order that names a version brings it, and each answer tells the version of the base model
-//! that made it. Of what was loaded without a named version nobody knows which one it is until one of these tells.
+//! The platform's list and the engine's report contain the versions of both. An accepted order that names a version
+//! also determines it, and each answer states the version of the base model that produced it. The version of an adapter
+//! that was loaded without a named version stays unknown until one of these sources states it.
 
 use crate::ids::Instant;
 use std::fmt;
 
-/// What told a version.
+/// Source of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
     /// The platform's list, which may be seconds old.
     List,
     /// The engine's report.
     Report,
-    /// An order that named it, and was taken.
+    /// An accepted order that named the version.
     Order,
     /// The answer to a call.
     Answer,
 }
 
-/// A version as it was last told.
+/// A version as last observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedVersion {
-    /// The version.
+    /// The version, above 0.
     pub version: u64,
-    /// What told it.
+    /// Source that stated it.
     pub source: VersionSource,
-    /// When it was told.
+    /// When it was observed.
     pub at: Instant,
 }
 
 impl ObservedVersion {
-    /// A version that was told now; nothing where what told it names none.
+    /// An observed version; `None` if the source states none, which is version 0.
     #[must_use]
     pub fn observe(version: u64, teller: VersionSource, at: Instant) -> Option<Self> {
         (version > 0).then_some(Self {
@@ -42,19 +43,19 @@
     }
 }
 
-/// How two engines' versions stand to each other, as far as is known.
+/// Comparison of two engines' versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionMatch {
-    /// They are known and the same.
+    /// Both are known and equal.
     Same,
-    /// They are known and unlike.
+    /// Both are known and differ.
     Different,
-    /// One of them is not known.
+    /// At least one is unknown.
     Unknown,
 }
 
 impl VersionMatch {
-    /// Compares what is known of two versions.
+    /// Compares two observed versions.
     #[must_use]
     pub fn of(left: Option<ObservedVersion>, right: Option<ObservedVersion>) -> Self {
         match (left, right) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Both comparisons in one.
+    /// Combines two comparisons: `Different` takes precedence over `Unknown`, and `Unknown` over `Same`.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
@@ -75,38 +76,38 @@
     }
 }
 
-/// Versions of what makes an engine's memory of a prompt.
+/// Observed versions that an engine's prompt cache depends on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheVersions {
-    /// Of the base model.
+    /// Version of the base model.
     pub base: Option<ObservedVersion>,
-    /// Of the adapter.
+    /// Version of the adapter.
     pub adapter: Option<ObservedVersion>,
 }
 
-/// Versions that are known to have made an engine's memory of a prompt.
+/// Known versions that an engine's prompt cache was computed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheTag {
-    /// Of the base model.
+    /// Version of the base model.
     pub base: u64,
-    /// Of the adapter, where one was asked for.
+    /// Version of the adapter, if the call names one.
     pub adapter: Option<u64>,
 }
 
 impl CacheTag {
-    /// The version that a call has to expect of an engine that uses the memory.
+    /// Version that a call must expect of an engine that uses the cache.
     #[must_use]
     pub fn expected(&self) -> u64 {
         self.adapter.unwrap_or(self.base)
     }
 }
 
-/// Shows a version with its age, for a log line.
+/// Formats a version with its age for a log line.
 #[derive(Clone, Copy, Debug)]
 pub struct VersionAge {
-    /// What is known.
+    /// The version, if it is known.
     pub observed: Option<ObservedVersion>,
-    /// The present.
+    /// Current time.
     pub now: Instant,
 }
 
