--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration, as the product sees it.
+//! Configuration of the fleet in decoded form: routes, services, engines and limits for callers.
 
 use crate::{
     direct::organisations::OrganisationTable,
@@ -15,47 +15,48 @@
     AtMostOnce,
 }
 
-/// The shape of an answer.
+/// Form of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseShape {
-    /// One body, taken whole before it is passed on.
+    /// A body that is buffered completely before it is forwarded.
     Buffered,
-    /// A series of events, passed on as they come.
+    /// A stream of events that are forwarded as they arrive.
     EventStream {
-        /// Whether a broken stream may go on at another target.
+        /// Whether a broken stream may be resumed at another target.
         resumable: bool,
     },
 }
 
-/// One route.
+/// A route from a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteRule {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
     /// Host that it serves.
     pub host: String,
-    /// Start of the paths that it serves, with a slash at both ends.
+    /// Prefix of the paths that it serves, with a slash at both ends.
     pub path_prefix: String,
-    /// Whether its calls may be repeated.
+    /// Whether its calls may be retried.
     pub retry_policy: RetryPolicy,
-    /// The shape of its answers.
+    /// Form of its responses.
     pub response_shape: ResponseShape,
-    /// Longest time that a call may be held.
+    /// Longest time that a call may take.
     pub timeout: Duration,
-    /// Time within which an answer is worth its full value.
+    /// Time within which a response has its full value.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Rank of its calls; 0 is the most urgent.
     pub priority: u8,
-    /// Services and their weights; one of them for most routes.
+    /// Services with their weights; most routes have a single one.
     pub services: Vec<(ServiceName, u32)>,
-    /// Most targets that one call may be sent to.
+    /// Largest number of targets that one call may be sent to.
     pub max_attempts: u32,
-    /// Whether its calls need no key.
+    /// Whether calls without a key are admitted.
     pub allows_anonymous: bool,
 }
 
 impl RouteRule {
-    /// The service that a call goes to; `draw` is the same for every copy of the call.
+    /// Service of a call, drawn by weight. `draw` must be equal for all copies of a call, so that a retry gets the same
+    /// service.
     #[must_use]
     pub fn service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self
@@ -75,59 +76,60 @@
     }
 }
 
-/// What the engines of a service can hold.
+/// Capacity of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineLimits {
-    /// Calls that run at once.
+    /// Calls that run concurrently.
     pub slots: u32,
-    /// Tokens of memory.
+    /// Capacity of the KV cache in tokens.
     pub kv_tokens: u64,
-    /// Places for adapters.
+    /// Slots for adapters.
     pub adapter_slots: u32,
-    /// Loads of whole models that the weight store allows a second.
+    /// Loads of whole models per second that the weight store allows.
     pub loads_per_s: f64,
-    /// Base models; the first fills an empty engine.
+    /// Base models; an empty engine loads the first one.
     pub models: Vec<AdapterName>,
 }
 
-/// A service behind one or more targets.
+/// A service with one or more targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceRule {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceName,
     /// Connections that one target accepts from all VMs together.
     pub max_connections: u32,
-    /// Set for model engines.
+    /// Capacity of its engines; `None` for a plain service.
     pub engine: Option<EngineLimits>,
 }
 
-/// Quarters of a target's connections that idle ones may take; the rest is left for calls under way.
+/// Quarters of a target's connections that may be idle; the rest is reserved for calls in flight.
 const IDLE_QUARTERS: usize = 3;
 
 impl ServiceRule {
-    /// Idle connections that one VM of so many may keep to a target. A target resets connections beyond what it accepts, and a call
-    /// that went out over one of them may have run as far as its VM can tell. 100 VMs that keep one each leave none.
+    /// Idle connections that each of `vms` VMs may keep to a target. A target resets connections beyond its maximum, and a
+    /// call that was sent over such a connection may have run, as far as its VM can tell. One idle connection in each of
+    /// 100 VMs can already leave none for calls, so the result may be 0.
     #[must_use]
     pub fn max_idle_connections(&self, vms: usize) -> usize {
         self.max_connections as usize / 4 * IDLE_QUARTERS / vms.max(1)
     }
 }
 
-/// What callers may send.
+/// Limits for the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Largest size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a head.
+    /// Time within which the headers must arrive.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until the first configuration is known.
+    /// Limits until the first configuration is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
@@ -141,14 +143,14 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Its version, for logs.
+    /// Version number, for logs.
     pub version: u64,
-    /// The routes.
+    /// All routes.
     pub routes: Vec<Arc<RouteRule>>,
-    /// The services by name.
+    /// Services by name.
     pub services: HashMap<ServiceName, ServiceRule>,
-    /// What callers may send.
+    /// Limits for the requests of callers.
     pub limits: CallerLimits,
-    /// The organisations that callers act for; none where calls need no key.
+    /// Organisations that callers act for; `None` if calls need no key.
     pub organisations: Option<OrganisationTable>,
 }
--- a/crates/core/src/direct/log_contact.rs
+++ b/crates/core/src/direct/log_contact.rs
@@ -1,107 +1,107 @@
-//! Since when the platform's log has been in reach.
+//! Tracks when the platform's log was reachable.
 //!
-//! While the log is away, entries of its target list may lapse though their targets live. A failed call of one VM does
-//! not say that it is: it may turn that VM away and serve the others. So VMs tell each other since when it has answered
-//! them, and an outage counts only as far as no VM had answers meanwhile.
+//! While the log is unreachable, entries of its target list may expire although their targets are alive. A failed call
+//! of one VM does not show an outage, as the log may refuse this VM and serve others. VMs therefore tell each other
+//! since when the log has answered them, and an outage only counts while no VM gets answers.
 
 use crate::ids::{Instant, VmName};
 use std::collections::HashMap;
 
-/// A run of answers from the log, without a failed call between them.
+/// Period of answers from the log without a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerSpan {
-    /// The first answer.
+    /// First answer.
     pub since: Instant,
-    /// The last one so far.
+    /// Last answer so far.
     pub last: Instant,
 }
 
-/// A time in which this VM's calls failed.
+/// Period in which this VM's calls failed.
 #[derive(Clone, Copy, Debug)]
-struct CallOutage {
-    /// The last answer before it, or the first failure if there was none.
-    lost: Instant,
-    /// The last failure.
-    last_failed: Instant,
-    /// The first answer after it.
-    back: Option<Instant>,
-    /// The return of the log that counted before it.
-    before: Option<Instant>,
+struct LogOutage {
+    /// Last answer before the outage, or its first failure if there was none.
+    lost_at: Instant,
+    /// Last failure.
+    last_failed_at: Instant,
+    /// First answer after the outage.
+    recovered_at: Option<Instant>,
+    /// Recovery of the log that was known before this outage.
+    previous_recovery: Option<Instant>,
 }
 
-/// This VM's contact with the log, and what others say of theirs.
+/// Contact of this VM and of its peers with the log.
 #[derive(Clone, Debug, Default)]
 pub struct LogContact {
     answer_span: Option<AnswerSpan>,
-    outage: Option<CallOutage>,
-    others: HashMap<VmName, AnswerSpan>,
+    outage: Option<LogOutage>,
+    peers: HashMap<VmName, AnswerSpan>,
 }
 
 impl LogContact {
-    /// A call was answered.
+    /// Records an answer.
     pub fn record_answer(&mut self, now: Instant) {
-        let run = self.answer_span.get_or_insert(AnswerSpan {
+        let span = self.answer_span.get_or_insert(AnswerSpan {
             since: now,
             last: now,
         });
-        run.last = now;
+        span.last = now;
         if let Some(outage) = &mut self.outage {
-            outage.back.get_or_insert(now);
+            outage.recovered_at.get_or_insert(now);
         }
     }
 
-    /// A call was refused, or had no answer.
+    /// Records a call that was refused or not answered.
     pub fn record_failure(&mut self, now: Instant) {
-        let before = self.recovered_at();
-        let run = self.answer_span.take();
+        let previous_recovery = self.recovered_at();
+        let span = self.answer_span.take();
         match &mut self.outage {
-            Some(outage) if outage.back.is_none() => outage.last_failed = now,
+            Some(outage) if outage.recovered_at.is_none() => outage.last_failed_at = now,
             _ => {
-                self.outage = Some(CallOutage {
-                    lost: run.map_or(now, |run| run.last),
-                    last_failed: now,
-                    back: None,
-                    before,
+                self.outage = Some(LogOutage {
+                    lost_at: span.map_or(now, |span| span.last),
+                    last_failed_at: now,
+                    recovered_at: None,
+                    previous_recovery,
                 });
             }
         }
     }
 
-    /// Another VM says how its contact stands; none while its calls fail, or where it makes none.
-    pub fn record_peer(&mut self, vm: &VmName, run: Option<AnswerSpan>) {
-        match run {
-            Some(run) => {
-                self.others.insert(vm.clone(), run);
+    /// Records the contact that another VM reports; `None` while its calls fail, or if it makes none.
+    pub fn record_peer(&mut self, vm: &VmName, span: Option<AnswerSpan>) {
+        match span {
+            Some(span) => {
+                self.peers.insert(vm.clone(), span);
             }
             None => {
-                self.others.remove(vm);
+                self.peers.remove(vm);
             }
         }
     }
 
-    /// This VM's present run of answers.
+    /// Current period of answers for this VM.
     #[must_use]
     pub fn answer_span(&self) -> Option<AnswerSpan> {
         self.answer_span
     }
 
-    /// When the log came back from its last outage, as far as this VM can tell; none if it has had none.
+    /// When the log recovered from its last outage, as far as this VM knows; `None` if there was no outage.
     #[must_use]
     pub fn recovered_at(&self) -> Option<Instant> {
         let outage = self.outage?;
-        // Who had an answer since this VM's last failure was served when this VM was not.
-        let served = self
-            .others
+        // A peer that got an answer since this VM's last failure was served while this VM was refused.
+        let served_since = self
+            .peers
             .values()
-            .filter(|run| run.last >= outage.last_failed)
-            .map(|run| run.since)
+            .filter(|span| span.last >= outage.last_failed_at)
+            .map(|span| span.since)
             .min();
-        match (served, outage.back) {
-            (Some(since), _) if since <= outage.lost => outage.before,
-            (Some(since), Some(back)) => Some(since.min(back)),
+        match (served_since, outage.recovered_at) {
+            (Some(since), _) if since <= outage.lost_at => outage.previous_recovery,
+            (Some(since), Some(recovered_at)) => Some(since.min(recovered_at)),
             (Some(since), None) => Some(since),
-            // Still away: the last failure stands for the return, until there is one.
-            (None, back) => Some(back.unwrap_or(outage.last_failed)),
+            // The outage continues, and its last failure stands for the recovery until there is one.
+            (None, recovered_at) => Some(recovered_at.unwrap_or(outage.last_failed_at)),
         }
     }
 }
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -1,34 +1,35 @@
-//! Decisions of the direct data path: gateways send straight to targets, and one holder a zone gives the orders.
+//! Decisions of the direct data path, without I/O: gateways send calls directly to targets, and the holder of each
+//! zone's lease gives orders to the engines.
 //!
 //! | module | job |
 //! |---|---|
 //! | [`config`] | the fleet's configuration: routes, services, engines, limits |
-//! | [`routes`] | from host and path to a route |
-//! | [`catalog`] | the targets that may be sent to, and those that lapsed |
-//! | [`duty`] | which VMs of a zone read the platform's log |
-//! | [`contact`] | since when the platform's log has been in reach |
-//! | [`lease`] | which VM gives the orders in a zone |
+//! | [`routes`] | route of a request by host and path |
+//! | [`catalog`] | targets that may be sent to, and pending removals |
+//! | [`log_readers`] | which VMs of a zone read the platform's log |
+//! | [`log_contact`] | when the platform's log was reachable |
+//! | [`lease`] | which VM holds the lease of a zone and gives its orders |
 //! | [`plain`] | which target of a plain service a call goes to |
 //! | [`planner`] | the holder's view of its engines: where calls go, what is loaded and unloaded |
 //! | [`engine`] | one engine in that view |
 //! | [`policy`] | what placing and refusing weigh |
-//! | [`loading`] | how many loads from the weight store may be on their way, and how long one takes |
-//! | [`reading`] | how fast engines read prompts, and what each still has to read |
+//! | [`load_limiter`] | how many loads from the weight store may be in flight, and how long one takes |
+//! | [`prefill`] | how fast engines prefill prompts, and the backlog of each |
 //! | [`search`] | which zones a gateway asks to take a call, and on which terms |
-//! | [`streams`] | how long a stream may take |
+//! | [`stream_estimate`] | how long a stream may take |
 //! | [`demand`] | how often each adapter is asked for |
-//! | [`health`] | doubt about targets, from the outcomes of calls |
-//! | [`versions`] | which version of an adapter a copy has, and how that is known |
-//! | [`organisations`] | for whom a caller acts, by its key |
-//! | [`freshness`] | since when the configuration in force is known to be the newest |
-//! | [`copy_doubt`] | whether the operators' records in the log may lack the newest |
-//! | [`quotas`] | organisations' quotas over the whole fleet |
-//! | [`notices`] | what a target says of itself in an answer |
-//! | [`rests`] | spans in which targets want nothing from this VM |
-//! | [`limits`] | how many requests a second a target takes |
-//! | [`suspects`] | requests under which targets ended |
-//! | [`trials`] | when a suspect may run again, and one at a time |
-//! | [`budget`] | this VM's share of the fleet's retry budget |
+//! | [`health`] | health of targets, from the outcomes of calls |
+//! | [`versions`] | versions of models and adapters on engines, and the source of that knowledge |
+//! | [`organisations`] | organisations that callers act for, by API key |
+//! | [`freshness`] | proof that the configuration in force is the newest |
+//! | [`restore_guard`] | whether the operators' records may lack the newest after the log was restored |
+//! | [`quotas`] | quotas of organisations over the whole fleet |
+//! | [`target_notices`] | what a target states about itself in an answer |
+//! | [`backoffs`] | backoff that targets request from this VM |
+//! | [`limits`] | rate limits that targets advertise |
+//! | [`suspects`] | requests that may crash their targets |
+//! | [`trials`] | when a suspect may run again, one trial at a time |
+//! | [`retry_budget`] | this VM's share of the fleet's retry budget |
 
 pub mod backoffs;
 pub mod catalog;
@@ -65,7 +66,7 @@
     time::Duration,
 };
 
-/// Zones in an order that follows from a key, the same on all VMs.
+/// Zones in the order of rendezvous hashing with a key, the same on all VMs.
 fn zones_ranked_by(key: impl Hash, zones: &[AvailabilityZone]) -> Vec<AvailabilityZone> {
     let mut zones = zones.to_vec();
     zones.sort_by_cached_key(|zone| {
@@ -77,7 +78,7 @@
     zones
 }
 
-/// A span in whole milliseconds, as messages and settings carry it.
+/// A duration in whole milliseconds for messages and settings; saturates at [`u32::MAX`].
 #[must_use]
 pub fn millis(span: Duration) -> u32 {
     u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
--- a/crates/core/src/direct/restore_guard.rs
+++ b/crates/core/src/direct/restore_guard.rs
@@ -1,63 +1,65 @@
-//! Whether the operators' records in the log may lack the newest.
+//! Guard against outdated operators' records after the log was restored from a copy.
 //!
-//! The log may come back from a copy that is some seconds old, and operators then write again what it lacks. A VM that knew the newest
-//! records shortly before goes on by them. One that starts afterwards, or was out of touch, can't tell a copy from the newest: a key
-//! that was taken away in the lost seconds would count again. So no read of the copy proves anything to it until operators have had
-//! the time to write, or have written a configuration and then paused.
+//! The log may be restored from a copy that is some seconds old, and operators then rewrite the records that it lacks.
+//! A VM that knew the newest records shortly before keeps using them. A VM that starts later, or had lost contact,
+//! cannot distinguish the copy from the newest records: a key that was revoked in the lost seconds would work again.
+//! For such a VM no read of the copy counts as a proof until operators have had the time to rewrite, or have written a
+//! configuration and then paused.
 
 use crate::ids::{Instant, StoreEra};
 use std::time::Duration;
 
-/// Time after a configuration in which operators may write the next one that the copy lacks.
-const WRITES_PAUSE: Duration = Duration::from_secs(2);
+/// Time after a configuration within which operators may write the next one that the copy lacks.
+const WRITE_PAUSE: Duration = Duration::from_secs(2);
 
-/// How long operators take to write again what a copy of the log lacks.
+/// Time that operators need to rewrite the records that a copy lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RewriteRule {
-    /// Time from the log's return until all of it is written again.
+    /// Time from the restoration of the log until all records are rewritten.
     pub rewrite_time: Duration,
 }
 
-/// Whether what is read of the operators' records may lack the newest.
+/// Period in which the operators' records may lack the newest ones.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RestoreGuard {
-    /// When operators have had the time to write again.
-    latest: Instant,
-    /// When the doubt is over, as far as is known.
-    until: Instant,
+    /// When operators have had the full time to rewrite.
+    latest_end: Instant,
+    /// When the period ends, as far as known.
+    ends_at: Instant,
 }
 
 impl RestoreGuard {
-    /// Takes in a new era of the log; `proven` is the age of the proof that the configuration was the newest.
+    /// Starts the period for a new era of the log, unless the newest configuration was known recently; `proof_age` is
+    /// the age of the last proof.
     pub fn enter_era(
         &mut self,
         era: StoreEra,
-        proven: Option<Duration>,
+        proof_age: Option<Duration>,
         rule: RewriteRule,
         now: Instant,
     ) {
-        let is_known = proven.is_some_and(|age| age <= rule.rewrite_time);
-        if !era.is_first() && !is_known {
-            self.latest = now.after(rule.rewrite_time);
-            self.until = self.latest;
+        let is_proof_recent = proof_age.is_some_and(|age| age <= rule.rewrite_time);
+        if !era.is_first() && !is_proof_recent {
+            self.latest_end = now.after(rule.rewrite_time);
+            self.ends_at = self.latest_end;
         }
     }
 
-    /// Operators wrote a configuration in this era.
+    /// Records that operators wrote a configuration in this era, which may end the period earlier.
     pub fn record_write(&mut self, now: Instant) {
         if self.remaining(now).is_some() {
-            self.until = self.latest.min(now.after(WRITES_PAUSE));
+            self.ends_at = self.latest_end.min(now.after(WRITE_PAUSE));
         }
     }
 
-    /// Operators have had the time to write.
+    /// Ends the period, as operators have had the time to rewrite.
     pub fn end(&mut self) {
-        self.until = Instant::default();
+        self.ends_at = Instant::default();
     }
 
-    /// Time until the doubt is over; none if there is none.
+    /// Time until the period ends; `None` outside of it.
     #[must_use]
     pub fn remaining(&self, now: Instant) -> Option<Duration> {
-        (now < self.until).then(|| self.until.since(now))
+        (now < self.ends_at).then(|| self.ends_at.since(now))
     }
 }
--- a/crates/core/src/direct/routes.rs
+++ b/crates/core/src/direct/routes.rs
@@ -1,4 +1,4 @@
-//! From host and path to a route: the longest prefix of the host wins.
+//! Finds the route of a request by host and path; the longest matching prefix wins.
 
 use crate::direct::config::{FleetConfig, RouteRule};
 use std::{collections::HashMap, sync::Arc};
@@ -10,7 +10,7 @@
 }
 
 impl RouteTable {
-    /// Builds the table of a configuration.
+    /// Builds the table for a configuration.
     #[must_use]
     pub fn new(config: &FleetConfig) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<RouteRule>>> = HashMap::new();
@@ -24,7 +24,7 @@
         Self { hosts }
     }
 
-    /// Finds the route of a request. A port behind the host is passed over.
+    /// Route of a request; a port in `host` is ignored.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteRule>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
--- a/crates/core/src/direct/target_notices.rs
+++ b/crates/core/src/direct/target_notices.rs
@@ -1,24 +1,24 @@
-//! What a target says of itself in an answer, beside the answer itself.
+//! What a target states about itself in an answer, beside the answer's content.
 //!
-//! Each answer of a target may tell that it is about to leave, that it wants nothing from the VM for a while, how many
-//! requests a second it takes, which version of the weights it runs and what becomes of the connection. All of that is
-//! decoded once, into one value, for every kind of answer.
+//! Each answer may state that the target is leaving, that the VM must back off, how many requests per second the target
+//! accepts, which version of the weights it runs, and whether the connection stays open. All of this is decoded into
+//! one value for every kind of answer.
 
 use crate::direct::limits::RequestRate;
 use std::time::Duration;
 
-/// What one answer says of the target that gave it.
+/// Statements of a target about itself in one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetNotice {
-    /// Whether the target is about to leave, and wants no new work in this life.
+    /// Whether the target is about to leave and accepts no new calls in this life.
     pub is_leaving: bool,
-    /// Time for which it wants nothing from this VM.
+    /// Time for which it accepts no calls from this VM.
     pub backoff: Option<Duration>,
-    /// Requests a second that it takes from all VMs together.
+    /// Requests per second that it accepts from all VMs together.
     pub rate_limit: Option<RequestRate>,
-    /// Version of the base model that made the answer, also where an adapter was asked for.
+    /// Version of the base model that produced the answer, also for calls to an adapter.
     pub version: Option<u64>,
-    /// Time for which it keeps the connection when idle.
+    /// Time for which it keeps the connection open when idle.
     pub idle_timeout: Option<Duration>,
     /// Whether it closes the connection after this answer.
     pub is_closing: bool,
