--- a/crates/core/tests/direct_duty.rs
+++ b/crates/core/tests/direct_duty.rs
@@ -1,24 +1,20 @@
-//! In a zone of any size nobody is blind: each VM reads the platform's log, or hears one that does.
+//! Every VM either reads the platform's log or hears a VM that does, in a zone of any size.
 //!
-//! What callers saw: calls ran at a target for 2.3 s after it had said that it leaves, 2 s being allowed. It said so as a
-//! fleet of three zones of six VMs each had just started. What happens: every VM lists the targets, and then waits for its
-//! link to the zone's holder rather than read what that is about to pass on. The holder waited as well. In a zone of up to
-//! four VMs two stand-ins read meanwhile; in a larger one nobody read anything, for the first three seconds.
-//!
-//! Evidence: seed 7101 of the soak with 18 VMs. The daemons start at 68.207 s, the target leaves at 69.2 s, and the first line
-//! that names the change is E720 of vm-0 with `Read` at 71.338 s, 3.13 s after its E100. All other 17 VMs write E720 with
-//! `Passed` in the same millisecond. With four VMs a zone, or after those three seconds, no call came late.
+//! Guards against calls to a target for longer than the allowed 2 s after it announced that it is leaving: 2.3 s in a
+//! fleet of three zones with six VMs each that had just started. A VM that starts lists the targets and then waits for
+//! its link to the holder instead of reading what the holder is about to forward. If the holder waits as well, standby
+//! readers cover a zone of up to four VMs, but in a larger zone no VM reads the log for the first 3 s.
 
 use hoplanding_core::direct::log_readers::{HolderPresence, LINK_GRACE, ReaderView};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Time within which every VM knows that a target leaves: the users' `drain_ms`, at the least.
-const LEAVING_KNOWN: Duration = Duration::from_secs(2);
-/// Time that a read of the list takes to find a new record, with the pause before it.
+/// Time within which every VM must know that a target is leaving; the smallest `drain_ms`.
+const MAX_LEAVING_DELAY: Duration = Duration::from_secs(2);
+/// Time that a read of the list takes to find a new record, including the pause before it.
 const READ_TIME: Duration = Duration::from_millis(700);
 
-fn sight() -> impl Strategy<Value = HolderPresence> {
+fn holder_presence() -> impl Strategy<Value = HolderPresence> {
     prop_oneof![
         Just(HolderPresence::Myself),
         Just(HolderPresence::Heard),
@@ -27,35 +23,37 @@
     ]
 }
 
-fn view() -> impl Strategy<Value = ReaderView> {
-    let numbers = (0..6_000_u64, 1..400_usize, 0..400_u32, any::<bool>());
-    (sight(), numbers).prop_map(|(holder, (age_ms, zone_vms, rank, is_asked))| ReaderView {
-        age: Duration::from_millis(age_ms),
-        holder,
-        rank,
-        zone_vms,
-        is_backup_requested: is_asked,
-    })
+fn reader_view() -> impl Strategy<Value = ReaderView> {
+    let fields = (0..6_000_u64, 1..400_usize, 0..400_u32, any::<bool>());
+    (holder_presence(), fields).prop_map(
+        |(holder, (age_ms, zone_vms, rank, is_backup_requested))| ReaderView {
+            age: Duration::from_millis(age_ms),
+            holder,
+            rank,
+            zone_vms,
+            is_backup_requested,
+        },
+    )
 }
 
 proptest! {
     #[test]
-    fn a_holder_reads_from_its_start_on(view in view()) {
+    fn holder_reads_from_its_start(view in reader_view()) {
         prop_assert!(view.holder != HolderPresence::Myself || view.must_read(), "{view:?}");
     }
 
     #[test]
-    fn whoever_hears_no_holder_reads_in_time(view in view()) {
-        let has_waited = view.age + READ_TIME >= LEAVING_KNOWN;
-        let is_blind = view.holder != HolderPresence::Heard && !view.must_read();
-        prop_assert!(!(has_waited && is_blind), "{view:?}");
+    fn vm_that_hears_no_holder_reads_in_time(view in reader_view()) {
+        let is_deadline_reached = view.age + READ_TIME >= MAX_LEAVING_DELAY;
+        let is_uninformed = view.holder != HolderPresence::Heard && !view.must_read();
+        prop_assert!(!(is_deadline_reached && is_uninformed), "{view:?}");
     }
 }
 
-/// A zone that starts at once, its VMs linked to the holder one after another: at each moment somebody reads whom the others
-/// hear, and the others leave the log alone.
+/// The VMs of a zone start together and link to the holder one after another. One VM reads at any time, the others hear
+/// it and must not add load to the log.
 #[test]
-fn a_zone_that_starts_has_one_reader_whom_the_others_hear() {
+fn starting_zone_always_has_one_reader() {
     for zone_vms in 5..=60_u32 {
         for age_ms in (0..4_000).step_by(100) {
             let views = (0..zone_vms).map(|rank| ReaderView {
@@ -76,7 +74,7 @@
 }
 
 #[test]
-fn a_vm_gives_its_first_link_time_to_come_up() {
+fn vm_waits_for_its_first_link() {
     let mut view = ReaderView {
         age: LINK_GRACE / 2,
         holder: HolderPresence::Silent,
--- a/crates/core/tests/direct_quotas.rs
+++ b/crates/core/tests/direct_quotas.rs
@@ -1,5 +1,5 @@
-//! Organisations' quotas over the whole fleet: the sum over all holders stays within the rule in every window, whatever is
-//! cut off, frozen, killed or replaced.
+//! Quotas of organisations over the whole fleet: the sum over all holders stays within the tolerance in every window,
+//! also when holders are cut off, frozen, terminated or replaced.
 
 use hoplanding_core::{
     direct::quotas::{
@@ -16,12 +16,12 @@
     tolerance_ratio: 0.1,
     tolerance_units: 11_000.0,
 };
-/// Time within which a holder that is cut off from the log has been replaced at the soonest.
-const TURN_MS: u64 = 3_000;
+/// Shortest time after which a holder that is cut off from the log is replaced.
+const HANDOVER_MS: u64 = 3_000;
 /// Zones, each with a part of every quota.
 const ZONES: u32 = 3;
-/// Units of the largest call of the users' sheet.
-const LARGEST: u64 = 4_390;
+/// Units of the largest specified call.
+const MAX_CALL_UNITS: u64 = 4_390;
 
 fn at(ms: u64) -> Instant {
     Instant(1_000_000 + ms * 1_000)
@@ -34,25 +34,25 @@
     QuotaRule { unit, per_s, burst }
 }
 
-fn mill() -> OrganisationName {
+fn organisation() -> OrganisationName {
     OrganisationName::new("mill")
 }
 
 fn charge(units: u64) -> QuotaCharge {
     QuotaCharge {
-        organisation: mill(),
+        organisation: organisation(),
         units,
     }
 }
 
-/// Units that the users' rule allows in a window.
-fn allowed(rule: &QuotaRule) -> f64 {
+/// Units that may be charged in a window, including the tolerance.
+fn allowed_units(rule: &QuotaRule) -> f64 {
     let quota = rule.per_s as f64 * BOUNDS.window.as_secs_f64() + rule.burst as f64;
     quota * (1.0 + BOUNDS.tolerance_ratio) + BOUNDS.tolerance_units
 }
 
-/// Most units that were paid within a window, by times in ms.
-fn most_in_window(paid: &[(u64, u64)]) -> u64 {
+/// Largest sum of units charged within a window; `paid` has times in ms and units.
+fn max_units_in_window(paid: &[(u64, u64)]) -> u64 {
     let window_ms = BOUNDS.window.as_millis() as u64;
     let sums = paid.iter().enumerate().map(|(first, (from_ms, _))| {
         let within = paid[first..]
@@ -64,13 +64,13 @@
 }
 
 fn ledger(start: BucketStart, rule: &QuotaRule, now_ms: u64) -> QuotaLedger {
-    let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, sole());
-    ledger.set_rules([(&mill(), rule)], at(now_ms));
+    let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, sole_tenure());
+    ledger.set_rules([(&organisation(), rule)], at(now_ms));
     ledger
 }
 
-/// The times of a holder that nobody replaces.
-fn sole() -> HolderTenure {
+/// Tenure of a holder that is never replaced.
+fn sole_tenure() -> HolderTenure {
     HolderTenure {
         sole_until: Instant(u64::MAX >> 1),
         active_from: Instant(0),
@@ -79,123 +79,130 @@
     }
 }
 
-/// One of a zone's holders, which may not know that it was replaced.
+/// A holder of a zone, which may not know that it was replaced.
 struct Holder {
     ledger: QuotaLedger,
-    /// Whether it reads the log no more.
-    is_cut: bool,
+    /// Whether it no longer reads the log.
+    is_cut_off: bool,
     is_frozen: bool,
 }
 
 impl Holder {
-    fn new(start: BucketStart, rule: &QuotaRule, now_ms: u64, quiet_ms: u64) -> Self {
-        let times = HolderTenure {
-            sole_until: at(now_ms + TURN_MS),
-            active_from: at(now_ms + quiet_ms),
-            has_predecessor: quiet_ms > 0,
+    fn new(start: BucketStart, rule: &QuotaRule, now_ms: u64, order_delay_ms: u64) -> Self {
+        let tenure = HolderTenure {
+            sole_until: at(now_ms + HANDOVER_MS),
+            active_from: at(now_ms + order_delay_ms),
+            has_predecessor: order_delay_ms > 0,
             window: BOUNDS.window,
         };
-        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, times);
-        ledger.set_rules([(&mill(), rule)], at(now_ms));
+        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, tenure);
+        ledger.set_rules([(&organisation(), rule)], at(now_ms));
         Self {
             ledger,
-            is_cut: false,
+            is_cut_off: false,
             is_frozen: false,
         }
     }
 
-    fn pay(&mut self, units: u64, now_ms: u64) -> bool {
+    fn try_charge(&mut self, units: u64, now_ms: u64) -> bool {
         if self.is_frozen {
             return false;
         }
-        if !self.is_cut {
-            self.ledger.set_sole_until(at(now_ms + TURN_MS));
+        if !self.is_cut_off {
+            self.ledger.set_sole_until(at(now_ms + HANDOVER_MS));
         }
         self.ledger.charge(&charge(units), at(now_ms)).is_ok()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Happening {
-    /// Calls at a zone, each of so many units.
+enum QuotaEvent {
+    /// Zone, number of calls, and units of each.
     Calls(usize, u32, u64),
-    /// A zone's holder is cut off from the log, and replaced though it goes on.
+    /// The holder of a zone is cut off from the log and replaced, but continues.
     Replace(usize),
-    /// It dies, and another one takes its zone at once.
-    Die(usize),
-    /// It stands still, or goes on.
+    /// The holder of a zone terminates and is replaced at once.
+    Terminate(usize),
+    /// The holder of a zone freezes or resumes.
     Freeze(usize, bool),
-    /// The operator names another rate.
+    /// The operator lowers the rate.
     Rate(u64),
-    /// A call did not run.
-    GiveBack(usize, u64),
+    /// A recent call in the zone of at most this many units did not run.
+    Refund(usize, u64),
 }
 
-fn happening() -> impl Strategy<Value = Happening> {
+fn event() -> impl Strategy<Value = QuotaEvent> {
     let zone = 0..ZONES as usize;
     prop_oneof![
-        12 => (zone.clone(), 1..40_u32, 1..LARGEST).prop_map(|(zone, calls, units)| Happening::Calls(zone, calls, units)),
-        1 => zone.clone().prop_map(Happening::Replace),
-        1 => zone.clone().prop_map(Happening::Die),
-        1 => (zone.clone(), any::<bool>()).prop_map(|(zone, frozen)| Happening::Freeze(zone, frozen)),
-        1 => (500..3_000_u64).prop_map(Happening::Rate),
-        1 => (zone, 1..LARGEST).prop_map(|(zone, units)| Happening::GiveBack(zone, units)),
+        12 => (zone.clone(), 1..40_u32, 1..MAX_CALL_UNITS).prop_map(|(zone, calls, units)| QuotaEvent::Calls(zone, calls, units)),
+        1 => zone.clone().prop_map(QuotaEvent::Replace),
+        1 => zone.clone().prop_map(QuotaEvent::Terminate),
+        1 => (zone.clone(), any::<bool>()).prop_map(|(zone, frozen)| QuotaEvent::Freeze(zone, frozen)),
+        1 => (500..3_000_u64).prop_map(QuotaEvent::Rate),
+        1 => (zone, 1..MAX_CALL_UNITS).prop_map(|(zone, units)| QuotaEvent::Refund(zone, units)),
     ]
 }
 
-/// Plays what happens; gives all that was paid, by times in ms.
-fn play(per_s: u64, burst: u64, events: &[(u64, Happening)]) -> Vec<(u64, u64)> {
+/// Runs the events; returns the times in ms and the units of all charges that were not refunded.
+fn run_events(per_s: u64, burst: u64, events: &[(u64, QuotaEvent)]) -> Vec<(u64, u64)> {
     let mut rule = rule(per_s, burst);
     let mut zones: Vec<Vec<Holder>> = (0..ZONES)
         .map(|_| vec![Holder::new(BucketStart::Full, &rule, 0, 0)])
         .collect();
-    let (mut now_ms, mut paid, mut last) = (0, Vec::new(), Vec::new());
-    for (pause_ms, happening) in events {
+    let (mut now_ms, mut paid, mut recent) = (0, Vec::new(), Vec::new());
+    for (pause_ms, event) in events {
         now_ms += pause_ms;
-        match *happening {
-            Happening::Calls(zone, calls, units) => {
+        match *event {
+            QuotaEvent::Calls(zone, calls, units) => {
                 for holder in &mut zones[zone] {
                     for _ in 0..calls {
-                        if holder.pay(units, now_ms) {
+                        if holder.try_charge(units, now_ms) {
                             paid.push((now_ms, units));
-                            last.push((now_ms, zone, units));
+                            recent.push((now_ms, zone, units));
                         }
                     }
                 }
             }
-            Happening::Replace(zone) => {
-                // One that is cut off is not replaced a second time before its successor is.
+            QuotaEvent::Replace(zone) => {
+                // A holder that is cut off is not replaced a second time before its successor is.
                 let holders = &mut zones[zone];
                 for holder in holders.iter_mut() {
-                    holder.is_cut = true;
+                    holder.is_cut_off = true;
                 }
                 if holders.len() > 1 {
                     holders.remove(0);
                 }
-                holders.push(Holder::new(BucketStart::Exhausted, &rule, now_ms, TURN_MS));
+                holders.push(Holder::new(
+                    BucketStart::Exhausted,
+                    &rule,
+                    now_ms,
+                    HANDOVER_MS,
+                ));
             }
-            Happening::Die(zone) => {
+            QuotaEvent::Terminate(zone) => {
                 zones[zone] = vec![Holder::new(BucketStart::Exhausted, &rule, now_ms, 0)];
             }
-            Happening::Freeze(zone, is_frozen) => {
+            QuotaEvent::Freeze(zone, is_frozen) => {
                 for holder in &mut zones[zone] {
                     holder.is_frozen = is_frozen;
                 }
             }
-            Happening::Rate(lower) => {
-                // A lower limit binds one window later, so only the largest is looked at: rates do not rise here.
-                rule.per_s = rule.per_s.min(lower);
+            QuotaEvent::Rate(new_rate) => {
+                // A lower rate is enforced one window later, so the check uses the highest rate, and rates only fall.
+                rule.per_s = rule.per_s.min(new_rate);
                 for holder in zones.iter_mut().flatten() {
-                    holder.ledger.set_rules([(&mill(), &rule)], at(now_ms));
+                    holder
+                        .ledger
+                        .set_rules([(&organisation(), &rule)], at(now_ms));
                 }
             }
-            Happening::GiveBack(zone, units) => {
-                // A call that was paid within the last second, and did not run.
-                let mut back = last.iter().rposition(|(at_ms, from, paid)| {
+            QuotaEvent::Refund(zone, units) => {
+                // A charge within the last second is refunded.
+                let mut refundable = recent.iter().rposition(|(at_ms, from, paid)| {
                     now_ms - at_ms < 1_000 && *from == zone && *paid <= units
                 });
-                if let Some(found) = back.take() {
-                    let (at_ms, _, units) = last.remove(found);
+                if let Some(found) = refundable.take() {
+                    let (at_ms, _, units) = recent.remove(found);
                     paid.retain({
                         let mut is_found = false;
                         move |payment| {
@@ -218,28 +225,28 @@
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: proptest::test_runner::RngSeed::Fixed(36), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_window_holds_more_than_the_rule_allows(
+    fn charges_in_any_window_stay_within_the_quota(
         per_s in 2_000..80_000_u64,
         burst_s in 0..3_u64,
-        events in vec((0..700_u64, happening()), 1..160),
+        events in vec((0..700_u64, event()), 1..160),
     ) {
         let burst = per_s * burst_s;
-        let paid = play(per_s, burst, &events);
-        let most = most_in_window(&paid) as f64;
-        let allowed = allowed(&rule(per_s, burst));
-        prop_assert!(most <= allowed, "{most} units where {allowed} are allowed");
+        let paid = run_events(per_s, burst, &events);
+        let max_units = max_units_in_window(&paid) as f64;
+        let allowed_units = allowed_units(&rule(per_s, burst));
+        prop_assert!(max_units <= allowed_units, "{max_units} units where {allowed_units} are allowed");
     }
 }
 
 #[test]
-fn usual_use_is_paid_and_ten_times_as_much_is_held_to_the_rate() {
+fn normal_use_is_served_and_ten_times_as_much_is_limited_to_the_rate() {
     let rule = rule(60_000, 60_000);
     let mut holders: Vec<_> = (0..ZONES)
         .map(|_| ledger(BucketStart::Exhausted, &rule, 0))
         .collect();
     let mut paid = [0, 0];
     for ms in (2_000..22_000).step_by(10) {
-        // 33,000 units a second, and from 12 s on 330,000.
+        // 33,000 units/s, and 330,000 units/s from 12 s on.
         let calls = if ms < 12_000 { 1 } else { 10 };
         for _ in 0..calls {
             let holder = &mut holders[(ms / 10) as usize % 3];
@@ -247,25 +254,29 @@
             paid[usize::from(ms >= 12_000)] += u64::from(is_paid) * 330;
         }
     }
-    assert_eq!(paid[0], 330_000, "all of the usual use");
-    let most = 60_000 * 10 + 60_000 + 60_000;
-    assert!((600_000..=most).contains(&paid[1]), "{}", paid[1]);
+    assert_eq!(paid[0], 330_000, "normal use is served completely");
+    let max_units = 60_000 * 10 + 60_000 + 60_000;
+    assert!((600_000..=max_units).contains(&paid[1]), "{}", paid[1]);
 }
 
 #[test]
-fn an_organisation_with_a_small_rate_has_its_largest_calls_served() {
+fn largest_calls_are_served_at_a_low_rate() {
     let rule = rule(2_700, 2_700);
     let mut holder = ledger(BucketStart::Full, &rule, 0);
-    assert!(holder.charge(&charge(LARGEST), at(0)).is_ok());
+    assert!(holder.charge(&charge(MAX_CALL_UNITS), at(0)).is_ok());
     let wait = holder
-        .charge(&charge(LARGEST), at(100))
+        .charge(&charge(MAX_CALL_UNITS), at(100))
         .expect_err("it has to wait");
     assert!(wait > Duration::from_secs(1), "{wait:?}");
-    assert!(holder.charge(&charge(LARGEST), at(100 + 6_000)).is_ok());
+    assert!(
+        holder
+            .charge(&charge(MAX_CALL_UNITS), at(100 + 6_000))
+            .is_ok()
+    );
 }
 
 #[test]
-fn holders_in_series_hand_out_no_second_burst() {
+fn successive_holders_pay_out_a_single_burst() {
     let rule = rule(30_000, 30_000);
     let mut first = ledger(BucketStart::Full, &rule, 0);
     let mut paid = 0;
@@ -278,12 +289,12 @@
             paid += 100;
         }
     }
-    let spare = 270_000.0 * 0.1 + 11_000.0;
-    assert!(f64::from(paid) <= (30_000.0 + spare) / 3.0, "{paid}");
+    let tolerance = 270_000.0 * 0.1 + 11_000.0;
+    assert!(f64::from(paid) <= (30_000.0 + tolerance) / 3.0, "{paid}");
 }
 
 #[test]
-fn a_holder_that_may_be_replaced_and_its_successor_pay_half_each() {
+fn replaced_holder_and_its_successor_pay_half_each() {
     let window = BOUNDS.window;
     let old = HolderTenure {
         sole_until: at(3_000),
@@ -297,42 +308,42 @@
         has_predecessor: true,
         window,
     };
-    let seen = |ms| (old.share(at(ms)), new.share(at(ms)));
+    let shares = |ms| (old.share(at(ms)), new.share(at(ms)));
     use HolderShare::{Inactive, Shared, Sole};
-    assert_eq!(seen(2_999), (Sole, Inactive));
-    assert_eq!(seen(3_500), (Shared, Inactive));
-    assert_eq!(seen(4_000), (Shared, Shared));
-    assert_eq!(seen(11_000), (Inactive, Shared));
-    assert_eq!(seen(12_000), (Inactive, Sole));
+    assert_eq!(shares(2_999), (Sole, Inactive));
+    assert_eq!(shares(3_500), (Shared, Inactive));
+    assert_eq!(shares(4_000), (Shared, Shared));
+    assert_eq!(shares(11_000), (Inactive, Shared));
+    assert_eq!(shares(12_000), (Inactive, Sole));
 }
 
-/// A holder stands still, or is cut off, and wakes with what waited for it: it pays out by what it is by then, and what it earned
-/// meanwhile counts by what it was.
+/// A holder that was paused or cut off resumes with the calls that queued up. It must pay out by its share at that
+/// time, and earn by the share that it had meanwhile.
 #[test]
-fn a_holder_that_stood_still_pays_nothing_out_and_earns_half_after_its_time() {
+fn paused_holder_pays_nothing_and_earns_half_after_its_tenure() {
     let rule = rule(30_000, 300_000);
-    let times = HolderTenure {
+    let tenure = HolderTenure {
         sole_until: at(3_000),
-        ..sole()
+        ..sole_tenure()
     };
-    let begin = |start| {
-        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, times);
-        ledger.set_rules([(&mill(), &rule)], at(0));
+    let start_ledger = |start| {
+        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, tenure);
+        ledger.set_rules([(&organisation(), &rule)], at(0));
         ledger
     };
-    let mut woken = begin(BucketStart::Full);
-    assert!(woken.charge(&charge(100), at(11_001)).is_err());
-    // Three seconds at 10,000 a second, and five at half of it.
-    let mut late = begin(BucketStart::Exhausted);
+    let mut resumed = start_ledger(BucketStart::Full);
+    assert!(resumed.charge(&charge(100), at(11_001)).is_err());
+    // 3 s at 10,000 units/s and 5 s at half that rate.
+    let mut late_ledger = start_ledger(BucketStart::Exhausted);
     let mut paid = 0;
-    while late.charge(&charge(100), at(8_000)).is_ok() {
+    while late_ledger.charge(&charge(100), at(8_000)).is_ok() {
         paid += 100;
     }
     assert_eq!(paid, 55_000);
 }
 
 #[test]
-fn organisations_without_a_quota_pay_nothing() {
+fn organisation_without_a_quota_is_not_charged() {
     let mut holder = ledger(BucketStart::Exhausted, &rule(1, 0), 0);
     let other = QuotaCharge {
         organisation: OrganisationName::new("port"),
--- a/crates/core/tests/direct_reading.rs
+++ b/crates/core/tests/direct_reading.rs
@@ -1,4 +1,4 @@
-//! How fast engines read prompts, learned from first events.
+//! Prefill times of engines, learned from first events.
 
 use hoplanding_core::{
     direct::{
@@ -10,56 +10,56 @@
 use std::time::Duration;
 
 const TOKENS: u32 = 4_000;
-/// Time of such a prompt at an engine of the zone's speed.
-const USUAL: Duration = Duration::from_millis(212);
-/// Prompts that show an engine's speed.
+/// Prefill time of such a prompt at an engine of normal speed.
+const NORMAL_TIME: Duration = Duration::from_millis(212);
+/// Prompts after which an engine's speed must be known.
 const PROMPTS: u64 = 10;
 
-/// An engine that takes `times` the usual time for each of some prompts, in a zone whose line is the usual time.
-fn engine_after(times: f64, prompts: u64) -> (PrefillQueue, PrefillModel, Instant) {
+/// An engine that takes `slowdown` times the normal time for each of `prompts` prompts, in a zone of normal speed.
+fn queue_after(slowdown: f64, prompts: u64) -> (PrefillQueue, PrefillModel, Instant) {
     let mut queue = PrefillQueue::default();
     let mut now = Instant(1_000_000);
     for number in 0..prompts {
-        // The zone's line is that of its many other engines.
-        let mut pace = PrefillModel::default();
+        // Many other engines feed the zone's model, so the slow engine does not change it.
+        let mut model = PrefillModel::default();
         let key = CallKey {
             vm: VmName::new("vm-1"),
             number,
         };
         queue.add(key.clone(), TOKENS, 0, now);
-        now = now.after(USUAL.mul_f64(times));
-        queue.record_first_event(&key, &mut pace, now);
+        now = now.after(NORMAL_TIME.mul_f64(slowdown));
+        queue.record_first_event(&key, &mut model, now);
     }
     (queue, PrefillModel::default(), now)
 }
 
-/// Guards against a factor that never leaves the band in which it says nothing.
+/// Guards against a factor that never leaves the range in which it counts as 1.
 #[test]
 fn an_engine_that_is_a_few_times_slow_is_known_to_be_after_ten_prompts() {
-    for times in [2.0_f64, 3.0, 4.0, 5.0, 8.0] {
-        let (queue, pace, now) = engine_after(times, PROMPTS);
-        let expected = queue.prefill_time(TOKENS, &pace, now);
-        // Nearer to its own speed than to the zone's, by their ratio.
-        let half_way = pace.expected_time(TOKENS).mul_f64(times.sqrt());
-        assert!(expected > half_way, "{times} times: {expected:?}");
+    for slowdown in [2.0_f64, 3.0, 4.0, 5.0, 8.0] {
+        let (queue, model, now) = queue_after(slowdown, PROMPTS);
+        let expected = queue.prefill_time(TOKENS, &model, now);
+        // Geometric mean of the engine's own time and the zone's.
+        let midpoint = model.expected_time(TOKENS).mul_f64(slowdown.sqrt());
+        assert!(expected > midpoint, "{slowdown} times: {expected:?}");
     }
 }
 
 #[test]
-fn an_engine_that_is_hardly_slower_than_others_counts_as_one_of_them() {
-    let (queue, pace, now) = engine_after(1.3, PROMPTS);
+fn slightly_slower_engine_counts_as_normal() {
+    let (queue, model, now) = queue_after(1.3, PROMPTS);
     assert_eq!(
-        queue.prefill_time(TOKENS, &pace, now),
-        pace.expected_time(TOKENS)
+        queue.prefill_time(TOKENS, &model, now),
+        model.expected_time(TOKENS)
     );
 }
 
 #[test]
-fn a_slow_engine_of_which_nothing_is_seen_is_tried_again() {
-    let (queue, pace, now) = engine_after(3.0, PROMPTS);
+fn slow_engine_without_observations_is_tried_again() {
+    let (queue, model, now) = queue_after(3.0, PROMPTS);
     let later = now.after(Duration::from_secs(30));
     assert_eq!(
-        queue.prefill_time(TOKENS, &pace, later),
-        pace.expected_time(TOKENS)
+        queue.prefill_time(TOKENS, &model, later),
+        model.expected_time(TOKENS)
     );
 }
--- a/crates/core/tests/direct_outdated.rs
+++ b/crates/core/tests/direct_stale_copy.rs
@@ -1,5 +1,5 @@
-//! A copy that is to be replaced by a newer version and that its engine no longer has when its report comes: an unload
-//! was carried out late, or the engine has started again and nobody tells lives.
+//! An adapter copy that is to be replaced by a newer version but is no longer on its engine when the report arrives,
+//! because an unload took effect late or the engine restarted and neither list nor reports contain lives.
 
 use hoplanding_core::{
     direct::{
@@ -12,16 +12,16 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Adapters that the engine has places for.
-const PLACES: usize = 2;
-/// Time by which nothing of an earlier holder is on its way any more.
+/// Adapter slots of the engine.
+const ADAPTER_SLOTS: usize = 2;
+/// Time at which no order of an earlier holder can be in flight.
 const SETTLED: Instant = Instant(60_000_000);
 
 fn engine_name() -> TargetName {
     TargetName::new("e1")
 }
 
-fn entry() -> Arc<TargetEntry> {
+fn target_entry() -> Arc<TargetEntry> {
     Arc::new(TargetEntry {
         name: engine_name(),
         life: TargetLife::default(),
@@ -38,26 +38,26 @@
     })
 }
 
-fn report(adapters: &[(&str, u64)], orders_taken: u64) -> EngineReport {
-    let held = adapters.iter();
+fn engine_report(adapters: &[(&str, u64)], orders_taken: u64) -> EngineReport {
+    let resident = adapters.iter();
     EngineReport {
         orders_taken,
         models: vec![(AdapterName::new("base"), 1)],
-        adapters: held
+        adapters: resident
             .map(|(adapter, version)| (AdapterName::new(adapter), *version))
             .collect(),
         ..EngineReport::default()
     }
 }
 
-fn key(number: u64) -> CallKey {
+fn call_key(number: u64) -> CallKey {
     CallKey {
         vm: VmName::new("vm"),
         number,
     }
 }
 
-fn ask(adapter: &str) -> PlacementAsk {
+fn placement_request(adapter: &str) -> PlacementAsk {
     PlacementAsk {
         fingerprint: Default::default(),
         is_trial: false,
@@ -75,8 +75,8 @@
     }
 }
 
-/// What the planner wanted since the last look: orders, and calls that were answered.
-fn wanted(planner: &mut ZonePlanner) -> (Vec<EngineOrder>, Vec<CallKey>) {
+/// Orders and answered calls that the planner has produced since the last call.
+fn take_orders_and_answers(planner: &mut ZonePlanner) -> (Vec<EngineOrder>, Vec<CallKey>) {
     let (mut orders, mut answered) = (Vec::new(), Vec::new());
     for action in planner.take_actions() {
         match action {
@@ -88,37 +88,42 @@
     (orders, answered)
 }
 
-/// A planner whose engine did not take the replacement of its adapter, so that it waits for a report, and a call behind it.
-fn planner_with_an_outdated_copy() -> ZonePlanner {
+/// A planner whose engine refused the replacement of its adapter, so that the planner waits for a report, with a call
+/// that waits for the replacement.
+fn planner_with_stale_copy() -> ZonePlanner {
     let limits = EngineLimits {
         slots: 8,
         kv_tokens: 1_000_000,
-        adapter_slots: PLACES as u32,
+        adapter_slots: ADAPTER_SLOTS as u32,
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     };
     let figures = EngineFigures::shared_by(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, Instant(1_000_000));
-    planner.set_targets(vec![entry()], SETTLED);
+    planner.set_targets(vec![target_entry()], SETTLED);
     planner.tick(SETTLED);
-    planner.report_came(&engine_name(), Some(&report(&[("base/a1", 1)], 0)), SETTLED);
+    planner.report_came(
+        &engine_name(),
+        Some(&engine_report(&[("base/a1", 1)], 0)),
+        SETTLED,
+    );
     let now = SETTLED.after(Duration::from_secs(3));
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
     planner.order_ended(&engine_name(), OrderOutcome::Conflict, now);
     planner.tick(now);
-    planner.place(key(1), ask("base/a1"), now);
+    planner.place(call_key(1), placement_request("base/a1"), now);
     planner.take_actions();
     planner
 }
 
 #[test]
-fn a_call_behind_a_replacement_is_answered_though_the_copy_is_gone() {
-    let mut planner = planner_with_an_outdated_copy();
+fn call_that_waits_for_a_replacement_is_answered_after_the_copy_is_gone() {
+    let mut planner = planner_with_stale_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&report(&[], 1)), now);
+    planner.report_came(&engine_name(), Some(&engine_report(&[], 1)), now);
     let mut answered = Vec::new();
     for _ in 0..200 {
-        let (orders, calls) = wanted(&mut planner);
+        let (orders, calls) = take_orders_and_answers(&mut planner);
         answered.extend(calls);
         for _ in orders {
             planner.order_ended(&engine_name(), OrderOutcome::Begun, now);
@@ -126,26 +131,33 @@
         now = now.after(Duration::from_millis(50));
         planner.tick(now);
     }
-    assert_eq!(answered, [key(1)]);
+    assert_eq!(answered, [call_key(1)]);
 }
 
 #[test]
-fn a_replacement_whose_copy_is_gone_takes_a_place() {
-    let mut planner = planner_with_an_outdated_copy();
+fn replacement_whose_copy_is_gone_occupies_a_slot() {
+    let mut planner = planner_with_stale_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&report(&[], 1)), now);
+    planner.report_came(&engine_name(), Some(&engine_report(&[], 1)), now);
     for number in 2..=4 {
-        planner.place(key(number), ask(&format!("base/a{number}")), now);
+        planner.place(
+            call_key(number),
+            placement_request(&format!("base/a{number}")),
+            now,
+        );
     }
-    // Adapters that the engine has by the orders that it took.
-    let mut held = 0_usize;
+    // Adapters on the engine by the orders that it accepted.
+    let mut loaded = 0_usize;
     for _ in 0..200 {
-        for order in wanted(&mut planner).0 {
+        for order in take_orders_and_answers(&mut planner).0 {
             match order.kind {
-                OrderKind::Load => held += 1,
-                OrderKind::Unload => held -= 1,
+                OrderKind::Load => loaded += 1,
+                OrderKind::Unload => loaded -= 1,
             }
-            assert!(held <= PLACES, "ordered beyond its places: {order:?}");
+            assert!(
+                loaded <= ADAPTER_SLOTS,
+                "more adapters than slots: {order:?}"
+            );
             let outcome = match order.kind {
                 OrderKind::Load => OrderOutcome::Begun,
                 OrderKind::Unload => OrderOutcome::Done,
