--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -1,9 +1,11 @@
-//! Sequences by which memory of prompts could still move between unlike versions, by which a loan of it is never over, and by
-//! which what is kept by name outlives a version, a life or a copy.
+//! Sequences that could transfer a cache between different versions, keep a lent cache pinned forever, or let state
+//! that is identified by name outlive a version, a life or a copy.
 
 use crate::support::{
-    LOADED, READING, SETTLED, adapter, address, ask, engines, entry, held_from, key, listed,
-    loading, name_version, place, placed, planner, read, replaced, report, target,
+    LOAD_TIME, PREFILL_TIME, SETTLED, adapter_name, call_key, complete_call, engine_address,
+    engine_list, engine_report, listed_entry, loading_request, place_call, placement_request,
+    planner_since, set_adapter_version, take_load_orders, take_placement, target_entry,
+    target_name, zone_planner,
 };
 use hoplanding_core::{
     direct::{
@@ -15,401 +17,447 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Two alike engines, of which the second has been told to take the first one's memory for call 2.
-fn lending() -> ZonePlanner {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    let borrower = place(&mut planner, 2, &["e1"], SETTLED);
-    assert_eq!(borrower.fetch, Some(address(1)));
+/// Two engines with the same versions, of which the second was told to fetch the cache of the first for call 2.
+fn lending_planner() -> ZonePlanner {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    let borrower = place_call(&mut planner, 2, &["e1"], SETTLED);
+    assert_eq!(borrower.fetch, Some(engine_address(1)));
     planner
 }
 
-// The engine of the borrower leaves the list before the call's first event, as each replaced target may.
+// The engine that fetches the cache leaves the list before the first event of the call, as any replaced target may.
 #[test]
-fn a_loan_ends_when_its_borrowers_engine_is_gone() {
-    let mut planner = lending();
-    let now = SETTLED.after(READING);
-    planner.set_targets(vec![Arc::new(entry(1))], now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
-    name_version(&mut planner, 2, now.after(LOADED));
-    assert_eq!(replaced(&mut planner), [target(1)]);
+fn cache_is_released_when_the_borrowing_engine_is_gone() {
+    let mut planner = lending_planner();
+    let now = SETTLED.after(PREFILL_TIME);
+    planner.set_targets(vec![Arc::new(target_entry(1))], now);
+    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
+    assert_eq!(take_load_orders(&mut planner), [target_name(1)]);
 }
 
 #[test]
-fn a_loan_ends_when_its_borrowers_engine_has_started_again() {
-    let mut planner = lending();
-    let now = SETTLED.after(READING);
-    let reborn = EngineReport {
+fn cache_is_released_when_the_borrowing_engine_restarts() {
+    let mut planner = lending_planner();
+    let now = SETTLED.after(PREFILL_TIME);
+    let restarted = EngineReport {
         life: TargetLife::begun_at(7),
-        ..report(1, 1)
+        ..engine_report(1, 1)
     };
-    planner.report_came(&target(2), Some(&reborn), now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
-    name_version(&mut planner, 2, now.after(LOADED));
-    assert!(replaced(&mut planner).contains(&target(1)));
+    planner.report_came(&target_name(2), Some(&restarted), now);
+    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
+    assert!(take_load_orders(&mut planner).contains(&target_name(1)));
 }
 
-// A link that is dialled anew tells of its open calls, and the holder may know them still: the old link ends seconds later.
+// A gateway that reconnects reports its open calls, which the holder may still know because the old link only ends
+// seconds later.
 #[test]
-fn a_loan_ends_with_a_call_that_its_gateway_tells_of_again() {
-    let mut planner = lending();
-    let now = SETTLED.after(READING);
-    planner.adopt(key(2), &target(2), &adapter());
-    planner.ended(&key(2), Some(&target(2)), None, now);
-    name_version(&mut planner, 2, now.after(LOADED));
-    let mut names = replaced(&mut planner);
+fn cache_is_released_with_a_call_that_its_gateway_reports_again() {
+    let mut planner = lending_planner();
+    let now = SETTLED.after(PREFILL_TIME);
+    planner.adopt(call_key(2), &target_name(2), &adapter_name());
+    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
+    let mut names = take_load_orders(&mut planner);
     names.sort();
-    assert_eq!(names, [target(1), target(2)]);
+    assert_eq!(names, [target_name(1), target_name(2)]);
 }
 
-// The link to a gateway breaks, and the gateway lives: its call, which waits for its adapter or in the engine's queue, takes the
-// memory later. The borrower's copy is held for such calls, and what it borrows from has to be as well.
+// The link to a gateway breaks but the gateway is alive: its call waits for its adapter or in the engine's queue and
+// fetches the cache later. The copy that runs the call is kept for such calls, so the copy that lends its cache must be
+// kept too.
 #[test]
-fn a_copy_is_held_for_a_borrower_whose_gateway_cannot_be_reached() {
-    let mut planner = lending();
-    let now = SETTLED.after(READING);
+fn copy_is_kept_for_a_borrowing_call_of_an_unreachable_gateway() {
+    let mut planner = lending_planner();
+    let now = SETTLED.after(PREFILL_TIME);
     planner.forget_gateway(&VmName::new("vm"), now);
-    name_version(&mut planner, 2, now);
-    assert_eq!(replaced(&mut planner), [], "both may be in use");
+    set_adapter_version(&mut planner, 2, now);
+    assert_eq!(take_load_orders(&mut planner), [], "both may be in use");
     planner.tick(now.after(UNCOUNTED_RUN));
-    assert_eq!(replaced(&mut planner).len(), 2);
+    assert_eq!(take_load_orders(&mut planner).len(), 2);
 }
 
-// A call of before the engine's restart has its first event told late, over a link that was held up.
+// The first event of a call from before the engine's restart is reported late, over a link that was blocked.
 #[test]
-fn a_late_first_event_does_not_bring_back_the_weights_of_before() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e1"], 1, SETTLED);
-    // Of another prompt, so that the engine has nothing of the one that is asked about.
+fn late_first_event_does_not_restore_earlier_weights() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e1"], 1, SETTLED);
+    // A different prompt, so that the engine has nothing of the requested one in its cache.
     let other = PlacementAsk {
         prefix: vec![(4, 6_300), (5, 2_890)],
-        ..ask(&["e2"])
+        ..placement_request(&["e2"])
     };
-    planner.place(key(2), other, SETTLED);
-    let late = placed(&mut planner);
-    let now = SETTLED.after(READING);
-    planner.report_came(&late.target, Some(&report(7, 1)), now);
-    planner.begun(&key(2), &late.target, Some(1), now);
-    planner.ended(&key(2), Some(&late.target), None, now);
-    let placed = place(&mut planner, 3, &["e2"], now);
-    assert_eq!(placed.target, target(1));
+    planner.place(call_key(2), other, SETTLED);
+    let late_placement = take_placement(&mut planner);
+    let now = SETTLED.after(PREFILL_TIME);
+    planner.report_came(&late_placement.target, Some(&engine_report(7, 1)), now);
+    planner.begun(&call_key(2), &late_placement.target, Some(1), now);
+    planner.ended(&call_key(2), Some(&late_placement.target), None, now);
+    let placed = place_call(&mut planner, 3, &["e2"], now);
+    assert_eq!(placed.target, target_name(1));
     assert_eq!(placed.fetch, None, "weights 1 for weights 7");
 }
 
-// An engine restarts under its name, and neither list nor reports tell lives. Orders are counted from 0 again, so that the entry
-// of before looks newer than all that is known of the new life.
+// An engine restarts under its name, and neither list nor reports contain lives. Orders are counted from 0 again, so
+// the entry from before the restart looks newer than all that is known of the new life.
 #[test]
-fn a_listed_version_of_before_a_restart_is_not_taken_for_the_new_copys() {
-    let long = EngineReport {
+fn listed_version_from_before_a_restart_is_not_used_for_the_new_copy() {
+    let previous_report = EngineReport {
         orders_taken: 5,
-        ..report(7, 1)
+        ..engine_report(7, 1)
     };
-    let old = listed(1, 1, 5);
-    let mut planner = planner(&[(old.clone(), long)]);
-    let empty = EngineReport {
+    let old_entry = listed_entry(1, 1, 5);
+    let mut planner = zone_planner(&[(old_entry.clone(), previous_report)]);
+    let empty_report = EngineReport {
         adapters: Vec::new(),
-        ..report(7, 0)
+        ..engine_report(7, 0)
     };
-    let now = SETTLED.after(LOADED);
-    planner.report_came(&target(1), Some(&empty), now);
-    planner.place(key(1), loading(&[]), now);
-    assert_eq!(replaced(&mut planner), [target(1)]);
-    planner.order_ended(&target(1), OrderOutcome::Begun, now);
-    let now = now.after(LOADED);
+    let now = SETTLED.after(LOAD_TIME);
+    planner.report_came(&target_name(1), Some(&empty_report), now);
+    planner.place(call_key(1), loading_request(&[]), now);
+    assert_eq!(take_load_orders(&mut planner), [target_name(1)]);
+    planner.order_ended(&target_name(1), OrderOutcome::Begun, now);
+    let now = now.after(LOAD_TIME);
     planner.tick(now);
-    // The list has not changed; it is taken over again whenever anything in the books does.
-    planner.set_targets(vec![Arc::new(old)], now);
-    let copy = &planner.engines()[&target(1)].copies[&adapter()];
+    // The list is unchanged; it is applied again whenever any of the holder's tables changes.
+    planner.set_targets(vec![Arc::new(old_entry)], now);
+    let copy = &planner.engines()[&target_name(1)].copies[&adapter_name()];
     assert_eq!(
         copy.sight, None,
-        "the newest was loaded, and nobody has told which"
+        "the newest version was loaded, and its number is unknown"
     );
 }
 
-// An engine has started again under a new name at its old address, and the old entry lapses only heartbeats later.
+// An engine has restarted under a new name at its old address, and the old entry expires only some heartbeats later.
 #[test]
-fn an_address_that_another_engine_has_by_now_is_no_source() {
-    let reborn = TargetEntry {
-        address: address(1),
-        ..entry(3)
+fn address_of_another_engine_is_no_cache_source() {
+    let restarted = TargetEntry {
+        address: engine_address(1),
+        ..target_entry(3)
     };
-    let mut engines = engines(&[(1, 1), (1, 1)]);
-    engines.push((reborn, report(7, 1)));
-    let mut planner = planner(&engines);
-    read(&mut planner, 1, &["e2", "e3"], 1, SETTLED);
-    read(&mut planner, 2, &["e1", "e2"], 7, SETTLED);
-    let placed = place(&mut planner, 3, &["e1", "e3"], SETTLED);
-    assert_eq!(placed.target, target(2));
+    let mut engines = engine_list(&[(1, 1), (1, 1)]);
+    engines.push((restarted, engine_report(7, 1)));
+    let mut planner = zone_planner(&engines);
+    complete_call(&mut planner, 1, &["e2", "e3"], 1, SETTLED);
+    complete_call(&mut planner, 2, &["e1", "e2"], 7, SETTLED);
+    let placed = place_call(&mut planner, 3, &["e1", "e3"], SETTLED);
+    assert_eq!(placed.target, target_name(2));
     assert_eq!(placed.fetch, None, "weights 7 answer there");
 }
 
-// An order was refused: the answer of an engine that is another run of the target.
+// A refused order is the answer of an engine that may be another run of the target.
 #[test]
-fn an_engine_that_may_be_another_run_takes_no_memory() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
+fn engine_that_may_have_restarted_fetches_no_cache() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
     let other = PlacementAsk {
         subject: AdapterName::new("base/a2"),
         may_load: true,
-        ..ask(&["e1"])
+        ..placement_request(&["e1"])
     };
-    planner.place(key(2), other, SETTLED);
-    assert_eq!(replaced(&mut planner), [target(2)]);
-    planner.order_ended(&target(2), OrderOutcome::Refused, SETTLED);
+    planner.place(call_key(2), other, SETTLED);
+    assert_eq!(take_load_orders(&mut planner), [target_name(2)]);
+    planner.order_ended(&target_name(2), OrderOutcome::Refused, SETTLED);
     planner.take_actions();
-    let placed = place(&mut planner, 3, &["e1"], SETTLED);
-    assert_eq!(placed.fetch, None, "what it holds is not known");
+    let placed = place_call(&mut planner, 3, &["e1"], SETTLED);
+    assert_eq!(placed.fetch, None, "the contents of its cache are unknown");
 }
 
 #[test]
-fn memory_whose_answer_told_no_version_is_not_lent() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    let first = place(&mut planner, 1, &["e2"], SETTLED);
-    planner.begun(&key(1), &first.target, None, SETTLED.after(READING));
-    let placed = place(&mut planner, 2, &["e1"], SETTLED.after(READING));
+fn cache_of_unknown_version_is_not_lent() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    let first = place_call(&mut planner, 1, &["e2"], SETTLED);
+    planner.begun(
+        &call_key(1),
+        &first.target,
+        None,
+        SETTLED.after(PREFILL_TIME),
+    );
+    let placed = place_call(&mut planner, 2, &["e1"], SETTLED.after(PREFILL_TIME));
     assert_eq!(placed.fetch, None);
 }
 
-// An entry as new as all that is known tells other weights than the last report did, which may be minutes old.
+// An entry as recent as all that is known lists other weights than the last report, which may be minutes old.
 #[test]
-fn weights_that_a_newer_entry_tells_otherwise_are_not_known() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    let newer = TargetEntry {
+fn weights_that_a_newer_entry_contradicts_are_unknown() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    let newer_entry = TargetEntry {
         models: vec![("base".to_owned(), 7)],
-        ..listed(2, 1, 0)
+        ..listed_entry(2, 1, 0)
     };
-    let now = SETTLED.after(LOADED);
-    planner.set_targets(vec![Arc::new(entry(1)), Arc::new(newer)], now);
-    let placed = place(&mut planner, 2, &["e1"], now);
+    let now = SETTLED.after(LOAD_TIME);
+    planner.set_targets(vec![Arc::new(target_entry(1)), Arc::new(newer_entry)], now);
+    let placed = place_call(&mut planner, 2, &["e1"], now);
     assert_eq!(placed.fetch, None, "weights 1 for weights 7");
 }
 
-// An unload drops what was kept: once the copy is back the engine reads all of the prompt, or takes it from a neighbour.
+// An unload drops the cache: once the copy is back, the engine prefills the whole prompt or fetches the cache from a
+// neighbour.
 #[test]
-fn what_an_engine_had_kept_is_gone_with_its_copy() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e1"], 1, SETTLED);
-    read(&mut planner, 2, &["e2"], 1, SETTLED);
-    let now = SETTLED.after(LOADED);
-    let dropped = EngineReport {
+fn cache_is_dropped_with_its_copy() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e1"], 1, SETTLED);
+    complete_call(&mut planner, 2, &["e2"], 1, SETTLED);
+    let now = SETTLED.after(LOAD_TIME);
+    let unloaded_report = EngineReport {
         adapters: Vec::new(),
-        ..report(1, 0)
+        ..engine_report(1, 0)
     };
-    planner.report_came(&target(1), Some(&dropped), now);
-    planner.report_came(&target(1), Some(&report(1, 1)), now.after(LOADED));
-    let placed = place(&mut planner, 3, &["e2"], now.after(LOADED));
-    assert_eq!(placed.fetch, Some(address(2)));
+    planner.report_came(&target_name(1), Some(&unloaded_report), now);
+    planner.report_came(
+        &target_name(1),
+        Some(&engine_report(1, 1)),
+        now.after(LOAD_TIME),
+    );
+    let placed = place_call(&mut planner, 3, &["e2"], now.after(LOAD_TIME));
+    assert_eq!(placed.fetch, Some(engine_address(2)));
 }
 
-// The second engine has started again with other weights, unheard of: it turns a call away that names what the memory was made by.
+// The second engine has restarted with other weights unnoticed, and refuses a call that requires the version of the
+// cache.
 #[test]
-fn a_call_that_was_turned_away_with_memory_is_placed_again_without_it() {
-    let mut planner = lending();
-    let now = SETTLED.after(READING);
-    planner.doubt_copy(&key(2), &target(2), now);
-    planner.ended(&key(2), Some(&target(2)), None, now);
+fn call_refused_with_a_cache_transfer_is_placed_without_it() {
+    let mut planner = lending_planner();
+    let now = SETTLED.after(PREFILL_TIME);
+    planner.doubt_copy(&call_key(2), &target_name(2), now);
+    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
     planner.take_actions();
-    let again = place(&mut planner, 3, &["e1"], now);
-    assert_eq!(again.target, target(2));
-    assert_eq!((again.fetch, again.version), (None, None));
+    let retried = place_call(&mut planner, 3, &["e1"], now);
+    assert_eq!(retried.target, target_name(2));
+    assert_eq!((retried.fetch, retried.version), (None, None));
 }
 
-// No version is named, and the newest that the second engine loads is another one than made the memory: the 421 speaks of the
-// version, and the load was there in time.
+// No version is set, and the newest version that the second engine loads differs from the version of the cache. The 421
+// answer is about the version; the load itself was on time.
 #[test]
-fn a_load_is_not_late_where_only_the_version_of_moved_memory_is_another() {
-    let mut without = report(1, 0);
-    without.adapters.clear();
-    // The load of its base model: it can't have started again unseen.
-    without.orders_taken = 1;
-    let mut engines = engines(&[(1, 1), (1, 0)]);
-    engines[1].1 = without;
-    let mut planner = planner(&engines);
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.place(key(2), loading(&["e1"]), SETTLED);
-    assert_eq!(replaced(&mut planner), [target(2)]);
-    planner.order_ended(&target(2), OrderOutcome::Begun, SETTLED);
-    let borrower = placed(&mut planner);
+fn version_mismatch_of_a_cache_transfer_is_no_late_load() {
+    let mut report_without_adapter = engine_report(1, 0);
+    report_without_adapter.adapters.clear();
+    // The load of its base model shows that the engine has not restarted unnoticed.
+    report_without_adapter.orders_taken = 1;
+    let mut engines = engine_list(&[(1, 1), (1, 0)]);
+    engines[1].1 = report_without_adapter;
+    let mut planner = zone_planner(&engines);
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    planner.place(call_key(2), loading_request(&["e1"]), SETTLED);
+    assert_eq!(take_load_orders(&mut planner), [target_name(2)]);
+    planner.order_ended(&target_name(2), OrderOutcome::Begun, SETTLED);
+    let borrower = take_placement(&mut planner);
     assert_eq!(borrower.version, Some(1));
-    let expected = planner.loads().expected_time(&target(2));
-    let now = SETTLED.after(expected).after(READING);
-    planner.doubt_copy(&key(2), &target(2), now);
-    assert_eq!(planner.loads().expected_time(&target(2)), expected);
+    let expected = planner.loads().expected_time(&target_name(2));
+    let now = SETTLED.after(expected).after(PREFILL_TIME);
+    planner.doubt_copy(&call_key(2), &target_name(2), now);
+    assert_eq!(planner.loads().expected_time(&target_name(2)), expected);
 }
 
-// A lender may run nothing at all. The holder before has sent a call that takes its memory once its own adapter is there.
+// A lender may run no calls. The previous holder has placed a call that fetches its cache once the call's adapter is
+// loaded.
 #[test]
-fn a_new_holder_holds_lenders_that_run_nothing() {
-    let mut planner = held_from(SETTLED, &engines(&[(1, 1), (1, 1)]));
-    planner.adopt(key(9), &target(2), &adapter());
-    name_version(&mut planner, 2, SETTLED);
-    assert_eq!(replaced(&mut planner), []);
+fn new_holder_keeps_lenders_without_calls() {
+    let mut planner = planner_since(SETTLED, &engine_list(&[(1, 1), (1, 1)]));
+    planner.adopt(call_key(9), &target_name(2), &adapter_name());
+    set_adapter_version(&mut planner, 2, SETTLED);
+    assert_eq!(take_load_orders(&mut planner), []);
 }
 
-// The holder's VM stood still, and another may have held the zone and ordered replacements meanwhile: a call of its own caller comes
-// before it hears of that.
+// The holder's VM was paused, and another VM may have held the zone and ordered replacements meanwhile. A call of this
+// VM arrives before it learns of that.
 #[test]
-fn a_holder_that_stood_still_names_no_source() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.tick(SETTLED.after(READING));
-    let thawed = SETTLED.after(Duration::from_secs(10));
-    let placed = place(&mut planner, 2, &["e1"], thawed);
+fn paused_holder_names_no_cache_source() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    planner.tick(SETTLED.after(PREFILL_TIME));
+    let resumed_at = SETTLED.after(Duration::from_secs(10));
+    let placed = place_call(&mut planner, 2, &["e1"], resumed_at);
     assert_eq!(placed.fetch, None);
 }
 
-// A replacement waits for a report that is being read, and the report shows that the copy is gone.
+// A replacement waits for a report that is being fetched, and the report shows that the copy is gone.
 #[test]
-fn a_copy_that_is_gone_is_not_replaced() {
-    let mut planner = planner(&engines(&[(1, 1)]));
-    planner.doubt_copy(&key(1), &target(1), SETTLED);
+fn missing_copy_is_not_replaced() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1)]));
+    planner.doubt_copy(&call_key(1), &target_name(1), SETTLED);
     planner.tick(SETTLED);
-    planner.set_version(&adapter(), 2, SETTLED);
-    assert_eq!(replaced(&mut planner), []);
-    let mut without = report(1, 0);
-    without.adapters.clear();
-    planner.report_came(&target(1), Some(&without), SETTLED);
-    assert_eq!(replaced(&mut planner), []);
+    planner.set_version(&adapter_name(), 2, SETTLED);
+    assert_eq!(take_load_orders(&mut planner), []);
+    let mut report_without_adapter = engine_report(1, 0);
+    report_without_adapter.adapters.clear();
+    planner.report_came(&target_name(1), Some(&report_without_adapter), SETTLED);
+    assert_eq!(take_load_orders(&mut planner), []);
 }
 
-// The users' pages: four may be on their way to one target at once.
+// At most four orders may be in flight to one target.
 #[test]
-fn replacements_on_their_way_to_an_engine_are_bounded_as_loads_are() {
+fn concurrent_replacements_are_bounded_like_loads() {
     let adapters: Vec<_> = (1..=6)
         .map(|number| AdapterName::new(&format!("base/a{number}")))
         .collect();
-    let mut held = report(1, 1);
-    held.adapters = adapters.iter().map(|name| (name.clone(), 1)).collect();
-    let mut planner = planner(&[(entry(1), held)]);
+    let mut resident_report = engine_report(1, 1);
+    resident_report.adapters = adapters.iter().map(|name| (name.clone(), 1)).collect();
+    let mut planner = zone_planner(&[(target_entry(1), resident_report)]);
     for name in &adapters {
         planner.set_version(name, 2, SETTLED);
     }
     let mut orders = 0;
-    while !replaced(&mut planner).is_empty() {
+    while !take_load_orders(&mut planner).is_empty() {
         orders += 1;
-        planner.order_ended(&target(1), OrderOutcome::Begun, SETTLED);
+        planner.order_ended(&target_name(1), OrderOutcome::Begun, SETTLED);
     }
     assert!(orders <= 4, "{orders} at once");
 }
 
-// Guards: each passes, and fails with one measure taken out that no other test asks for.
+// Each of the following tests is the only one that fails if a certain check is removed.
 
 #[test]
-fn memory_of_before_a_replacement_is_no_source_after_it() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    name_version(&mut planner, 2, SETTLED);
-    assert_eq!(replaced(&mut planner).len(), 2);
-    let now = SETTLED.after(LOADED);
+fn cache_from_before_a_replacement_is_no_source() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    set_adapter_version(&mut planner, 2, SETTLED);
+    assert_eq!(take_load_orders(&mut planner).len(), 2);
+    let now = SETTLED.after(LOAD_TIME);
     let taken = EngineReport {
         orders_taken: 1,
-        ..report(1, 2)
+        ..engine_report(1, 2)
     };
-    for name in [target(1), target(2)] {
+    for name in [target_name(1), target_name(2)] {
         planner.order_ended(&name, OrderOutcome::Begun, SETTLED);
         planner.tick(now);
         planner.report_came(&name, Some(&taken), now);
     }
-    let placed = place(&mut planner, 2, &["e1"], now);
+    let placed = place_call(&mut planner, 2, &["e1"], now);
     assert_eq!((placed.fetch, placed.version), (None, Some(2)));
 }
 
 #[test]
-fn memory_of_before_new_weights_that_a_report_tells_is_no_source() {
-    let mut planner = planner(&engines(&[(1, 1), (7, 1)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target(1), Some(&report(7, 1)), SETTLED);
-    let placed = place(&mut planner, 2, &["e1"], SETTLED);
+fn cache_from_before_reported_weights_is_no_source() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (7, 1)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    planner.report_came(&target_name(1), Some(&engine_report(7, 1)), SETTLED);
+    let placed = place_call(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
 
 #[test]
-fn memory_of_before_a_version_that_a_report_tells_is_no_source() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 2)]));
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target(1), Some(&report(1, 2)), SETTLED);
-    let placed = place(&mut planner, 2, &["e1"], SETTLED);
+fn cache_from_before_a_reported_version_is_no_source() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 2)]));
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    planner.report_came(&target_name(1), Some(&engine_report(1, 2)), SETTLED);
+    let placed = place_call(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
 
-// An entry's count moves with each write, so it does not say whether the entry was written before an order: only a list that was
-// without the copy since it was loaded, and lists it now, speaks of this loading.
+// The counter of an entry increases with each write, so it does not show whether the entry was written before an order.
+// Only a list that lacked the copy after the load and contains it now refers to this load.
 #[test]
-fn a_listed_version_of_before_the_last_load_is_not_taken() {
-    let sight = |planner: &ZonePlanner| planner.engines()[&target(1)].copies[&adapter()].sight;
+fn listed_version_from_before_the_last_load_is_not_used() {
+    let known_version =
+        |planner: &ZonePlanner| planner.engines()[&target_name(1)].copies[&adapter_name()].sight;
     for count in [2, 3, 99] {
-        let mut planner = planner(&[(listed(1, 1, 2), report(1, 0))]);
-        planner.set_targets(vec![Arc::new(listed(1, 1, count))], SETTLED);
-        assert_eq!(sight(&planner), None, "it may be of before");
-        planner.set_targets(vec![Arc::new(entry(1))], SETTLED);
-        planner.set_targets(vec![Arc::new(listed(1, 2, count))], SETTLED);
-        assert_eq!(sight(&planner).map(|sight| sight.version), Some(2));
+        let mut planner = zone_planner(&[(listed_entry(1, 1, 2), engine_report(1, 0))]);
+        planner.set_targets(vec![Arc::new(listed_entry(1, 1, count))], SETTLED);
+        assert_eq!(
+            known_version(&planner),
+            None,
+            "it may be from before the load"
+        );
+        planner.set_targets(vec![Arc::new(target_entry(1))], SETTLED);
+        planner.set_targets(vec![Arc::new(listed_entry(1, 2, count))], SETTLED);
+        assert_eq!(
+            known_version(&planner).map(|observed| observed.version),
+            Some(2)
+        );
     }
 }
 
-// The engine may have started again unseen, with other weights: an order that expects none before it is taken all the same.
+// The engine may have restarted unnoticed with other weights, and would accept an order that expects no earlier one all
+// the same.
 #[test]
-fn an_engine_that_takes_its_first_order_takes_no_memory_until_it_tells_its_weights() {
-    let mut without = report(1, 0);
-    without.adapters.clear();
-    let mut engines = engines(&[(1, 1), (1, 0)]);
-    engines[1].1 = without;
-    let mut planner = planner(&engines);
-    read(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.place(key(2), loading(&["e1"]), SETTLED);
-    assert_eq!(replaced(&mut planner), [target(2)]);
-    planner.order_ended(&target(2), OrderOutcome::Begun, SETTLED);
-    assert_eq!(placed(&mut planner).fetch, None);
+fn engine_after_its_first_order_fetches_no_cache_until_it_reports_its_weights() {
+    let mut report_without_adapter = engine_report(1, 0);
+    report_without_adapter.adapters.clear();
+    let mut engines = engine_list(&[(1, 1), (1, 0)]);
+    engines[1].1 = report_without_adapter;
+    let mut planner = zone_planner(&engines);
+    complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+    planner.place(call_key(2), loading_request(&["e1"]), SETTLED);
+    assert_eq!(take_load_orders(&mut planner), [target_name(2)]);
+    planner.order_ended(&target_name(2), OrderOutcome::Begun, SETTLED);
+    assert_eq!(take_placement(&mut planner).fetch, None);
 }
 
-// An order of the holder before may be carried out seconds after its lease has ended, and replace a copy unseen.
+// An order of the previous holder may take effect seconds after its lease ended, and replace a copy unnoticed.
 #[test]
-fn a_successor_names_no_source_while_orders_of_the_holder_before_may_be_carried_out() {
+fn successor_names_no_cache_source_while_earlier_orders_may_take_effect() {
     let later = SETTLED.after(Duration::from_secs(13));
     for (now, is_reported, fetch) in [
         (SETTLED, false, None),
         (later, false, None),
-        (later, true, Some(address(1))),
+        (later, true, Some(engine_address(1))),
     ] {
-        let mut planner = planner(&engines(&[(1, 1), (1, 1)]));
+        let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
         planner.succeed(SETTLED);
-        read(&mut planner, 1, &["e2"], 1, SETTLED);
-        planner.lead_until(now.after(READING));
+        complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
+        planner.lead_until(now.after(PREFILL_TIME));
         if is_reported {
-            planner.report_came(&target(1), Some(&report(1, 1)), now);
+            planner.report_came(&target_name(1), Some(&engine_report(1, 1)), now);
         }
-        assert_eq!(place(&mut planner, 2, &["e1"], now).fetch, fetch);
+        assert_eq!(place_call(&mut planner, 2, &["e1"], now).fetch, fetch);
     }
 }
 
-// A gateway that starts again counts its calls from the beginning, and the holder knows one of before by the same key.
+// A gateway that restarts numbers its calls from the beginning, and the holder still knows an earlier call with the
+// same key.
 #[test]
-fn a_loan_ends_with_another_call_of_the_same_key() {
-    let mut planner = planner(&engines(&[(1, 1), (1, 1), (1, 1)]));
-    read(&mut planner, 1, &["e2", "e3"], 1, SETTLED);
+fn cache_is_released_when_a_call_key_is_reused() {
+    let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1), (1, 1)]));
+    complete_call(&mut planner, 1, &["e2", "e3"], 1, SETTLED);
     assert_eq!(
-        place(&mut planner, 2, &["e1", "e3"], SETTLED).fetch,
-        Some(address(1))
+        place_call(&mut planner, 2, &["e1", "e3"], SETTLED).fetch,
+        Some(engine_address(1))
+    );
+    // The first engine is leaving, so that the second one lends its cache to the next call.
+    planner.begun(
+        &call_key(2),
+        &target_name(2),
+        Some(1),
+        SETTLED.after(PREFILL_TIME),
+    );
+    planner.ended(
+        &call_key(2),
+        Some(&target_name(2)),
+        None,
+        SETTLED.after(PREFILL_TIME),
+    );
+    let now = SETTLED.after(LOAD_TIME);
+    assert!(
+        place_call(&mut planner, 3, &["e1", "e2"], now)
+            .fetch
+            .is_some()
     );
-    // The first engine is about to leave, so that the second lends to the next call.
-    planner.begun(&key(2), &target(2), Some(1), SETTLED.after(READING));
-    planner.ended(&key(2), Some(&target(2)), None, SETTLED.after(READING));
-    let now = SETTLED.after(LOADED);
-    assert!(place(&mut planner, 3, &["e1", "e2"], now).fetch.is_some());
     let leaving = TargetEntry {
         stage: TargetStage::Draining,
-        ..entry(1)
+        ..target_entry(1)
     };
-    let listed = [leaving, entry(2), entry(3), entry(4)].map(Arc::new);
+    let listed = [leaving, target_entry(2), target_entry(3), target_entry(4)].map(Arc::new);
     planner.set_targets(listed.to_vec(), now);
-    planner.report_came(&target(4), Some(&report(1, 1)), now);
+    planner.report_came(&target_name(4), Some(&engine_report(1, 1)), now);
     planner.take_actions();
-    let again = place(&mut planner, 3, &["e1", "e2", "e3"], now);
-    assert_eq!(again.fetch, Some(address(2)));
-    planner.ended(&key(3), Some(&target(4)), None, now);
-    name_version(&mut planner, 2, now.after(LOADED));
-    let mut names = replaced(&mut planner);
+    let retried = place_call(&mut planner, 3, &["e1", "e2", "e3"], now);
+    assert_eq!(retried.fetch, Some(engine_address(2)));
+    planner.ended(&call_key(3), Some(&target_name(4)), None, now);
+    set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
+    let mut names = take_load_orders(&mut planner);
     names.sort();
-    assert_eq!(names, [target(1), target(2), target(3), target(4)]);
+    assert_eq!(
+        names,
+        [
+            target_name(1),
+            target_name(2),
+            target_name(3),
+            target_name(4)
+        ]
+    );
 }
--- a/crates/core/tests/direct_versions/main.rs
+++ b/crates/core/tests/direct_versions/main.rs
@@ -1,12 +1,12 @@
-//! Memory of prompts that engines take from each other, and the versions that made it.
+//! Transfers of cached prompts between engines, and the versions that the cache was computed with.
 //!
-//! Callers of one adapter got answers that were computed in part from other weights than the rest. New weights of the base model
-//! had been named; some engines crashed, came back empty and loaded the newest, while their neighbours went on with the first
-//! ones. A neighbour had kept the shared part of a prompt, and was named as its source: what an engine keeps was known by the
-//! adapter's name alone. That it was this and not the adapter's own version was shown by plays of both: 318 runs used memory of
-//! other weights where targets came back with new ones, none where adapters were replaced, though 104 of 412 moves
-//! were between unlike versions of an adapter there. Both are the same fault.
+//! Guards against answers that are computed partly with other weights than the rest. An engine that crashes after a new
+//! version was set comes back empty and loads the newest weights, while its neighbours keep the earlier ones. If a
+//! cache is identified by the name of its adapter alone, a neighbour's cache of the shared part of a prompt is named as
+//! a source although other weights computed it. Replaced base models and replaced adapter versions both lead to this:
+//! before transfers compared versions, 318 calls used a cache of other weights where targets came back with new ones,
+//! and 104 of 412 transfers were between different adapter versions.
 
 mod lending;
-mod moves;
 mod support;
+mod transfers;
--- a/crates/core/tests/direct_versions/support.rs
+++ b/crates/core/tests/direct_versions/support.rs
@@ -1,4 +1,4 @@
-//! A planner, its engines and the calls that are placed there.
+//! A planner with its engines, and calls that are placed there.
 
 use hoplanding_core::{
     direct::{
@@ -14,35 +14,35 @@
 };
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-/// Time of the calls.
+/// Time of the calls, when no order of an earlier holder can be in flight.
 pub const SETTLED: Instant = Instant(60_000_000);
-/// Until when no other holder can have given orders.
-pub const LED: Instant = Instant(68_000_000);
-/// Time that an engine takes for all of the prompt.
-pub const READING: Duration = Duration::from_millis(240);
-/// Time after which a load is there for certain.
-pub const LOADED: Duration = Duration::from_secs(3);
-/// A prompt of which most is shared: moving it saves more than it costs.
+/// Time until which no other holder can have given orders.
+pub const SOLE_UNTIL: Instant = Instant(68_000_000);
+/// Time that an engine takes to prefill the whole prompt.
+pub const PREFILL_TIME: Duration = Duration::from_millis(240);
+/// Time after which a load is certainly complete.
+pub const LOAD_TIME: Duration = Duration::from_secs(3);
+/// A prompt that is mostly shared, so that a cache transfer saves more than it costs.
 pub const PROMPT: [(u64, u32); 3] = [(1, 2_520), (2, 3_780), (3, 2_890)];
 
-pub fn address(number: u16) -> SocketAddr {
+pub fn engine_address(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
 
-pub fn target(number: u16) -> TargetName {
+pub fn target_name(number: u16) -> TargetName {
     TargetName::new(&format!("e{number}"))
 }
 
-pub fn adapter() -> AdapterName {
+pub fn adapter_name() -> AdapterName {
     AdapterName::new("base/a1")
 }
 
-pub fn entry(number: u16) -> TargetEntry {
+pub fn target_entry(number: u16) -> TargetEntry {
     TargetEntry {
-        name: target(number),
+        name: target_name(number),
         life: TargetLife::default(),
         service: ServiceName::new("scribe"),
-        address: address(number),
+        address: engine_address(number),
         zone: AvailabilityZone::new("hall"),
         slots: 8,
         stage: TargetStage::Ready,
@@ -54,41 +54,41 @@
     }
 }
 
-/// An entry that lists the adapter, written when the engine had taken so many orders.
-pub fn listed(number: u16, version: u64, orders_taken: u64) -> TargetEntry {
+/// An entry that lists the adapter, with this counter of orders.
+pub fn listed_entry(number: u16, version: u64, orders_taken: u64) -> TargetEntry {
     let resident = ResidentAdapter {
-        adapter: adapter(),
+        adapter: adapter_name(),
         version,
     };
     TargetEntry {
         orders_taken,
         adapters: vec![resident],
-        ..entry(number)
+        ..target_entry(number)
     }
 }
 
-pub fn key(number: u64) -> CallKey {
+pub fn call_key(number: u64) -> CallKey {
     CallKey {
         vm: VmName::new("vm"),
         number,
     }
 }
 
-pub fn report(base: u64, version: u64) -> EngineReport {
+pub fn engine_report(base: u64, version: u64) -> EngineReport {
     EngineReport {
         models: vec![(AdapterName::new("base"), base)],
-        adapters: vec![(adapter(), version)],
+        adapters: vec![(adapter_name(), version)],
         ..EngineReport::default()
     }
 }
 
-/// A planner that has long held its zone, with these engines and what they report.
-pub fn planner(engines: &[(TargetEntry, EngineReport)]) -> ZonePlanner {
-    held_from(Instant(1_000_000), engines)
+/// A planner that has held its zone for long, with these engines and their reports.
+pub fn zone_planner(engines: &[(TargetEntry, EngineReport)]) -> ZonePlanner {
+    planner_since(Instant(1_000_000), engines)
 }
 
-/// A planner that holds its zone from a time on.
-pub fn held_from(began: Instant, engines: &[(TargetEntry, EngineReport)]) -> ZonePlanner {
+/// A planner that has held its zone since a time.
+pub fn planner_since(held_since: Instant, engines: &[(TargetEntry, EngineReport)]) -> ZonePlanner {
     let limits = EngineLimits {
         slots: 8,
         kv_tokens: 1_000_000,
@@ -97,27 +97,27 @@
         models: vec![AdapterName::new("base")],
     };
     let figures = EngineFigures::shared_by(1, 3.0);
-    let mut planner = ZonePlanner::new(figures, limits, began);
+    let mut planner = ZonePlanner::new(figures, limits, held_since);
     let entries = engines.iter().map(|(entry, _)| Arc::new(entry.clone()));
-    planner.lead_until(LED);
-    planner.set_targets(entries.collect(), began);
-    planner.tick(began);
+    planner.lead_until(SOLE_UNTIL);
+    planner.set_targets(entries.collect(), held_since);
+    planner.tick(held_since);
     for (entry, report) in engines {
-        planner.report_came(&entry.name, Some(report), began);
+        planner.report_came(&entry.name, Some(report), held_since);
     }
     planner.take_actions();
     planner
 }
 
-/// Engines of these versions of base model and adapter.
-pub fn engines(versions: &[(u64, u64)]) -> Vec<(TargetEntry, EngineReport)> {
+/// Engines with these versions of base model and adapter.
+pub fn engine_list(versions: &[(u64, u64)]) -> Vec<(TargetEntry, EngineReport)> {
     (1..)
         .zip(versions)
-        .map(|(number, (base, version))| (entry(number), report(*base, *version)))
+        .map(|(number, (base, version))| (target_entry(number), engine_report(*base, *version)))
         .collect()
 }
 
-/// Where a call was placed, and what it is sent with.
+/// Target of a call, and the source and version that it is sent with.
 #[derive(Debug, PartialEq, Eq)]
 pub struct PlacedCall {
     pub target: TargetName,
@@ -125,12 +125,12 @@
     pub version: Option<u64>,
 }
 
-/// A call for the adapter.
-pub fn ask(tried: &[&str]) -> PlacementAsk {
-    ask_for("base/a1", tried)
+/// A call for the adapter that excludes some engines.
+pub fn placement_request(excluded: &[&str]) -> PlacementAsk {
+    placement_request_for("base/a1", excluded)
 }
 
-pub fn ask_for(subject: &str, tried: &[&str]) -> PlacementAsk {
+pub fn placement_request_for(subject: &str, excluded: &[&str]) -> PlacementAsk {
     PlacementAsk {
         fingerprint: Default::default(),
         is_trial: false,
@@ -141,7 +141,7 @@
         prefix: PROMPT.to_vec(),
         priority: 1,
         bound_ms: 60_000,
-        exclude: tried.iter().map(|name| TargetName::new(name)).collect(),
+        exclude: excluded.iter().map(|name| TargetName::new(name)).collect(),
         resting: Vec::new(),
         may_load: false,
         terms: AskTerms::Take,
@@ -149,31 +149,40 @@
 }
 
 /// A call for which the adapter may be loaded.
-pub fn loading(tried: &[&str]) -> PlacementAsk {
+pub fn loading_request(excluded: &[&str]) -> PlacementAsk {
     PlacementAsk {
         may_load: true,
-        ..ask(tried)
+        ..placement_request(excluded)
     }
 }
 
-/// Places a call at an engine that it has not been to.
-pub fn place(planner: &mut ZonePlanner, number: u64, tried: &[&str], now: Instant) -> PlacedCall {
-    planner.place(key(number), ask(tried), now);
-    placed(planner)
+/// Places a call for the adapter at an engine that is not excluded.
+pub fn place_call(
+    planner: &mut ZonePlanner,
+    number: u64,
+    excluded: &[&str],
+    now: Instant,
+) -> PlacedCall {
+    planner.place(call_key(number), placement_request(excluded), now);
+    take_placement(planner)
 }
 
-/// The same for another adapter, or for the base model.
-pub fn place_for(
+/// Places a call for another adapter or for the base model.
+pub fn place_call_for(
     planner: &mut ZonePlanner,
     number: u64,
     subject: &str,
-    tried: &[&str],
+    excluded: &[&str],
 ) -> PlacedCall {
-    planner.place(key(number), ask_for(subject, tried), SETTLED);
-    placed(planner)
+    planner.place(
+        call_key(number),
+        placement_request_for(subject, excluded),
+        SETTLED,
+    );
+    take_placement(planner)
 }
 
-pub fn placed(planner: &mut ZonePlanner) -> PlacedCall {
+pub fn take_placement(planner: &mut ZonePlanner) -> PlacedCall {
     let actions = planner.take_actions();
     let answer = actions.iter().find_map(|action| match action {
         PlannerAction::Answer(_, answer) => Some(answer.clone()),
@@ -194,16 +203,22 @@
     }
 }
 
-/// A call is placed at the engine that it has not been to, runs there and ends; its answer tells this version.
-pub fn read(planner: &mut ZonePlanner, number: u64, tried: &[&str], base: u64, now: Instant) {
-    let placed = place(planner, number, tried, now);
-    let now = now.after(READING);
-    planner.begun(&key(number), &placed.target, Some(base), now);
-    planner.ended(&key(number), Some(&placed.target), None, now);
-}
-
-/// Engines that have been ordered to load since the last look.
-pub fn replaced(planner: &mut ZonePlanner) -> Vec<TargetName> {
+/// Places a call at an engine that is not excluded, where it runs and ends; its answer states the base model's version.
+pub fn complete_call(
+    planner: &mut ZonePlanner,
+    number: u64,
+    excluded: &[&str],
+    base: u64,
+    now: Instant,
+) {
+    let placed = place_call(planner, number, excluded, now);
+    let now = now.after(PREFILL_TIME);
+    planner.begun(&call_key(number), &placed.target, Some(base), now);
+    planner.ended(&call_key(number), Some(&placed.target), None, now);
+}
+
+/// Engines that were ordered to load since the last call of this function.
+pub fn take_load_orders(planner: &mut ZonePlanner) -> Vec<TargetName> {
     let actions = planner.take_actions().into_iter();
     let loads = actions.filter_map(|action| match action {
         PlannerAction::Order(entry, order) if order.kind == OrderKind::Load => {
@@ -214,7 +229,7 @@
     loads.collect()
 }
 
-pub fn name_version(planner: &mut ZonePlanner, version: u64, now: Instant) {
-    planner.set_version(&adapter(), version, now);
+pub fn set_adapter_version(planner: &mut ZonePlanner, version: u64, now: Instant) {
+    planner.set_version(&adapter_name(), version, now);
     planner.tick(now);
 }
