--- a/crates/core/tests/direct_stale_copy.rs
+++ b/crates/core/tests/direct_stale_copy.rs
@@ -6,7 +6,9 @@
         catalog::{TargetEntry, TargetStage},
         config::EngineLimits,
         engine::{EngineOrder, EngineReport, OrderKind, OrderOutcome},
-        planner::{AskTerms, CallKey, EngineFigures, PlacementAsk, PlannerAction, ZonePlanner},
+        planner::{
+            CallKey, EngineEstimates, PlacementRequest, PlacementTerms, PlannerAction, ZonePlanner,
+        },
     },
     ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
 };
@@ -57,8 +59,8 @@
     }
 }
 
-fn placement_request(adapter: &str) -> PlacementAsk {
-    PlacementAsk {
+fn placement_request(adapter: &str) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
         charge: None,
@@ -71,7 +73,7 @@
         exclude: Vec::new(),
         resting: Vec::new(),
         may_load: true,
-        terms: AskTerms::Take,
+        terms: PlacementTerms::Take,
     }
 }
 
@@ -82,7 +84,7 @@
         match action {
             PlannerAction::Order(_, order) => orders.push(order),
             PlannerAction::Answer(key, _) => answered.push(key),
-            PlannerAction::Report(_) | PlannerAction::Moved(_) => {}
+            PlannerAction::FetchReport(_) | PlannerAction::RecordTransfer(_) => {}
         }
     }
     (orders, answered)
@@ -98,11 +100,11 @@
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     };
-    let figures = EngineFigures::shared_by(1, 3.0);
+    let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, Instant(1_000_000));
     planner.set_targets(vec![target_entry()], SETTLED);
     planner.tick(SETTLED);
-    planner.report_came(
+    planner.report_received(
         &engine_name(),
         Some(&engine_report(&[("base/a1", 1)], 0)),
         SETTLED,
@@ -120,7 +122,7 @@
 fn call_that_waits_for_a_replacement_is_answered_after_the_copy_is_gone() {
     let mut planner = planner_with_stale_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&engine_report(&[], 1)), now);
+    planner.report_received(&engine_name(), Some(&engine_report(&[], 1)), now);
     let mut answered = Vec::new();
     for _ in 0..200 {
         let (orders, calls) = take_orders_and_answers(&mut planner);
@@ -138,7 +140,7 @@
 fn replacement_whose_copy_is_gone_occupies_a_slot() {
     let mut planner = planner_with_stale_copy();
     let mut now = SETTLED.after(Duration::from_secs(4));
-    planner.report_came(&engine_name(), Some(&engine_report(&[], 1)), now);
+    planner.report_received(&engine_name(), Some(&engine_report(&[], 1)), now);
     for number in 2..=4 {
         planner.place(
             call_key(number),
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -10,8 +10,8 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetEntry, TargetStage},
-        engine::{EngineReport, OrderOutcome, UNCOUNTED_RUN},
-        planner::{PlacementAsk, ZonePlanner},
+        engine::{EngineReport, ORPHANED_CALL_TTL, OrderOutcome},
+        planner::{PlacementRequest, ZonePlanner},
     },
     ids::{AdapterName, TargetLife, VmName},
 };
@@ -32,7 +32,7 @@
     let mut planner = lending_planner();
     let now = SETTLED.after(PREFILL_TIME);
     planner.set_targets(vec![Arc::new(target_entry(1))], now);
-    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    planner.call_ended(&call_key(2), Some(&target_name(2)), None, now);
     set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
     assert_eq!(take_load_orders(&mut planner), [target_name(1)]);
 }
@@ -45,8 +45,8 @@
         life: TargetLife::begun_at(7),
         ..engine_report(1, 1)
     };
-    planner.report_came(&target_name(2), Some(&restarted), now);
-    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    planner.report_received(&target_name(2), Some(&restarted), now);
+    planner.call_ended(&call_key(2), Some(&target_name(2)), None, now);
     set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
     assert!(take_load_orders(&mut planner).contains(&target_name(1)));
 }
@@ -57,8 +57,8 @@
 fn cache_is_released_with_a_call_that_its_gateway_reports_again() {
     let mut planner = lending_planner();
     let now = SETTLED.after(PREFILL_TIME);
-    planner.adopt(call_key(2), &target_name(2), &adapter_name());
-    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    planner.adopt_call(call_key(2), &target_name(2), &adapter_name());
+    planner.call_ended(&call_key(2), Some(&target_name(2)), None, now);
     set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
     let mut names = take_load_orders(&mut planner);
     names.sort();
@@ -75,7 +75,7 @@
     planner.forget_gateway(&VmName::new("vm"), now);
     set_adapter_version(&mut planner, 2, now);
     assert_eq!(take_load_orders(&mut planner), [], "both may be in use");
-    planner.tick(now.after(UNCOUNTED_RUN));
+    planner.tick(now.after(ORPHANED_CALL_TTL));
     assert_eq!(take_load_orders(&mut planner).len(), 2);
 }
 
@@ -85,16 +85,16 @@
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
     complete_call(&mut planner, 1, &["e1"], 1, SETTLED);
     // A different prompt, so that the engine has nothing of the requested one in its cache.
-    let other = PlacementAsk {
+    let other = PlacementRequest {
         prefix: vec![(4, 6_300), (5, 2_890)],
         ..placement_request(&["e2"])
     };
     planner.place(call_key(2), other, SETTLED);
     let late_placement = take_placement(&mut planner);
     let now = SETTLED.after(PREFILL_TIME);
-    planner.report_came(&late_placement.target, Some(&engine_report(7, 1)), now);
-    planner.begun(&call_key(2), &late_placement.target, Some(1), now);
-    planner.ended(&call_key(2), Some(&late_placement.target), None, now);
+    planner.report_received(&late_placement.target, Some(&engine_report(7, 1)), now);
+    planner.call_started(&call_key(2), &late_placement.target, Some(1), now);
+    planner.call_ended(&call_key(2), Some(&late_placement.target), None, now);
     let placed = place_call(&mut planner, 3, &["e2"], now);
     assert_eq!(placed.target, target_name(1));
     assert_eq!(placed.fetch, None, "weights 1 for weights 7");
@@ -115,7 +115,7 @@
         ..engine_report(7, 0)
     };
     let now = SETTLED.after(LOAD_TIME);
-    planner.report_came(&target_name(1), Some(&empty_report), now);
+    planner.report_received(&target_name(1), Some(&empty_report), now);
     planner.place(call_key(1), loading_request(&[]), now);
     assert_eq!(take_load_orders(&mut planner), [target_name(1)]);
     planner.order_ended(&target_name(1), OrderOutcome::Begun, now);
@@ -125,7 +125,7 @@
     planner.set_targets(vec![Arc::new(old_entry)], now);
     let copy = &planner.engines()[&target_name(1)].copies[&adapter_name()];
     assert_eq!(
-        copy.sight, None,
+        copy.known_version, None,
         "the newest version was loaded, and its number is unknown"
     );
 }
@@ -152,7 +152,7 @@
 fn engine_that_may_have_restarted_fetches_no_cache() {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
     complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
-    let other = PlacementAsk {
+    let other = PlacementRequest {
         subject: AdapterName::new("base/a2"),
         may_load: true,
         ..placement_request(&["e1"])
@@ -169,7 +169,7 @@
 fn cache_of_unknown_version_is_not_lent() {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
     let first = place_call(&mut planner, 1, &["e2"], SETTLED);
-    planner.begun(
+    planner.call_started(
         &call_key(1),
         &first.target,
         None,
@@ -206,8 +206,8 @@
         adapters: Vec::new(),
         ..engine_report(1, 0)
     };
-    planner.report_came(&target_name(1), Some(&unloaded_report), now);
-    planner.report_came(
+    planner.report_received(&target_name(1), Some(&unloaded_report), now);
+    planner.report_received(
         &target_name(1),
         Some(&engine_report(1, 1)),
         now.after(LOAD_TIME),
@@ -222,8 +222,8 @@
 fn call_refused_with_a_cache_transfer_is_placed_without_it() {
     let mut planner = lending_planner();
     let now = SETTLED.after(PREFILL_TIME);
-    planner.doubt_copy(&call_key(2), &target_name(2), now);
-    planner.ended(&call_key(2), Some(&target_name(2)), None, now);
+    planner.report_missing_copy(&call_key(2), &target_name(2), now);
+    planner.call_ended(&call_key(2), Some(&target_name(2)), None, now);
     planner.take_actions();
     let retried = place_call(&mut planner, 3, &["e1"], now);
     assert_eq!(retried.target, target_name(2));
@@ -247,10 +247,13 @@
     planner.order_ended(&target_name(2), OrderOutcome::Begun, SETTLED);
     let borrower = take_placement(&mut planner);
     assert_eq!(borrower.version, Some(1));
-    let expected = planner.loads().expected_time(&target_name(2));
+    let expected = planner.load_limiter().expected_time(&target_name(2));
     let now = SETTLED.after(expected).after(PREFILL_TIME);
-    planner.doubt_copy(&call_key(2), &target_name(2), now);
-    assert_eq!(planner.loads().expected_time(&target_name(2)), expected);
+    planner.report_missing_copy(&call_key(2), &target_name(2), now);
+    assert_eq!(
+        planner.load_limiter().expected_time(&target_name(2)),
+        expected
+    );
 }
 
 // A lender may run no calls. The previous holder has placed a call that fetches its cache once the call's adapter is
@@ -258,7 +261,7 @@
 #[test]
 fn new_holder_keeps_lenders_without_calls() {
     let mut planner = planner_since(SETTLED, &engine_list(&[(1, 1), (1, 1)]));
-    planner.adopt(call_key(9), &target_name(2), &adapter_name());
+    planner.adopt_call(call_key(9), &target_name(2), &adapter_name());
     set_adapter_version(&mut planner, 2, SETTLED);
     assert_eq!(take_load_orders(&mut planner), []);
 }
@@ -279,13 +282,13 @@
 #[test]
 fn missing_copy_is_not_replaced() {
     let mut planner = zone_planner(&engine_list(&[(1, 1)]));
-    planner.doubt_copy(&call_key(1), &target_name(1), SETTLED);
+    planner.report_missing_copy(&call_key(1), &target_name(1), SETTLED);
     planner.tick(SETTLED);
     planner.set_version(&adapter_name(), 2, SETTLED);
     assert_eq!(take_load_orders(&mut planner), []);
     let mut report_without_adapter = engine_report(1, 0);
     report_without_adapter.adapters.clear();
-    planner.report_came(&target_name(1), Some(&report_without_adapter), SETTLED);
+    planner.report_received(&target_name(1), Some(&report_without_adapter), SETTLED);
     assert_eq!(take_load_orders(&mut planner), []);
 }
 
@@ -325,7 +328,7 @@
     for name in [target_name(1), target_name(2)] {
         planner.order_ended(&name, OrderOutcome::Begun, SETTLED);
         planner.tick(now);
-        planner.report_came(&name, Some(&taken), now);
+        planner.report_received(&name, Some(&taken), now);
     }
     let placed = place_call(&mut planner, 2, &["e1"], now);
     assert_eq!((placed.fetch, placed.version), (None, Some(2)));
@@ -335,7 +338,7 @@
 fn cache_from_before_reported_weights_is_no_source() {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (7, 1)]));
     complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target_name(1), Some(&engine_report(7, 1)), SETTLED);
+    planner.report_received(&target_name(1), Some(&engine_report(7, 1)), SETTLED);
     let placed = place_call(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
@@ -344,7 +347,7 @@
 fn cache_from_before_a_reported_version_is_no_source() {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 2)]));
     complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
-    planner.report_came(&target_name(1), Some(&engine_report(1, 2)), SETTLED);
+    planner.report_received(&target_name(1), Some(&engine_report(1, 2)), SETTLED);
     let placed = place_call(&mut planner, 2, &["e1"], SETTLED);
     assert_eq!(placed.fetch, None);
 }
@@ -353,8 +356,9 @@
 // Only a list that lacked the copy after the load and contains it now refers to this load.
 #[test]
 fn listed_version_from_before_the_last_load_is_not_used() {
-    let known_version =
-        |planner: &ZonePlanner| planner.engines()[&target_name(1)].copies[&adapter_name()].sight;
+    let known_version = |planner: &ZonePlanner| {
+        planner.engines()[&target_name(1)].copies[&adapter_name()].known_version
+    };
     for count in [2, 3, 99] {
         let mut planner = zone_planner(&[(listed_entry(1, 1, 2), engine_report(1, 0))]);
         planner.set_targets(vec![Arc::new(listed_entry(1, 1, count))], SETTLED);
@@ -398,11 +402,11 @@
         (later, true, Some(engine_address(1))),
     ] {
         let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
-        planner.succeed(SETTLED);
+        planner.mark_takeover(SETTLED);
         complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
-        planner.lead_until(now.after(PREFILL_TIME));
+        planner.set_lead_until(now.after(PREFILL_TIME));
         if is_reported {
-            planner.report_came(&target_name(1), Some(&engine_report(1, 1)), now);
+            planner.report_received(&target_name(1), Some(&engine_report(1, 1)), now);
         }
         assert_eq!(place_call(&mut planner, 2, &["e1"], now).fetch, fetch);
     }
@@ -419,13 +423,13 @@
         Some(engine_address(1))
     );
     // The first engine is leaving, so that the second one lends its cache to the next call.
-    planner.begun(
+    planner.call_started(
         &call_key(2),
         &target_name(2),
         Some(1),
         SETTLED.after(PREFILL_TIME),
     );
-    planner.ended(
+    planner.call_ended(
         &call_key(2),
         Some(&target_name(2)),
         None,
@@ -443,11 +447,11 @@
     };
     let listed = [leaving, target_entry(2), target_entry(3), target_entry(4)].map(Arc::new);
     planner.set_targets(listed.to_vec(), now);
-    planner.report_came(&target_name(4), Some(&engine_report(1, 1)), now);
+    planner.report_received(&target_name(4), Some(&engine_report(1, 1)), now);
     planner.take_actions();
     let retried = place_call(&mut planner, 3, &["e1", "e2", "e3"], now);
     assert_eq!(retried.fetch, Some(engine_address(2)));
-    planner.ended(&call_key(3), Some(&target_name(4)), None, now);
+    planner.call_ended(&call_key(3), Some(&target_name(4)), None, now);
     set_adapter_version(&mut planner, 2, now.after(LOAD_TIME));
     let mut names = take_load_orders(&mut planner);
     names.sort();
--- a/crates/core/tests/direct_versions/support.rs
+++ b/crates/core/tests/direct_versions/support.rs
@@ -6,8 +6,8 @@
         config::EngineLimits,
         engine::{EngineReport, OrderKind},
         planner::{
-            AskTerms, CallKey, EngineFigures, PlacementAnswer, PlacementAsk, PlannerAction,
-            ZonePlanner,
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlacementTerms,
+            PlannerAction, ZonePlanner,
         },
     },
     ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
@@ -96,14 +96,14 @@
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     };
-    let figures = EngineFigures::shared_by(1, 3.0);
+    let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, held_since);
     let entries = engines.iter().map(|(entry, _)| Arc::new(entry.clone()));
-    planner.lead_until(SOLE_UNTIL);
+    planner.set_lead_until(SOLE_UNTIL);
     planner.set_targets(entries.collect(), held_since);
     planner.tick(held_since);
     for (entry, report) in engines {
-        planner.report_came(&entry.name, Some(report), held_since);
+        planner.report_received(&entry.name, Some(report), held_since);
     }
     planner.take_actions();
     planner
@@ -126,12 +126,12 @@
 }
 
 /// A call for the adapter that excludes some engines.
-pub fn placement_request(excluded: &[&str]) -> PlacementAsk {
+pub fn placement_request(excluded: &[&str]) -> PlacementRequest {
     placement_request_for("base/a1", excluded)
 }
 
-pub fn placement_request_for(subject: &str, excluded: &[&str]) -> PlacementAsk {
-    PlacementAsk {
+pub fn placement_request_for(subject: &str, excluded: &[&str]) -> PlacementRequest {
+    PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
         charge: None,
@@ -144,13 +144,13 @@
         exclude: excluded.iter().map(|name| TargetName::new(name)).collect(),
         resting: Vec::new(),
         may_load: false,
-        terms: AskTerms::Take,
+        terms: PlacementTerms::Take,
     }
 }
 
 /// A call for which the adapter may be loaded.
-pub fn loading_request(excluded: &[&str]) -> PlacementAsk {
-    PlacementAsk {
+pub fn loading_request(excluded: &[&str]) -> PlacementRequest {
+    PlacementRequest {
         may_load: true,
         ..placement_request(excluded)
     }
@@ -213,8 +213,8 @@
 ) {
     let placed = place_call(planner, number, excluded, now);
     let now = now.after(PREFILL_TIME);
-    planner.begun(&call_key(number), &placed.target, Some(base), now);
-    planner.ended(&call_key(number), Some(&placed.target), None, now);
+    planner.call_started(&call_key(number), &placed.target, Some(base), now);
+    planner.call_ended(&call_key(number), Some(&placed.target), None, now);
 }
 
 /// Engines that were ordered to load since the last call of this function.
--- a/crates/core/tests/direct_versions/transfers.rs
+++ b/crates/core/tests/direct_versions/transfers.rs
@@ -7,8 +7,8 @@
 use hoplanding_core::{
     direct::{
         catalog::ResidentAdapter,
-        engine::{OrderOutcome, UNCOUNTED_RUN},
-        planner::{PlacementAnswer, PlacementAsk, PlannerAction, ZonePlanner},
+        engine::{ORPHANED_CALL_TTL, OrderOutcome},
+        planner::{PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner},
     },
     ids::{AdapterName, TargetName},
 };
@@ -18,8 +18,8 @@
 fn complete_call_at_first(planner: &mut ZonePlanner, subject: &str, base: u64) {
     let placed = place_call_for(planner, 1, subject, &["e2", "e3"]);
     let now = SETTLED.after(PREFILL_TIME);
-    planner.begun(&call_key(1), &placed.target, Some(base), now);
-    planner.ended(&call_key(1), Some(&placed.target), None, now);
+    planner.call_started(&call_key(1), &placed.target, Some(base), now);
+    planner.call_ended(&call_key(1), Some(&placed.target), None, now);
 }
 
 #[test]
@@ -131,7 +131,7 @@
     // The first engine has restarted unnoticed with new weights, which its next answer states.
     let placed = place_call_for(&mut planner, 2, "base/a1", &["e2"]);
     let now = SETTLED.after(PREFILL_TIME);
-    planner.begun(&call_key(2), &placed.target, Some(7), now);
+    planner.call_started(&call_key(2), &placed.target, Some(7), now);
     let placed = place_call_for(&mut planner, 3, "base/a1", &["e1"]);
     assert_eq!(placed.fetch, None, "the weights of the cache are unknown");
 }
@@ -149,10 +149,10 @@
         [],
         "one lends its cache, the other runs a call"
     );
-    planner.begun(&call_key(2), &borrower.target, Some(1), now);
+    planner.call_started(&call_key(2), &borrower.target, Some(1), now);
     planner.tick(now);
     assert_eq!(take_load_orders(&mut planner), [TargetName::new("e1")]);
-    planner.ended(&call_key(2), Some(&borrower.target), None, now);
+    planner.call_ended(&call_key(2), Some(&borrower.target), None, now);
     assert_eq!(take_load_orders(&mut planner), [TargetName::new("e2")]);
 }
 
@@ -163,14 +163,14 @@
     let now = SETTLED.after(PREFILL_TIME);
     let borrower = place_call_for(&mut planner, 2, "base/a1", &["e1"]);
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
-    planner.ended(&call_key(2), Some(&borrower.target), None, now);
+    planner.call_ended(&call_key(2), Some(&borrower.target), None, now);
     planner.tick(now);
     assert_eq!(
         take_load_orders(&mut planner),
         [TargetName::new("e2")],
         "the call may still arrive"
     );
-    planner.tick(now.after(UNCOUNTED_RUN));
+    planner.tick(now.after(ORPHANED_CALL_TTL));
     assert_eq!(take_load_orders(&mut planner), [TargetName::new("e1")]);
 }
 
@@ -194,7 +194,7 @@
     planner.set_version(&AdapterName::new("base/a1"), 4, SETTLED);
     planner.take_actions();
     let name = TargetName::new("e1");
-    planner.report_came(&name, Some(&engine_report(1, 4)), SETTLED);
+    planner.report_received(&name, Some(&engine_report(1, 4)), SETTLED);
     assert_eq!(
         place_call_for(&mut planner, 4, "base/a1", &["e2"]).version,
         Some(4)
@@ -205,8 +205,8 @@
 fn no_call_goes_to_a_copy_that_loads_an_older_version() {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 2)]));
     let mut loading_report = engine_report(1, 1);
-    loading_report.coming = std::mem::take(&mut loading_report.adapters);
-    planner.report_came(&TargetName::new("e1"), Some(&loading_report), SETTLED);
+    loading_report.loading = std::mem::take(&mut loading_report.adapters);
+    planner.report_received(&TargetName::new("e1"), Some(&loading_report), SETTLED);
     planner.set_version(&AdapterName::new("base/a1"), 2, SETTLED);
     planner.take_actions();
     assert_eq!(
@@ -222,11 +222,11 @@
     let mut planner = zone_planner(&engine_list(&[(1, 1)]));
     place_call_for(&mut planner, 1, "base/a1", &[]);
     let mut replacing_report = engine_report(1, 1);
-    replacing_report.coming = vec![(AdapterName::new("base/a1"), 2)];
+    replacing_report.loading = vec![(AdapterName::new("base/a1"), 2)];
     let name = TargetName::new("e1");
-    planner.report_came(&name, Some(&replacing_report), SETTLED);
+    planner.report_received(&name, Some(&replacing_report), SETTLED);
     let copies = &planner.engines()[&name].copies;
-    assert_eq!(copies[&AdapterName::new("base/a1")].users, 1);
+    assert_eq!(copies[&AdapterName::new("base/a1")].active_calls, 1);
 }
 
 // After a new version is set, each copy is replaced. Guards against calls that arrive too early because an engine that
@@ -241,7 +241,7 @@
     let mut now = SETTLED;
     planner.place(
         call_key(1),
-        PlacementAsk {
+        PlacementRequest {
             may_load: true,
             ..ask.clone()
         },
@@ -250,8 +250,8 @@
     planner.order_ended(&name, OrderOutcome::Begun, now);
     now = now.after(Duration::from_millis(400));
     planner.tick(now);
-    planner.begun(&call_key(1), &name, Some(1), now);
-    planner.ended(&call_key(1), Some(&name), None, now);
+    planner.call_started(&call_key(1), &name, Some(1), now);
+    planner.call_ended(&call_key(1), Some(&name), None, now);
     planner.take_actions();
     planner.set_version(&AdapterName::new("base/a2"), 2, now);
     assert_eq!(take_load_orders(&mut planner), std::slice::from_ref(&name));
--- a/crates/daemon/src/direct/call/placing.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -3,8 +3,8 @@
 use crate::{
     clock,
     direct::{
-        access::CallTicket,
-        call::{COME_BACK, CallState, paying::PaymentOutcome},
+        call::{COME_BACK, CallState, payment::PaymentOutcome},
+        holder_client::PlacedCall,
         message::FeedTopic,
     },
     event,
@@ -14,9 +14,9 @@
     direct::{
         catalog::{TargetEntry, TargetStage},
         millis,
-        plain::{PlainAsk, pick_alone, placing_zones},
-        planner::{PlacementAnswer, PlacementAsk, RefusalCause, split_subject},
-        search::{SearchPass, ZoneQuestion, ZoneSearch},
+        plain::{PlainRequest, pick_without_holder, placement_zones},
+        planner::{PlacementAnswer, PlacementRequest, RefusalCause, split_subject},
+        search::{SearchPass, ZoneQuery, ZoneSearch},
         suspects::Suspicion,
         trials::TrialAnswer,
     },
@@ -38,27 +38,27 @@
 const REST_SPREAD: Duration = Duration::from_millis(600);
 
 /// Where the next send goes.
-pub enum Placing {
+pub enum CallPlacement {
     /// To this target, with the version to ask for.
-    At(Arc<TargetEntry>, Option<u64>, Option<CallTicket>),
+    At(Arc<TargetEntry>, Option<u64>, Option<PlacedCall>),
     /// Nowhere now; it is worth coming back after this.
-    Nowhere(Duration),
+    Unavailable(Duration),
     /// Nowhere, as its organisation's quota is used up until then.
     OverQuota(Duration),
 }
 
 impl CallState {
     /// Finds the target of the next send, and waits until it has what is asked for.
-    pub async fn place(&mut self) -> Placing {
+    pub async fn place(&mut self) -> CallPlacement {
         self.refusals.clear();
-        self.fetch = None;
+        self.fetch_source = None;
         self.is_limited = false;
         if let Some(come_back) = self.rest_of_all() {
-            return Placing::Nowhere(come_back);
+            return CallPlacement::Unavailable(come_back);
         }
-        if !self.context.fleet.knows_whole(FeedTopic::Fleet) {
+        if !self.context.fleet.is_topic_known(FeedTopic::Fleet) {
             // It may be a suspect.
-            return Placing::Nowhere(COME_BACK);
+            return CallPlacement::Unavailable(COME_BACK);
         }
         if self.is_suspected()
             && let Some(barred) = self.ask_trial().await
@@ -69,16 +69,16 @@
             return self.place_plain().await;
         }
         let zones = self.zones_in_order();
-        let policy = self.context.fleet.books().policy;
+        let policy = self.context.fleet.tables().policy;
         let mut search = ZoneSearch::new(policy, zones.len());
         let mut pass = SearchPass::Compare;
-        while let Some(question) = search.ask_next() {
+        while let Some(question) = search.next_query() {
             if question.pass != pass {
                 pass = question.pass;
                 if !self.has_time() {
                     break;
                 }
-                if pass == SearchPass::Again {
+                if pass == SearchPass::Retry {
                     sleep(PLACE_AGAIN).await;
                 }
             }
@@ -87,12 +87,12 @@
                 return found;
             }
         }
-        Placing::Nowhere(search.come_back().unwrap_or(COME_BACK))
+        CallPlacement::Unavailable(search.retry_after().unwrap_or(COME_BACK))
     }
 
     /// Finds the target of a plain service's call: the holder that places them knows of all that are under way.
-    async fn place_plain(&mut self) -> Placing {
-        let zones = placing_zones(&self.service.name, &self.context.settings.zones);
+    async fn place_plain(&mut self) -> CallPlacement {
+        let zones = placement_zones(&self.service.name, &self.context.settings.zones);
         for zone in &zones {
             let mut asked = self.ask_plain(zone).await;
             if is_refused_for(&asked, RefusalCause::NeedsTrial) {
@@ -124,14 +124,14 @@
                         is_limited,
                         ..
                     },
-                    ticket,
+                    placed_call,
                 )) => {
                     self.payment.settle();
                     self.is_limited = is_limited;
                     sleep(Duration::from_millis(u64::from(wait_ms))).await;
                     let entry = self.entry_of(zone, &target).await;
                     match entry.filter(|entry| entry.stage == TargetStage::Ready) {
-                        Some(entry) => return Placing::At(entry, None, ticket),
+                        Some(entry) => return CallPlacement::At(entry, None, placed_call),
                         // It has left as far as this VM knows.
                         None => self.tried.push(target),
                     }
@@ -144,7 +144,9 @@
                     _,
                 )) => {
                     self.refusals.push((zone.clone(), cause));
-                    return Placing::Nowhere(Duration::from_millis(u64::from(retry_after_ms)));
+                    return CallPlacement::Unavailable(Duration::from_millis(u64::from(
+                        retry_after_ms,
+                    )));
                 }
                 None => {}
             }
@@ -152,15 +154,15 @@
         if let Some(unpaid) = self.unpaid(None, None).await {
             return unpaid;
         }
-        self.pick_alone()
+        self.pick_without_holder()
     }
 
     async fn ask_plain(
         &self,
         zone: &AvailabilityZone,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let left = self.route.objective.saturating_sub(self.arrived.elapsed());
-        let ask = PlainAsk {
+        let ask = PlainRequest {
             service: self.service.name.clone(),
             rank: self.rank,
             left_ms: millis(left),
@@ -170,44 +172,44 @@
             is_trial: self.trial.is_some(),
             charge: self.payment.due().cloned(),
         };
-        self.context.access.place_plain(zone, ask).await
+        self.context.holder_client.place_plain(zone, ask).await
     }
 
     /// Picks a plain service's target by what this VM sees alone.
-    fn pick_alone(&self) -> Placing {
-        let mut books = self.context.fleet.books();
+    fn pick_without_holder(&self) -> CallPlacement {
+        let mut tables = self.context.fleet.tables();
         let now = clock::now();
-        let ready = books.catalog.ready(&self.service.name);
+        let ready = tables.catalog.ready(&self.service.name);
         let targets: Vec<_> = ready
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .cloned()
             .collect();
-        let picked = pick_alone(
+        let picked = pick_without_holder(
             &self.context.fleet.zone,
-            &books.health,
-            &books.in_flight,
+            &tables.health,
+            &tables.in_flight,
             &self.tried,
             &targets,
             now,
         );
         let Some(entry) = picked else {
-            return Placing::Nowhere(COME_BACK);
+            return CallPlacement::Unavailable(COME_BACK);
         };
-        books.limits.take_token(&entry.name, now);
-        Placing::At(Arc::clone(entry), None, None)
+        tables.limits.take_token(&entry.name, now);
+        CallPlacement::At(Arc::clone(entry), None, None)
     }
 
     /// Asks one zone; nothing if it does not take the call.
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
-        question: &ZoneQuestion,
+        question: &ZoneQuery,
         search: &mut ZoneSearch,
-    ) -> Option<Placing> {
+    ) -> Option<CallPlacement> {
         let ask = self.ask(question, search);
-        let Some((answer, ticket)) = self.context.access.place(zone, ask).await else {
-            search.take_silence(question.zone);
+        let Some((answer, placed_call)) = self.context.holder_client.place(zone, ask).await else {
+            search.record_no_answer(question.zone);
             // While the home zone's offer stands: a zone that can't be heard may be cut off with its targets.
             let is_compared = question.pass == SearchPass::Compare && question.zone > 0;
             if is_compared {
@@ -231,15 +233,15 @@
                 event!(Event::CallPlaced, request = self.head.id; "at {target} in {zone} after {:?}, its adapter {} of version {version:?} there in {wait_ms} ms, call {:?} of the holder",
                     self.arrived.elapsed(),
                     self.subject(),
-                    ticket.as_ref().map(CallTicket::number)
+                    placed_call.as_ref().map(PlacedCall::number)
                 );
                 self.payment.settle();
                 self.is_limited = is_limited;
                 if is_sought {
                     self.context.fleet.note_sought(&self.subject());
                 }
-                let figures = &self.context.fleet.figures;
-                figures.note_placing(self.arrived.elapsed());
+                let metrics = &self.context.fleet.metrics;
+                metrics.note_placing(self.arrived.elapsed());
                 self.timeline.note_placed(expected_ms);
                 let lease = self.context.fleet.lease(zone);
                 sleep(Duration::from_millis(u64::from(wait_ms))).await;
@@ -256,8 +258,8 @@
                     return None;
                 }
                 // Another holder knows nothing of the loan, and an address may have passed to another target.
-                self.fetch = fetch.filter(|source| is_led && self.is_one_targets(*source));
-                Some(Placing::At(entry, version, ticket))
+                self.fetch_source = fetch.filter(|source| is_led && self.is_one_targets(*source));
+                Some(CallPlacement::At(entry, version, placed_call))
             }
             PlacementAnswer::Refuse {
                 retry_after_ms,
@@ -278,7 +280,7 @@
                         }
                     }
                     _ => {
-                        search.take_refusal(question.zone, cause, retry_after_ms);
+                        search.record_refusal(question.zone, cause, retry_after_ms);
                         None
                     }
                 }
@@ -294,9 +296,9 @@
         target: &TargetName,
     ) -> Option<Arc<TargetEntry>> {
         let fleet = &self.context.fleet;
-        let known = || fleet.books().catalog.get(target).cloned();
-        if known().is_none() && !fleet.knows_whole(FeedTopic::Targets) {
-            self.context.access.learn_target(zone, target).await;
+        let known = || fleet.tables().catalog.get(target).cloned();
+        if known().is_none() && !fleet.is_topic_known(FeedTopic::Targets) {
+            self.context.holder_client.learn_target(zone, target).await;
         }
         known()
     }
@@ -307,19 +309,22 @@
         &mut self,
         but: Option<&AvailabilityZone>,
         known: Option<Duration>,
-    ) -> Option<Placing> {
+    ) -> Option<CallPlacement> {
         let used_up = match self.pay(but).await {
             PaymentOutcome::Settled => return None,
             PaymentOutcome::UsedUp(other) => Some(known.map_or(other, |known| known.min(other))),
             PaymentOutcome::Unanswered => known,
         };
-        Some(used_up.map_or(Placing::Nowhere(COME_BACK), Placing::OverQuota))
+        Some(used_up.map_or(
+            CallPlacement::Unavailable(COME_BACK),
+            CallPlacement::OverQuota,
+        ))
     }
 
     /// Whether one target is listed at an address.
     fn is_one_targets(&self, address: SocketAddr) -> bool {
-        let books = self.context.fleet.books();
-        let listed = books
+        let tables = self.context.fleet.tables();
+        let listed = tables
             .catalog
             .iter()
             .filter(|entry| entry.address == address);
@@ -333,9 +338,9 @@
         let own = &self.context.fleet.zone;
         let is_popular = {
             let now = clock::now();
-            let books = self.context.fleet.books();
-            books.demand.rate(&subject, now) >= books.policy.popular_per_s
-                || books.is_sought(&subject, now)
+            let tables = self.context.fleet.tables();
+            tables.demand.rate(&subject, now) >= tables.policy.popular_rate_per_s
+                || tables.is_sought(&subject, now)
         };
         let has_adapter = split_subject(&subject).1.is_some();
         let mut zones = self.context.settings.zones.clone();
@@ -349,21 +354,21 @@
         zones
     }
 
-    fn ask(&self, question: &ZoneQuestion, search: &ZoneSearch) -> PlacementAsk {
+    fn ask(&self, question: &ZoneQuery, search: &ZoneSearch) -> PlacementRequest {
         let objective = self.route.objective;
         let left = objective.saturating_sub(self.arrived.elapsed());
         let bound = if self.runs > 0 && question.pass != SearchPass::Compare {
             // It has run already: its caller is served late rather than told that it failed.
             self.remaining()
         } else {
-            search.wait_bound(question.pass, self.rank, objective, left)
+            search.max_wait(question.pass, self.rank, objective, left)
         };
         let output = self
             .head
             .output_hint
             .unwrap_or(self.head.most_output / 2)
             .min(self.head.most_output.max(1));
-        PlacementAsk {
+        PlacementRequest {
             subject: self.subject(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: output,
@@ -382,32 +387,36 @@
 
     /// Targets that want nothing from this VM now.
     fn resting(&self) -> Vec<TargetName> {
-        self.context.fleet.books().resting(clock::now())
+        self.context.fleet.tables().resting(clock::now())
     }
 
     /// When its caller should come back if every target of its service wants nothing from this VM. Callers are spread, as the
     /// first of them to come back finds out whether the targets take calls again.
     pub(super) fn rest_of_all(&self) -> Option<Duration> {
-        let books = self.context.fleet.books();
-        let rest = books.rest_of_all(&self.service.name, clock::now())?;
+        let tables = self.context.fleet.tables();
+        let rest = tables.shortest_rest(&self.service.name, clock::now())?;
         Some(rest + REST_SPREAD.mul_f64(rand::random()))
     }
 
     /// Whether targets ended under the request, as far as this VM knows.
     fn is_suspected(&self) -> bool {
-        let books = self.context.fleet.books();
-        books.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
+        let tables = self.context.fleet.tables();
+        tables.suspects.suspicion(self.fingerprint, clock::now()) != Suspicion::Clear
     }
 
     /// Asks for a trial unless one is granted already; says where the call goes if none is.
-    async fn ask_trial(&mut self) -> Option<Placing> {
+    async fn ask_trial(&mut self) -> Option<CallPlacement> {
         if self.trial.is_some() {
             return None;
         }
         let zones = &self.context.settings.zones;
-        let asked = self.context.access.ask_trial(zones, self.fingerprint).await;
+        let asked = self
+            .context
+            .holder_client
+            .ask_trial(zones, self.fingerprint)
+            .await;
         let Some((answer, permit)) = asked else {
-            return Some(Placing::Nowhere(COME_BACK));
+            return Some(CallPlacement::Unavailable(COME_BACK));
         };
         let (retry_after_ms, is_running) = match answer {
             TrialAnswer::Granted | TrialAnswer::Clear => {
@@ -426,7 +435,7 @@
         };
         self.refusals.push((permit.zone().clone(), cause));
         let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-        Some(Placing::Nowhere(retry_after))
+        Some(CallPlacement::Unavailable(retry_after))
     }
 
     pub(super) fn subject(&self) -> AdapterName {
@@ -437,33 +446,33 @@
     }
 
     /// Places a call without its holder: at a target that is listed with its adapter.
-    fn place_alone(&self, zone: &AvailabilityZone) -> Option<Placing> {
+    fn place_alone(&self, zone: &AvailabilityZone) -> Option<CallPlacement> {
         let subject = self.subject();
-        let mut books = self.context.fleet.books();
+        let mut tables = self.context.fleet.tables();
         // New weights of a base model bind no call: engines have them from their next start on.
         let has_adapter = split_subject(&subject).1.is_some();
-        let named = books.versions.get(&subject).filter(|_| has_adapter);
+        let named = tables.versions.get(&subject).filter(|_| has_adapter);
         let version = named.copied();
         let now = clock::now();
-        let entry = books
+        let entry = tables
             .catalog
             .ready(&self.service.name)
             .filter(|entry| entry.zone == *zone && !self.tried.contains(&entry.name))
-            .filter(|entry| !books.health.is_unreachable(&entry.name, now))
-            .filter(|entry| books.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| books.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| !tables.health.is_unreachable(&entry.name, now))
+            .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
+            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
             .filter(|entry| holds(entry, &subject, version))
-            .min_by_key(|entry| books.in_flight.get(&entry.run()).copied().unwrap_or(0))
+            .min_by_key(|entry| tables.in_flight.get(&entry.run()).copied().unwrap_or(0))
             .cloned()?;
-        books.limits.take_token(&entry.name, now);
+        tables.limits.take_token(&entry.name, now);
         // The holder does not know of this call: it must not make memory that is taken for another version's.
         let version = version.or_else(|| listed_version(&entry, &subject));
-        Some(Placing::At(entry, version, None))
+        Some(CallPlacement::At(entry, version, None))
     }
 }
 
 fn is_refused_for(
-    asked: &Option<(PlacementAnswer, Option<CallTicket>)>,
+    asked: &Option<(PlacementAnswer, Option<PlacedCall>)>,
     why: RefusalCause,
 ) -> bool {
     matches!(asked, Some((PlacementAnswer::Refuse { cause, .. }, _)) if *cause == why)
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -3,11 +3,11 @@
 use crate::{
     clock,
     direct::{
-        access::CallTicket,
         call::CallState,
         fleet::FleetState,
+        holder_client::PlacedCall,
         message::CallEnd,
-        sender::{ReuseRule, SendError, TargetConnection, TargetRequest},
+        target_connections::{ReuseRule, SendError, TargetConnection, TargetRequest},
         trials::TrialPermit,
     },
     event,
@@ -46,9 +46,9 @@
     /// The target as it was listed when the call was sent.
     pub entry: Arc<TargetEntry>,
     /// The holder's count of the call.
-    pub ticket: Option<CallTicket>,
+    pub placed_call: Option<PlacedCall>,
     /// This VM's count of the call.
-    pub count: InFlightCount,
+    pub in_flight: InFlightGuard,
 }
 
 /// What came of one send.
@@ -69,16 +69,16 @@
 
 /// Counts a call of this VM at a target until dropped.
 #[derive(Debug)]
-pub struct InFlightCount {
+pub struct InFlightGuard {
     fleet: Arc<FleetState>,
     run: TargetRun,
     /// The trial that the call is.
     trial: Option<TrialPermit>,
 }
 
-impl InFlightCount {
+impl InFlightGuard {
     fn new(fleet: &Arc<FleetState>, entry: &TargetEntry, trial: Option<TrialPermit>) -> Self {
-        *fleet.books().in_flight.entry(entry.run()).or_default() += 1;
+        *fleet.tables().in_flight.entry(entry.run()).or_default() += 1;
         Self {
             fleet: Arc::clone(fleet),
             run: entry.run(),
@@ -93,28 +93,28 @@
     }
 
     /// Notes how the call ended.
-    pub fn note(mut self, end: CallEnd) {
+    pub fn finish(mut self, end: CallEnd) {
         if let Some(trial) = self.trial.as_mut().filter(|_| end == CallEnd::Good) {
             trial.note_good();
         }
         let TargetRun { name, life } = &self.run;
-        let mut books = self.fleet.books();
+        let mut tables = self.fleet.tables();
         // What an earlier life did says nothing about this one.
         if let Some(outcome) = end.health()
-            && books.catalog.life(name) == *life
+            && tables.catalog.life(name) == *life
         {
-            books.health.record(name, outcome, clock::now());
+            tables.health.record(name, outcome, clock::now());
         }
     }
 }
 
-impl Drop for InFlightCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut books = self.fleet.books();
-        if let Some(count) = books.in_flight.get_mut(&self.run) {
+        let mut tables = self.fleet.tables();
+        if let Some(count) = tables.in_flight.get_mut(&self.run) {
             *count -= 1;
             if *count == 0 {
-                books.in_flight.remove(&self.run);
+                tables.in_flight.remove(&self.run);
             }
         }
     }
@@ -126,14 +126,14 @@
         &mut self,
         entry: &Arc<TargetEntry>,
         version: Option<u64>,
-        ticket: Option<CallTicket>,
+        placed_call: Option<PlacedCall>,
         last_event: Option<u64>,
     ) -> SendOutcome {
-        let count = InFlightCount::new(&self.context.fleet, entry, self.trial.take());
-        let end = |ticket: Option<CallTicket>, count: InFlightCount, end: CallEnd| {
-            count.note(end);
-            if let Some(ticket) = ticket {
-                ticket.end(end);
+        let in_flight = InFlightGuard::new(&self.context.fleet, entry, self.trial.take());
+        let end = |placed_call: Option<PlacedCall>, in_flight: InFlightGuard, end: CallEnd| {
+            in_flight.finish(end);
+            if let Some(placed_call) = placed_call {
+                placed_call.finish(end);
             }
         };
         let reuse = match self.route.retry_policy {
@@ -168,7 +168,7 @@
             Err(SendError::NotSent { target, cause, .. }) => {
                 event!(Event::TargetUnreached, request = self.head.id; "at {target}: {cause}"
                 );
-                end(ticket, count, CallEnd::Unreached);
+                end(placed_call, in_flight, CallEnd::Unreached);
                 self.unreached += 1;
                 self.tried.push(target);
                 return SendOutcome::NotSent;
@@ -176,8 +176,8 @@
             Err(SendError::Unanswered { target, cause }) => {
                 event!(Event::AnswerMissing, request = self.head.id; "at {target}: {cause}"
                 );
-                self.look_at_break(entry, count.is_trial()).await;
-                end(ticket, count, CallEnd::Failed);
+                self.probe_after_failure(entry, in_flight.is_trial()).await;
+                end(placed_call, in_flight, CallEnd::Failed);
                 self.runs += 1;
                 self.tried.push(target);
                 return SendOutcome::Unknown;
@@ -189,35 +189,40 @@
             AnswerKind::Foreign | AnswerKind::Misdirected => TargetNotice::default(),
             AnswerKind::Success | AnswerKind::Failure | AnswerKind::NotRun => {
                 let fleet = &self.context.fleet;
-                let notice = fleet.hear_target(&entry.run(), response.status(), response.headers());
+                let notice =
+                    fleet.apply_target_notice(&entry.run(), response.status(), response.headers());
                 self.note_limit(entry, notice.rate_limit);
                 notice
             }
         };
         if matches!(kind, AnswerKind::Success | AnswerKind::Failure) {
-            self.context.fleet.books().rests.record_answer(&entry.run());
+            self.context
+                .fleet
+                .tables()
+                .rests
+                .record_answer(&entry.run());
         }
         let (parts, body) = response.into_parts();
-        let open = |ticket, count| {
+        let open = |placed_call, in_flight| {
             Box::new(OpenAnswer {
                 parts: parts.clone(),
                 notice,
                 body,
                 connection,
                 entry: Arc::clone(entry),
-                ticket,
-                count,
+                placed_call,
+                in_flight,
             })
         };
         match kind {
             AnswerKind::Success => {
                 self.runs += 1;
-                SendOutcome::Success(open(ticket, count))
+                SendOutcome::Success(open(placed_call, in_flight))
             }
             AnswerKind::Failure => {
                 self.runs += 1;
                 self.tried.push(entry.name.clone());
-                SendOutcome::Failure(open(ticket, count))
+                SendOutcome::Failure(open(placed_call, in_flight))
             }
             AnswerKind::Misdirected | AnswerKind::NotRun => {
                 event!(Event::TurnedAway, request = self.head.id; "at {}: {kind:?} {} for {} version {version:?}",
@@ -233,7 +238,7 @@
                         rest_ms: notice.backoff.map_or(0, millis),
                     }
                 };
-                end(ticket, count, outcome);
+                end(placed_call, in_flight, outcome);
                 self.refused += 1;
                 // An adapter that is late is soon there: its holder knows whether another target is better.
                 if !is_absent {
@@ -247,7 +252,7 @@
                     parts.status
                 );
                 self.context.pool.close(entry.address);
-                end(ticket, count, CallEnd::Failed);
+                end(placed_call, in_flight, CallEnd::Failed);
                 self.runs += 1;
                 self.tried.push(entry.name.clone());
                 SendOutcome::Unknown
@@ -268,7 +273,7 @@
             priority: self.service.engine.as_ref().map(|_| self.rank),
             version,
             last_event,
-            fetch: self.fetch,
+            fetch: self.fetch_source,
             identity: &self.identity,
         };
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -282,10 +287,10 @@
 impl CallState {
     /// Whether a target still takes new work from this VM: that may have changed while a connection to it was made.
     fn is_wanted(&self, entry: &TargetEntry) -> bool {
-        let mut books = self.context.fleet.books();
-        let known = books.catalog.get(&entry.name);
+        let mut tables = self.context.fleet.tables();
+        let known = tables.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && books.rests.try_admit(&entry.run(), clock::now())
+            && tables.rests.try_admit(&entry.run(), clock::now())
     }
 
     /// Notes what an answer says of its target's limit.
@@ -295,26 +300,26 @@
             rate,
         };
         let is_change = {
-            let mut books = self.context.fleet.books();
-            books.limits.record(&named, clock::now())
+            let mut tables = self.context.fleet.tables();
+            tables.limits.record(&named, clock::now())
         };
         if is_change {
             let rate = named.rate.map(RequestRate::as_f64);
             event!(Event::LimitNamed, request = self.head.id; "{}: {rate:?} a second", entry.name);
         }
         if named.rate.is_some() || self.is_limited {
-            self.context.access.tell_limit(&named);
+            self.context.holder_client.tell_limit(&named);
         }
     }
 
     /// Gives a connection back for further calls, unless its answer says that it ends.
-    pub fn give_back(&self, connection: TargetConnection, notice: &TargetNotice) {
+    pub fn return_connection(&self, connection: TargetConnection, notice: &TargetNotice) {
         if notice.is_closing {
             return;
         }
-        let vms = self.context.fleet.books().vms.len();
+        let vms = self.context.fleet.tables().vms.len();
         let share = self.service.max_idle_connections(vms);
         let pool = &self.context.pool;
-        pool.give_back(connection, notice.idle_timeout, share);
+        pool.put_back(connection, notice.idle_timeout, share);
     }
 }
--- a/crates/daemon/src/direct/ledger.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -6,7 +6,7 @@
         health::CallOutcome,
         limits::AdvertisedLimit,
         millis,
-        plain::{PlainAsk, PlainPlanner},
+        plain::{PlainPlanner, PlainRequest},
         planner::{CallKey, PlacementAnswer, RefusalCause},
         quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaLedger},
         suspects::{RequestFingerprint, Suspicion},
@@ -28,7 +28,7 @@
 }
 
 /// What came with a lease, and ends with it.
-pub struct ZoneLedger {
+pub struct HolderState {
     /// The lease's token.
     pub token: FencingToken,
     plain: PlainPlanner,
@@ -38,7 +38,7 @@
     declared: Option<u64>,
 }
 
-impl ZoneLedger {
+impl HolderState {
     /// The ledger of a lease.
     #[must_use]
     pub fn new(
@@ -71,8 +71,8 @@
 
     /// Takes over what the books say of quotas and targets.
     pub fn refresh(&mut self, fleet: &FleetState, now: Instant) {
-        let books = fleet.books();
-        if let Some(active) = &books.active
+        let tables = fleet.tables();
+        if let Some(active) = &tables.active
             && self.declared != Some(active.config.version)
             && let Some(table) = &active.config.organisations
         {
@@ -80,7 +80,7 @@
             self.declared = Some(active.config.version);
         }
         self.plain
-            .retain(|run| books.catalog.get(&run.name).is_some());
+            .retain(|run| tables.catalog.get(&run.name).is_some());
     }
 
     /// Until then it is known that no other VM was the zone's holder.
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// When too little is left: the answer to the call.
-    pub fn pay_for_place(
+    pub fn charge_placement(
         &mut self,
         charge: Option<&QuotaCharge>,
         now: Instant,
@@ -113,7 +113,7 @@
     }
 
     /// Gives a charge back whose call did not run, or found no place.
-    pub fn give_back(&mut self, charge: &QuotaCharge, now: Instant) {
+    pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
         self.quotas.refund(charge, now);
     }
 
@@ -122,34 +122,34 @@
         &mut self,
         fleet: &FleetState,
         key: CallKey,
-        ask: &PlainAsk,
+        ask: &PlainRequest,
         now: Instant,
     ) -> PlacementAnswer {
-        let suspicion = fleet.books().suspects.suspicion(ask.fingerprint, now);
+        let suspicion = fleet.tables().suspects.suspicion(ask.fingerprint, now);
         if !ask.is_trial && suspicion != Suspicion::Clear {
             return PlacementAnswer::Refuse {
                 retry_after_ms: 0,
                 cause: RefusalCause::NeedsTrial,
             };
         }
-        if let Err(refusal) = self.pay_for_place(ask.charge.as_ref(), now) {
+        if let Err(refusal) = self.charge_placement(ask.charge.as_ref(), now) {
             return refusal;
         }
         let targets: Vec<_> = {
-            let books = fleet.books();
-            books.catalog.ready(&ask.service).cloned().collect()
+            let tables = fleet.tables();
+            tables.catalog.ready(&ask.service).cloned().collect()
         };
         let answer = self.plain.place(key, ask, &targets, now);
         if let (PlacementAnswer::Refuse { .. }, Some(charge)) = (&answer, &ask.charge) {
-            self.give_back(charge, now);
+            self.refund(charge, now);
         }
         answer
     }
 
     /// Ends a call of a plain service; says whether it was one.
     pub fn end_plain(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) -> bool {
-        let is_plain = self.plain.knows(key);
-        self.plain.ended(key, outcome, now);
+        let is_plain = self.plain.has_call(key);
+        self.plain.call_ended(key, outcome, now);
         is_plain
     }
 
@@ -161,10 +161,10 @@
         key: CallKey,
         now: Instant,
     ) -> TrialAnswer {
-        let mut books = fleet.books();
-        books.suspects.refresh(fingerprint, now);
+        let mut tables = fleet.tables();
+        tables.suspects.refresh(fingerprint, now);
         self.trials
-            .try_grant(&books.suspects, fingerprint, key, now)
+            .try_grant(&tables.suspects, fingerprint, key, now)
     }
 
     /// A trial ended.
@@ -174,7 +174,7 @@
 
     /// An answer told of a target's limit.
     pub fn note_limit(&mut self, named: &AdvertisedLimit, now: Instant) {
-        self.plain.note_limit(named, now);
+        self.plain.record_limit(named, now);
     }
 
     /// All calls and trials of a gateway that can't be reached.
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -14,13 +14,13 @@
 
 /// Targets that said that they leave, in the order in which this VM heard of it.
 #[derive(Debug, Default)]
-pub struct LeavingNews {
+pub struct LeavingTargets {
     runs: BTreeMap<u64, TargetRun>,
     /// Place behind the newest.
     head: u64,
 }
 
-impl LeavingNews {
+impl LeavingTargets {
     /// Adds a target.
     pub fn push(&mut self, run: TargetRun) {
         self.runs.insert(self.head, run);
@@ -53,7 +53,7 @@
 
 impl FleetState {
     /// Takes in what an answer of a target says of it; the answer must be known to be the target's own.
-    pub fn hear_target(
+    pub fn apply_target_notice(
         &self,
         run: &TargetRun,
         status: StatusCode,
@@ -62,7 +62,7 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.faults {
-            if let Some(untold) = self.books().unread.note(now) {
+            if let Some(untold) = self.tables().unreadable_headers.note(now) {
                 event!(
                     Event::NoticeUnreadable,
                     "{}: {fault}; {untold} more before it",
@@ -72,10 +72,10 @@
         }
         let notice = decoded.notice;
         if notice.is_leaving {
-            self.take_leaving(slice::from_ref(run), "by its own answer");
+            self.mark_leaving(slice::from_ref(run), "by its own answer");
         }
         if let Some(rest) = notice.backoff {
-            let kept = self.books().rests.record(run, rest, now);
+            let kept = self.tables().rests.record(run, rest, now);
             event!(
                 Event::RestAsked,
                 "{} for {rest:?}, kept for {kept:?}",
@@ -89,24 +89,24 @@
     #[must_use]
     pub fn is_resting(&self, run: &TargetRun) -> bool {
         let now = clock::now();
-        self.books().rests.remaining(run, now).is_some()
+        self.tables().rests.remaining(run, now).is_some()
     }
 
     /// Takes in that targets said that they leave.
-    pub fn take_leaving(&self, runs: &[TargetRun], source: &str) {
-        let mut books = self.books();
-        let head = books.leaving.head();
+    pub fn mark_leaving(&self, runs: &[TargetRun], source: &str) {
+        let mut tables = self.tables();
+        let head = tables.leaving.head();
         for run in runs {
-            if books.catalog.note_leaving(run) {
+            if tables.catalog.note_leaving(run) {
                 event!(Event::TargetLeaving, "{}, {source}", run.name);
-                books.leaving.push(run.clone());
+                tables.leaving.push(run.clone());
             }
         }
-        if books.leaving.head() == head {
+        if tables.leaving.head() == head {
             return;
         }
-        self.announce(&books);
-        drop(books);
+        self.announce(&tables);
+        drop(tables);
         self.signal();
     }
 }
