--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -28,9 +28,9 @@
 /// Whether a target accepts new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetStage {
-    /// It accepts new calls.
+    /// Accepts new calls.
     Ready,
-    /// It is about to leave.
+    /// Accepts no new calls, as it is about to leave.
     Draining,
 }
 
@@ -132,10 +132,10 @@
 
     /// Removes the entry, at once or at the end of the grace period; returns whether it is gone now.
     fn remove(&mut self, grace_end: Option<Instant>) -> bool {
-        if let Some(ends) = grace_end.filter(|_| self.entry.is_some()) {
+        if let Some(due_at) = grace_end.filter(|_| self.entry.is_some()) {
             self.removal_due_at = Some(
                 self.removal_due_at
-                    .map_or(ends, |previous| previous.min(ends)),
+                    .map_or(due_at, |previous| previous.min(due_at)),
             );
             return false;
         }
@@ -166,10 +166,10 @@
             return;
         }
         self.recovered_at = recovered_at;
-        let ends = recovered_at.max(self.restored_at);
-        let ends = ends.map_or(Instant(0), |at| at.after(RELIST_GRACE));
+        let grace_start = recovered_at.max(self.restored_at);
+        let grace_end = grace_start.map_or(Instant(0), |at| at.after(RELIST_GRACE));
         for row in self.rows.values_mut() {
-            row.removal_due_at = row.removal_due_at.map(|at| at.min(ends));
+            row.removal_due_at = row.removal_due_at.map(|at| at.min(grace_end));
         }
     }
 
@@ -220,8 +220,8 @@
         row.position = position;
         match entry {
             Some(entry) => {
-                // Other VMs may have applied a removal that is pending here, so the entry's return is a change for
-                // them.
+                // A removal that is pending here may have been applied by other VMs, for which the entry's return is
+                // a change.
                 let is_change = row.removal_due_at.is_some()
                     || row
                         .entry
--- a/crates/core/src/direct/config.rs
+++ b/crates/core/src/direct/config.rs
@@ -9,9 +9,9 @@
 /// Whether a call may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It may run again after any failure.
+    /// May run again after any failure.
     Idempotent,
-    /// It runs at most once.
+    /// Runs at most once.
     AtMostOnce,
 }
 
@@ -140,7 +140,7 @@
     }
 }
 
-/// One version of the configuration.
+/// A version of the fleet's configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfig {
     /// Version number, for logs.
--- a/crates/core/src/direct/health.rs
+++ b/crates/core/src/direct/health.rs
@@ -21,13 +21,13 @@
 /// Outcome of a call with regard to the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was answered successfully.
+    /// The call was answered successfully.
     Success,
     /// The target reported a failure or broke the answer off.
     Failed,
     /// No connection was established.
     ConnectFailed,
-    /// The target refused it because of overload and requested this backoff.
+    /// The target refused the call because of overload and requested this backoff.
     Overloaded(Duration),
 }
 
--- a/crates/core/src/direct/lease.rs
+++ b/crates/core/src/direct/lease.rs
@@ -79,7 +79,7 @@
     pub handover_delay: Duration,
 }
 
-/// What a VM knows of its zone's holder, and its own place in the order of claimants.
+/// State of a zone's holder as this VM sees it, and this VM's place in the order of claimants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HolderView {
     /// State of the contact with the holder.
--- a/crates/core/src/direct/load_limiter.rs
+++ b/crates/core/src/direct/load_limiter.rs
@@ -72,8 +72,8 @@
 /// decrease their limits then.
 const DEEP_DECREASE_FACTOR: f64 = 0.7;
 const DEEP_STRETCH_FACTOR: f64 = 2.0;
-/// Stretched loads on time in a row after which the limit decreases. Congestion that is over resets the expected
-/// duration in fewer loads.
+/// Stretched loads on time in a row after which the limit decreases. Once congestion is over, the expected duration
+/// falls below the stretch factor within fewer loads.
 const MAX_STRETCHED_STREAK: u32 = 32;
 /// Further stretched loads on time after which the limit decreases again.
 const STRETCHED_STREAK_STEP: u32 = 6;
@@ -361,12 +361,12 @@
 
     /// Whether a load of this duration shows that the store is congested.
     fn is_stretched(&self, millis: f64) -> bool {
-        let excess = if self.is_uncontended_known {
+        let factor = if self.is_uncontended_known {
             STRETCH_FACTOR
         } else {
             INITIAL_STRETCH_FACTOR
         };
-        millis > self.uncontended_ms * excess
+        millis > self.uncontended_ms * factor
     }
 
     fn push_recent(&mut self, target: &TargetName, load: StoreLoad, is_late: bool, now: Instant) {
--- a/crates/core/src/direct/log_readers.rs
+++ b/crates/core/src/direct/log_readers.rs
@@ -18,7 +18,7 @@
 /// VMs of a zone that read the log while it refuses another VM.
 const BACKUP_READERS: u32 = 3;
 
-/// What a VM knows of the holder of its zone.
+/// State of a zone's holder as a VM sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderPresence {
     /// This VM is the holder.
--- a/crates/core/src/direct/quotas.rs
+++ b/crates/core/src/direct/quotas.rs
@@ -21,7 +21,7 @@
 /// buckets of 900 tokens, and calls have up to 4,400. The rest of the tolerance covers refunds in a later window than
 /// the charge.
 const DEBT_RATIO: f64 = 0.8;
-/// Part of its share that a holder pays out while there may be two holders.
+/// Ratio of its part of a quota that a holder pays out while there may be two holders.
 const SHARED_PART: f64 = 0.5;
 /// Time after a charge within which it is refunded for a call that did not run. A later refund would be paid out in
 /// another window.
@@ -89,9 +89,9 @@
 /// Initial level of buckets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BucketStart {
-    /// Nothing was paid out before.
+    /// There were no earlier charges, so buckets start full.
     Full,
-    /// What was paid out before is unknown; the bucket starts in full debt.
+    /// Earlier charges are unknown, so buckets start in full debt.
     Exhausted,
 }
 
--- a/crates/core/src/direct/retry_budget.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -19,7 +19,7 @@
 const STEADY_RATIO: f64 = 0.8;
 /// Part of the allowance that all younger processes of a VM use together. With a full share for each process, 27 starts
 /// of seven VMs within 10 s led to 234 retries where 186 were allowed. The part that neither ratio uses covers requests
-/// that are counted on another VM.
+/// that are counted elsewhere.
 const NEW_PROCESS_RATIO: f64 = 0.15;
 /// Buckets that a window is divided into.
 const WINDOW_BUCKETS: u32 = 20;
--- a/crates/core/src/direct/target_notices.rs
+++ b/crates/core/src/direct/target_notices.rs
@@ -1,4 +1,4 @@
-//! What a target states about itself in an answer, beside the answer's content.
+//! Statements of a target about itself in an answer, beside the answer's content.
 //!
 //! Each answer may state that the target is leaving, that the VM must back off, how many requests per second the target
 //! accepts, which version of the weights it runs, and whether the connection stays open. All of this is decoded into
