--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -27,30 +27,34 @@
 impl EngineState {
     /// Marks another loading of a base model or an adapter.
     pub(super) fn next_generation(&mut self) -> u64 {
-        self.generations += 1;
-        self.generations
+        self.last_generation += 1;
+        self.last_generation
     }
 
     /// Versions of what makes its memory of a prompt, as far as is known.
     #[must_use]
     pub fn memory_versions(&self, subject: &AdapterName) -> MemoryVersions {
         MemoryVersions {
-            base: self.base(subject).and_then(|held| held.known_version),
+            base: self
+                .base_model(subject)
+                .and_then(|loaded| loaded.known_version),
             adapter: self.copies.get(subject).and_then(|copy| copy.known_version),
         }
     }
 
-    fn base(&self, subject: &AdapterName) -> Option<&LoadedModel> {
-        self.held(split_subject(subject).0)
+    fn base_model(&self, subject: &AdapterName) -> Option<&LoadedModel> {
+        self.loaded_model(split_subject(subject).0)
     }
 
-    fn held(&self, model: &str) -> Option<&LoadedModel> {
-        self.models.iter().find(|held| held.name.as_str() == model)
+    fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
+        self.models
+            .iter()
+            .find(|loaded| loaded.name.as_str() == model)
     }
 
     /// The version of the base model by the engine's own word; its entry in the list may be from before it started again.
-    fn own_base(&self, subject: &AdapterName) -> Option<u64> {
-        let known_version = self.base(subject)?.known_version?;
+    fn reported_base_version(&self, subject: &AdapterName) -> Option<u64> {
+        let known_version = self.base_model(subject)?.known_version?;
         (known_version.teller != VersionTeller::List).then_some(known_version.version)
     }
 
@@ -60,7 +64,7 @@
     pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
             Some(_) => Some(self.copies.get(subject)?.known_version?.version),
-            None => self.own_base(subject),
+            None => self.reported_base_version(subject),
         }
     }
 
@@ -69,16 +73,16 @@
     pub fn generation(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
             Some(_) => self.copies.get(subject).map(|copy| copy.generation),
-            None => self.base(subject).map(|held| held.generation),
+            None => self.base_model(subject).map(|loaded| loaded.generation),
         }
     }
 
     /// Takes over the base models that a report lists.
-    pub(super) fn take_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
+    pub(super) fn update_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
             let known_version = VersionSight::told(*version, VersionTeller::Report, now);
-            match old.iter().find(|held| held.name == *name) {
+            match old.iter().find(|loaded| loaded.name == *name) {
                 Some(known) => self.models.push(known.clone()),
                 None => {
                     self.models.push(LoadedModel {
@@ -86,35 +90,37 @@
                         known_version: None,
                         generation: 0,
                     });
-                    self.outdate_memory(name.as_str());
+                    self.invalidate_cache(name.as_str());
                 }
             }
-            self.see_base(name.as_str(), known_version);
+            self.observe_base_version(name.as_str(), known_version);
         }
     }
 
     /// Takes over what told the version of a base model.
-    fn see_base(&mut self, model: &str, known_version: Option<VersionSight>) {
-        let known = self.held(model).and_then(|held| held.known_version);
+    fn observe_base_version(&mut self, model: &str, known_version: Option<VersionSight>) {
+        let known = self
+            .loaded_model(model)
+            .and_then(|loaded| loaded.known_version);
         if VersionMatch::of(known, known_version) == VersionMatch::Unlike {
-            self.outdate_memory(model);
+            self.invalidate_cache(model);
         }
         let mut models = self.models.iter_mut();
-        if let Some(held) = models.find(|held| held.name.as_str() == model)
+        if let Some(loaded) = models.find(|loaded| loaded.name.as_str() == model)
             && known_version.is_some()
         {
-            held.known_version = known_version;
+            loaded.known_version = known_version;
         }
     }
 
     /// A base model was loaded anew, or may have been: what was read before is worth nothing now, for its adapters
     /// neither. A sight that goes takes its generation with it, so that no later one speaks for what was read before.
-    fn outdate_memory(&mut self, model: &str) {
+    fn invalidate_cache(&mut self, model: &str) {
         let generation = self.next_generation();
-        for held in &mut self.models {
-            if held.name.as_str() == model {
-                held.generation = generation;
-                held.known_version = None;
+        for loaded in &mut self.models {
+            if loaded.name.as_str() == model {
+                loaded.generation = generation;
+                loaded.known_version = None;
             }
         }
         for (subject, copy) in &mut self.copies {
@@ -132,24 +138,28 @@
             copy.generation = generation;
             copy.was_unlisted = false;
         }
-        self.note_unlisted();
+        self.mark_unlisted();
     }
 
     /// It has taken an order. One that expects none before it is taken as well by an engine that has started again
     /// unseen, with other weights: its next answer or report tells.
     pub fn record_accepted_order(&mut self, order: &EngineOrder) {
         if order.expected == 0 {
-            let models: Vec<_> = self.models.iter().map(|held| held.name.clone()).collect();
+            let models: Vec<_> = self
+                .models
+                .iter()
+                .map(|loaded| loaded.name.clone())
+                .collect();
             for model in models {
-                self.outdate_memory(model.as_str());
+                self.invalidate_cache(model.as_str());
             }
         }
     }
 
     /// Takes over versions from the list for copies of which nothing else told them. An entry may be seconds old, so it
     /// speaks of a copy only if the list has been seen without it since it was loaded.
-    pub(super) fn take_listed_versions(&mut self, now: Instant) {
-        if !self.is_inventory_known || self.pending.is_some() || self.entry_is_old {
+    pub(super) fn apply_listed_versions(&mut self, now: Instant) {
+        if !self.is_inventory_known || self.pending.is_some() || self.is_entry_outdated {
             return;
         }
         for resident in &self.entry.adapters {
@@ -164,7 +174,7 @@
     }
 
     /// Notes which copies the list is without.
-    pub(super) fn note_unlisted(&mut self) {
+    pub(super) fn mark_unlisted(&mut self) {
         for (subject, copy) in &mut self.copies {
             let mut listed = self.entry.adapters.iter();
             copy.was_unlisted |= !listed.any(|resident| resident.adapter == *subject);
@@ -173,13 +183,15 @@
 
     /// Where a changed entry tells other weights of a base model than are known, nobody knows which are there until the
     /// report tells.
-    pub(super) fn doubt_models(&mut self, now: Instant) {
+    pub(super) fn check_listed_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
             let listed = VersionSight::told(*version, VersionTeller::List, now);
-            let known = self.held(model).and_then(|held| held.known_version);
+            let known = self
+                .loaded_model(model)
+                .and_then(|loaded| loaded.known_version);
             if VersionMatch::of(known, listed) == VersionMatch::Unlike {
-                self.outdate_memory(model);
+                self.invalidate_cache(model);
                 self.report_due_at = Some(now);
             }
         }
@@ -200,46 +212,49 @@
             return;
         }
         let known_version = VersionSight::told(version, VersionTeller::Answer, now);
-        self.see_base(split_subject(&subject).0, known_version);
-        self.read_parts.note(&subject, generation, &shared);
+        self.observe_base_version(split_subject(&subject).0, known_version);
+        self.read_segments.insert(&subject, generation, &shared);
     }
 
     /// A call that is sent to it now.
-    pub fn sent_call(&mut self, ask: &PlacementRequest) -> SentCall {
-        let shared = shared_segments(&ask.prefix);
-        let generation = self.generation(&ask.subject);
+    pub fn prepare_call(&mut self, request: &PlacementRequest) -> SentCall {
+        let shared = shared_segments(&request.prefix);
+        let generation = self.generation(&request.subject);
         if let Some(generation) = generation {
-            self.sent_parts.note(&ask.subject, generation, &shared);
+            self.sent_segments
+                .insert(&request.subject, generation, &shared);
         }
         SentCall {
-            subject: ask.subject.clone(),
-            tokens: ask.max_kv_tokens(),
+            subject: request.subject.clone(),
+            tokens: request.max_kv_tokens(),
             shared,
             generation,
-            fingerprint: Some(ask.fingerprint),
+            fingerprint: Some(request.fingerprint),
         }
     }
 
     /// Tokens at the start of a prompt that it has likely kept.
     #[must_use]
-    pub fn cached_tokens(&self, ask: &PlacementRequest) -> u32 {
-        let generation = self.generation(&ask.subject);
+    pub fn cached_tokens(&self, request: &PlacementRequest) -> u32 {
+        let generation = self.generation(&request.subject);
         generation.map_or(0, |generation| {
-            let sent = &self.sent_parts;
-            sent.tokens(&ask.subject, generation, &ask.prefix)
+            let sent = &self.sent_segments;
+            sent.tokens(&request.subject, generation, &request.prefix)
         })
     }
 
     /// Memory of a prompt that it has read, of which it is known what made it.
     #[must_use]
-    pub fn lendable_cache(&self, ask: &PlacementRequest) -> Option<LendableCache> {
-        let subject = &ask.subject;
+    pub fn lendable_cache(&self, request: &PlacementRequest) -> Option<LendableCache> {
+        let subject = &request.subject;
         let generation = self.generation(subject)?;
-        let tokens = self.read_parts.tokens(subject, generation, &ask.prefix);
+        let tokens = self
+            .read_segments
+            .tokens(subject, generation, &request.prefix);
         if tokens == 0 || !self.is_inventory_known {
             return None;
         }
-        let base = self.own_base(subject)?;
+        let base = self.reported_base_version(subject)?;
         let adapter = match split_subject(subject).1 {
             Some(_) => {
                 let copy = self.copies.get(subject)?;
@@ -270,7 +285,7 @@
             (Some(_), None) => self.report_due_at.is_none() && !self.is_reporting,
             (made_by, known) => made_by == known,
         };
-        self.is_inventory_known && is_fit && self.own_base(subject) == Some(mark.base)
+        self.is_inventory_known && is_fit && self.reported_base_version(subject) == Some(mark.base)
     }
 
     /// Holds a copy as it is until a call elsewhere has its memory.
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -32,7 +32,7 @@
     /// The call.
     pub key: CallKey,
     /// What it asks for.
-    pub ask: PlacementRequest,
+    pub request: PlacementRequest,
     /// When it is given up, as its load takes longer than it can bear.
     pub until: Instant,
 }
@@ -87,7 +87,7 @@
     }
 
     /// Holds it as it is while gateways tell of calls that they had open before.
-    pub(super) fn hold_for_unknown(&mut self, now: Instant) {
+    pub(super) fn pin_for_adoption(&mut self, now: Instant) {
         self.pinned_until = now.after(CALL_ADOPTION_TIMEOUT);
         self.lent_until = now.after(CALL_ADOPTION_TIMEOUT);
     }
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -19,7 +19,7 @@
 use crate::{
     direct::{
         catalog::TargetEntry,
-        engine::prefix_cache::PartMemory,
+        engine::prefix_cache::PrefixTable,
         loading::StoreLoad,
         planner::{CallKey, split_subject},
         reading::PromptQueue,
@@ -39,9 +39,9 @@
 /// engine's report shows may be in use.
 pub const CALL_ADOPTION_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time after which an adapter that a report lists as coming is taken for there.
-const COMING_ON: Duration = Duration::from_millis(100);
+const REPORTED_LOAD_TIME: Duration = Duration::from_millis(100);
 /// Age that a report may have.
-const REPORT_LAG: Duration = Duration::from_millis(600);
+const MAX_REPORT_LAG: Duration = Duration::from_millis(600);
 /// Time after which an order without an answer is no longer carried out; the users tell of 12 seconds at the most.
 pub const UNANSWERED_ORDER_TTL: Duration = Duration::from_millis(12_500);
 
@@ -70,7 +70,7 @@
     pub unloading: Option<AdapterName>,
     late_loads: Vec<LateLoad>,
     /// Whether its reports say which life they are from.
-    tells_life: bool,
+    reports_life: bool,
     /// When it last took an order.
     pub ordered_at: Instant,
     /// When its report should be read.
@@ -80,19 +80,19 @@
     /// The prompts that it has to read.
     pub prompts: PromptQueue,
     /// Adapters that it had, with the version that was named then.
-    lately: VecDeque<(AdapterName, Option<u64>)>,
+    recent_loads: VecDeque<(AdapterName, Option<u64>)>,
     /// Parts of the prompts that were sent, by generation.
-    sent_parts: PartMemory,
+    sent_segments: PrefixTable,
     /// Parts of the prompts that were read here, by generation.
-    read_parts: PartMemory,
+    read_segments: PrefixTable,
     /// Whether its count of orders has moved by one of this holder, so that none of an earlier one is carried out any more.
     pub has_accepted_order: bool,
     /// When its report was last taken over.
     pub reported_at: Instant,
     /// Whether the list's entry is from before the engine was seen to start again.
-    entry_is_old: bool,
+    is_entry_outdated: bool,
     /// Generations given out.
-    generations: u64,
+    last_generation: u64,
     tokens_sent: u64,
 }
 
@@ -118,18 +118,18 @@
             pending: None,
             unloading: None,
             late_loads: Vec::new(),
-            tells_life: false,
+            reports_life: false,
             ordered_at: Instant::default(),
             report_due_at: Some(now),
             is_reporting: false,
             prompts: PromptQueue::default(),
-            lately: VecDeque::new(),
-            sent_parts: PartMemory::default(),
-            read_parts: PartMemory::default(),
+            recent_loads: VecDeque::new(),
+            sent_segments: PrefixTable::default(),
+            read_segments: PrefixTable::default(),
             has_accepted_order: false,
             reported_at: Instant::default(),
-            entry_is_old: false,
-            generations: 0,
+            is_entry_outdated: false,
+            last_generation: 0,
             tokens_sent: 0,
             entry,
         };
@@ -147,7 +147,7 @@
             let known_version = VersionSight::told(resident.version, VersionTeller::List, now);
             let generation = engine.next_generation();
             let mut copy = AdapterCopy::new(CopyState::Loaded, known_version, generation, now);
-            copy.hold_for_unknown(now);
+            copy.pin_for_adoption(now);
             engine.copies.insert(resident.adapter.clone(), copy);
         }
         engine
@@ -158,7 +158,7 @@
     #[must_use]
     pub fn restarted(&self, entry: Arc<TargetEntry>, now: Instant) -> Self {
         let mut engine = Self::new(entry, now);
-        engine.tells_life = self.tells_life;
+        engine.reports_life = self.reports_life;
         engine.late_loads.clone_from(&self.late_loads);
         if let Some(order) = &self.pending {
             engine.record_unanswered_order(order, now);
@@ -174,11 +174,11 @@
             let is_changed = *entry != *self.entry;
             self.entry = entry;
             if is_changed {
-                self.entry_is_old = false;
-                self.doubt_models(now);
+                self.is_entry_outdated = false;
+                self.check_listed_models(now);
             }
-            self.note_unlisted();
-            self.take_listed_versions(now);
+            self.mark_unlisted();
+            self.apply_listed_versions(now);
         } else if entry.life == TargetLife::default() {
             let entry = (*entry).clone();
             self.entry = Arc::new(TargetEntry { life, ..entry });
@@ -208,10 +208,10 @@
     /// Whether a report is from the life that is known. One that does not say so is from before, if others of the engine do.
     pub fn is_from_current_life(&mut self, report: &EngineReport) -> bool {
         let unknown = TargetLife::default();
-        if report.life == unknown && !self.tells_life {
+        if report.life == unknown && !self.reports_life {
             return true;
         }
-        self.tells_life |= report.life != unknown;
+        self.reports_life |= report.life != unknown;
         report.life == self.entry.life
     }
 
@@ -220,27 +220,27 @@
     pub fn is_report_stale(&self, report: &EngineReport, now: Instant) -> bool {
         self.is_inventory_known
             && report.orders_taken < self.sequence
-            && now.since(self.ordered_at) < REPORT_LAG
+            && now.since(self.ordered_at) < MAX_REPORT_LAG
     }
 
     /// Takes over what the engine reports. Copies whose load waits here are kept.
     pub fn apply_report(&mut self, report: &EngineReport, now: Instant) {
         self.is_inventory_known = true;
         let was_told = self.reported_at > Instant::default();
-        self.entry_is_old |= was_told && report.orders_taken < self.sequence;
+        self.is_entry_outdated |= was_told && report.orders_taken < self.sequence;
         self.reported_at = now;
         self.sequence = report.orders_taken;
-        self.take_models(&report.models, now);
+        self.update_models(&report.models, now);
         self.local_models.clone_from(&report.local_models);
         let mut old = std::mem::take(&mut self.copies);
         for (adapter, version) in &report.adapters {
-            let copy = self.renewed(&mut old, adapter, CopyState::Loaded, *version, now);
+            let copy = self.refreshed_copy(&mut old, adapter, CopyState::Loaded, *version, now);
             self.copies.insert(adapter.clone(), copy);
         }
         for (adapter, version) in &report.loading {
-            let ready = now.after(COMING_ON);
+            let ready = now.after(REPORTED_LOAD_TIME);
             let state = CopyState::Loading(ready);
-            let copy = self.renewed(&mut old, adapter, state, *version, now);
+            let copy = self.refreshed_copy(&mut old, adapter, state, *version, now);
             self.copies.insert(adapter.clone(), copy);
         }
         for (adapter, mut copy) in old {
@@ -255,7 +255,7 @@
                 self.copies.insert(adapter, copy);
             }
         }
-        self.note_unlisted();
+        self.mark_unlisted();
         if report.requests == 0 {
             // Nothing runs that nobody counts: what was held for it may make way.
             for copy in self.copies.values_mut() {
@@ -273,7 +273,7 @@
     }
 
     /// A copy as reported, with what is known of it already.
-    fn renewed(
+    fn refreshed_copy(
         &mut self,
         old: &mut HashMap<AdapterName, AdapterCopy>,
         adapter: &AdapterName,
@@ -287,7 +287,7 @@
         let Some(known) = known else {
             let generation = self.next_generation();
             let mut copy = AdapterCopy::new(state, known_version, generation, now);
-            copy.hold_for_unknown(now);
+            copy.pin_for_adoption(now);
             return copy;
         };
         // The list may have told it as it was before.
@@ -322,7 +322,9 @@
     /// Whether it holds a base model.
     #[must_use]
     pub fn has_model(&self, model: &str) -> bool {
-        self.models.iter().any(|held| held.name.as_str() == model)
+        self.models
+            .iter()
+            .any(|loaded| loaded.name.as_str() == model)
     }
 
     /// Places that are taken, those of copies on their way included.
@@ -403,17 +405,17 @@
     /// Notes that it has an adapter, in the version that was named.
     pub fn record_recent_load(&mut self, adapter: &AdapterName, named: Option<u64>, kept: usize) {
         let loaded = (adapter.clone(), named);
-        self.lately.retain(|kept| *kept != loaded);
-        self.lately.push_back(loaded);
-        if self.lately.len() > kept {
-            self.lately.pop_front();
+        self.recent_loads.retain(|kept| *kept != loaded);
+        self.recent_loads.push_back(loaded);
+        if self.recent_loads.len() > kept {
+            self.recent_loads.pop_front();
         }
     }
 
     /// Whether it reloads an adapter quickly: it had it in this version. A new version comes from the store.
     #[must_use]
     pub fn was_recently_loaded(&self, adapter: &AdapterName, named: Option<u64>) -> bool {
-        let mut had = self.lately.iter();
+        let mut had = self.recent_loads.iter();
         had.any(|(had, version)| had == adapter && *version == named)
     }
 }
--- a/crates/core/src/direct/engine/prefix_cache.rs
+++ b/crates/core/src/direct/engine/prefix_cache.rs
@@ -12,28 +12,28 @@
 };
 
 /// Prompt parts whose use is remembered for each engine.
-const PARTS_KEPT: usize = 256;
+const MAX_SEGMENTS: usize = 256;
 
 /// Prompt parts by adapter and generation; the oldest go first.
 #[derive(Clone, Debug, Default)]
-pub struct PartMemory {
+pub struct PrefixTable {
     /// How often each part stands in the order.
     known: HashMap<u64, u32>,
     order: VecDeque<u64>,
 }
 
-impl PartMemory {
+impl PrefixTable {
     /// Notes parts of a prompt.
-    pub fn note(&mut self, subject: &AdapterName, generation: u64, parts: &[u64]) {
+    pub fn insert(&mut self, subject: &AdapterName, generation: u64, parts: &[u64]) {
         for part in parts {
-            self.note_one(part_hash(subject, generation, *part));
+            self.insert_segment(segment_hash(subject, generation, *part));
         }
     }
 
-    fn note_one(&mut self, part: u64) {
+    fn insert_segment(&mut self, part: u64) {
         *self.known.entry(part).or_default() += 1;
         self.order.push_back(part);
-        if self.order.len() > PARTS_KEPT
+        if self.order.len() > MAX_SEGMENTS
             && let Some(oldest) = self.order.pop_front()
             && let Some(count) = self.known.get_mut(&oldest)
         {
@@ -51,7 +51,7 @@
             .iter()
             .take_while(|(part, _)| {
                 self.known
-                    .contains_key(&part_hash(subject, generation, *part))
+                    .contains_key(&segment_hash(subject, generation, *part))
             })
             .map(|(_, tokens)| tokens)
             .sum()
@@ -65,7 +65,7 @@
     prefix[..shared].iter().map(|(part, _)| *part).collect()
 }
 
-fn part_hash(subject: &AdapterName, generation: u64, part: u64) -> u64 {
+fn segment_hash(subject: &AdapterName, generation: u64, part: u64) -> u64 {
     let mut hasher = SipHasher13::new();
     subject.as_str().hash(&mut hasher);
     generation.hash(&mut hasher);
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -26,7 +26,7 @@
 /// Time that a call takes at a target of which nothing is known yet.
 const FIRST_PACE: Duration = Duration::from_millis(50);
 /// Weight of the newest call in a target's pace: a target that turns slow shows within some ten calls.
-const NEWEST_WEIGHT: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 /// Times of the pace beyond which a call counts no more: one whose end is told late, or that was held up on its way,
 /// says little of its target. One of 4 s on a quiet day had a holder expect 420 ms of each call, and refuse 380 of them
 /// for three seconds.
@@ -44,8 +44,8 @@
 /// What a target in another zone has to be better by, for a gateway that picks alone.
 const ZONE_PRICE: f64 = 3.0;
 /// Bounds of the time after which a caller is told to come back.
-const COME_BACK_LEAST: Duration = Duration::from_millis(100);
-const COME_BACK_MOST: Duration = Duration::from_millis(1_500);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 /// The same where no target takes calls.
 const NO_TARGET: Duration = Duration::from_millis(400);
 
@@ -122,7 +122,7 @@
     lives: HashMap<TargetName, TargetLife>,
     health: HealthTable,
     /// Limits that targets named.
-    rates: LimitTable,
+    rate_limits: LimitTable,
 }
 
 impl PlainPlanner {
@@ -130,26 +130,26 @@
     pub fn place(
         &mut self,
         key: CallKey,
-        ask: &PlainRequest,
+        request: &PlainRequest,
         targets: &[Arc<TargetEntry>],
         now: Instant,
     ) -> PlacementAnswer {
         self.note_lives(targets);
-        let Some(entry) = self.best(ask, targets, now) else {
+        let Some(entry) = self.best(request, targets, now) else {
             return refuse(NO_TARGET, Duration::ZERO, RefusalCause::NoEngine);
         };
         let run = entry.run();
         let load = self.loads.entry(run.clone()).or_default();
         let sharing = sharing(load.calls + 1, entry.slots);
-        let token_wait = self.rates.wait(&entry.name, now);
+        let token_wait = self.rate_limits.wait(&entry.name, now);
         let expected = token_wait + load.pace.mul_f64(sharing);
-        let bound = ask.bound();
+        let bound = request.bound();
         let is_taken = load.calls >= entry.slots || !token_wait.is_zero();
         if expected > bound && is_taken {
             let cause = RefusalCause::TooLong(millis(expected));
             return refuse(expected.saturating_sub(bound), token_wait, cause);
         }
-        self.rates.take(&entry.name, now);
+        self.rate_limits.take(&entry.name, now);
         load.calls += 1;
         let call = PlainCall {
             run,
@@ -165,7 +165,7 @@
             expected_ms: millis(expected),
             version: None,
             is_sought: false,
-            is_limited: self.rates.is_limited(&entry.name),
+            is_limited: self.rate_limits.is_limited(&entry.name),
         }
     }
 
@@ -181,7 +181,7 @@
 
     fn best<'a>(
         &self,
-        ask: &PlainRequest,
+        request: &PlainRequest,
         targets: &'a [Arc<TargetEntry>],
         now: Instant,
     ) -> Option<&'a Arc<TargetEntry>> {
@@ -191,10 +191,10 @@
             let turn = load.pace.div_f64(f64::from(entry.slots.max(1)));
             // Among places that are free the target with the fewest calls is the better one.
             let calls = f64::from(load.calls) * 0.1 + health_price(&self.health, &entry.name, now);
-            self.rates.wait(&entry.name, now) + wait + turn.mul_f64(calls)
+            self.rate_limits.wait(&entry.name, now) + wait + turn.mul_f64(calls)
         };
         let is_open =
-            |name: &TargetName| !ask.exclude.contains(name) && !ask.resting.contains(name);
+            |name: &TargetName| !request.exclude.contains(name) && !request.resting.contains(name);
         pick(&self.health, is_open, targets, now, |left, right| {
             price(left).cmp(&price(right))
         })
@@ -221,7 +221,7 @@
         if outcome == Some(CallOutcome::Good) {
             let took = now.since(call.sent).div_f64(call.sharing);
             let took = took.min(load.pace * OUTLIER_FROM);
-            load.pace = load.pace.mul_f64(1.0 - NEWEST_WEIGHT) + took.mul_f64(NEWEST_WEIGHT);
+            load.pace = load.pace.mul_f64(1.0 - SAMPLE_WEIGHT) + took.mul_f64(SAMPLE_WEIGHT);
         }
     }
 
@@ -240,7 +240,7 @@
 
     /// An answer told of a target's limit.
     pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.rates.note(named, now);
+        self.rate_limits.note(named, now);
     }
 
     /// Forgets targets that are gone.
@@ -250,7 +250,7 @@
         let is_there = |name: &TargetName| loads.keys().any(|run| run.name == *name);
         self.health.retain(is_there);
         self.lives.retain(|name, _| is_there(name));
-        self.rates.retain(&keep);
+        self.rate_limits.retain(&keep);
     }
 }
 
@@ -307,9 +307,9 @@
 
 /// Refuses a call; a caller that waits for a token of its target's limit may be told to wait longer than others.
 fn refuse(retry_after: Duration, token_wait: Duration, cause: RefusalCause) -> PlacementAnswer {
-    let most = COME_BACK_MOST.max(token_wait);
+    let most = MAX_RETRY_AFTER.max(token_wait);
     PlacementAnswer::Refuse {
-        retry_after_ms: millis(retry_after.clamp(COME_BACK_LEAST, most)),
+        retry_after_ms: millis(retry_after.clamp(MIN_RETRY_AFTER, most)),
         cause,
     }
 }
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -1,9 +1,10 @@
-//! Parts of a prompt that an engine takes from another one instead of reading them.
+//! Transfer of KV cache for prompt prefixes between engines, as an alternative to computing it again.
 //!
-//! The load that this answers: long prompts that share most of their tokens with others for the same adapter, while an
-//! adapter in demand stands on several engines, and each would read the same parts anew. An engine reads 6,000 tokens in
-//! some 200 ms, and takes them from a neighbour in some 20, so what is compared is time against time. Engines take what they
-//! are told to, whatever made it, so a source is named only where its versions are those that the call runs under.
+//! Long prompts often share most of their tokens with others for the same adapter, and an adapter in demand is loaded at
+//! several engines, each of which would read the shared prefix again. Reading 6,000 tokens takes about 200 ms, fetching
+//! their cache from another engine about 20 ms, so the planner compares the two times. Engines fetch what they are told
+//! to without checking which weights made it, so a source is named only if its versions are those that the call runs
+//! under.
 
 use crate::{
     direct::{
@@ -16,55 +17,61 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// An engine that has read parts of a prompt.
+/// Engine that holds KV cache for a prefix of a prompt.
 #[derive(Clone, Debug)]
-pub(super) struct PromptSource {
+pub(super) struct CacheSource {
     pub name: TargetName,
     pub address: SocketAddr,
     pub mark: MemoryMark,
     tokens: u32,
 }
 
-/// Memory that a call takes from a source.
+/// KV cache that a call is about to fetch from a source.
 #[derive(Clone, Debug)]
-pub(super) struct MemoryLoan {
+pub(super) struct CacheLoan {
     source: TargetName,
     subject: AdapterName,
-    /// The source's generation that made it; none once the source has started again or is gone.
+    /// Generation of the subject at the source that made the cache; none once the source has restarted or is gone.
     generation: Option<u64>,
 }
 
-/// What an engine has to do for a prompt.
+/// How an engine would process a prompt.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PromptWork<'a> {
-    /// Tokens that it reads.
+pub(super) struct PrefillPlan<'a> {
+    /// Tokens that the engine reads itself.
     pub tokens: u32,
-    /// Time for all of it.
+    /// Time for reading and fetching.
     pub time: Duration,
-    /// Where it takes kept parts from.
-    pub fetch: Option<&'a PromptSource>,
+    /// Source of the remaining cache, if a fetch pays off.
+    pub fetch: Option<&'a CacheSource>,
 }
 
 impl ZonePlanner {
-    /// Of the zone's engines that can lend memory of a prompt, for each mark the one with the most.
-    pub(super) fn prompt_sources(&self, ask: &PlacementRequest, now: Instant) -> Vec<PromptSource> {
-        let mut best: Vec<PromptSource> = Vec::new();
-        if now >= self.led_until {
+    /// Engines of the zone that can lend KV cache for a prompt: for each mark the one with the longest prefix.
+    ///
+    /// Empty after `lead_until`: another holder may have replaced copies since.
+    pub(super) fn cache_sources(
+        &self,
+        request: &PlacementRequest,
+        now: Instant,
+    ) -> Vec<CacheSource> {
+        let mut best: Vec<CacheSource> = Vec::new();
+        if now >= self.lead_until {
             return best;
         }
         for (name, engine) in &self.engines {
-            let Some(memory) = engine.lendable_cache(ask) else {
+            let Some(memory) = engine.lendable_cache(request) else {
                 continue;
             };
-            let is_fit = engine.entry.stage == TargetStage::Ready
-                && self.is_settled(engine)
-                && self.has_own_address(engine)
+            let is_usable = engine.entry.stage == TargetStage::Ready
+                && self.is_inventory_settled(engine)
+                && self.has_unique_address(engine)
                 && !self.health.is_out(name, now)
                 && !self.health.is_doubted(name);
-            if !is_fit {
+            if !is_usable {
                 continue;
             }
-            let source = PromptSource {
+            let source = CacheSource {
                 name: name.clone(),
                 address: engine.entry.address,
                 mark: memory.mark,
@@ -79,117 +86,117 @@
         best
     }
 
-    /// Whether no order of an earlier holder is carried out at an engine any more, and what such a one did is known.
-    pub(super) fn is_settled(&self, engine: &EngineState) -> bool {
-        engine.has_accepted_order || engine.reported_at >= self.settled_from
+    /// Whether no order of an earlier holder can still change an engine, and the effects of those before are known.
+    pub(super) fn is_inventory_settled(&self, engine: &EngineState) -> bool {
+        engine.has_accepted_order || engine.reported_at >= self.earlier_orders_until
     }
 
-    /// Whether no other engine is listed where an engine is: one that has ended may be listed still, beside the one that followed
-    /// it there.
-    fn has_own_address(&self, engine: &EngineState) -> bool {
+    /// Whether no other engine is listed at the engine's address. An engine that has ended may still be listed beside its
+    /// successor at the same address.
+    fn has_unique_address(&self, engine: &EngineState) -> bool {
         let mut others = self.engines.values();
         !others.any(|other| {
             other.entry.address == engine.entry.address && other.entry.name != engine.entry.name
         })
     }
 
-    /// What an engine has to do for a prompt, if it may take parts from one of these.
-    pub(super) fn prompt_work<'a>(
+    /// Plans how an engine would process a prompt, fetching from one of the sources if that saves enough time.
+    pub(super) fn prefill_plan<'a>(
         &self,
         engine: &EngineState,
-        ask: &PlacementRequest,
-        sources: &'a [PromptSource],
+        request: &PlacementRequest,
+        sources: &'a [CacheSource],
         now: Instant,
-    ) -> PromptWork<'a> {
-        let named = self.named_version(&ask.subject);
-        let kept = engine.cached_tokens(ask);
-        let tokens = ask.prompt_tokens.saturating_sub(kept);
+    ) -> PrefillPlan<'a> {
+        let named = self.named_version(&request.subject);
+        let cached = engine.cached_tokens(request);
+        let tokens = request.prompt_tokens.saturating_sub(cached);
         let time = engine.prompts.own_time(tokens, &self.pace, now);
-        let alone = PromptWork {
+        let without_fetch = PrefillPlan {
             tokens,
             time,
             fetch: None,
         };
-        let fitting = sources
+        let usable = sources
             .iter()
-            .filter(|source| engine.can_use_cache(source.mark, &ask.subject, named));
-        let Some(source) = fitting.max_by_key(|source| source.tokens) else {
-            return alone;
+            .filter(|source| engine.can_use_cache(source.mark, &request.subject, named));
+        let Some(source) = usable.max_by_key(|source| source.tokens) else {
+            return without_fetch;
         };
-        if source.name == engine.entry.name || source.tokens <= kept {
-            return alone;
+        if source.name == engine.entry.name || source.tokens <= cached {
+            return without_fetch;
         }
-        let tokens = ask.prompt_tokens.saturating_sub(source.tokens);
+        let tokens = request.prompt_tokens.saturating_sub(source.tokens);
         let time = engine.prompts.own_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
-        if time + self.policy.min_fetch_saving > alone.time {
-            return alone;
+        if time + self.policy.min_fetch_saving > without_fetch.time {
+            return without_fetch;
         }
-        PromptWork {
+        PrefillPlan {
             tokens,
             time,
             fetch: Some(source),
         }
     }
 
-    /// Says that a call takes memory from a source, or that it takes none as what there is does not fit.
-    pub(super) fn tell_move(
+    /// Records that a call fetches cache from a source, or that a source is passed over because its versions do not match.
+    pub(super) fn record_transfer(
         &mut self,
         name: &TargetName,
         key: &CallKey,
-        ask: &PlacementRequest,
-        sources: &[PromptSource],
-        fetch: Option<&PromptSource>,
+        request: &PlacementRequest,
+        sources: &[CacheSource],
+        fetch: Option<&CacheSource>,
     ) {
         let Some(engine) = self.engines.get(name) else {
             return;
         };
-        let named = self.named_version(&ask.subject);
-        let kept = engine.cached_tokens(ask);
-        let unfit = sources.iter().find(|source| {
-            source.tokens > kept && !engine.can_use_cache(source.mark, &ask.subject, named)
+        let named = self.named_version(&request.subject);
+        let cached = engine.cached_tokens(request);
+        let unusable = sources.iter().find(|source| {
+            source.tokens > cached && !engine.can_use_cache(source.mark, &request.subject, named)
         });
-        let Some(source) = fetch.or(unfit) else {
+        let Some(source) = fetch.or(unusable) else {
             return;
         };
         let lender = self.engines.get(&source.name);
-        let lender = lender.map(|lender| lender.memory_versions(&ask.subject));
-        let moved = CacheTransfer {
+        let lender = lender.map(|lender| lender.memory_versions(&request.subject));
+        let transfer = CacheTransfer {
             key: key.clone(),
-            subject: ask.subject.clone(),
+            subject: request.subject.clone(),
             source: source.name.clone(),
             source_versions: lender.unwrap_or_default(),
             target: name.clone(),
-            target_versions: engine.memory_versions(&ask.subject),
+            target_versions: engine.memory_versions(&request.subject),
             named_version: named,
             is_permitted: fetch.is_some(),
         };
         self.actions
-            .push_back(PlannerAction::RecordTransfer(Box::new(moved)));
+            .push_back(PlannerAction::RecordTransfer(Box::new(transfer)));
     }
 
-    /// Holds what a call takes from a source as it is.
+    /// Pins the copy at the source until the call has fetched its cache.
     pub(super) fn lend_cache(
         &mut self,
-        source: &PromptSource,
-        ask: &PlacementRequest,
+        source: &CacheSource,
+        request: &PlacementRequest,
         key: &CallKey,
     ) {
-        // A gateway that has started again counts its calls anew: one of before may have this key.
+        // A restarted gateway starts its call counter over, so an earlier call may have the same key.
         self.end_loan(key, Instant::default());
         if let Some(engine) = self.engines.get_mut(&source.name) {
-            engine.lend_cache(&ask.subject, key);
-            let loan = MemoryLoan {
+            engine.lend_cache(&request.subject, key);
+            let loan = CacheLoan {
                 source: source.name.clone(),
-                subject: ask.subject.clone(),
-                generation: engine.generation(&ask.subject),
+                subject: request.subject.clone(),
+                generation: engine.generation(&request.subject),
             };
             self.loans.insert(key.clone(), loan);
         }
     }
 
-    /// Whether a call is yet to take memory from an engine that was made before the engine loaded anew: what is read there now would be
-    /// taken for it.
-    pub(super) fn lends_older(&self, engine: &EngineState, subject: &AdapterName) -> bool {
+    /// Whether a call has still to fetch cache that an earlier generation at this engine made. Cache of the present
+    /// generation would be fetched in its place.
+    pub(super) fn lends_outdated_cache(&self, engine: &EngineState, subject: &AdapterName) -> bool {
         let mut loans = self.loans.values();
         loans.any(|loan| {
             loan.source == engine.entry.name
@@ -198,8 +205,8 @@
         })
     }
 
-    /// An engine has started again, or is gone.
-    pub(super) fn outlive_loans(&mut self, name: &TargetName) {
+    /// Marks the loans from an engine that has restarted or is gone.
+    pub(super) fn invalidate_loans(&mut self, name: &TargetName) {
         for loan in self.loans.values_mut() {
             if loan.source == *name {
                 loan.generation = None;
@@ -207,13 +214,13 @@
         }
     }
 
-    /// Lets go of the memory that a call was to take, but for one that may yet take it until a time.
-    pub(super) fn end_loan(&mut self, key: &CallKey, pinned_until: Instant) {
+    /// Ends the loan of a call. The copy stays pinned until `lent_until`, up to which the call may still fetch.
+    pub(super) fn end_loan(&mut self, key: &CallKey, lent_until: Instant) {
         let Some(loan) = self.loans.remove(key) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&loan.source) {
-            engine.end_loan(&loan.subject, key, pinned_until);
+            engine.end_loan(&loan.subject, key, lent_until);
         }
     }
 }
--- a/crates/core/src/direct/planner/estimates.rs
+++ b/crates/core/src/direct/planner/estimates.rs
@@ -1,26 +1,26 @@
-//! Figures of the engines that decisions are made with.
+//! Estimates of engine and weight store timings that are configured rather than observed.
 
 use std::time::Duration;
 
-/// Figures of the engines that decisions are made with.
+/// Timings of engines and the weight store that placement decisions assume.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineEstimates {
-    /// Time for an adapter that the engine had lately.
+    /// Time to load an adapter that the engine has held recently.
     pub reload_time: Duration,
-    /// What each running call adds to a newcomer's wait.
+    /// Wait that each running call adds for a new call.
     pub time_per_call: Duration,
-    /// Time that a call holds its slot.
+    /// Time for which a call occupies a slot.
     pub slot_hold_time: Duration,
-    /// Pause between two loads of whole models in this zone.
+    /// Minimum interval between two base model loads in this zone.
     pub model_load_interval: Duration,
-    /// Loads of adapters that are on their way at the start. The store of every one of the users' sheets bears at least
-    /// as many as the models that it allows a second. With 6 for a store that bears 48, 10 in 100 loads of the first
-    /// five seconds were there within half a second, and 70 with 13.
+    /// Initial limit of concurrent adapter loads. A weight store sustains at least as many as the base models that it
+    /// allows per second. For a store that sustains 48, an initial limit of 6 let 10% of the loads in the first five
+    /// seconds finish within half a second, and a limit of 13 let 70%.
     pub initial_load_limit: f64,
 }
 
 impl Default for EngineEstimates {
-    /// From the users' sheets: 25 ms for a recent adapter.
+    /// Uses the specified 25 ms for reloading a recent adapter.
     fn default() -> Self {
         Self {
             reload_time: Duration::from_millis(25),
@@ -33,7 +33,7 @@
 }
 
 impl EngineEstimates {
-    /// The share of one of `zones` that load from one weight store.
+    /// Estimates for one of `zones` zones that share a weight store of `loads_per_s` base model loads per second.
     #[must_use]
     pub fn per_zone(zones: u32, loads_per_s: f64) -> Self {
         let zones = f64::from(zones.max(1));
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -1,4 +1,4 @@
-//! What a gateway asks, what it is told, and what the holder has to do for it.
+//! Messages between gateways and the planner of a zone, and the actions that the planner returns to the zone holder.
 
 use crate::{
     direct::{
@@ -14,142 +14,146 @@
 use serde::{Deserialize, Serialize};
 use std::{net::SocketAddr, sync::Arc};
 
-/// Identifies a call in a zone: the gateway's VM and its counter.
+/// Identifies a call in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallKey {
-    /// The gateway.
+    /// VM of the gateway.
     pub vm: VmName,
-    /// Its counter.
+    /// Call counter of that gateway; it starts over when the gateway restarts.
     pub number: u64,
 }
 
-/// What a gateway wants of a zone for a call.
+/// Terms on which a gateway asks a zone to place a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementTerms {
-    /// Take it if an engine that has its adapter keeps it within the bound; otherwise say what it would cost.
+    /// Place the call if an engine that holds its adapter can serve it within the bound; otherwise offer a cost.
     Inquire,
-    /// Take it at a cost below this, in milliseconds: another zone's offer, less the price of going elsewhere.
+    /// Place the call if it costs less than this, in milliseconds: the home zone's offer minus the penalty for a remote
+    /// zone.
     Beat(u32),
-    /// Take it within the bound.
+    /// Place the call within the bound.
     Take,
 }
 
-/// What the holder has to know about a call.
+/// Request to place a call at one of the engines of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// The model, with its adapter behind a slash where one is meant.
+    /// Subject of the call: `model`, or `model/adapter`.
     pub subject: AdapterName,
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Tokens that it is likely to make.
+    /// Expected length of the output, in tokens.
     pub output_tokens: u32,
-    /// Parts of its prompt and their tokens; the last is its own.
+    /// Segments of the prompt with their lengths in tokens, as (hash, tokens). All but the last may be shared with other
+    /// calls.
     pub prefix: Vec<(u64, u32)>,
-    /// Rank of its route; 0 is the most urgent.
+    /// Rank of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Longest wait for its first token that it is worth placing for, in milliseconds.
+    /// Longest wait for the first token, in milliseconds; beyond it the call is refused.
     pub bound_ms: u32,
-    /// Targets that it has been to.
+    /// Targets already tried.
     pub exclude: Vec<TargetName>,
-    /// Targets that want nothing from the gateway now.
+    /// Targets that asked this gateway to back off for now.
     pub resting: Vec<TargetName>,
-    /// Whether its adapter may be loaded for it.
+    /// Whether the zone may load the adapter for the call.
     pub may_load: bool,
-    /// What is wanted.
+    /// Terms of the placement.
     pub terms: PlacementTerms,
-    /// The request by what it asks.
+    /// Fingerprint of the request content.
     pub fingerprint: RequestFingerprint,
-    /// Whether it is sent as a granted trial of a suspect.
+    /// Whether the call is a granted trial of a suspect request.
     pub is_trial: bool,
-    /// What it is charged, unless it is paid for.
+    /// Quota charge; none if the call is already paid for.
     pub charge: Option<QuotaCharge>,
 }
 
 impl PlacementRequest {
-    /// Tokens that it may take in memory.
+    /// KV cache tokens that the call may occupy: prompt and output.
     #[must_use]
     pub fn max_kv_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.output_tokens)
     }
 }
 
-/// Where a call goes.
+/// Answer to a placement request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementAnswer {
-    /// Send it to a target.
+    /// Send the call to a target.
     Send {
         /// The target.
         target: TargetName,
-        /// The target's life that has its adapter.
+        /// Life of the target for which the placement holds.
         life: TargetLife,
-        /// Milliseconds until its adapter is there, and the target's limit has room for it.
+        /// Milliseconds to wait before sending, until the adapter is loaded and the target's rate limit has room.
         wait_ms: u32,
-        /// The engine that its engine takes kept parts of its prompt from.
+        /// Address of the engine from which the target fetches the KV cache of the prompt prefix.
         fetch: Option<SocketAddr>,
-        /// Milliseconds until its first event, as expected now.
+        /// Expected time until the first event, in milliseconds.
         expected_ms: u32,
-        /// Version to ask for: the adapter's that was named, or what the memory that moves was made by.
+        /// Version that the call has to ask for: the named version of the adapter, or the version that made the fetched KV
+        /// cache.
         version: Option<u64>,
-        /// Whether its adapter is sought after so much that other zones should have it too.
+        /// Whether the adapter is in such demand that other zones should load it too.
         is_sought: bool,
-        /// Whether the target named a limit, so that its holder has to hear what its answer says of that.
+        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the holder.
         is_limited: bool,
     },
-    /// The zone has no room for it now.
+    /// The zone does not take the call now.
     Refuse {
-        /// Milliseconds after which it is worth coming back.
+        /// Retry delay, in milliseconds.
         retry_after_ms: u32,
-        /// Why.
+        /// Reason for the refusal.
         cause: RefusalCause,
     },
 }
 
-/// Why a zone has no room for a call.
+/// Reason why a zone refuses a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalCause {
-    /// No engine has its adapter, or could make room for it.
+    /// No engine has the adapter or can make room for it.
     NoEngine,
-    /// It could be taken at this cost, in milliseconds: its wait, and what the placement costs others.
+    /// The zone could take the call at this cost, in milliseconds: the wait plus the penalty for what the placement takes
+    /// from other calls.
     Offer(u32),
-    /// The best engine would make it wait this long, in milliseconds, which is more than it can bear.
+    /// Expected wait at the best engine, in milliseconds, which exceeds the bound of the call.
     TooLong(u32),
-    /// Its loads came to nothing at several engines.
+    /// The adapter load failed at several engines.
     LoadsFailed,
-    /// Its load did not begin in time.
+    /// The adapter load did not start in time.
     LoadLate,
-    /// Targets ended under the same request: it is sent as a granted trial only.
+    /// Targets have ended while they ran the same request, so it may run as a granted trial only.
     NeedsTrial,
-    /// No trial of it is granted for now.
+    /// The request is quarantined: no trial is granted for now.
     Quarantined,
-    /// A trial of it runs.
+    /// Another trial of the request is running.
     TrialRuns,
-    /// Its organisation's quota is used up in this zone.
+    /// The organisation's quota in this zone is used up.
     QuotaUsedUp,
 }
 
-/// An engine could take parts of a prompt from another one.
+/// A possible transfer of the KV cache of a prompt prefix between two engines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheTransfer {
-    /// The call.
+    /// Call for which the cache would be transferred.
     pub key: CallKey,
-    /// Its adapter, or its base model.
+    /// Subject of the call: `model`, or `model/adapter`.
     pub subject: AdapterName,
-    /// The engine that has kept them.
+    /// Engine that holds the cache.
     pub source: TargetName,
-    /// What made them, as far as is known.
+    /// Versions that made the cache, as far as known.
     pub source_versions: MemoryVersions,
-    /// The engine that the call goes to.
+    /// Engine that runs the call.
     pub target: TargetName,
-    /// The versions that it will run under, as far as is known.
+    /// Versions under which the call will run, as far as known.
     pub target_versions: MemoryVersions,
-    /// The version of the adapter that was named last.
+    /// Latest named version of the adapter.
     pub named_version: Option<u64>,
-    /// Whether it is told to; otherwise their versions do not fit.
+    /// Whether the target is told to fetch; if not, the versions do not match.
     pub is_permitted: bool,
 }
 
 impl CacheTransfer {
-    /// How the versions of both stand to each other.
+    /// Compares the versions of base model and adapter at both engines.
     #[must_use]
     pub fn version_match(&self) -> VersionMatch {
         let (source, target) = (&self.source_versions, &self.target_versions);
@@ -161,15 +165,15 @@
     }
 }
 
-/// What the holder has to do for the planner.
+/// Action that the holder carries out for the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannerAction {
-    /// Tell a gateway where its call goes.
+    /// Answer a placement request of a gateway.
     Answer(CallKey, PlacementAnswer),
-    /// Give an order to an engine.
+    /// Send an order to an engine.
     Order(Arc<TargetEntry>, EngineOrder),
-    /// Read an engine's report.
+    /// Fetch the report of an engine.
     FetchReport(Arc<TargetEntry>),
-    /// Say that memory moves, or that it does not as the versions do not fit.
+    /// Log and count a KV cache transfer, or one that is withheld because the versions do not match.
     RecordTransfer(Box<CacheTransfer>),
 }
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -1,21 +1,24 @@
-//! The holder's view of a zone's engines: where calls go, what is loaded and what makes way.
+//! Planner of a zone's engines: places calls, and decides which adapters are loaded and evicted.
 //!
-//! Everything that the engines of a zone are sent passes through one planner, so it knows the calls in flight, the
-//! prompts that wait and the adapters in use. It is soft state: after a takeover it is rebuilt from the engines' own
-//! reports and from the calls that gateways still have open. Engines check what matters (adapter, version, fence,
-//! sequence), so a mistake here costs time and never a wrong answer, but for the memory of prompts that engines take from each
-//! other: nothing checks which versions made that but `fetching`.
+//! The holder of a zone runs one planner, and all calls and orders for the zone's engines pass through it. So it knows
+//! the calls in flight, the prompts waiting to be read and the adapters in use. Its state is soft: after a takeover it is
+//! rebuilt from the engines' reports and from the calls that gateways still have open. Engines check adapter, version,
+//! fencing token and sequence themselves, so a wrong belief here costs time and never gives a wrong answer. The exception
+//! is KV cache that engines fetch from each other: only `cache_transfer` checks which versions made it.
 //!
-//! | module | job |
+//! The *named* version of an adapter is the one that operators made current. A *subject* is a base model, or an adapter
+//! with its base model, written `model/adapter`.
+//!
+//! | module | contents |
 //! |---|---|
-//! | `messages` | what gateways ask, and what the holder has to do |
-//! | `estimates` | figures of engines and weight store |
-//! | `placement` | where a call goes |
-//! | `cache_transfer` | parts of a prompt that engines take from each other |
-//! | `orders` | what engines are ordered |
-//! | `replication` | second copies of adapters that crowd their engines |
-//! | `model_loading` | which engines that hold no base model are given one |
-//! | `suspects` | requests under which engines ended |
+//! | `messages` | requests of gateways, answers to them, and actions for the holder |
+//! | `estimates` | configured timings of engines and weight store |
+//! | `placement` | choice of the engine for a call |
+//! | `cache_transfer` | KV cache that engines fetch from each other |
+//! | `orders` | load and unload orders to engines |
+//! | `replication` | additional copies of adapters in high demand |
+//! | `model_loading` | base model loads into empty engines |
+//! | `suspects` | placement of requests under which engines ended |
 
 mod cache_transfer;
 mod estimates;
@@ -42,7 +45,7 @@
         limits::{LimitTable, NamedLimit},
         loading::LoadLimiter,
         millis,
-        planner::cache_transfer::MemoryLoan,
+        planner::cache_transfer::CacheLoan,
         policy::PlacementPolicy,
         reading::ReadingPace,
         suspects::SuspectTable,
@@ -55,137 +58,138 @@
     time::Duration,
 };
 
-/// Adapters that may be on their way to one engine; from the users' pages.
-const COMING_MOST: usize = 4;
-/// Pause after an order without an answer, or a conflict, until the report shows it.
-const SETTLE: Duration = Duration::from_millis(300);
-/// Time by which a load is taken to be longer once a call came too early for it.
-const LOAD_OVERRUN: Duration = Duration::from_millis(90);
-/// When a call for which no engine can do anything now is worth placing again: about as long as a load takes.
-const COME_BACK_MS: u32 = 300;
-/// Margin after which an adapter that is coming is taken for there.
+/// Maximum number of adapters that one engine loads at once, as engines specify it.
+const MAX_LOADING_ADAPTERS: usize = 4;
+/// Delay before an engine's report is read again, after a conflict, an unanswered order or a report that is outdated.
+const REPORT_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Time by which the expected end of a load is extended when a call did not find the adapter loaded.
+const LATE_LOAD_EXTENSION: Duration = Duration::from_millis(90);
+/// Retry delay for a call that no engine can take now: about the time of an adapter load.
+const RETRY_AFTER_MS: u32 = 300;
+/// Margin added to the expected end of a load before calls are sent.
 const LOAD_MARGIN: Duration = Duration::from_millis(12);
 
-/// Plans the work of one zone's engines.
+/// Planner of one zone's engines.
 #[derive(Debug)]
 pub struct ZonePlanner {
-    figures: EngineEstimates,
+    estimates: EngineEstimates,
     policy: PlacementPolicy,
     limits: EngineLimits,
-    /// Limits that engines named.
-    rates: LimitTable,
+    /// Rate limits that engines announced.
+    rate_limits: LimitTable,
     engines: BTreeMap<TargetName, EngineState>,
-    versions: HashMap<AdapterName, u64>,
+    named_versions: HashMap<AdapterName, u64>,
     demand: DemandTable,
     health: HealthTable,
     pace: ReadingPace,
-    loads: LoadLimiter,
-    /// Memory that calls are about to take.
-    loans: HashMap<CallKey, MemoryLoan>,
-    /// Until when no other holder can have given orders to these engines.
-    led_until: Instant,
-    /// From when on no order of an earlier holder is carried out any more.
-    settled_from: Instant,
+    load_limiter: LoadLimiter,
+    /// KV cache that calls are about to fetch.
+    loans: HashMap<CallKey, CacheLoan>,
+    /// Time until which no other holder can have sent orders to these engines.
+    lead_until: Instant,
+    /// Time from which no order of an earlier holder can be carried out any more.
+    earlier_orders_until: Instant,
     /// Whether engines refuse orders of earlier holders.
     are_orders_fenced: bool,
     orders_from: Instant,
-    model_load_at: Instant,
-    /// Requests under which engines ended lately.
+    next_model_load_at: Instant,
+    /// Requests under which engines ended.
     suspects: SuspectTable,
-    /// Part of the zone's engines that has been busy lately.
-    busy: f64,
+    /// Moving average of the zone's utilization, from 0 to 1.
+    utilization: f64,
     actions: VecDeque<PlannerAction>,
 }
 
 impl ZonePlanner {
-    /// A planner that gives no order before `orders_from`.
+    /// Creates a planner that sends no order before `orders_from`.
     #[must_use]
-    pub fn new(figures: EngineEstimates, limits: EngineLimits, orders_from: Instant) -> Self {
-        // The holder before may have begun a load a moment ago: holders in series loaded twice what the store's rate allows.
-        let model_load_at = orders_from.after(figures.model_load_interval);
+    pub fn new(estimates: EngineEstimates, limits: EngineLimits, orders_from: Instant) -> Self {
+        // The previous holder may just have started a load. Without this delay, holders that follow each other quickly
+        // load twice what the store's rate allows.
+        let next_model_load_at = orders_from.after(estimates.model_load_interval);
         Self {
-            figures,
+            estimates,
             policy: PlacementPolicy::default(),
             limits,
-            rates: LimitTable::default(),
+            rate_limits: LimitTable::default(),
             engines: BTreeMap::new(),
-            versions: HashMap::new(),
+            named_versions: HashMap::new(),
             demand: DemandTable::default(),
             health: HealthTable::default(),
             pace: ReadingPace::default(),
-            loads: LoadLimiter::starting_with(figures.initial_load_limit),
+            load_limiter: LoadLimiter::starting_with(estimates.initial_load_limit),
             loans: HashMap::new(),
-            led_until: Instant::default(),
-            settled_from: Instant::default(),
+            lead_until: Instant::default(),
+            earlier_orders_until: Instant::default(),
             are_orders_fenced: false,
             orders_from,
-            model_load_at,
+            next_model_load_at,
             suspects: SuspectTable::default(),
-            busy: 0.0,
+            utilization: 0.0,
             actions: VecDeque::new(),
         }
     }
 
-    /// What has to be done since the last call.
+    /// Takes the actions that are due since the last call.
     pub fn take_actions(&mut self) -> VecDeque<PlannerAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Its engines.
+    /// Engines of the zone.
     #[must_use]
     pub fn engines(&self) -> &BTreeMap<TargetName, EngineState> {
         &self.engines
     }
 
-    /// What is learned of the weight store.
+    /// Limiter of loads from the weight store.
     #[must_use]
     pub fn load_limiter(&self) -> &LoadLimiter {
-        &self.loads
+        &self.load_limiter
     }
 
-    /// Gives no order before then.
+    /// Defers all orders until `until`.
     pub fn hold_orders(&mut self, until: Instant) {
         self.orders_from = self.orders_from.max(until);
     }
 
-    /// Gives no order from now on.
+    /// Stops all further orders.
     pub fn stop_orders(&mut self) {
         self.orders_from = Instant(u64::MAX);
     }
 
-    /// The zone had another holder before: an order of that one may be carried out late, and replace a copy unseen.
+    /// Marks that another holder had the zone until `now`. Its orders may be carried out late and replace copies unnoticed.
     pub fn mark_takeover(&mut self, now: Instant) {
-        self.settled_from = now.after(UNANSWERED_ORDER_TTL);
+        self.earlier_orders_until = now.after(UNANSWERED_ORDER_TTL);
     }
 
-    /// Says whether engines refuse an order with an older fencing token than one that they have seen.
+    /// Sets whether engines refuse orders with an older fencing token than one that they have seen.
     pub fn set_order_fencing(&mut self, is_fenced: bool) {
         self.are_orders_fenced = is_fenced;
     }
 
-    /// Until then no other holder can have given orders to these engines. A holder that is cut off from the log, or
-    /// stood still, may have been replaced: its callers are still served, but what copies have read since is not known.
+    /// Sets the time until which no other holder can have sent orders to these engines. A holder that is cut off from the
+    /// log or was suspended may have been replaced: it still places calls, but lends no KV cache after that time.
     pub fn set_lead_until(&mut self, time: Instant) {
-        self.led_until = time;
+        self.lead_until = time;
     }
 
-    /// Whether the answer to an order is awaited.
+    /// Whether any order is unanswered.
     #[must_use]
     pub fn has_pending_orders(&self) -> bool {
         self.engines.values().any(|engine| engine.pending.is_some())
     }
 
-    /// Sets what decisions weigh.
+    /// Sets the weights of placement decisions.
     pub fn set_policy(&mut self, policy: PlacementPolicy) {
         self.policy = policy;
     }
 
-    /// Sets what the service's engines can hold.
+    /// Sets the capacity of the service's engines.
     pub fn set_limits(&mut self, limits: EngineLimits) {
         self.limits = limits;
     }
 
-    /// Takes over the list of the zone's engines.
+    /// Updates the engines from the platform's list of targets.
     pub fn set_targets(&mut self, entries: Vec<Arc<TargetEntry>>, now: Instant) {
         let gone: Vec<_> = self
             .engines
@@ -194,10 +198,10 @@
             .cloned()
             .collect();
         for name in gone {
-            self.outlive_loans(&name);
+            self.invalidate_loans(&name);
             if let Some(engine) = self.engines.remove(&name) {
                 let waiters = engine.copies.into_values().flat_map(|copy| copy.waiters);
-                self.place_waiters_again(waiters.collect(), now);
+                self.place_again(waiters.collect(), now);
             }
         }
         for entry in entries {
@@ -214,57 +218,59 @@
         }
         let engines = &self.engines;
         self.health.retain(|target| engines.contains_key(target));
-        self.loads.retain(|target| engines.contains_key(target));
-        self.rates.retain(|run| engines.contains_key(&run.name));
+        self.load_limiter
+            .retain(|target| engines.contains_key(target));
+        self.rate_limits
+            .retain(|run| engines.contains_key(&run.name));
     }
 
-    /// An answer told of an engine's limit.
-    pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
-        if self.engines.contains_key(&named.run.name) {
-            self.rates.note(named, now);
+    /// Records the rate limit that an engine announced in an answer.
+    pub fn record_limit(&mut self, limit: &NamedLimit, now: Instant) {
+        if self.engines.contains_key(&limit.run.name) {
+            self.rate_limits.note(limit, now);
         }
     }
 
-    /// An engine has started again under its name: what belonged to its life before is forgotten.
+    /// Replaces the state of an engine that restarted under its name. Calls that waited for its loads are placed again.
     fn replace_engine(&mut self, name: &TargetName, entry: Arc<TargetEntry>, now: Instant) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let restarted = engine.restarted(entry, now);
-        let old = std::mem::replace(engine, restarted);
-        self.outlive_loans(name);
+        let fresh = engine.restarted(entry, now);
+        let old = std::mem::replace(engine, fresh);
+        self.invalidate_loans(name);
         self.health.forget(name);
-        self.loads.forget(name);
+        self.load_limiter.forget(name);
         let waiters = old.copies.into_values().flat_map(|copy| copy.waiters);
-        self.place_waiters_again(waiters.collect(), now);
+        self.place_again(waiters.collect(), now);
     }
 
-    /// Whether an engine is in this life as far as is known.
+    /// Whether this is the current life of an engine, as far as known.
     #[must_use]
     pub fn is_current_life(&self, name: &TargetName, life: TargetLife) -> bool {
         let engine = self.engines.get(name);
         engine.is_some_and(|engine| engine.entry.life == life)
     }
 
-    /// A version of an adapter was named.
+    /// Sets the named version of an adapter. Older versions than the known one are ignored.
     pub fn set_version(&mut self, adapter: &AdapterName, version: u64, now: Instant) {
-        let known = self.versions.entry(adapter.clone()).or_default();
+        let known = self.named_versions.entry(adapter.clone()).or_default();
         if *known >= version {
             return;
         }
         *known = version;
-        self.replace_stale(adapter, now);
+        self.replace_stale_copies(adapter, now);
     }
 
-    /// The version of an adapter that calls have to ask for. New weights of a base model bind no call: engines have them from
-    /// their next start on, and until then each call that asked for them would be turned away everywhere.
+    /// Version of an adapter that calls have to ask for. None for a base model: engines get its new weights at their next
+    /// start only, and until then every engine would reject calls that ask for them.
     pub(super) fn named_version(&self, subject: &AdapterName) -> Option<u64> {
         let has_adapter = split_subject(subject).1.is_some();
-        let named = self.versions.get(subject).filter(|_| has_adapter);
+        let named = self.named_versions.get(subject).filter(|_| has_adapter);
         named.copied()
     }
 
-    /// A gateway tells of a call that it had open before this planner began.
+    /// Adopts a call that a gateway had open before this planner started.
     pub fn adopt_call(&mut self, key: CallKey, target: &TargetName, subject: &AdapterName) {
         self.drop_call(&key);
         let Some(engine) = self.engines.get_mut(target) else {
@@ -283,8 +289,8 @@
         engine.add_call(key, call);
     }
 
-    /// The first event of a call came from an engine: its prompt is read, by the version of the
-    /// base model that the answer tells.
+    /// Records the first event of a call. The engine has read its prompt, under the version of the base model that the
+    /// answer states.
     pub fn call_started(
         &mut self,
         key: &CallKey,
@@ -301,12 +307,12 @@
             if let Some(load) = engine.resolve_load(key)
                 && !load.is_judged
             {
-                self.loads.came_in_time(target, load, now);
+                self.load_limiter.came_in_time(target, load, now);
             }
         }
     }
 
-    /// A call ended, or its gateway gave it up.
+    /// Records the end of a call, or that its gateway gave it up.
     pub fn call_ended(
         &mut self,
         key: &CallKey,
@@ -317,7 +323,7 @@
         if let (Some(target), Some(outcome)) = (target, outcome) {
             self.health.note(target, outcome, now);
         }
-        // Where the caller has left, the call may be on its way still.
+        // If the caller has disconnected, the engine may still receive the call and fetch the cache.
         self.end_loan(key, now.after(ORPHANED_CALL_TTL));
         for copy in self
             .engines
@@ -327,13 +333,13 @@
             copy.waiters.retain(|waiting| waiting.key != *key);
         }
         if let Some(subject) = self.drop_call(key)
-            && self.versions.contains_key(&subject)
+            && self.named_versions.contains_key(&subject)
         {
-            self.replace_stale(&subject, now);
+            self.replace_stale_copies(&subject, now);
         }
     }
 
-    /// Counts a call no more; returns its adapter if nothing else runs on the copy.
+    /// Removes a call from its engine. Returns the adapter if no other call uses that copy.
     pub(super) fn drop_call(&mut self, key: &CallKey) -> Option<AdapterName> {
         let mut freed = None;
         for engine in self.engines.values_mut() {
@@ -349,32 +355,33 @@
         freed
     }
 
-    /// A target said that it lacks what a call asked for: most likely its load takes longer than expected.
+    /// Records that a target rejected a call because it lacks the subject. Most likely the load takes longer than expected.
     pub fn report_missing_copy(&mut self, key: &CallKey, target: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
         };
         engine.report_due_at = Some(now);
-        // What it lacks may be the version that made the memory which the call was to use.
-        let takes_memory = self.loans.contains_key(key);
-        if let Some(load) = engine.resolve_load(key).filter(|_| !takes_memory) {
-            self.loads.came_late(target, load, now);
+        // The target may have the adapter but lack the version that made the cache to be fetched, so such a
+        // rejection does not show that the load was late.
+        let fetches_cache = self.loans.contains_key(key);
+        if let Some(load) = engine.resolve_load(key).filter(|_| !fetches_cache) {
+            self.load_limiter.came_late(target, load, now);
         }
         let Some(subject) = engine.calls.get(key).map(|call| call.subject.clone()) else {
             return;
         };
-        if !self.versions.contains_key(&subject) {
-            // Where none is named the call may have asked for a version that is not there.
+        if !self.named_versions.contains_key(&subject) {
+            // Without a named version, the call may have asked for a version that the target does not have.
             engine.invalidate_copy(&subject);
         }
         if let Some(copy) = engine.copies.get_mut(&subject)
             && matches!(copy.state, CopyState::Loaded | CopyState::Loading(_))
         {
-            copy.state = CopyState::Loading(now.after(LOAD_OVERRUN));
+            copy.state = CopyState::Loading(now.after(LATE_LOAD_EXTENSION));
         }
     }
 
-    /// All calls of a gateway that can't be reached.
+    /// Drops all calls of an unreachable gateway. The engines may still run them for `ORPHANED_CALL_TTL`.
     pub fn forget_gateway(&mut self, vm: &VmName, now: Instant) {
         let keys: Vec<_> = self
             .engines
@@ -390,11 +397,11 @@
             .cloned()
             .collect();
         for key in keys {
-            let subjects = self.engines.values_mut().filter_map(|engine| {
+            let copies = self.engines.values_mut().filter_map(|engine| {
                 let call = engine.calls.get(&key)?;
                 engine.copies.get_mut(&call.subject)
             });
-            for copy in subjects {
+            for copy in copies {
                 copy.pinned_until = now.after(ORPHANED_CALL_TTL);
             }
             self.end_loan(&key, now.after(ORPHANED_CALL_TTL));
@@ -402,43 +409,43 @@
         }
     }
 
-    /// Regular work: loads that are done, reports that are due, empty engines.
+    /// Runs the periodic work: finished loads, due reports, expired waiters, empty engines and queued orders.
     pub fn tick(&mut self, now: Instant) {
-        self.look_at_load(now);
-        self.loads.relax(now);
+        self.update_utilization(now);
+        self.load_limiter.relax(now);
         let names: Vec<_> = self.engines.keys().cloned().collect();
         for name in &names {
-            self.settle(name, now);
-            self.give_up_waiters(name, now);
-            self.fill_empty(name, now);
+            self.refresh_engine(name, now);
+            self.expire_waiters(name, now);
+            self.load_base_model(name, now);
         }
-        self.advance_all(names, now);
+        self.issue_orders(names, now);
     }
 
-    fn settle(&mut self, name: &TargetName, now: Instant) {
+    fn refresh_engine(&mut self, name: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let mut is_stale = Vec::new();
+        let mut stale = Vec::new();
         for (adapter, copy) in &mut engine.copies {
             if matches!(copy.state, CopyState::Loading(at) if now >= at) {
                 copy.state = CopyState::Loaded;
             }
-            let named = self.versions.get(adapter);
-            let is_stale_for = named.is_some_and(|named| copy.is_stale_for(*named));
-            if copy.state == CopyState::Loaded && is_stale_for {
-                is_stale.push(adapter.clone());
+            let named = self.named_versions.get(adapter);
+            let is_stale = named.is_some_and(|named| copy.is_stale_for(*named));
+            if copy.state == CopyState::Loaded && is_stale {
+                stale.push(adapter.clone());
             }
         }
-        for adapter in is_stale {
-            self.replace_stale(&adapter, now);
+        for adapter in stale {
+            self.replace_stale_copies(&adapter, now);
         }
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        if now >= self.settled_from
+        if now >= self.earlier_orders_until
             && !engine.has_accepted_order
-            && engine.reported_at < self.settled_from
+            && engine.reported_at < self.earlier_orders_until
         {
             engine.report_due_at.get_or_insert(now);
         }
@@ -451,8 +458,8 @@
         }
     }
 
-    /// Turns calls away whose load takes longer than they can bear; it goes on for whoever comes back.
-    fn give_up_waiters(&mut self, name: &TargetName, now: Instant) {
+    /// Refuses calls that have waited too long for their load. The load continues, so a retry finds the adapter loaded.
+    fn expire_waiters(&mut self, name: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -461,7 +468,7 @@
             late.extend(copy.waiters.extract_if(.., |waiting| now >= waiting.until));
         }
         for waiting in late {
-            let retry_after_ms = millis(self.loads.expected(name));
+            let retry_after_ms = millis(self.load_limiter.expected(name));
             let cause = RefusalCause::LoadLate;
             self.refuse(waiting.key, retry_after_ms, cause);
         }
@@ -480,7 +487,7 @@
     }
 }
 
-/// Splits `model/adapter`.
+/// Splits a subject `model/adapter` into model and adapter.
 #[must_use]
 pub fn split_subject(subject: &AdapterName) -> (&str, Option<&str>) {
     match subject.as_str().split_once('/') {
--- a/crates/core/src/direct/planner/model_loading.rs
+++ b/crates/core/src/direct/planner/model_loading.rs
@@ -1,7 +1,8 @@
-//! Which engines that hold no base model are given one.
+//! Loading of the base model into engines that hold none.
 //!
-//! A model from the weight store costs as much as dozens of adapters, and a server that came empty is no gain while
-//! those that the zone has are half idle. One that keeps a copy of its own loads it for nothing, so it always does.
+//! Loading a base model from the weight store costs as much as loading dozens of adapters, and another engine gains
+//! nothing while the zone's engines are half idle. So an empty engine loads from the store only if the zone needs it. An
+//! engine with a local copy of the model puts no load on the store and always loads it.
 
 use crate::{
     direct::{
@@ -12,15 +13,16 @@
     ids::{AdapterName, Instant, TargetName},
 };
 
-/// Weight of the newest look at how busy the zone is; looks come every 50 ms, so bursts of a second count.
-const NEWEST_WEIGHT: f64 = 0.08;
+/// Weight of the newest sample in the moving average of the utilization. Samples are taken every 50 ms, so bursts of a
+/// second count.
+const SAMPLE_WEIGHT: f64 = 0.08;
 
 impl ZonePlanner {
-    /// Looks how busy the zone's engines are.
-    pub(super) fn look_at_load(&mut self, now: Instant) {
-        let (mut places, mut calls, mut engines, mut reading) = (0_usize, 0, 0_usize, 0_usize);
+    /// Samples the utilization of the zone: the larger of the fraction of slots in use and of engines that read a prompt.
+    pub(super) fn update_utilization(&mut self, now: Instant) {
+        let (mut slots, mut calls, mut engines, mut reading) = (0_usize, 0, 0_usize, 0_usize);
         for engine in self.engines.values().filter(|engine| can_serve(engine)) {
-            places += engine.entry.slots.max(1) as usize;
+            slots += engine.entry.slots.max(1) as usize;
             calls += engine.calls.len();
             engines += 1;
             reading += usize::from(!engine.prompts.is_idle(now));
@@ -28,34 +30,34 @@
         let newest = if engines == 0 {
             1.0
         } else {
-            let taken = calls as f64 / places as f64;
-            taken.max(reading as f64 / engines as f64)
+            let occupied = calls as f64 / slots as f64;
+            occupied.max(reading as f64 / engines as f64)
         };
-        self.busy += (newest - self.busy) * NEWEST_WEIGHT;
+        self.utilization += (newest - self.utilization) * SAMPLE_WEIGHT;
     }
 
-    /// Loads the base model into an engine that came empty, if that costs nothing or the zone needs it.
-    pub(super) fn fill_empty(&mut self, name: &TargetName, now: Instant) {
+    /// Queues the base model load for an empty engine, if the engine has a local copy or the zone needs the engine.
+    pub(super) fn load_base_model(&mut self, name: &TargetName, now: Instant) {
         let Some(model) = self.limits.models.first().cloned() else {
             return;
         };
-        let may = now >= self.orders_from && now >= self.model_load_at;
+        let can_load = now >= self.orders_from && now >= self.next_model_load_at;
         let Some(engine) = self.engines.get(name).filter(|engine| is_idle(engine)) else {
             return;
         };
-        let is_unused = engine.local_models.contains(&model);
-        if may && (is_unused || self.needs_engines(&model)) {
-            self.model_load_at = now.after(self.figures.model_load_interval);
+        let is_local = engine.local_models.contains(&model);
+        if can_load && (is_local || self.needs_engine(&model)) {
+            self.next_model_load_at = now.after(self.estimates.model_load_interval);
             self.queue_model(name, model);
         }
     }
 
-    fn needs_engines(&self, model: &AdapterName) -> bool {
-        let has_one = self
+    fn needs_engine(&self, model: &AdapterName) -> bool {
+        let has_serving_engine = self
             .engines
             .values()
             .any(|engine| can_serve(engine) && engine.has_model(model.as_str()));
-        !has_one || self.busy >= self.policy.busy_fraction
+        !has_serving_engine || self.utilization >= self.policy.busy_fraction
     }
 
     fn queue_model(&mut self, name: &TargetName, model: AdapterName) {
@@ -69,7 +71,7 @@
     engine.entry.stage == TargetStage::Ready && !engine.models.is_empty()
 }
 
-/// Whether an engine is known to hold no model, and has nothing else to do.
+/// Whether an engine is known to hold no model and has no order, queue or report outstanding.
 fn is_idle(engine: &EngineState) -> bool {
     engine.is_inventory_known
         && engine.models.is_empty()
--- a/crates/core/src/direct/planner/orders.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -1,4 +1,6 @@
-//! What engines are ordered, one order at a time each, and what becomes of the calls behind it.
+//! Load and unload orders to engines, and the calls that wait for loads.
+//!
+//! Each engine gets one order at a time.
 
 use crate::{
     direct::{
@@ -8,8 +10,8 @@
         },
         loading::StoreLoad,
         planner::{
-            COME_BACK_MS, COMING_MOST, LOAD_MARGIN, PlannerAction, RefusalCause, SETTLE,
-            ZonePlanner, millis, split_subject,
+            LOAD_MARGIN, MAX_LOADING_ADAPTERS, PlannerAction, REPORT_RETRY_DELAY, RETRY_AFTER_MS,
+            RefusalCause, ZonePlanner, millis, split_subject,
         },
         versions::{VersionSight, VersionTeller},
     },
@@ -17,16 +19,17 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Times that one call is placed anew because a load came to nothing.
-const MOST_PLACINGS: usize = 3;
-/// Time that a model load may take before the report is read again.
-const MODEL_LOAD_CHECK: Duration = Duration::from_millis(700);
+/// Number of excluded engines from which a call whose load failed is refused instead of placed again.
+const MAX_PLACEMENTS: usize = 3;
+/// Delay before the report is read after a base model load was accepted.
+const MODEL_LOAD_CHECK_DELAY: Duration = Duration::from_millis(700);
 
 impl ZonePlanner {
-    /// An order was answered, or its answer is overdue.
+    /// Records the answer to the pending order of an engine, or that it timed out.
     pub fn order_ended(&mut self, name: &TargetName, outcome: OrderOutcome, now: Instant) {
-        let store_time = self.loads.expected(name);
-        let is_bound = self.store_loads_in_flight(now) + self.loads_waiting() >= self.loads.limit();
+        let load_time = self.load_limiter.expected(name);
+        let is_bound =
+            self.store_loads_in_flight(now) + self.queued_loads() >= self.load_limiter.limit();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -35,7 +38,7 @@
         };
         let subject = order.subject.clone();
         let is_model = split_subject(&subject).1.is_none();
-        let mut failed = false;
+        let mut has_failed = false;
         engine.ordered_at = now;
         if matches!(outcome, OrderOutcome::Begun | OrderOutcome::Done) {
             engine.record_accepted_order(&order);
@@ -43,7 +46,7 @@
         match (outcome, order.kind) {
             (OrderOutcome::Done | OrderOutcome::Begun, _) if is_model => {
                 engine.sequence += 1;
-                engine.report_due_at = Some(now.after(MODEL_LOAD_CHECK));
+                engine.report_due_at = Some(now.after(MODEL_LOAD_CHECK_DELAY));
             }
             (OrderOutcome::Done | OrderOutcome::Begun, OrderKind::Load) => {
                 if outcome == OrderOutcome::Begun {
@@ -53,9 +56,9 @@
                 let (time, load) = match outcome {
                     OrderOutcome::Done => (Duration::ZERO, None),
                     _ if engine.was_recently_loaded(&subject, order.version) => {
-                        (self.figures.reload_time, None)
+                        (self.estimates.reload_time, None)
                     }
-                    _ => (store_time, Some(StoreLoad::begun(now, is_bound))),
+                    _ => (load_time, Some(StoreLoad::begun(now, is_bound))),
                 };
                 engine.record_recent_load(&subject, order.version, self.policy.max_recent_adapters);
                 if let Some(copy) = engine.copies.get_mut(&subject) {
@@ -65,12 +68,12 @@
                         CopyState::Loading(now.after(time))
                     };
                     copy.load = load;
-                    // Without a named version it is the newest of when the engine began, which nobody here knows.
+                    // Without a named version the engine loads the newest of that moment, which is unknown here.
                     let named = order.version;
                     copy.known_version = named
                         .and_then(|version| VersionSight::told(version, VersionTeller::Order, now));
                     let waiters = std::mem::take(&mut copy.waiters);
-                    self.release_waiters(name, waiters, now);
+                    self.send_waiters(name, waiters, now);
                 }
             }
             (OrderOutcome::Done, OrderKind::Unload) => {
@@ -79,40 +82,40 @@
                 engine.copies.remove(&subject);
             }
             (OrderOutcome::Begun, OrderKind::Unload) => {
-                // It is in use after all: the engine takes no other order until its runs have ended.
+                // The adapter is in use after all: the engine accepts no other order until its calls have ended.
                 engine.sequence += 1;
                 engine.unloading = Some(subject);
-                engine.report_due_at = Some(now.after(SETTLE));
-                self.empty_queue(name, now);
+                engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY));
+                self.clear_queue(name, now);
             }
-            (OrderOutcome::Fenced, _) => failed = true,
+            (OrderOutcome::Fenced, _) => has_failed = true,
             (OrderOutcome::Conflict, OrderKind::Unload) => {
-                // It may be on its way in still: it is passed over until the report shows it.
+                // The adapter may still be loading: it is not evicted until the report shows its state.
                 if let Some(copy) = engine.copies.get_mut(&subject) {
                     copy.state = CopyState::Loaded;
                     copy.pinned_until = now.after(ORPHANED_CALL_TTL);
                 }
-                failed = true;
-                engine.report_due_at = Some(now.after(SETTLE));
+                has_failed = true;
+                engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY));
                 engine.is_inventory_known = false;
             }
             (OrderOutcome::Conflict | OrderOutcome::Refused | OrderOutcome::Unanswered, _) => {
-                failed = true;
+                has_failed = true;
                 if outcome == OrderOutcome::Unanswered {
                     engine.record_unanswered_order(&order, now);
                 }
-                engine.report_due_at = Some(now.after(SETTLE));
+                engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY));
                 engine.is_inventory_known = false;
             }
         }
-        if failed {
-            self.empty_queue(name, now);
+        if has_failed {
+            self.clear_queue(name, now);
         }
-        self.advance(name, now);
+        self.issue_next_order(name, now);
     }
 
-    /// Drops what was planned for an engine that takes no orders for now; whoever waits is placed elsewhere.
-    fn empty_queue(&mut self, name: &TargetName, now: Instant) {
+    /// Clears the queue of an engine that accepts no orders for now, and places its waiting calls elsewhere.
+    fn clear_queue(&mut self, name: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -128,43 +131,43 @@
         self.place_elsewhere(name, waiters, now);
     }
 
-    /// Places calls anew that waited for a load at an engine.
+    /// Places calls that waited for a load at an engine again, excluding that engine.
     fn place_elsewhere(&mut self, name: &TargetName, waiters: Vec<WaitingCall>, now: Instant) {
         let waiters = waiters.into_iter().map(|mut waiting| {
-            waiting.ask.exclude.push(name.clone());
+            waiting.request.exclude.push(name.clone());
             waiting
         });
-        self.place_waiters_again(waiters.collect(), now);
+        self.place_again(waiters.collect(), now);
     }
 
-    pub(super) fn place_waiters_again(&mut self, waiters: Vec<WaitingCall>, now: Instant) {
-        for WaitingCall { key, ask, .. } in waiters {
-            if ask.exclude.len() >= MOST_PLACINGS {
-                self.refuse(key, COME_BACK_MS, RefusalCause::LoadsFailed);
+    pub(super) fn place_again(&mut self, waiters: Vec<WaitingCall>, now: Instant) {
+        for WaitingCall { key, request, .. } in waiters {
+            if request.exclude.len() >= MAX_PLACEMENTS {
+                self.refuse(key, RETRY_AFTER_MS, RefusalCause::LoadsFailed);
             } else {
-                self.place_known(key, ask, now);
+                self.try_place(key, request, now);
             }
         }
     }
 
-    fn release_waiters(&mut self, name: &TargetName, waiters: Vec<WaitingCall>, now: Instant) {
-        for WaitingCall { key, ask, .. } in waiters {
+    fn send_waiters(&mut self, name: &TargetName, waiters: Vec<WaitingCall>, now: Instant) {
+        for WaitingCall { key, request, .. } in waiters {
             let mut wait_ms = 0;
             if let Some(copy) = self
                 .engines
                 .get_mut(name)
-                .and_then(|engine| engine.copies.get_mut(&ask.subject))
+                .and_then(|engine| engine.copies.get_mut(&request.subject))
             {
                 copy.active_calls += 1;
                 if let CopyState::Loading(at) = copy.state {
                     wait_ms = millis(at.since(now) + LOAD_MARGIN);
                 }
             }
-            self.send_after(name, key, &ask, wait_ms, now);
+            self.send_with_wait(name, key, &request, wait_ms, now);
         }
     }
 
-    /// An engine's report came; none if it could not be read.
+    /// Applies the report of an engine; none if it could not be read.
     pub fn report_received(
         &mut self,
         name: &TargetName,
@@ -186,33 +189,33 @@
         let report = report.filter(|report| engine.is_from_current_life(report));
         match report {
             Some(report) if engine.is_report_stale(report, now) => {
-                engine.report_due_at = Some(now.after(SETTLE));
+                engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY));
             }
             Some(report) => {
                 engine.apply_report(report, now);
                 if report.is_busy || engine.unloading.is_some() || engine.has_untracked_calls(now) {
-                    engine.report_due_at = Some(now.after(SETTLE));
+                    engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY));
                 }
-                let held: Vec<_> = engine.copies.keys().cloned().collect();
-                for adapter in held {
-                    self.replace_stale(&adapter, now);
+                let adapters: Vec<_> = engine.copies.keys().cloned().collect();
+                for adapter in adapters {
+                    self.replace_stale_copies(&adapter, now);
                 }
             }
-            None => engine.report_due_at = Some(now.after(SETTLE)),
+            None => engine.report_due_at = Some(now.after(REPORT_RETRY_DELAY)),
         }
-        self.advance(name, now);
+        self.issue_next_order(name, now);
     }
 
-    /// Gives the next orders, those for the most urgent calls first.
-    pub(super) fn advance_all(&mut self, mut names: Vec<TargetName>, now: Instant) {
-        names.sort_by_cached_key(|name| self.engines.get(name).map(most_urgent));
+    /// Sends the next order to each engine, those for the most urgent calls first.
+    pub(super) fn issue_orders(&mut self, mut names: Vec<TargetName>, now: Instant) {
+        names.sort_by_cached_key(|name| self.engines.get(name).map(most_urgent_rank));
         for name in names {
-            self.advance(&name, now);
+            self.issue_next_order(&name, now);
         }
     }
 
-    /// Gives the next order to an engine, if its turn has come.
-    pub(super) fn advance(&mut self, name: &TargetName, now: Instant) {
+    /// Sends the next order to an engine, unless one is outstanding or the load limit is reached.
+    pub(super) fn issue_next_order(&mut self, name: &TargetName, now: Instant) {
         if now < self.orders_from {
             return;
         }
@@ -231,59 +234,61 @@
                 return;
             };
             let is_adapter = split_subject(&subject).1.is_some();
-            let is_held = engine
+            let is_present = engine
                 .copies
                 .get(&subject)
                 .is_some_and(|copy| copy.state != CopyState::Queued);
             if kind == OrderKind::Load && is_adapter {
                 if !engine.copies.contains_key(&subject) {
-                    // It has gone since it was to be replaced.
-                    self.drop_front(name, now);
+                    // The copy was to be replaced and has gone since.
+                    self.drop_next_load(name, now);
                     continue;
                 }
-                if engine.loading_count(now) >= COMING_MOST {
+                if engine.loading_count(now) >= MAX_LOADING_ADAPTERS {
                     return;
                 }
             }
-            if kind == OrderKind::Load && is_adapter && !is_held {
+            if kind == OrderKind::Load && is_adapter && !is_present {
                 let is_fast = engine.was_recently_loaded(&subject, self.named_version(&subject));
-                if !is_fast && self.store_loads_in_flight(now) >= self.loads.limit() {
+                if !is_fast && self.store_loads_in_flight(now) >= self.load_limiter.limit() {
                     return;
                 }
-                if !self.loads_held(now).is_zero() {
+                if !self.load_hold_remaining(now).is_zero() {
                     return;
                 }
-                let taken = engine.occupied_slots() + engine.late_load_slots(now);
-                if taken >= self.limits.adapter_slots as usize {
-                    let Some(victim) = self.victim(engine, now) else {
-                        self.drop_front(name, now);
+                let occupied = engine.occupied_slots() + engine.late_load_slots(now);
+                if occupied >= self.limits.adapter_slots as usize {
+                    let Some(eviction_victim) = self.eviction_victim(engine, now) else {
+                        self.drop_next_load(name, now);
                         continue;
                     };
-                    self.issue(name, OrderKind::Unload, &victim);
+                    self.issue_order(name, OrderKind::Unload, &eviction_victim);
                     return;
                 }
             }
             if let Some(engine) = self.engines.get_mut(name) {
                 engine.queue.pop_front();
             }
-            self.issue(name, kind, &subject);
+            self.issue_order(name, kind, &subject);
             return;
         }
     }
 
-    /// Time for which no load is ordered: loads that an earlier holder ordered may yet take places of engines, nobody knows how many, as an
-    /// engine that has started again since has taken fewer orders than those expect. Guards against engines that fall as they
-    /// are given more than they have places for; engines that check fencing tokens refuse such loads.
-    pub(super) fn loads_held(&self, now: Instant) -> Duration {
+    /// Remaining time for which no load is ordered after a takeover.
+    ///
+    /// Late loads of an earlier holder may still take adapter slots. Their number is unknown, as an engine that has restarted
+    /// since has accepted fewer orders than they expect. An engine crashes if it is given more adapters than it has slots
+    /// for. Engines that check fencing tokens refuse such loads, so there is no wait for these.
+    pub(super) fn load_hold_remaining(&self, now: Instant) -> Duration {
         if self.are_orders_fenced {
             Duration::ZERO
         } else {
-            self.settled_from.since(now)
+            self.earlier_orders_until.since(now)
         }
     }
 
-    /// Gives up a load for which no room can be made.
-    fn drop_front(&mut self, name: &TargetName, now: Instant) {
+    /// Drops the next load of an engine that has no slot to free for it, and places its waiting calls elsewhere.
+    fn drop_next_load(&mut self, name: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -295,8 +300,8 @@
         }
     }
 
-    fn issue(&mut self, name: &TargetName, kind: OrderKind, subject: &AdapterName) {
-        let version = self.versions.get(subject).copied();
+    fn issue_order(&mut self, name: &TargetName, kind: OrderKind, subject: &AdapterName) {
+        let version = self.named_versions.get(subject).copied();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
@@ -323,24 +328,28 @@
             .push_back(PlannerAction::Order(Arc::clone(&engine.entry), order));
     }
 
-    /// The copy that is missed least: unused, and of little demand for its number of copies in the zone.
-    pub(super) fn victim(&self, engine: &EngineState, now: Instant) -> Option<AdapterName> {
+    /// Copy to evict: the unused one with the least demand per copy in the zone, then the least recently used.
+    pub(super) fn eviction_victim(
+        &self,
+        engine: &EngineState,
+        now: Instant,
+    ) -> Option<AdapterName> {
         engine
             .copies
             .iter()
             .filter(|(_, copy)| {
                 copy.is_unused(now) && copy.state == CopyState::Loaded
             })
-            // Once each, and not in every comparison: a zone's engines are looked at for each of them.
+            // Computed once per copy rather than in each comparison, as `copy_count` visits all engines of the zone.
             .map(|(subject, copy)| {
-                let worth = self.demand.count(subject, now) / self.copies_of(subject);
+                let worth = self.demand.count(subject, now) / self.copy_count(subject);
                 (worth, copy.last_used_at, subject)
             })
             .min_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)))
             .map(|(.., subject)| subject.clone())
     }
 
-    fn copies_of(&self, subject: &AdapterName) -> f64 {
+    fn copy_count(&self, subject: &AdapterName) -> f64 {
         let copies = self
             .engines
             .values()
@@ -349,12 +358,12 @@
         copies.max(1) as f64
     }
 
-    /// Orders the replacement of copies that are older than the named version and not in use.
-    pub(super) fn replace_stale(&mut self, adapter: &AdapterName, now: Instant) {
-        let Some(version) = self.versions.get(adapter).copied() else {
+    /// Queues reloads of unused copies that are older than the named version.
+    pub(super) fn replace_stale_copies(&mut self, adapter: &AdapterName, now: Instant) {
+        let Some(version) = self.named_versions.get(adapter).copied() else {
             return;
         };
-        let mut touched = Vec::new();
+        let mut reloading = Vec::new();
         for (name, engine) in &mut self.engines {
             let Some(copy) = engine.copies.get_mut(adapter) else {
                 continue;
@@ -365,17 +374,17 @@
             {
                 copy.state = CopyState::ReloadQueued;
                 engine.queue.push_back((OrderKind::Load, adapter.clone()));
-                touched.push(name.clone());
+                reloading.push(name.clone());
             }
         }
-        for name in touched {
-            self.advance(&name, now);
+        for name in reloading {
+            self.issue_next_order(&name, now);
         }
     }
 }
 
-/// Rank of the most urgent call that waits for an engine's next load.
-fn most_urgent(engine: &EngineState) -> u8 {
+/// Rank of the most urgent call that waits for the next load of an engine.
+fn most_urgent_rank(engine: &EngineState) -> u8 {
     engine
         .queue
         .front()
@@ -383,7 +392,7 @@
         .and_then(|copy| {
             copy.waiters
                 .iter()
-                .map(|waiting| waiting.ask.priority)
+                .map(|waiting| waiting.request.priority)
                 .min()
         })
         .unwrap_or(u8::MAX)
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -1,91 +1,93 @@
-//! Where a call goes: what each engine would make it wait, and what its load would cost.
+//! Choice of the engine for a call, by the expected wait at each engine and the cost of loading the adapter there.
 
 use crate::{
     direct::{
         catalog::TargetStage,
         engine::{CopyState, EngineState, WaitingCall},
         planner::{
-            COME_BACK_MS, COMING_MOST, CallKey, LOAD_MARGIN, PlacementAnswer, PlacementRequest,
-            PlacementTerms, RefusalCause, ZonePlanner, cache_transfer::PromptSource, millis,
-            split_subject, suspects::SHARED_END_PRICE,
+            CallKey, LOAD_MARGIN, MAX_LOADING_ADAPTERS, PlacementAnswer, PlacementRequest,
+            PlacementTerms, RETRY_AFTER_MS, RefusalCause, ZonePlanner, cache_transfer::CacheSource,
+            millis, split_subject, suspects::SHARED_SUSPECT_PENALTY,
         },
     },
     ids::{AdapterName, Instant, TargetName},
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Bounds of the time after which a caller is told to come back.
-const COME_BACK_LEAST: Duration = Duration::from_millis(100);
-const COME_BACK_MOST: Duration = Duration::from_millis(1_500);
-/// Time by which a call may wait longer for its load than it was placed for.
-const WAIT_OVERRUN: Duration = Duration::from_millis(250);
+/// Bounds of the retry delay that callers are told.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
+/// Time beyond its bound for which a call may wait until its load is accepted.
+const LOAD_WAIT_GRACE: Duration = Duration::from_millis(250);
 
 impl ZonePlanner {
-    /// Places a call.
-    pub fn place(&mut self, key: CallKey, ask: PlacementRequest, now: Instant) {
-        let has_accepted_order = !matches!(ask.terms, PlacementTerms::Beat(_));
-        if has_accepted_order {
-            self.demand.record(&ask.subject, now);
+    /// Places a call; the answer follows as an action, at once or when the adapter's load is accepted.
+    pub fn place(&mut self, key: CallKey, request: PlacementRequest, now: Instant) {
+        let counts_as_demand = !matches!(request.terms, PlacementTerms::Beat(_));
+        if counts_as_demand {
+            self.demand.record(&request.subject, now);
         }
-        let subject = (ask.may_load && has_accepted_order).then(|| ask.subject.clone());
-        self.place_known(key, ask, now);
+        let subject = (request.may_load && counts_as_demand).then(|| request.subject.clone());
+        self.try_place(key, request, now);
         if let Some(subject) = subject {
-            self.spread(&subject, now);
+            self.replicate_if_crowded(&subject, now);
         }
     }
 
-    pub(super) fn place_known(&mut self, key: CallKey, ask: PlacementRequest, now: Instant) {
-        if !ask.is_trial && self.needs_trial(ask.fingerprint, now) {
-            self.refuse(key, COME_BACK_MS, RefusalCause::NeedsTrial);
+    /// Places a call without counting it as demand again.
+    pub(super) fn try_place(&mut self, key: CallKey, request: PlacementRequest, now: Instant) {
+        if !request.is_trial && self.needs_trial(request.fingerprint, now) {
+            self.refuse(key, RETRY_AFTER_MS, RefusalCause::NeedsTrial);
             return;
         }
-        let Some((name, cost)) = self.cheapest(&ask, now) else {
-            self.refuse(key, COME_BACK_MS, RefusalCause::NoEngine);
+        let Some((name, cost)) = self.cheapest(&request, now) else {
+            self.refuse(key, RETRY_AFTER_MS, RefusalCause::NoEngine);
             return;
         };
-        let is_over = cost.wait > Duration::from_millis(u64::from(ask.bound_ms));
-        let is_declined = match ask.terms {
-            PlacementTerms::Inquire => is_over || cost.loads,
-            PlacementTerms::Beat(most) => is_over || millis(cost.total) >= most,
+        let exceeds_bound = cost.wait > Duration::from_millis(u64::from(request.bound_ms));
+        let is_declined = match request.terms {
+            PlacementTerms::Inquire => exceeds_bound || cost.needs_load,
+            PlacementTerms::Beat(limit) => exceeds_bound || millis(cost.total) >= limit,
             PlacementTerms::Take => false,
         };
         if is_declined {
             let cause = RefusalCause::Offer(millis(cost.total));
-            self.refuse(key, COME_BACK_MS, cause);
+            self.refuse(key, RETRY_AFTER_MS, cause);
             return;
         }
-        if is_over {
-            // It is loaded all the same, so that it is there when the caller comes back.
-            self.load_ahead(&name, &ask, now);
-            // Where loads are held, coming back before they are not is in vain.
-            let most = COME_BACK_MOST.max(self.loads_held(now));
-            let retry_after = cost.wait.clamp(COME_BACK_LEAST, most);
+        if exceeds_bound {
+            // Load the adapter anyway, so that it is there when the caller retries.
+            self.preload(&name, &request, now);
+            // A retry before loads are allowed again would be refused too.
+            let limit = MAX_RETRY_AFTER.max(self.load_hold_remaining(now));
+            let retry_after = cost.wait.clamp(MIN_RETRY_AFTER, limit);
             let cause = RefusalCause::TooLong(millis(cost.wait));
             self.refuse(key, millis(retry_after), cause);
             return;
         }
-        self.send_to(&name, key, ask, now);
+        self.send_or_queue(&name, key, request, now);
     }
 
+    /// Engine with the lowest total cost. Ties go to the engine with the lowest rendezvous hash.
     fn cheapest(
         &self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         now: Instant,
     ) -> Option<(TargetName, PlacementCost)> {
-        let crowd = self.store_loads_in_flight(now) + self.loads_waiting();
-        let sources = self.prompt_sources(ask, now);
-        let shared_ends = self.shared_ends(ask.fingerprint, now);
+        let loads_ahead = self.store_loads_in_flight(now) + self.queued_loads();
+        let sources = self.cache_sources(request, now);
+        let engines_sharing_ends = self.engines_sharing_ends(request.fingerprint, now);
         let all_doubted = self.engines.keys().all(|name| self.health.is_doubted(name));
         self.engines
             .iter()
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
-                    && !ask.exclude.contains(name)
-                    && !ask.resting.contains(name)
+                    && !request.exclude.contains(name)
+                    && !request.resting.contains(name)
                     && !self.health.is_out(name, now)
             })
             .filter_map(|(name, engine)| {
-                let mut cost = self.cost(engine, ask, &sources, crowd, now)?;
+                let mut cost = self.cost(engine, request, &sources, loads_ahead, now)?;
                 if self.health.is_doubted(name) && !all_doubted {
                     cost.total += self.policy.doubt_penalty;
                 }
@@ -93,67 +95,68 @@
                     .policy
                     .failure_penalty
                     .mul_f64(self.health.failing(name));
-                if shared_ends.contains(name) {
-                    cost.total += SHARED_END_PRICE;
+                if engines_sharing_ends.contains(name) {
+                    cost.total += SHARED_SUSPECT_PENALTY;
                 }
                 if self.health.is_shedding(name, now) {
                     cost.total += self.policy.shed_penalty;
                 }
                 Some((name.clone(), cost))
             })
-            .min_by_key(|(name, cost)| (cost.total, home_rank(name, &ask.subject)))
+            .min_by_key(|(name, cost)| (cost.total, rendezvous_rank(name, &request.subject)))
     }
 
     fn cost(
         &self,
         engine: &EngineState,
-        ask: &PlacementRequest,
-        sources: &[PromptSource],
-        crowd: u32,
+        request: &PlacementRequest,
+        sources: &[CacheSource],
+        loads_ahead: u32,
         now: Instant,
     ) -> Option<PlacementCost> {
-        let load = self.load_wait(engine, ask, crowd, now)?;
-        let own = self.prompt_work(engine, ask, sources, now).time;
-        let prompts = engine.prompts.backlog(ask.priority, &self.pace, now);
+        let load = self.load_cost(engine, request, loads_ahead, now)?;
+        let prefill_time = self.prefill_plan(engine, request, sources, now).time;
+        let backlog = engine.prompts.backlog(request.priority, &self.pace, now);
         let calls = u32::try_from(engine.calls.len()).unwrap_or(u32::MAX);
-        let over = calls.saturating_sub(engine.entry.slots.saturating_sub(1));
-        let tokens = engine.tokens_sent() + ask.max_kv_tokens();
-        let full = if tokens > self.limits.kv_tokens * 95 / 100 {
+        let excess_calls = calls.saturating_sub(engine.entry.slots.saturating_sub(1));
+        let tokens = engine.tokens_sent() + request.max_kv_tokens();
+        let kv_penalty = if tokens > self.limits.kv_tokens * 95 / 100 {
             Duration::from_millis(500)
         } else {
             Duration::ZERO
         };
-        let token_wait = self.rates.wait(&engine.entry.name, now);
-        let wait = prompts.max(load.time).max(token_wait)
-            + own
-            + self.figures.time_per_call * calls
-            + self.figures.slot_hold_time / engine.entry.slots.max(1) * over
-            + full
+        let token_wait = self.rate_limits.wait(&engine.entry.name, now);
+        let wait = backlog.max(load.time).max(token_wait)
+            + prefill_time
+            + self.estimates.time_per_call * calls
+            + self.estimates.slot_hold_time / engine.entry.slots.max(1) * excess_calls
+            + kv_penalty
             + engine.entry.cold.min(Duration::from_secs(1));
         Some(PlacementCost {
             wait,
             total: wait + load.penalty,
-            loads: load.is_new,
+            needs_load: load.is_new,
         })
     }
 
-    fn load_wait(
+    /// Cost of having the adapter at an engine; none if the engine cannot serve the call.
+    fn load_cost(
         &self,
         engine: &EngineState,
-        ask: &PlacementRequest,
-        crowd: u32,
+        request: &PlacementRequest,
+        loads_ahead: u32,
         now: Instant,
     ) -> Option<LoadCost> {
-        let (model, adapter) = split_subject(&ask.subject);
-        if !engine.has_model(model) || self.lends_older(engine, &ask.subject) {
+        let (model, adapter) = split_subject(&request.subject);
+        if !engine.has_model(model) || self.lends_outdated_cache(engine, &request.subject) {
             return None;
         }
         if adapter.is_none() {
             return Some(LoadCost::default());
         }
-        match engine.copies.get(&ask.subject) {
+        match engine.copies.get(&request.subject) {
             Some(copy) if copy.state != CopyState::Unloading => {
-                let named = self.named_version(&ask.subject);
+                let named = self.named_version(&request.subject);
                 let is_stale = named.is_some_and(|named| copy.is_stale_for(named));
                 match copy.state {
                     CopyState::Loaded | CopyState::Loading(_) if is_stale => None,
@@ -162,11 +165,12 @@
                         ..LoadCost::default()
                     }),
                     CopyState::Queued => Some(LoadCost {
-                        time: self.loads_held(now) + self.loads.expected(&engine.entry.name),
+                        time: self.load_hold_remaining(now)
+                            + self.load_limiter.expected(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     CopyState::ReloadQueued => Some(LoadCost {
-                        time: self.loads.expected(&engine.entry.name),
+                        time: self.load_limiter.expected(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     _ => Some(LoadCost::default()),
@@ -174,31 +178,34 @@
             }
             Some(_) => None,
             None => {
-                if !ask.may_load
+                if !request.may_load
                     || now < self.orders_from
                     || !engine.is_inventory_known
                     || engine.unloading.is_some()
                 {
                     return None;
                 }
-                let waiting = engine.queue.len() + engine.loading_count(now);
-                if waiting >= 2 * COMING_MOST || !self.can_make_room(engine, now) {
+                let pending_loads = engine.queue.len() + engine.loading_count(now);
+                if pending_loads >= 2 * MAX_LOADING_ADAPTERS || !self.can_make_room(engine, now) {
                     return None;
                 }
-                let is_new =
-                    !engine.was_recently_loaded(&ask.subject, self.named_version(&ask.subject));
-                let (time, price) = if is_new {
+                let is_new = !engine
+                    .was_recently_loaded(&request.subject, self.named_version(&request.subject));
+                let (time, penalty) = if is_new {
                     (
-                        self.loads.wait_behind(&engine.entry.name, crowd),
+                        self.load_limiter
+                            .wait_behind(&engine.entry.name, loads_ahead),
                         self.policy.load_penalty,
                     )
                 } else {
-                    (self.figures.reload_time, self.policy.reload_penalty)
+                    (self.estimates.reload_time, self.policy.reload_penalty)
                 };
-                let turn = u32::try_from(engine.queue.len()).unwrap_or(0);
+                let queue_position = u32::try_from(engine.queue.len()).unwrap_or(0);
                 Some(LoadCost {
-                    time: self.loads_held(now) + time + Duration::from_millis(8) * turn,
-                    penalty: price,
+                    time: self.load_hold_remaining(now)
+                        + time
+                        + Duration::from_millis(8) * queue_position,
+                    penalty,
                     is_new,
                 })
             }
@@ -206,11 +213,11 @@
     }
 
     pub(super) fn can_make_room(&self, engine: &EngineState, now: Instant) -> bool {
-        let wanted = engine.copies.len();
-        wanted < self.limits.adapter_slots as usize || self.victim(engine, now).is_some()
+        let count = engine.copies.len();
+        count < self.limits.adapter_slots as usize || self.eviction_victim(engine, now).is_some()
     }
 
-    /// Loads from the store that are on their way in this zone.
+    /// Loads from the weight store in progress in this zone.
     pub(super) fn store_loads_in_flight(&self, now: Instant) -> u32 {
         let loads = self
             .engines
@@ -219,54 +226,63 @@
         u32::try_from(loads.sum::<usize>()).unwrap_or(u32::MAX)
     }
 
-    pub(super) fn loads_waiting(&self) -> u32 {
-        let wanted: usize = self
+    pub(super) fn queued_loads(&self) -> u32 {
+        let count: usize = self
             .engines
             .values()
             .map(|engine| engine.copies.len() - engine.occupied_slots())
             .sum();
-        u32::try_from(wanted).unwrap_or(u32::MAX)
+        u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Orders the load of an adapter whose caller was told to come back, if that drives nothing out: under load most
-    /// places are in use, and what is brought in ahead would go again before its caller is back.
-    pub(super) fn load_ahead(&mut self, name: &TargetName, ask: &PlacementRequest, now: Instant) {
-        let has_adapter = split_subject(&ask.subject).1.is_some();
+    /// Queues the load of an adapter for a refused call, if that evicts nothing. Under load most slots are in use, and an
+    /// adapter that is preloaded would be evicted again before the caller retries.
+    pub(super) fn preload(&mut self, name: &TargetName, request: &PlacementRequest, now: Instant) {
+        let has_adapter = split_subject(&request.subject).1.is_some();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        let has_place = engine.copies.len() < self.limits.adapter_slots as usize;
-        if has_adapter && ask.may_load && has_place && !engine.copies.contains_key(&ask.subject) {
-            engine.queue_load(&ask.subject, now);
-            self.advance(name, now);
+        let has_free_slot = engine.copies.len() < self.limits.adapter_slots as usize;
+        if has_adapter
+            && request.may_load
+            && has_free_slot
+            && !engine.copies.contains_key(&request.subject)
+        {
+            engine.queue_load(&request.subject, now);
+            self.issue_next_order(name, now);
         }
     }
 
-    pub(super) fn send_to(
+    /// Sends a call to an engine, or lets it wait there until the load of its adapter is accepted.
+    pub(super) fn send_or_queue(
         &mut self,
         name: &TargetName,
         key: CallKey,
-        mut ask: PlacementRequest,
+        mut request: PlacementRequest,
         now: Instant,
     ) {
-        // From here on it is this zone's call, also if its load comes to nothing.
-        ask.terms = PlacementTerms::Take;
-        let (_, adapter) = split_subject(&ask.subject);
+        // The zone has taken the call, so a failed load must not decline it on the terms of an offer.
+        request.terms = PlacementTerms::Take;
+        let (_, adapter) = split_subject(&request.subject);
         let is_adapter = adapter.is_some();
         let Some(engine) = self.engines.get_mut(name) else {
             return;
         };
-        if is_adapter && !engine.copies.contains_key(&ask.subject) {
-            engine.queue_load(&ask.subject, now);
+        if is_adapter && !engine.copies.contains_key(&request.subject) {
+            engine.queue_load(&request.subject, now);
         }
-        let copy = engine.copies.get_mut(&ask.subject);
+        let copy = engine.copies.get_mut(&request.subject);
         let wait_ms = match copy {
             Some(copy) if matches!(copy.state, CopyState::Queued | CopyState::ReloadQueued) => {
-                let bound = Duration::from_millis(u64::from(ask.bound_ms));
-                let until = now.after(bound + WAIT_OVERRUN);
-                copy.waiters.push(WaitingCall { key, ask, until });
+                let bound = Duration::from_millis(u64::from(request.bound_ms));
+                let until = now.after(bound + LOAD_WAIT_GRACE);
+                copy.waiters.push(WaitingCall {
+                    key,
+                    request,
+                    until,
+                });
                 copy.last_used_at = now;
-                self.advance(name, now);
+                self.issue_next_order(name, now);
                 return;
             }
             Some(copy) => {
@@ -279,23 +295,23 @@
             }
             None => 0,
         };
-        self.send_after(name, key, &ask, wait_ms, now);
+        self.send_with_wait(name, key, &request, wait_ms, now);
     }
 
-    /// Sends a call once its adapter is there and its engine's limit has room for it.
-    pub(super) fn send_after(
+    /// Sends a call, to arrive when its adapter is loaded and the engine's rate limit has room for it.
+    pub(super) fn send_with_wait(
         &mut self,
         name: &TargetName,
         key: CallKey,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         adapter_ms: u32,
         now: Instant,
     ) {
-        let token_wait = self.rates.wait(name, now);
-        self.rates.take(name, now);
+        let token_wait = self.rate_limits.wait(name, now);
+        self.rate_limits.take(name, now);
         let wait_ms = adapter_ms.max(millis(token_wait));
-        let sent = self.note_sent(name, key.clone(), ask, wait_ms, now);
-        self.answer_send(name, key, &ask.subject, wait_ms, sent);
+        let sent = self.record_sent(name, key.clone(), request, wait_ms, now);
+        self.answer_send(name, key, &request.subject, wait_ms, sent);
     }
 
     fn answer_send(
@@ -304,7 +320,7 @@
         key: CallKey,
         subject: &AdapterName,
         wait_ms: u32,
-        sent: SentHow,
+        sent: SendDetails,
     ) {
         let engine = self.engines.get(name);
         let answer = PlacementAnswer::Send {
@@ -314,56 +330,58 @@
             fetch: sent.fetch,
             expected_ms: millis(sent.expected),
             version: sent.version,
-            is_sought: self.is_sought(subject),
-            is_limited: self.rates.is_limited(name),
+            is_sought: self.is_hot(subject),
+            is_limited: self.rate_limits.is_limited(name),
         };
         self.answer(key, answer);
     }
 
-    /// Counts a call that is sent now; returns what it is sent with.
-    fn note_sent(
+    /// Records a call as sent; returns the details for its answer.
+    fn record_sent(
         &mut self,
         name: &TargetName,
         key: CallKey,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         wait_ms: u32,
         now: Instant,
-    ) -> SentHow {
+    ) -> SendDetails {
         let Some(engine) = self.engines.get(name) else {
-            return SentHow::default();
+            return SendDetails::default();
         };
         let load = Duration::from_millis(u64::from(wait_ms));
-        let sources = self.prompt_sources(ask, now);
-        let work = self.prompt_work(engine, ask, &sources, now);
-        let backlog = engine.prompts.backlog(ask.priority, &self.pace, now);
-        let named = self.named_version(&ask.subject);
-        let moved = work.fetch.map(|source| source.mark.expected());
-        let version = named.or(moved).or(engine.pinned_version(&ask.subject));
-        self.tell_move(name, &key, ask, &sources, work.fetch);
+        let sources = self.cache_sources(request, now);
+        let plan = self.prefill_plan(engine, request, &sources, now);
+        let backlog = engine.prompts.backlog(request.priority, &self.pace, now);
+        let named = self.named_version(&request.subject);
+        let fetched_version = plan.fetch.map(|source| source.mark.expected());
+        let version = named
+            .or(fetched_version)
+            .or(engine.pinned_version(&request.subject));
+        self.record_transfer(name, &key, request, &sources, plan.fetch);
         self.drop_call(&key);
-        if let Some(source) = work.fetch {
-            self.lend_cache(source, ask, &key);
+        if let Some(source) = plan.fetch {
+            self.lend_cache(source, request, &key);
         }
         if let Some(engine) = self.engines.get_mut(name) {
             let prompts = &mut engine.prompts;
-            prompts.add(key.clone(), work.tokens, ask.priority, now.after(load));
-            let call = engine.sent_call(ask);
+            prompts.add(key.clone(), plan.tokens, request.priority, now.after(load));
+            let call = engine.prepare_call(request);
             engine.add_call(key, call);
         }
-        SentHow {
-            expected: backlog.max(load) + work.time,
-            fetch: work.fetch.map(|source| source.address),
+        SendDetails {
+            expected: backlog.max(load) + plan.time,
+            fetch: plan.fetch.map(|source| source.address),
             version,
         }
     }
 }
 
-/// What a call is sent with.
+/// Details of a sent call for its answer.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct SentHow {
+pub(super) struct SendDetails {
     expected: Duration,
     fetch: Option<SocketAddr>,
-    /// The version that it asks for.
+    /// Version that the call asks for.
     version: Option<u64>,
 }
 
@@ -371,22 +389,22 @@
 struct PlacementCost {
     /// Expected wait for the first token.
     wait: Duration,
-    /// The wait, and what the placement costs others.
+    /// The wait plus penalties for what the placement costs other calls.
     total: Duration,
-    /// Whether its adapter has to come from the store.
-    loads: bool,
+    /// Whether the adapter has to be loaded from the store.
+    needs_load: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadCost {
     time: Duration,
     penalty: Duration,
-    /// Whether it is a load from the store that is not planned yet.
+    /// Whether this is a new load from the store, not one that is queued or in progress.
     is_new: bool,
 }
 
-/// Rank by rendezvous hashing, so that equal costs lead an adapter to the same engine.
-fn home_rank(target: &TargetName, subject: &AdapterName) -> u64 {
+/// Rendezvous hash of engine and subject. Breaking ties by it leads an adapter to the same engine at equal costs.
+fn rendezvous_rank(target: &TargetName, subject: &AdapterName) -> u64 {
     use siphasher::sip::SipHasher13;
     use std::hash::{Hash, Hasher};
     let mut hasher = SipHasher13::new();
--- a/crates/core/src/direct/planner/replication.rs
+++ b/crates/core/src/direct/planner/replication.rs
@@ -1,57 +1,59 @@
-//! Second copies of adapters that crowd their engines.
+//! Replication of adapters in high demand.
 //!
-//! A copy that is sought after is cheaper than another one until its engine's places are nearly full, and by then each
-//! newcomer waits for a place. So a copy is brought in elsewhere before that, while nobody waits for it.
+//! By cost alone, an engine that already has the adapter is preferred until its slots are nearly full, and by then each
+//! new call waits for a slot. So another copy is loaded elsewhere before that, while no call waits for it.
 
 use crate::{
     direct::{
         catalog::TargetStage,
         engine::{CopyState, EngineState},
-        planner::{COMING_MOST, ZonePlanner, split_subject},
+        planner::{MAX_LOADING_ADAPTERS, ZonePlanner, split_subject},
     },
     ids::{AdapterName, Instant, TargetName},
 };
 
 impl ZonePlanner {
-    /// Brings in another copy of an adapter that was just asked for, if all engines that have it are crowded by it.
-    pub(super) fn spread(&mut self, subject: &AdapterName, now: Instant) {
+    /// Loads another copy of an adapter that was just requested, if all its engines are crowded by calls for it and the
+    /// weight store has capacity to spare.
+    pub(super) fn replicate_if_crowded(&mut self, subject: &AdapterName, now: Instant) {
         if split_subject(subject).1.is_none() || now < self.orders_from {
             return;
         }
-        let under_way = self.store_loads_in_flight(now) + self.loads_waiting();
-        let spare = f64::from(self.loads.limit()) * self.policy.speculative_load_fraction;
-        if f64::from(under_way) >= spare || !self.is_crowded_by(subject, now) {
+        let in_flight = self.store_loads_in_flight(now) + self.queued_loads();
+        let spare_limit =
+            f64::from(self.load_limiter.limit()) * self.policy.speculative_load_fraction;
+        if f64::from(in_flight) >= spare_limit || !self.is_crowded_by_adapter(subject, now) {
             return;
         }
-        let Some(name) = self.calmest_without(subject, now) else {
+        let Some(name) = self.least_loaded_without(subject, now) else {
             return;
         };
         if let Some(engine) = self.engines.get_mut(&name) {
             engine.queue_load(subject, now);
-            self.advance(&name, now);
+            self.issue_next_order(&name, now);
         }
     }
 
-    /// Whether calls for one adapter take so much of the zone that others should have it too.
-    pub(super) fn is_sought(&self, subject: &AdapterName) -> bool {
+    /// Whether calls for an adapter occupy so many of the zone's slots that other zones should load it too.
+    pub(super) fn is_hot(&self, subject: &AdapterName) -> bool {
         if split_subject(subject).1.is_none() {
             return false;
         }
-        let (mut places, mut active_calls) = (0, 0);
+        let (mut slots, mut active_calls) = (0, 0);
         for engine in self.engines.values() {
             if engine.entry.stage == TargetStage::Ready {
-                places += engine.entry.slots;
+                slots += engine.entry.slots;
             }
             active_calls += engine
                 .copies
                 .get(subject)
                 .map_or(0, |copy| copy.active_calls);
         }
-        f64::from(active_calls) >= f64::from(places.max(1)) * self.policy.hot_adapter_fraction
+        f64::from(active_calls) >= f64::from(slots.max(1)) * self.policy.hot_adapter_fraction
     }
 
-    /// Whether every copy is there, in use, and on an engine that it crowds.
-    fn is_crowded_by(&self, subject: &AdapterName, now: Instant) -> bool {
+    /// Whether every copy is loaded and in use on a crowded engine where it accounts for a large share of the calls.
+    fn is_crowded_by_adapter(&self, subject: &AdapterName, now: Instant) -> bool {
         let mut copies = self
             .engines
             .values()
@@ -67,8 +69,8 @@
             })
     }
 
-    /// The engine with the fewest calls that could take a copy.
-    fn calmest_without(&self, subject: &AdapterName, now: Instant) -> Option<TargetName> {
+    /// Engine with the fewest calls that could load a copy.
+    fn least_loaded_without(&self, subject: &AdapterName, now: Instant) -> Option<TargetName> {
         let (model, _) = split_subject(subject);
         self.engines
             .iter()
@@ -78,7 +80,7 @@
                     && engine.unloading.is_none()
                     && engine.has_model(model)
                     && !engine.copies.contains_key(subject)
-                    && engine.queue.len() + engine.loading_count(now) < COMING_MOST
+                    && engine.queue.len() + engine.loading_count(now) < MAX_LOADING_ADAPTERS
                     && !self.is_crowded(engine, now)
                     && !self.health.is_doubted(name)
                     && !self.health.is_out(name, now)
@@ -89,8 +91,8 @@
     }
 
     fn is_crowded(&self, engine: &EngineState, now: Instant) -> bool {
-        let places = f64::from(engine.entry.slots.max(1));
-        engine.calls.len() as f64 >= places * self.policy.crowded_slot_fraction
+        let slots = f64::from(engine.entry.slots.max(1));
+        engine.calls.len() as f64 >= slots * self.policy.crowded_slot_fraction
             || engine.prompts.backlog(u8::MAX, &self.pace, now) >= self.policy.crowded_backlog
     }
 }
--- a/crates/core/src/direct/planner/suspects.rs
+++ b/crates/core/src/direct/planner/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines ended: where they may still go.
+//! Placement of suspect requests: those that were running when an engine ended.
 
 use crate::{
     direct::{
@@ -10,33 +10,33 @@
 };
 use std::{collections::HashSet, time::Duration};
 
-/// What an engine counts on which another request runs that was there when the same engine ended: any other engine is
-/// better, so that a second end tells which of the two is the cause.
-pub(super) const SHARED_END_PRICE: Duration = Duration::from_secs(10);
+/// Penalty for an engine that runs another request which was at the same engine when that ended. Any other engine is
+/// preferred, so that a second end shows which of the two requests is the cause.
+pub(super) const SHARED_SUSPECT_PENALTY: Duration = Duration::from_secs(10);
 
 impl ZonePlanner {
-    /// An engine ended while a request ran there.
+    /// Records that an engine ended while a request ran there.
     pub fn target_ended(&mut self, ended: &EndedUnder, now: Instant) {
         self.suspects.note_ended(ended, now);
     }
 
-    /// A trial of a request was answered well.
+    /// Clears a request after a successful trial.
     pub fn clear_suspicion(&mut self, fingerprint: RequestFingerprint) {
         self.suspects.pardon(fingerprint);
     }
 
-    /// Takes over what is known of requests under which engines ended.
+    /// Replaces the table of suspect requests.
     pub fn set_suspects(&mut self, suspects: SuspectTable) {
         self.suspects = suspects;
     }
 
-    /// Whether a request may be sent as a trial only.
+    /// Whether a request may run as a granted trial only.
     pub(super) fn needs_trial(&self, fingerprint: RequestFingerprint, now: Instant) -> bool {
         self.suspects.suspicion(fingerprint, now) != Suspicion::Clear
     }
 
-    /// Engines on which another request runs that was at a target which ended under this one.
-    pub(super) fn shared_ends(
+    /// Engines that run another request suspected of the same end as this one.
+    pub(super) fn engines_sharing_ends(
         &self,
         fingerprint: RequestFingerprint,
         now: Instant,
