--- a/crates/core/src/direct/demand.rs
+++ b/crates/core/src/direct/demand.rs
@@ -1,23 +1,23 @@
-//! How often each adapter is asked for, as a decayed count.
+//! Demand for each adapter, as an exponentially decayed count of requests.
 //!
-//! Idle adapters are forgotten when twice as many are known as the last time, so that a request costs the same whether a
-//! hundred or tens of thousands are asked for.
+//! Idle adapters are removed whenever the table has doubled since the last removal, so the amortized cost of a request
+//! does not depend on the number of adapters.
 
 use crate::ids::{AdapterName, Instant};
 use std::collections::HashMap;
 
 /// Half-life of a count, in seconds.
 const HALF_LIFE_S: f64 = 15.0;
-/// Adapters up to which none is forgotten.
-const KEPT_LEAST: usize = 4096;
-/// Time without a request after which an adapter counts as idle, in microseconds.
-const IDLE_MICROS: u64 = 60_000_000;
+/// Table size up to which no adapter is removed.
+const MIN_SWEEP_SIZE: usize = 4096;
+/// Time without a request after which an adapter is idle, in microseconds.
+const IDLE_TIMEOUT_MICROS: u64 = 60_000_000;
 
-/// Decayed counts by adapter; an idle adapter takes no memory.
+/// Decayed request counts by adapter.
 #[derive(Clone, Debug)]
 pub struct DemandTable {
     counts: HashMap<AdapterName, (f64, Instant)>,
-    /// Adapters from which idle ones are forgotten next.
+    /// Table size above which idle adapters are removed next.
     sweep_from: usize,
 }
 
@@ -25,36 +25,36 @@
     fn default() -> Self {
         Self {
             counts: HashMap::new(),
-            sweep_from: KEPT_LEAST,
+            sweep_from: MIN_SWEEP_SIZE,
         }
     }
 }
 
 impl DemandTable {
-    /// A request for an adapter came.
+    /// Counts a request for an adapter.
     pub fn record(&mut self, adapter: &AdapterName, now: Instant) {
         let count = self.count(adapter, now) + 1.0;
         self.counts.insert(adapter.clone(), (count, now));
         if self.counts.len() > self.sweep_from {
-            let oldest = now.0.saturating_sub(IDLE_MICROS);
+            let oldest = now.0.saturating_sub(IDLE_TIMEOUT_MICROS);
             self.counts.retain(|_, (_, at)| at.0 > oldest);
-            self.sweep_from = (2 * self.counts.len()).max(KEPT_LEAST);
+            self.sweep_from = (2 * self.counts.len()).max(MIN_SWEEP_SIZE);
         }
     }
 
-    /// Adapters that are known.
+    /// Number of adapters in the table.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether none is known.
+    /// Whether the table is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// The decayed count of an adapter.
+    /// Decayed count of requests for an adapter.
     #[must_use]
     pub fn count(&self, adapter: &AdapterName, now: Instant) -> f64 {
         self.counts.get(adapter).map_or(0.0, |(count, at)| {
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Requests a second, as far as the count shows it.
+    /// Requests per second for an adapter, estimated from the decayed count.
     #[must_use]
     pub fn rate(&self, adapter: &AdapterName, now: Instant) -> f64 {
         self.count(adapter, now) * std::f64::consts::LN_2 / HALF_LIFE_S
--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -1,9 +1,9 @@
-//! Which memory of prompts other engines may take from an engine.
+//! Tracking of the versions that made an engine's KV cache, to decide which cache other engines may fetch.
 //!
-//! Nothing on the way from one engine to another says which weights made the memory that moves, and the engine that takes it
-//! does not look: where some engines have newer weights than their neighbours, callers would get answers that are computed from
-//! two versions. So memory moves only if its versions are known, of the base model as well as of the adapter, and are those that
-//! the call runs under.
+//! A cache transfer does not state which weights made the cache, and the fetching engine does not check. Where some
+//! engines have newer weights than others, an unchecked transfer would give callers answers that mix two versions. So
+//! cache is transferred only if the versions of base model and adapter that made it are known and are those that the call
+//! runs under.
 
 use crate::{
     direct::{
@@ -15,23 +15,23 @@
 };
 use std::sync::Arc;
 
-/// Memory of a prompt that an engine can lend.
+/// KV cache of a prompt prefix that an engine can lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendableCache {
-    /// What made it.
+    /// Versions that made the cache.
     pub mark: MemoryMark,
-    /// Its tokens.
+    /// Length of the prefix, in tokens.
     pub tokens: u32,
 }
 
 impl EngineState {
-    /// Marks another loading of a base model or an adapter.
+    /// Allocates the generation of another load of a base model or an adapter.
     pub(super) fn next_generation(&mut self) -> u64 {
         self.last_generation += 1;
         self.last_generation
     }
 
-    /// Versions of what makes its memory of a prompt, as far as is known.
+    /// Versions that make KV cache for a subject here, as far as known.
     #[must_use]
     pub fn memory_versions(&self, subject: &AdapterName) -> MemoryVersions {
         MemoryVersions {
@@ -52,14 +52,14 @@
             .find(|loaded| loaded.name.as_str() == model)
     }
 
-    /// The version of the base model by the engine's own word; its entry in the list may be from before it started again.
+    /// Version of the base model as stated by the engine itself. Its entry in the platform's list may predate a restart.
     fn reported_base_version(&self, subject: &AdapterName) -> Option<u64> {
         let known_version = self.base_model(subject)?.known_version?;
         (known_version.teller != VersionTeller::List).then_some(known_version.version)
     }
 
-    /// The version that a call has to ask for so that it runs under no other than the one that is known here. A copy that is
-    /// replaced unseen, by a late order of an earlier holder, would else make memory that is taken for the known version's.
+    /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order of
+    /// an earlier holder replaced unnoticed would make KV cache that is taken for the known version's.
     #[must_use]
     pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Which loading of an adapter, or of a base model, a call that is sent now will run on.
+    /// Generation of the adapter or base model on which a call sent now will run.
     #[must_use]
     pub fn generation(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes over the base models that a report lists.
+    /// Updates the base models from a report.
     pub(super) fn update_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes over what told the version of a base model.
+    /// Records an observed version of a base model.
     fn observe_base_version(&mut self, model: &str, known_version: Option<VersionSight>) {
         let known = self
             .loaded_model(model)
@@ -113,8 +113,8 @@
         }
     }
 
-    /// A base model was loaded anew, or may have been: what was read before is worth nothing now, for its adapters
-    /// neither. A sight that goes takes its generation with it, so that no later one speaks for what was read before.
+    /// Invalidates the KV cache of a base model that was, or may have been, loaded again, and that of its adapters. The
+    /// generations change together with the known version, so that no later observation applies to cache made before.
     fn invalidate_cache(&mut self, model: &str) {
         let generation = self.next_generation();
         for loaded in &mut self.models {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// An adapter is loaded, or replaced: until that has ended nobody knows what is there.
+    /// Invalidates a copy whose load or replacement is ordered: its version is unknown until that has ended.
     pub fn invalidate_copy(&mut self, subject: &AdapterName) {
         let generation = self.next_generation();
         if let Some(copy) = self.copies.get_mut(subject) {
@@ -141,8 +141,10 @@
         self.mark_unlisted();
     }
 
-    /// It has taken an order. One that expects none before it is taken as well by an engine that has started again
-    /// unseen, with other weights: its next answer or report tells.
+    /// Records that the engine accepted an order.
+    ///
+    /// An order with sequence number 0 is also accepted by an engine that has restarted unnoticed, with other weights, so
+    /// its KV cache counts as invalid until its next answer or report.
     pub fn record_accepted_order(&mut self, order: &EngineOrder) {
         if order.expected == 0 {
             let models: Vec<_> = self
@@ -156,8 +158,8 @@
         }
     }
 
-    /// Takes over versions from the list for copies of which nothing else told them. An entry may be seconds old, so it
-    /// speaks of a copy only if the list has been seen without it since it was loaded.
+    /// Applies versions from the platform's list to copies whose version is unknown. An entry may be seconds old, so it
+    /// applies to a copy only if the list was seen without the adapter since the load.
     pub(super) fn apply_listed_versions(&mut self, now: Instant) {
         if !self.is_inventory_known || self.pending.is_some() || self.is_entry_outdated {
             return;
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Notes which copies the list is without.
+    /// Marks the copies that the platform's list does not contain.
     pub(super) fn mark_unlisted(&mut self) {
         for (subject, copy) in &mut self.copies {
             let mut listed = self.entry.adapters.iter();
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Where a changed entry tells other weights of a base model than are known, nobody knows which are there until the
-    /// report tells.
+    /// Invalidates base models for which a changed entry lists another version than the known one, and requests a report to
+    /// learn which is loaded.
     pub(super) fn check_listed_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
@@ -197,8 +199,8 @@
         }
     }
 
-    /// Notes that a call's prompt has been read by this version of the base model. What comes from before its adapter
-    /// or its base model was loaded anew says nothing.
+    /// Records that the prompt of a call was read under this version of the base model. Ignored if the adapter or base model
+    /// was loaded again since the call was sent.
     pub fn record_prompt_read(&mut self, key: &CallKey, version: u64, now: Instant) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
@@ -216,7 +218,7 @@
         self.read_segments.insert(&subject, generation, &shared);
     }
 
-    /// A call that is sent to it now.
+    /// Creates the record of a call that is sent now, and records its prompt segments as sent.
     pub fn prepare_call(&mut self, request: &PlacementRequest) -> SentCall {
         let shared = shared_segments(&request.prefix);
         let generation = self.generation(&request.subject);
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Tokens at the start of a prompt that it has likely kept.
+    /// Length of the prompt prefix that the engine has likely kept in its KV cache, in tokens.
     #[must_use]
     pub fn cached_tokens(&self, request: &PlacementRequest) -> u32 {
         let generation = self.generation(&request.subject);
@@ -243,7 +245,7 @@
         })
     }
 
-    /// Memory of a prompt that it has read, of which it is known what made it.
+    /// KV cache of a prompt prefix that the engine has read under known versions.
     #[must_use]
     pub fn lendable_cache(&self, request: &PlacementRequest) -> Option<LendableCache> {
         let subject = &request.subject;
@@ -258,8 +260,8 @@
         let adapter = match split_subject(subject).1 {
             Some(_) => {
                 let copy = self.copies.get(subject)?;
-                let is_here = copy.state == CopyState::Loaded;
-                Some(copy.known_version.filter(|_| is_here)?.version)
+                let is_loaded = copy.state == CopyState::Loaded;
+                Some(copy.known_version.filter(|_| is_loaded)?.version)
             }
             None => None,
         };
@@ -267,40 +269,43 @@
         Some(LendableCache { mark, tokens })
     }
 
-    /// Whether a call may use memory with this mark here. Where nobody knows the version of the adapter here, the call has to
-    /// name the one that it expects: the engine turns it away if it has another, and then its report comes first.
+    /// Whether a call here may use KV cache with this mark. If the version of the adapter here is unknown, the call asks
+    /// for the version that made the cache. The engine rejects the call if it has another version, and its report is then
+    /// read before the next transfer.
     #[must_use]
     pub fn can_use_cache(
         &self,
         mark: MemoryMark,
         subject: &AdapterName,
-        named: Option<u64>,
+        named_version: Option<u64>,
     ) -> bool {
         let own = self.copies.get(subject).and_then(|copy| copy.known_version);
-        let is_fit = match (
+        let is_usable = match (
             mark.adapter,
-            named.or(own.map(|known_version| known_version.version)),
+            named_version.or(own.map(|known_version| known_version.version)),
         ) {
             (None, _) => true,
             (Some(_), None) => self.report_due_at.is_none() && !self.is_reporting,
             (made_by, known) => made_by == known,
         };
-        self.is_inventory_known && is_fit && self.reported_base_version(subject) == Some(mark.base)
+        self.is_inventory_known
+            && is_usable
+            && self.reported_base_version(subject) == Some(mark.base)
     }
 
-    /// Holds a copy as it is until a call elsewhere has its memory.
+    /// Pins a copy until a call at another engine has fetched its KV cache.
     pub fn lend_cache(&mut self, subject: &AdapterName, key: &CallKey) {
         if let Some(copy) = self.copies.get_mut(subject) {
             copy.borrowers.push(key.clone());
         }
     }
 
-    /// A call elsewhere has the memory, or does not need it any more. One whose gateway can't be reached may yet take
-    /// it until a time.
-    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, pinned_until: Instant) {
+    /// Ends the loan to a call that has fetched the KV cache or no longer needs it. The copy stays pinned until
+    /// `lent_until`, up to which a call of an unreachable gateway may still fetch.
+    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, lent_until: Instant) {
         if let Some(copy) = self.copies.get_mut(subject) {
             copy.borrowers.retain(|borrower| borrower != key);
-            copy.lent_until = copy.lent_until.max(pinned_until);
+            copy.lent_until = copy.lent_until.max(lent_until);
         }
     }
 }
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -1,4 +1,4 @@
-//! What an engine holds, and the calls sent to it.
+//! Adapters and base models that an engine holds, and the calls sent to it.
 
 use crate::{
     direct::{
@@ -11,56 +11,58 @@
     ids::{AdapterName, Instant},
 };
 
-/// State of one adapter at an engine.
+/// State of an adapter copy at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyState {
-    /// Its load waits for its turn.
+    /// The load waits in the order queue.
     Queued,
-    /// It is there in an old version, and the load of the new one waits for its turn.
+    /// An old version is loaded, and the load of the new one waits in the order queue.
     ReloadQueued,
-    /// It is on its way, and there at this time.
+    /// The load is in progress and expected to finish at this time.
     Loading(Instant),
-    /// It is there.
+    /// The adapter is loaded.
     Loaded,
-    /// It goes once its runs have ended.
+    /// The unload was accepted and takes effect once the calls on the copy have ended.
     Unloading,
 }
 
-/// A call that waits for a load to be accepted.
+/// Call that waits until the engine accepts the load of its adapter.
 #[derive(Clone, Debug)]
 pub struct WaitingCall {
-    /// The call.
+    /// Key of the call.
     pub key: CallKey,
-    /// What it asks for.
+    /// Placement request of the call.
     pub request: PlacementRequest,
-    /// When it is given up, as its load takes longer than it can bear.
+    /// Time at which the call is refused if the load has not been accepted.
     pub until: Instant,
 }
 
-/// One adapter at an engine.
+/// Copy of an adapter at an engine.
 #[derive(Clone, Debug)]
 pub struct AdapterCopy {
-    /// Its state.
+    /// Load state.
     pub state: CopyState,
-    /// Its version, if anything told it.
+    /// Version, with the source of that knowledge, if known.
     pub known_version: Option<VersionSight>,
-    /// Which copy this is: another one after each load, so that no memory outlives what made it.
+    /// Generation of the copy. It changes with each load, so that KV cache of earlier weights is not used.
     pub generation: u64,
-    /// Calls sent to it that have not ended.
+    /// Calls sent to the copy that have not ended.
     pub active_calls: u32,
-    /// Calls that wait for its load to be accepted.
+    /// Calls that wait for the load to be accepted.
     pub waiters: Vec<WaitingCall>,
-    /// When it was last asked for.
+    /// Time of the last call for the adapter.
     pub last_used_at: Instant,
-    /// Until when calls that nobody counts any more may still run on it.
+    /// Time until which untracked calls may still run on the copy.
     pub pinned_until: Instant,
-    /// Whether the list was seen without it since it was last loaded, so that what the list says of it now is of this loading.
+    /// Whether the platform's list was seen without the adapter since the last load. Only then does a listed version
+    /// describe this load.
     pub was_unlisted: bool,
-    /// Calls elsewhere whose engines take memory that it made: until they have begun it is neither replaced nor unloaded.
+    /// Calls at other engines that fetch KV cache from this copy. It is neither replaced nor unloaded until they have
+    /// started.
     pub borrowers: Vec<CallKey>,
-    /// Until when calls elsewhere that nobody counts may still take its memory.
+    /// Time until which untracked calls at other engines may still fetch KV cache from the copy.
     pub lent_until: Instant,
-    /// The load that brought it here from the weight store.
+    /// Load from the weight store that created the copy, if there was one.
     pub load: Option<StoreLoad>,
 }
 
@@ -86,13 +88,13 @@
         }
     }
 
-    /// Holds it as it is while gateways tell of calls that they had open before.
+    /// Pins the copy while gateways report their open calls to a new holder.
     pub(super) fn pin_for_adoption(&mut self, now: Instant) {
         self.pinned_until = now.after(CALL_ADOPTION_TIMEOUT);
         self.lent_until = now.after(CALL_ADOPTION_TIMEOUT);
     }
 
-    /// Whether nothing runs on it, waits for it or takes its memory.
+    /// Whether no call runs on the copy, waits for it or fetches its KV cache.
     #[must_use]
     pub fn is_unused(&self, now: Instant) -> bool {
         self.active_calls == 0
@@ -101,43 +103,45 @@
             && now >= self.pinned_until
     }
 
-    /// Whether it may be replaced: what another engine takes of it would be the new version's. One that is unloaded
-    /// lends nothing.
+    /// Whether the copy may be replaced by another version.
+    ///
+    /// This is stricter than for an unload: an unloaded copy lends nothing, while a fetch from a replaced copy would get
+    /// KV cache of the new version.
     #[must_use]
     pub fn is_replaceable(&self, now: Instant) -> bool {
         self.is_unused(now) && now >= self.lent_until
     }
 
-    /// Whether it has to be replaced now that a version is named: it is older, or nobody knows what it is.
+    /// Whether the copy has to be replaced for a named version: its version is older or unknown.
     #[must_use]
-    pub fn is_stale_for(&self, named: u64) -> bool {
+    pub fn is_stale_for(&self, named_version: u64) -> bool {
         self.known_version
-            .is_none_or(|known_version| known_version.version < named)
+            .is_none_or(|known| known.version < named_version)
     }
 }
 
-/// A base model that an engine holds.
+/// Base model that an engine holds.
 #[derive(Clone, Debug)]
 pub struct LoadedModel {
-    /// Its name.
+    /// Name of the model.
     pub name: AdapterName,
-    /// Its version, if anything told it.
+    /// Version, with the source of that knowledge, if known.
     pub known_version: Option<VersionSight>,
-    /// Which loading of it this is, as for a copy.
+    /// Generation, as for an adapter copy.
     pub generation: u64,
 }
 
-/// A call that runs at an engine.
+/// Call that was sent to an engine.
 #[derive(Clone, Debug)]
 pub struct SentCall {
-    /// Its adapter.
+    /// Subject of the call: `model`, or `model/adapter`.
     pub subject: AdapterName,
-    /// Tokens that it may take in memory.
+    /// KV cache tokens that the call may occupy.
     pub tokens: u64,
-    /// Parts of its prompt that others may share.
+    /// Prompt segments that other calls may share.
     pub shared: Vec<u64>,
-    /// Generation of the copy that it was sent to, if it is known.
+    /// Generation of the subject that the call was sent to, if known.
     pub generation: Option<u64>,
-    /// The request by what it asks, if it is known.
+    /// Fingerprint of the request, if known.
     pub fingerprint: Option<RequestFingerprint>,
 }
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -1,11 +1,14 @@
-//! One engine in its holder's view: what it holds, what is on its way, and the calls sent to it.
+//! State of one engine as its zone holder knows it: loaded adapters, loads in progress, queued orders and running calls.
 //!
-//! | module | job |
+//! The state comes from the engine's reports, its entry in the platform's list, the outcomes of orders and the calls that
+//! the planner placed. A *life* is one run of the engine process; a restart under the same name begins another one.
+//!
+//! | module | contents |
 //! |---|---|
-//! | `orders` | what it is ordered, and what it reports |
-//! | `copies` | what it holds, and the calls sent to it |
-//! | `prefix_cache` | what it has likely kept of prompts |
-//! | `cache_lending` | which memory of prompts others may take from it |
+//! | `orders` | orders to the engine and its reports |
+//! | `copies` | adapters and base models that the engine holds, and the calls sent to it |
+//! | `prefix_cache` | prompt prefixes in the engine's KV cache |
+//! | `cache_lending` | versions that made the KV cache, and which of it other engines may fetch |
 
 mod cache_lending;
 mod copies;
@@ -33,70 +36,73 @@
     time::Duration,
 };
 
-/// Time for which a call may run on at an engine though its gateway is gone.
+/// Time for which a call may continue at an engine after its gateway is gone.
 pub const ORPHANED_CALL_TTL: Duration = Duration::from_millis(2_500);
-/// Time within which gateways tell a new holder of the calls that they have open; until then an adapter that only the
-/// engine's report shows may be in use.
+/// Time within which gateways report their open calls to a new holder. Until then, an adapter that is known only from the
+/// engine's report or the platform's list may be in use.
 pub const CALL_ADOPTION_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time after which an adapter that a report lists as coming is taken for there.
+/// Time assumed until an adapter that a report lists as loading is loaded.
 const REPORTED_LOAD_TIME: Duration = Duration::from_millis(100);
-/// Age that a report may have.
+/// Maximum age of a report. Within this time after an order, a report with a lower sequence number is discarded; later
+/// such a report means that the engine has restarted.
 const MAX_REPORT_LAG: Duration = Duration::from_millis(600);
-/// Time after which an order without an answer is no longer carried out; the users tell of 12 seconds at the most.
+/// Time after which an unanswered order is no longer carried out. Engines are specified to take up to 12 seconds.
 pub const UNANSWERED_ORDER_TTL: Duration = Duration::from_millis(12_500);
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// How the platform lists it.
+    /// Entry in the platform's list.
     pub entry: Arc<TargetEntry>,
-    /// Orders that it has taken, as far as known.
+    /// Sequence number: orders accepted by the engine in this life, as far as known.
     pub sequence: u64,
-    /// Whether what it holds is known from its own report since the holder began.
+    /// Whether the engine's inventory is known from a report of its own since the holder started. Cleared by a conflict, a
+    /// refusal or an unanswered order.
     pub is_inventory_known: bool,
-    /// Base models that it holds.
+    /// Loaded base models.
     pub models: Vec<LoadedModel>,
-    /// Base models that it loads without the weight store.
+    /// Base models that the engine can load from a local copy, without the weight store.
     pub local_models: Vec<AdapterName>,
-    /// Its adapters.
+    /// Adapter copies, including those whose load is queued.
     pub copies: HashMap<AdapterName, AdapterCopy>,
-    /// Calls sent to it.
+    /// Calls sent to the engine that have not ended.
     pub calls: HashMap<CallKey, SentCall>,
-    /// Orders that wait for their turn.
+    /// Orders that have not been sent yet.
     pub queue: VecDeque<(OrderKind, AdapterName)>,
-    /// The order whose answer is awaited.
+    /// Order whose answer is outstanding.
     pub pending: Option<EngineOrder>,
-    /// An adapter that goes once its runs have ended; until then the engine takes no other order.
+    /// Adapter that is unloaded once its calls have ended. Until then the engine accepts no other order.
     pub unloading: Option<AdapterName>,
     late_loads: Vec<LateLoad>,
-    /// Whether its reports say which life they are from.
+    /// Whether the engine's reports state their life.
     reports_life: bool,
-    /// When it last took an order.
+    /// Time of the last answer to an order.
     pub ordered_at: Instant,
-    /// When its report should be read.
+    /// Time at which the report is to be read next; none if that is not due.
     pub report_due_at: Option<Instant>,
-    /// Whether its report is being read.
+    /// Whether the report is being read.
     pub is_reporting: bool,
-    /// The prompts that it has to read.
+    /// Prompts that the engine has not read yet.
     pub prompts: PromptQueue,
-    /// Adapters that it had, with the version that was named then.
+    /// Recently loaded adapters with the version that was named then; the oldest first.
     recent_loads: VecDeque<(AdapterName, Option<u64>)>,
-    /// Parts of the prompts that were sent, by generation.
+    /// Segments of prompts sent to the engine.
     sent_segments: PrefixTable,
-    /// Parts of the prompts that were read here, by generation.
+    /// Segments of prompts known to have been read by the engine.
     read_segments: PrefixTable,
-    /// Whether its count of orders has moved by one of this holder, so that none of an earlier one is carried out any more.
+    /// Whether the engine has accepted an order of this holder. Orders of an earlier holder then have a lower sequence number
+    /// and are no longer carried out.
     pub has_accepted_order: bool,
-    /// When its report was last taken over.
+    /// Time at which a report was last applied.
     pub reported_at: Instant,
-    /// Whether the list's entry is from before the engine was seen to start again.
+    /// Whether the platform's entry predates a restart of the engine that its reports have shown.
     is_entry_outdated: bool,
-    /// Generations given out.
+    /// Last generation allocated.
     last_generation: u64,
     tokens_sent: u64,
 }
 
-/// A load that was ordered and not answered: it may be carried out while the engine has taken this many orders.
+/// Unanswered load order, which may be carried out once the engine's sequence number equals `expected`.
 #[derive(Clone, Copy, Debug)]
 struct LateLoad {
     expected: u64,
@@ -104,7 +110,7 @@
 }
 
 impl EngineState {
-    /// An engine as listed; its report has yet to be read.
+    /// Creates the state of a listed engine, whose report is due at once.
     #[must_use]
     pub fn new(entry: Arc<TargetEntry>, now: Instant) -> Self {
         let mut engine = Self {
@@ -153,8 +159,8 @@
         engine
     }
 
-    /// The engine in a newer life, which knows nothing of before. An adapter's load that was ordered before and not
-    /// answered may yet be carried out in the new life, once as many orders were taken as it expects.
+    /// Creates the state of the engine after a restart, which loses everything but its unanswered adapter loads. These may
+    /// still be carried out in the new life, once it has accepted as many orders as they expect.
     #[must_use]
     pub fn restarted(&self, entry: Arc<TargetEntry>, now: Instant) -> Self {
         let mut engine = Self::new(entry, now);
@@ -166,8 +172,8 @@
         engine
     }
 
-    /// Takes over how it is listed now. A report may have told of a new life before the list does, and then what is listed
-    /// of an older one says nothing; a list that tells no lives goes on to say whether the engine takes work.
+    /// Updates the platform's entry. An entry of an older life, which a report may have superseded before the list did, is
+    /// ignored. An entry without a life is applied to the current one, as it still tells whether the engine accepts work.
     pub fn update_entry(&mut self, entry: Arc<TargetEntry>, now: Instant) {
         let life = self.entry.life;
         if entry.life == life {
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Notes an order whose answer did not come.
+    /// Records an order that was not answered.
     pub fn record_unanswered_order(&mut self, order: &EngineOrder, now: Instant) {
         self.late_loads.retain(|late| now < late.until);
         if order.kind == OrderKind::Load && split_subject(&order.subject).1.is_some() {
@@ -196,8 +202,8 @@
         }
     }
 
-    /// Places that loads without an answer may yet take: of this life until another order was taken, of an earlier one
-    /// until as many were taken as they expect.
+    /// Number of adapter slots that unanswered loads may still take: those that expect the current sequence number or a
+    /// later one.
     #[must_use]
     pub fn late_load_slots(&self, now: Instant) -> usize {
         let late = self.late_loads.iter();
@@ -205,7 +211,7 @@
             .count()
     }
 
-    /// Whether a report is from the life that is known. One that does not say so is from before, if others of the engine do.
+    /// Whether a report is from the current life. If the engine's reports state their life, one that does not is outdated.
     pub fn is_from_current_life(&mut self, report: &EngineReport) -> bool {
         let unknown = TargetLife::default();
         if report.life == unknown && !self.reports_life {
@@ -215,7 +221,7 @@
         report.life == self.entry.life
     }
 
-    /// Whether a report is older than orders that the engine is known to have taken.
+    /// Whether a report predates orders that the engine is known to have accepted.
     #[must_use]
     pub fn is_report_stale(&self, report: &EngineReport, now: Instant) -> bool {
         self.is_inventory_known
@@ -223,11 +229,11 @@
             && now.since(self.ordered_at) < MAX_REPORT_LAG
     }
 
-    /// Takes over what the engine reports. Copies whose load waits here are kept.
+    /// Applies a report. Copies whose load is queued are kept.
     pub fn apply_report(&mut self, report: &EngineReport, now: Instant) {
         self.is_inventory_known = true;
-        let was_told = self.reported_at > Instant::default();
-        self.is_entry_outdated |= was_told && report.orders_taken < self.sequence;
+        let has_earlier_report = self.reported_at > Instant::default();
+        self.is_entry_outdated |= has_earlier_report && report.orders_taken < self.sequence;
         self.reported_at = now;
         self.sequence = report.orders_taken;
         self.update_models(&report.models, now);
@@ -244,7 +250,7 @@
             self.copies.insert(adapter.clone(), copy);
         }
         for (adapter, mut copy) in old {
-            // One that was to be replaced and has gone is brought in anew for whoever waits.
+            // A copy that was to be reloaded and is gone is queued as a new load if calls wait for it.
             let is_awaited = copy.state == CopyState::ReloadQueued && !copy.waiters.is_empty();
             if is_awaited {
                 copy.state = CopyState::Queued;
@@ -257,7 +263,7 @@
         }
         self.mark_unlisted();
         if report.requests == 0 {
-            // Nothing runs that nobody counts: what was held for it may make way.
+            // No untracked calls run, so the copies pinned for them may be evicted.
             for copy in self.copies.values_mut() {
                 copy.pinned_until = Instant::default();
             }
@@ -272,7 +278,7 @@
         }
     }
 
-    /// A copy as reported, with what is known of it already.
+    /// Combines a reported copy with what is already known of it.
     fn refreshed_copy(
         &mut self,
         old: &mut HashMap<AdapterName, AdapterCopy>,
@@ -282,7 +288,7 @@
         now: Instant,
     ) -> AdapterCopy {
         let known_version = VersionSight::told(version, VersionTeller::Report, now);
-        // One that is being replaced is listed twice: as it is, and as it comes.
+        // A copy that is being replaced is reported twice: as loaded and as loading.
         let known = old.remove(adapter).or_else(|| self.copies.remove(adapter));
         let Some(known) = known else {
             let generation = self.next_generation();
@@ -290,13 +296,14 @@
             copy.pin_for_adoption(now);
             return copy;
         };
-        // The list may have told it as it was before.
-        let known_sight = known
+        // A version from the platform's list may be outdated.
+        let reliable_version = known
             .known_version
             .filter(|known| known.teller != VersionTeller::List);
-        let is_other = VersionMatch::of(known.known_version, known_version) == VersionMatch::Unlike
-            || (known.known_version != known_sight && known_version.is_none());
-        let generation = if is_other {
+        let has_changed = VersionMatch::of(known.known_version, known_version)
+            == VersionMatch::Unlike
+            || (known.known_version != reliable_version && known_version.is_none());
+        let generation = if has_changed {
             self.next_generation()
         } else {
             known.generation
@@ -307,19 +314,19 @@
         };
         AdapterCopy {
             state,
-            known_version: known_version.or(known_sight),
+            known_version: known_version.or(reliable_version),
             generation,
             ..known
         }
     }
 
-    /// Whether it has copies on which calls may run that nobody counts.
+    /// Whether untracked calls may run on any copy.
     #[must_use]
     pub fn has_untracked_calls(&self, now: Instant) -> bool {
         self.copies.values().any(|copy| copy.pinned_until > now)
     }
 
-    /// Whether it holds a base model.
+    /// Whether a base model is loaded.
     #[must_use]
     pub fn has_model(&self, model: &str) -> bool {
         self.models
@@ -327,7 +334,7 @@
             .any(|loaded| loaded.name.as_str() == model)
     }
 
-    /// Places that are taken, those of copies on their way included.
+    /// Number of adapter slots in use, including those of loads in progress.
     #[must_use]
     pub fn occupied_slots(&self) -> usize {
         self.copies
@@ -336,7 +343,7 @@
             .count()
     }
 
-    /// Adapters on their way.
+    /// Number of adapter loads in progress.
     #[must_use]
     pub fn loading_count(&self, now: Instant) -> usize {
         self.copies
@@ -345,7 +352,7 @@
             .count()
     }
 
-    /// Adapters on their way from the weight store, that of an order without an answer yet included.
+    /// Number of adapter loads from the weight store in progress, including an unanswered order.
     #[must_use]
     pub fn store_loads_in_flight(&self, now: Instant) -> usize {
         let coming = self
@@ -362,7 +369,8 @@
         coming + usize::from(is_pending)
     }
 
-    /// The load behind a call, as it was before the call told whether it was there; from now on it counts as judged.
+    /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so that
+    /// only the first call after a load tells whether the load was in time.
     pub fn resolve_load(&mut self, key: &CallKey) -> Option<StoreLoad> {
         let call = self.calls.get(key)?;
         let load = self.copies.get_mut(&call.subject)?.load.as_mut()?;
@@ -371,13 +379,13 @@
         Some(known)
     }
 
-    /// Tokens that running calls may take in memory.
+    /// KV cache tokens that running calls may occupy.
     #[must_use]
     pub fn tokens_sent(&self) -> u64 {
         self.tokens_sent
     }
 
-    /// Counts a call that was sent to it.
+    /// Adds a call that was sent to the engine.
     pub fn add_call(&mut self, key: CallKey, call: SentCall) {
         self.tokens_sent += call.tokens;
         if let Some(old) = self.calls.insert(key, call) {
@@ -385,7 +393,7 @@
         }
     }
 
-    /// Counts a call no more.
+    /// Removes a call that has ended.
     pub fn remove_call(&mut self, key: &CallKey) -> Option<SentCall> {
         self.prompts.forget(key);
         let call = self.calls.remove(key)?;
@@ -393,7 +401,7 @@
         Some(call)
     }
 
-    /// Adds a copy whose load waits for its turn.
+    /// Queues the load of an adapter.
     pub fn queue_load(&mut self, adapter: &AdapterName, now: Instant) {
         let generation = self.next_generation();
         self.copies
@@ -402,9 +410,14 @@
         self.queue.push_back((OrderKind::Load, adapter.clone()));
     }
 
-    /// Notes that it has an adapter, in the version that was named.
-    pub fn record_recent_load(&mut self, adapter: &AdapterName, named: Option<u64>, kept: usize) {
-        let loaded = (adapter.clone(), named);
+    /// Records that the engine loaded an adapter in the named version. At most `kept` loads are remembered.
+    pub fn record_recent_load(
+        &mut self,
+        adapter: &AdapterName,
+        named_version: Option<u64>,
+        kept: usize,
+    ) {
+        let loaded = (adapter.clone(), named_version);
         self.recent_loads.retain(|kept| *kept != loaded);
         self.recent_loads.push_back(loaded);
         if self.recent_loads.len() > kept {
@@ -412,10 +425,11 @@
         }
     }
 
-    /// Whether it reloads an adapter quickly: it had it in this version. A new version comes from the store.
+    /// Whether the engine had an adapter recently in this version and reloads it quickly. Another version comes from the
+    /// weight store.
     #[must_use]
-    pub fn was_recently_loaded(&self, adapter: &AdapterName, named: Option<u64>) -> bool {
+    pub fn was_recently_loaded(&self, adapter: &AdapterName, named_version: Option<u64>) -> bool {
         let mut had = self.recent_loads.iter();
-        had.any(|(had, version)| had == adapter && *version == named)
+        had.any(|(had, version)| had == adapter && *version == named_version)
     }
 }
--- a/crates/core/src/direct/engine/orders.rs
+++ b/crates/core/src/direct/engine/orders.rs
@@ -1,63 +1,63 @@
-//! What an engine is ordered, how that ends, and what it reports.
+//! Orders to an engine, their outcomes, and the engine's reports.
 
 use crate::ids::{AdapterName, TargetLife};
 
-/// An order to an engine.
+/// Order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
-    /// What to do.
+    /// Kind of order.
     pub kind: OrderKind,
-    /// The model, with its adapter behind a slash where one is meant.
+    /// Subject of the order: `model`, or `model/adapter`.
     pub subject: AdapterName,
-    /// Version to load, if one was named.
+    /// Version to load, if operators named one.
     pub version: Option<u64>,
-    /// Orders that the engine must have taken before, so that a late copy of this one does nothing.
+    /// Sequence number that the engine must have reached, so that a late or repeated order has no effect.
     pub expected: u64,
 }
 
-/// What an order does.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Bring it in, or replace it by another version.
+    /// Load the subject, or replace it by another version.
     Load,
-    /// Drop it.
+    /// Unload the subject.
     Unload,
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It holds already.
+    /// The requested state is reached.
     Done,
-    /// It is being done.
+    /// The engine has accepted the order and is carrying it out.
     Begun,
-    /// Another is under way, or the engine has taken others.
+    /// Another order is in progress, or the sequence numbers differ.
     Conflict,
-    /// A newer holder has given orders.
+    /// The engine has seen a newer fencing token.
     Fenced,
-    /// The engine refused it, or is another run of the target.
+    /// The engine refused the order, or has restarted since.
     Refused,
-    /// No answer: it may be carried out later.
+    /// No answer came; the engine may still carry the order out.
     Unanswered,
 }
 
-/// What an engine reports about itself; some hundred milliseconds old.
+/// Report of an engine on itself, some hundred milliseconds old when it is read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The life of the engine that reports.
+    /// Life of the engine that reports.
     pub life: TargetLife,
-    /// Orders that it has taken.
+    /// Number of orders accepted in this life.
     pub orders_taken: u64,
-    /// Base models that it holds, with their versions.
+    /// Loaded base models, with their versions.
     pub models: Vec<(AdapterName, u64)>,
-    /// Adapters that it holds, with their versions.
+    /// Loaded adapters, with their versions.
     pub adapters: Vec<(AdapterName, u64)>,
-    /// Adapters on their way.
+    /// Adapters that are being loaded, with their versions.
     pub loading: Vec<(AdapterName, u64)>,
-    /// Base models that it loads from a copy of its own, without the weight store.
+    /// Base models that the engine can load from a local copy, without the weight store.
     pub local_models: Vec<AdapterName>,
-    /// Requests that run or wait.
+    /// Number of running and waiting requests.
     pub requests: u32,
-    /// Whether an order on a whole model is under way.
+    /// Whether a base model order is in progress.
     pub is_busy: bool,
 }
--- a/crates/core/src/direct/engine/prefix_cache.rs
+++ b/crates/core/src/direct/engine/prefix_cache.rs
@@ -1,8 +1,9 @@
-//! What an engine has likely kept of prompts.
+//! Prompt prefixes that an engine has likely kept in its KV cache.
 //!
-//! Memory of a prompt is worth something only to the weights that made it, so parts are noted under the generation of what the
-//! prompt was sent to. Those of prompts that were sent say what an engine need not read: a wrong belief costs reading. Those
-//! of prompts that were read say what others may take from it: a wrong belief there costs a wrong answer.
+//! KV cache is only valid for the weights that made it, so prompt segments are recorded under the generation of the
+//! subject that the prompt was sent to. There are two tables per engine. Segments of sent prompts tell what the engine
+//! need not read again; an error there costs reading time. Segments of prompts known to have been read tell what other
+//! engines may fetch; an error there gives a wrong answer.
 
 use crate::ids::AdapterName;
 use siphasher::sip::SipHasher13;
@@ -11,64 +12,67 @@
     hash::{Hash, Hasher},
 };
 
-/// Prompt parts whose use is remembered for each engine.
+/// Maximum number of segments in a table.
 const MAX_SEGMENTS: usize = 256;
 
-/// Prompt parts by adapter and generation; the oldest go first.
+/// Prompt segments by subject and generation. The oldest are evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixTable {
-    /// How often each part stands in the order.
-    known: HashMap<u64, u32>,
+    /// Number of entries in `order` for each segment.
+    counts: HashMap<u64, u32>,
     order: VecDeque<u64>,
 }
 
 impl PrefixTable {
-    /// Notes parts of a prompt.
-    pub fn insert(&mut self, subject: &AdapterName, generation: u64, parts: &[u64]) {
-        for part in parts {
-            self.insert_segment(segment_hash(subject, generation, *part));
+    /// Inserts segments of a prompt.
+    pub fn insert(&mut self, subject: &AdapterName, generation: u64, segments: &[u64]) {
+        for segment in segments {
+            self.insert_segment(segment_hash(subject, generation, *segment));
         }
     }
 
-    fn insert_segment(&mut self, part: u64) {
-        *self.known.entry(part).or_default() += 1;
-        self.order.push_back(part);
+    fn insert_segment(&mut self, segment: u64) {
+        *self.counts.entry(segment).or_default() += 1;
+        self.order.push_back(segment);
         if self.order.len() > MAX_SEGMENTS
             && let Some(oldest) = self.order.pop_front()
-            && let Some(count) = self.known.get_mut(&oldest)
+            && let Some(count) = self.counts.get_mut(&oldest)
         {
             *count -= 1;
             if *count == 0 {
-                self.known.remove(&oldest);
+                self.counts.remove(&oldest);
             }
         }
     }
 
-    /// Tokens at the start of a prompt whose parts are known one after the other.
+    /// Number of tokens in the longest known prefix of a prompt.
     #[must_use]
     pub fn tokens(&self, subject: &AdapterName, generation: u64, prefix: &[(u64, u32)]) -> u32 {
         prefix
             .iter()
-            .take_while(|(part, _)| {
-                self.known
-                    .contains_key(&segment_hash(subject, generation, *part))
+            .take_while(|(segment, _)| {
+                self.counts
+                    .contains_key(&segment_hash(subject, generation, *segment))
             })
             .map(|(_, tokens)| tokens)
             .sum()
     }
 }
 
-/// The parts of a prompt that other calls may share: all but the last, which is the call's own.
+/// Segments of a prompt that other calls may share: all but the last, which is unique to the call.
 #[must_use]
 pub fn shared_segments(prefix: &[(u64, u32)]) -> Vec<u64> {
     let shared = prefix.len().saturating_sub(1);
-    prefix[..shared].iter().map(|(part, _)| *part).collect()
+    prefix[..shared]
+        .iter()
+        .map(|(segment, _)| *segment)
+        .collect()
 }
 
-fn segment_hash(subject: &AdapterName, generation: u64, part: u64) -> u64 {
+fn segment_hash(subject: &AdapterName, generation: u64, segment: u64) -> u64 {
     let mut hasher = SipHasher13::new();
     subject.as_str().hash(&mut hasher);
     generation.hash(&mut hasher);
-    part.hash(&mut hasher);
+    segment.hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -1,11 +1,11 @@
-//! Which target of a plain service a call goes to.
+//! Placement of calls to plain services, those whose targets are not engines.
 //!
-//! Plain services have few targets of few places each. Seventy gateways that each see their own calls alone pick
-//! targets that are full: on a heavy day, with one target of three left, 45 in 100 sends were turned away, and of the
-//! calls that ran a third came late from a queue. So one zone's holder places all calls of a service: it knows every
-//! call that is under way, takes one only where it can expect an answer in time, and has the others refused before they
-//! are sent. Which zone's it is follows from the service's name; where that one does not answer the next takes its
-//! place, and at last each gateway picks by what it sees.
+//! Plain services have few targets with few slots each. If every gateway placed calls by its own view only, many would
+//! pick targets that are already full: with 70 gateways and one target of three left under heavy load, targets turned away
+//! 45% of the sends, and a third of the calls that ran came late from a queue. So the holder of one zone places all calls
+//! of a service. It knows every call in flight, accepts a call only where an answer in time is expected, and has the
+//! others refused before they are sent. The zone follows from the service's name by rendezvous hashing. If its holder does
+//! not answer, the next zone's is asked, and as a last resort each gateway picks a target by its own view.
 
 use crate::{
     direct::{
@@ -23,110 +23,110 @@
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
-/// Time that a call takes at a target of which nothing is known yet.
-const FIRST_PACE: Duration = Duration::from_millis(50);
-/// Weight of the newest call in a target's pace: a target that turns slow shows within some ten calls.
+/// Call duration assumed for a target without any observation.
+const INITIAL_CALL_TIME: Duration = Duration::from_millis(50);
+/// Weight of the newest call in the average call duration. A target that becomes slow shows within about ten calls.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Times of the pace beyond which a call counts no more: one whose end is told late, or that was held up on its way,
-/// says little of its target. One of 4 s on a quiet day had a holder expect 420 ms of each call, and refuse 380 of them
-/// for three seconds.
-const OUTLIER_FROM: u32 = 3;
-/// Part of the time left to its objective within which a call has to be expected back, by rank, the most urgent first:
-/// calls take half as long again as usual now and then, and where all are too many the least urgent wait for their
-/// turn.
-const EXPECTED_PARTS: [f64; 3] = [0.85, 0.75, 0.65];
-/// What a target with a full share of failures has to be better by, in calls under way.
-const FAILING_PRICE: f64 = 12.0;
-/// What a doubted target has to be better by.
-const DOUBT_PRICE: f64 = 50.0;
-/// What a target that turned a call away a moment ago counts.
-const SHED_PRICE: f64 = 6.0;
-/// What a target in another zone has to be better by, for a gateway that picks alone.
-const ZONE_PRICE: f64 = 3.0;
-/// Bounds of the time after which a caller is told to come back.
+/// Multiple of the average to which a call duration is capped. A call whose end is reported late or that was delayed in
+/// transit says little about its target: one call of 4 s raised the expected duration to 420 ms, and 380 calls were
+/// refused within three seconds.
+const MAX_OUTLIER_FACTOR: u32 = 3;
+/// Fraction of the time left to the objective within which the answer has to be expected, by rank, the most urgent first.
+/// It is below 1 because some calls take half as long again as usual, and smaller for lower ranks so that under overload
+/// the least urgent calls are refused first.
+const EXPECTED_TIME_FRACTIONS: [f64; 3] = [0.85, 0.75, 0.65];
+/// Penalty for a target whose calls all fail, in calls in flight.
+const FAILURE_PENALTY: f64 = 12.0;
+/// Penalty for a doubted target, in calls in flight.
+const DOUBT_PENALTY: f64 = 50.0;
+/// Penalty for a target that has just turned a call away, in calls in flight.
+const SHED_PENALTY: f64 = 6.0;
+/// Penalty for a target in another zone when a gateway picks without a holder, in calls in flight.
+const REMOTE_ZONE_PENALTY: f64 = 3.0;
+/// Bounds of the retry delay that callers are told.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
-/// The same where no target takes calls.
-const NO_TARGET: Duration = Duration::from_millis(400);
+/// Retry delay if no target accepts calls.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// What a gateway wants for a call of a plain service.
+/// Request to place a call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlainRequest {
-    /// The service.
+    /// Service to be called.
     pub service: ServiceName,
     /// Rank of the call; 0 is the most urgent.
     pub rank: u8,
-    /// Time left to its objective, in milliseconds.
+    /// Time left to the latency objective of the call, in milliseconds.
     pub left_ms: u32,
-    /// Targets that it has been to.
+    /// Targets already tried.
     pub exclude: Vec<TargetName>,
-    /// Targets that want nothing from the gateway now.
+    /// Targets that asked this gateway to back off for now.
     pub resting: Vec<TargetName>,
-    /// The request by what it asks.
+    /// Fingerprint of the request content.
     pub fingerprint: RequestFingerprint,
-    /// Whether it is sent as a granted trial of a suspect.
+    /// Whether the call is a granted trial of a suspect request.
     pub is_trial: bool,
-    /// What it is charged, unless it is paid for.
+    /// Quota charge; none if the call is already paid for.
     pub charge: Option<QuotaCharge>,
 }
 
 impl PlainRequest {
-    /// Longest time until its answer for which it is placed.
+    /// Longest expected time to the answer with which the call is placed.
     fn bound(&self) -> Duration {
-        let rank = usize::from(self.rank).min(EXPECTED_PARTS.len() - 1);
-        Duration::from_millis(u64::from(self.left_ms)).mul_f64(EXPECTED_PARTS[rank])
+        let rank = usize::from(self.rank).min(EXPECTED_TIME_FRACTIONS.len() - 1);
+        Duration::from_millis(u64::from(self.left_ms)).mul_f64(EXPECTED_TIME_FRACTIONS[rank])
     }
 }
 
-/// Zones in the order in which their holders are asked to place calls of a service.
+/// Zones in the order in which their holders are asked to place calls of a service. The order is the same on all VMs.
 #[must_use]
 pub fn placement_zones(service: &ServiceName, zones: &[AvailabilityZone]) -> Vec<AvailabilityZone> {
     zones_ranked_by(service.as_str(), zones)
 }
 
-/// What is under way at one target, and how long calls take there.
+/// Calls in flight at one target, and their average duration.
 #[derive(Clone, Copy, Debug)]
-struct PlainLoad {
+struct TargetLoad {
     calls: u32,
-    /// Time that a call takes on a place of its own.
-    pace: Duration,
+    /// Average duration of a call that has a slot to itself.
+    call_time: Duration,
 }
 
-impl Default for PlainLoad {
+impl Default for TargetLoad {
     fn default() -> Self {
         Self {
             calls: 0,
-            pace: FIRST_PACE,
+            call_time: INITIAL_CALL_TIME,
         }
     }
 }
 
-/// Calls that share each place of a target once so many are there.
-fn sharing(calls: u32, slots: u32) -> f64 {
+/// Number of calls that share each slot of a target with this many calls; at least 1.
+fn calls_per_slot(calls: u32, slots: u32) -> f64 {
     (f64::from(calls) / f64::from(slots.max(1))).max(1.0)
 }
 
 #[derive(Clone, Debug)]
-struct PlainCall {
+struct PlacedCall {
     run: TargetRun,
     sent: Instant,
-    /// How many shared each place then.
-    sharing: f64,
+    /// Number of calls that shared each slot when the call was sent.
+    calls_per_slot: f64,
 }
 
-/// Places the calls of plain services.
+/// Planner of calls to plain services.
 #[derive(Clone, Debug, Default)]
 pub struct PlainPlanner {
-    loads: HashMap<TargetRun, PlainLoad>,
-    calls: HashMap<CallKey, PlainCall>,
+    loads: HashMap<TargetRun, TargetLoad>,
+    calls: HashMap<CallKey, PlacedCall>,
     lives: HashMap<TargetName, TargetLife>,
     health: HealthTable,
-    /// Limits that targets named.
+    /// Rate limits that targets announced.
     rate_limits: LimitTable,
 }
 
 impl PlainPlanner {
-    /// Places a call at one of the service's targets that take new work.
+    /// Places a call at one of `targets`, the service's targets that accept new work.
     pub fn place(
         &mut self,
         key: CallKey,
@@ -134,27 +134,31 @@
         targets: &[Arc<TargetEntry>],
         now: Instant,
     ) -> PlacementAnswer {
-        self.note_lives(targets);
+        self.update_lives(targets);
         let Some(entry) = self.best(request, targets, now) else {
-            return refuse(NO_TARGET, Duration::ZERO, RefusalCause::NoEngine);
+            return refuse(
+                NO_TARGET_RETRY_AFTER,
+                Duration::ZERO,
+                RefusalCause::NoEngine,
+            );
         };
         let run = entry.run();
         let load = self.loads.entry(run.clone()).or_default();
-        let sharing = sharing(load.calls + 1, entry.slots);
+        let calls_per_slot = calls_per_slot(load.calls + 1, entry.slots);
         let token_wait = self.rate_limits.wait(&entry.name, now);
-        let expected = token_wait + load.pace.mul_f64(sharing);
+        let expected = token_wait + load.call_time.mul_f64(calls_per_slot);
         let bound = request.bound();
-        let is_taken = load.calls >= entry.slots || !token_wait.is_zero();
-        if expected > bound && is_taken {
+        let is_occupied = load.calls >= entry.slots || !token_wait.is_zero();
+        if expected > bound && is_occupied {
             let cause = RefusalCause::TooLong(millis(expected));
             return refuse(expected.saturating_sub(bound), token_wait, cause);
         }
         self.rate_limits.take(&entry.name, now);
         load.calls += 1;
-        let call = PlainCall {
+        let call = PlacedCall {
             run,
             sent: now.after(token_wait),
-            sharing,
+            calls_per_slot,
         };
         self.calls.insert(key, call);
         PlacementAnswer::Send {
@@ -169,8 +173,8 @@
         }
     }
 
-    /// What an earlier life of a target did says nothing about this one.
-    fn note_lives(&mut self, targets: &[Arc<TargetEntry>]) {
+    /// Forgets the health of targets that have restarted.
+    fn update_lives(&mut self, targets: &[Arc<TargetEntry>]) {
         for entry in targets {
             if self.lives.get(&entry.name) != Some(&entry.life) {
                 self.lives.insert(entry.name.clone(), entry.life);
@@ -185,28 +189,31 @@
         targets: &'a [Arc<TargetEntry>],
         now: Instant,
     ) -> Option<&'a Arc<TargetEntry>> {
-        let price = |entry: &TargetEntry| {
+        let cost = |entry: &TargetEntry| {
             let load = self.loads.get(&entry.run()).copied().unwrap_or_default();
-            let wait = load.pace.mul_f64(sharing(load.calls + 1, entry.slots));
-            let turn = load.pace.div_f64(f64::from(entry.slots.max(1)));
-            // Among places that are free the target with the fewest calls is the better one.
-            let calls = f64::from(load.calls) * 0.1 + health_price(&self.health, &entry.name, now);
-            self.rate_limits.wait(&entry.name, now) + wait + turn.mul_f64(calls)
+            let wait = load
+                .call_time
+                .mul_f64(calls_per_slot(load.calls + 1, entry.slots));
+            let slot_turn = load.call_time.div_f64(f64::from(entry.slots.max(1)));
+            // Among targets with free slots, prefer the one with the fewest calls.
+            let calls =
+                f64::from(load.calls) * 0.1 + health_penalty(&self.health, &entry.name, now);
+            self.rate_limits.wait(&entry.name, now) + wait + slot_turn.mul_f64(calls)
         };
-        let is_open =
+        let is_eligible =
             |name: &TargetName| !request.exclude.contains(name) && !request.resting.contains(name);
-        pick(&self.health, is_open, targets, now, |left, right| {
-            price(left).cmp(&price(right))
+        pick_best(&self.health, is_eligible, targets, now, |left, right| {
+            cost(left).cmp(&cost(right))
         })
     }
 
-    /// Whether a call was placed here and has not ended.
+    /// Whether a call was placed by this planner and has not ended.
     #[must_use]
     pub fn has_call(&self, key: &CallKey) -> bool {
         self.calls.contains_key(key)
     }
 
-    /// A call ended, or its gateway gave it up.
+    /// Records the end of a call; without an outcome if its gateway gave it up.
     pub fn call_ended(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) {
         let Some(call) = self.calls.remove(key) else {
             return;
@@ -219,13 +226,14 @@
         };
         load.calls = load.calls.saturating_sub(1);
         if outcome == Some(CallOutcome::Good) {
-            let took = now.since(call.sent).div_f64(call.sharing);
-            let took = took.min(load.pace * OUTLIER_FROM);
-            load.pace = load.pace.mul_f64(1.0 - SAMPLE_WEIGHT) + took.mul_f64(SAMPLE_WEIGHT);
+            let duration = now.since(call.sent).div_f64(call.calls_per_slot);
+            let duration = duration.min(load.call_time * MAX_OUTLIER_FACTOR);
+            load.call_time =
+                load.call_time.mul_f64(1.0 - SAMPLE_WEIGHT) + duration.mul_f64(SAMPLE_WEIGHT);
         }
     }
 
-    /// All calls of a gateway that can't be reached.
+    /// Drops all calls of an unreachable gateway.
     pub fn forget_gateway(&mut self, vm: &VmName, now: Instant) {
         let keys: Vec<_> = self
             .calls
@@ -238,23 +246,23 @@
         }
     }
 
-    /// An answer told of a target's limit.
-    pub fn record_limit(&mut self, named: &NamedLimit, now: Instant) {
-        self.rate_limits.note(named, now);
+    /// Records the rate limit that a target announced in an answer.
+    pub fn record_limit(&mut self, limit: &NamedLimit, now: Instant) {
+        self.rate_limits.note(limit, now);
     }
 
-    /// Forgets targets that are gone.
+    /// Forgets targets for which `keep` is false, except for the calls still in flight there.
     pub fn retain(&mut self, keep: impl Fn(&TargetRun) -> bool) {
         self.loads.retain(|run, load| load.calls > 0 || keep(run));
         let loads = &self.loads;
-        let is_there = |name: &TargetName| loads.keys().any(|run| run.name == *name);
-        self.health.retain(is_there);
-        self.lives.retain(|name, _| is_there(name));
+        let is_present = |name: &TargetName| loads.keys().any(|run| run.name == *name);
+        self.health.retain(is_present);
+        self.lives.retain(|name, _| is_present(name));
         self.rate_limits.retain(&keep);
     }
 }
 
-/// Picks a target for a gateway that no holder answers, by the calls that it has under way itself.
+/// Picks a target for a gateway that no holder answers, by the gateway's own calls in flight.
 #[must_use]
 pub fn pick_without_holder<'a>(
     zone: &AvailabilityZone,
@@ -264,52 +272,53 @@
     targets: &'a [Arc<TargetEntry>],
     now: Instant,
 ) -> Option<&'a Arc<TargetEntry>> {
-    let price = |entry: &TargetEntry| {
+    let cost = |entry: &TargetEntry| {
         let calls = in_flight.get(&entry.run()).copied().unwrap_or(0);
-        let mut price = f64::from(calls) + health_price(health, &entry.name, now);
+        let mut cost = f64::from(calls) + health_penalty(health, &entry.name, now);
         if entry.zone != *zone {
-            price += ZONE_PRICE;
+            cost += REMOTE_ZONE_PENALTY;
         }
-        price
+        cost
     };
-    let is_open = |name: &TargetName| !tried.contains(name);
-    pick(health, is_open, targets, now, |left, right| {
-        price(left).total_cmp(&price(right))
+    let is_eligible = |name: &TargetName| !tried.contains(name);
+    pick_best(health, is_eligible, targets, now, |left, right| {
+        cost(left).total_cmp(&cost(right))
     })
 }
 
-/// What a target's health counts, in calls under way.
-fn health_price(health: &HealthTable, target: &TargetName, now: Instant) -> f64 {
-    let mut price = FAILING_PRICE * health.failing(target);
+/// Penalty for a target's health, in calls in flight.
+fn health_penalty(health: &HealthTable, target: &TargetName, now: Instant) -> f64 {
+    let mut cost = FAILURE_PENALTY * health.failing(target);
     if health.is_doubted(target) {
-        price += DOUBT_PRICE;
+        cost += DOUBT_PENALTY;
     }
     if health.is_shedding(target, now) {
-        price += SHED_PRICE;
+        cost += SHED_PENALTY;
     }
-    price
+    cost
 }
 
-fn pick<'a>(
+fn pick_best<'a>(
     health: &HealthTable,
-    is_open: impl Fn(&TargetName) -> bool,
+    is_eligible: impl Fn(&TargetName) -> bool,
     targets: &'a [Arc<TargetEntry>],
     now: Instant,
     order: impl Fn(&TargetEntry, &TargetEntry) -> std::cmp::Ordering,
 ) -> Option<&'a Arc<TargetEntry>> {
-    let candidates = || targets.iter().filter(|entry| is_open(&entry.name));
+    let candidates = || targets.iter().filter(|entry| is_eligible(&entry.name));
     let best = candidates()
         .filter(|entry| !health.is_out(&entry.name, now))
         .min_by(|left, right| order(left, right));
-    // One failed connection is no proof where there is nothing else; after more of them callers are told at once.
+    // Without any other candidate, a target with a single failed connection is still tried. After several failures the call
+    // is refused at once.
     best.or_else(|| candidates().find(|entry| !health.is_lost(&entry.name, now)))
 }
 
-/// Refuses a call; a caller that waits for a token of its target's limit may be told to wait longer than others.
+/// Refuses a call. The retry delay may exceed its usual bound if the target's rate limit requires a longer wait.
 fn refuse(retry_after: Duration, token_wait: Duration, cause: RefusalCause) -> PlacementAnswer {
-    let most = MAX_RETRY_AFTER.max(token_wait);
+    let max_retry_after = MAX_RETRY_AFTER.max(token_wait);
     PlacementAnswer::Refuse {
-        retry_after_ms: millis(retry_after.clamp(MIN_RETRY_AFTER, most)),
+        retry_after_ms: millis(retry_after.clamp(MIN_RETRY_AFTER, max_retry_after)),
         cause,
     }
 }
--- a/crates/core/src/direct/policy.rs
+++ b/crates/core/src/direct/policy.rs
@@ -1,48 +1,49 @@
-//! What placing and refusing weigh: one structure for all of it, which settings may override.
+//! Weights and limits of placement and refusal, with defaults that settings may override.
 //!
-//! How fast engines are is observed ([`super::reading`]), and places, memory and loads at once come from the
-//! configuration. What is left are prices and bounds; docs/POLICY.md names the rounds that each value comes from.
+//! The speed of engines is observed ([`super::reading`]), and slots, memory and load rate come from the configuration.
+//! The remaining penalties and bounds are here; docs/POLICY.md describes how each value was determined.
 
 use std::time::Duration;
 
-/// Weights and limits of decisions.
+/// Weights and limits of placement decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
-    /// Part of the time left to the objective that a call may wait in its home zone without other zones being asked.
+    /// Fraction of the time left to the objective that a call may wait in its home zone before other zones are asked.
     pub home_wait_fraction: f64,
-    /// Wait, in objectives, beyond which a call is turned away; by rank, the most urgent first.
+    /// Longest wait with which a call is placed, as a multiple of its objective; by rank, the most urgent first.
     pub max_wait_factors: [f64; 3],
-    /// Requests a second at one VM from which an adapter is at home in every zone.
+    /// Requests per second at one VM from which every zone is a home zone of an adapter.
     pub popular_rate_per_s: f64,
-    /// What another zone has to be better by.
+    /// Penalty for a zone other than the home zone.
     pub remote_zone_penalty: Duration,
-    /// What a load from the store costs beside its time: what it evicts, and its price.
+    /// Penalty for a load from the weight store beyond its time, for the eviction and the use of the store.
     pub load_penalty: Duration,
-    /// The same for an adapter that the engine had lately.
+    /// Penalty for reloading an adapter that the engine has held recently.
     pub reload_penalty: Duration,
-    /// Time that an engine takes to get parts of a prompt from another one.
+    /// Time that an engine takes to fetch KV cache from another engine.
     pub cache_fetch_time: Duration,
-    /// Reading time that this has to save.
+    /// Minimum time that fetching KV cache has to save compared with reading the prompt.
     pub min_fetch_saving: Duration,
-    /// Adapters that an engine is taken to reload quickly.
+    /// Number of recent adapters that an engine is assumed to reload quickly.
     pub max_recent_adapters: usize,
-    /// Part of an engine's places from which it counts as crowded: what is left has to bear the arrivals of one load.
+    /// Fraction of an engine's slots in use from which it counts as crowded. The rest has to suffice for the calls that
+    /// arrive during one adapter load.
     pub crowded_slot_fraction: f64,
-    /// Prompts that wait from which an engine counts as crowded.
+    /// Backlog of unread prompts from which an engine counts as crowded.
     pub crowded_backlog: Duration,
-    /// Part of a crowded engine's calls that one adapter makes up if a second copy of it would help.
+    /// Fraction of a crowded engine's calls from which a second copy of one adapter is worth loading.
     pub crowding_call_fraction: f64,
-    /// Part of a zone's places that one adapter's calls take from which other zones should have it too.
+    /// Fraction of a zone's slots used by one adapter from which other zones should load it too.
     pub hot_adapter_fraction: f64,
-    /// Part of the loads at full speed that may be on their way when one is begun that nobody waits for.
+    /// Fraction of the load limit up to which an adapter is loaded that no call waits for.
     pub speculative_load_fraction: f64,
-    /// Part of the zone's engines that is busy from which it needs more of them.
+    /// Utilization of a zone from which empty engines load the base model from the weight store.
     pub busy_fraction: f64,
-    /// What a doubted engine has to be better by.
+    /// Penalty for a doubted engine.
     pub doubt_penalty: Duration,
-    /// What a full share of failures counts.
+    /// Penalty for an engine whose calls all fail; scaled by the share of failures.
     pub failure_penalty: Duration,
-    /// What an engine counts that turned a call away a moment ago.
+    /// Penalty for an engine that has just turned a call away.
     pub shed_penalty: Duration,
 }
 
--- a/crates/core/src/direct/search.rs
+++ b/crates/core/src/direct/search.rs
@@ -1,12 +1,13 @@
-//! Which zones a gateway asks to take a call, in which order and on which terms.
+//! Search of a gateway for the zone that takes a call: the order of the zones asked and the terms.
 //!
-//! The call's home zone comes first: it takes the call if an engine that has the adapter keeps the objective. Otherwise
-//! it says what the call would cost there, and each other zone may take it for less. The load that this answers: on a
-//! heavy day half of the fleet's engines read nothing at any moment, while a call that needs an adapter loaded waits
-//! behind the prompts of the four engines of its home. Comparing costs a few ms; a load waits for 250.
+//! The home zone of the call is asked first. It takes the call if an engine that has the adapter can keep the objective;
+//! otherwise it offers a cost, and each other zone may take the call at a lower one. Without this comparison, a call that
+//! needs an adapter load waits behind the prompts of the four engines of its home zone, while under heavy load half of
+//! the fleet's engines are not reading a prompt at any moment. Asking the zones takes a few ms, a load about 250 ms.
 //!
-//! After that the home zone takes it within what its rank can bear, and then whoever has the adapter; once more after a
-//! pause, as a zone that changes hands answers again within moments.
+//! If no zone takes the call on these terms, the home zone is asked to take it within the longest wait for its rank, and
+//! then every zone that has the adapter. This is repeated once after a pause, as a zone whose holder changes answers
+//! again after a moment.
 
 use crate::direct::{
     millis,
@@ -15,59 +16,59 @@
 };
 use std::time::Duration;
 
-/// How far a search has come.
+/// Pass of a search over the zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SearchPass {
-    /// Zones are compared.
+    /// The costs of the zones are compared.
     Compare,
-    /// Any zone takes it within what it can bear.
+    /// Any zone may take the call within the longest wait for its rank.
     Accept,
-    /// The same after a pause.
+    /// Repeats `Accept` after a pause.
     Retry,
 }
 
-/// The next question.
+/// Question to one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneQuery {
-    /// Place of the zone in the order of zones; 0 is the home zone.
+    /// Index in the order of zones; 0 is the home zone.
     pub zone: usize,
-    /// The pass.
+    /// Pass to which the question belongs.
     pub pass: SearchPass,
-    /// The terms.
+    /// Terms of the placement.
     pub terms: PlacementTerms,
-    /// Whether the zone may load the adapter.
+    /// Whether the zone may load the adapter for the call.
     pub may_load: bool,
 }
 
-/// One search for the zone that takes a call.
+/// Search for the zone that takes one call.
 #[derive(Clone, Debug)]
 pub struct ZoneSearch {
     policy: PlacementPolicy,
     zones: usize,
     next: (SearchPass, usize),
-    is_home_out: bool,
+    is_home_silent: bool,
     offer: Option<u32>,
-    come_back_ms: Option<u32>,
+    retry_after_ms: Option<u32>,
 }
 
 impl ZoneSearch {
-    /// A search over a number of zones.
+    /// Starts a search over a number of zones.
     #[must_use]
     pub fn new(policy: PlacementPolicy, zones: usize) -> Self {
         Self {
             policy,
             zones,
             next: (SearchPass::Compare, 0),
-            is_home_out: false,
+            is_home_silent: false,
             offer: None,
-            come_back_ms: None,
+            retry_after_ms: None,
         }
     }
 
-    /// The next question; nothing once every zone has declined in every pass.
+    /// Next question; none once every zone has declined in every pass.
     pub fn next_query(&mut self) -> Option<ZoneQuery> {
         let (mut pass, mut zone) = self.next;
-        let skips_others = pass == SearchPass::Compare && zone > 0 && self.is_home_out;
+        let skips_others = pass == SearchPass::Compare && zone > 0 && self.is_home_silent;
         if zone >= self.zones || skips_others {
             pass = match pass {
                 SearchPass::Compare => SearchPass::Accept,
@@ -81,9 +82,9 @@
             zone,
             pass,
             terms: self.terms(pass, zone),
-            // Every zone's loads come from the same store: beside the home zone only one that offers less loads, unless
-            // nobody holds the home zone.
-            may_load: zone == 0 || pass == SearchPass::Compare || self.is_home_out,
+            // All zones load from the same store. So apart from the home zone, only a zone that takes the call at a lower
+            // cost loads the adapter, unless the home zone does not answer.
+            may_load: zone == 0 || pass == SearchPass::Compare || self.is_home_silent,
         })
     }
 
@@ -91,34 +92,36 @@
         match (pass, zone) {
             (SearchPass::Compare, 0) => PlacementTerms::Inquire,
             (SearchPass::Compare, _) => {
-                let away = millis(self.policy.remote_zone_penalty);
-                PlacementTerms::Beat(self.offer.unwrap_or(u32::MAX).saturating_sub(away))
+                let penalty = millis(self.policy.remote_zone_penalty);
+                PlacementTerms::Beat(self.offer.unwrap_or(u32::MAX).saturating_sub(penalty))
             }
             (SearchPass::Accept | SearchPass::Retry, _) => PlacementTerms::Take,
         }
     }
 
-    /// A zone declined.
+    /// Records that a zone declined.
     pub fn record_refusal(&mut self, zone: usize, cause: RefusalCause, retry_after_ms: u32) {
-        self.come_back_ms = Some(retry_after_ms);
+        self.retry_after_ms = Some(retry_after_ms);
         if let (0, RefusalCause::Offer(cost)) = (zone, cause) {
             self.offer = Some(cost);
         }
     }
 
-    /// A zone did not answer.
+    /// Records that a zone did not answer.
     pub fn record_no_answer(&mut self, zone: usize) {
-        self.is_home_out |= zone == 0;
+        self.is_home_silent |= zone == 0;
     }
 
-    /// When the caller should come back, by the last zone that declined.
+    /// Retry delay from the last zone that declined.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
-        self.come_back_ms
+        self.retry_after_ms
             .map(|span| Duration::from_millis(u64::from(span)))
     }
 
-    /// Wait for its first event that a call is placed for, by the time left to its objective.
+    /// Longest wait for the first event with which a call is placed in a pass.
+    ///
+    /// `left` is the time left to the objective of the call.
     #[must_use]
     pub fn max_wait(
         &self,
