--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -2,8 +2,8 @@
 //!
 //! A cache transfer does not state which weights made the cache, and the fetching engine does not check. Where some
 //! engines have newer weights than others, an unchecked transfer would give callers answers that mix two versions. So
-//! cache is transferred only if the versions of base model and adapter that made it are known and are those that the call
-//! runs under.
+//! cache is transferred only if the versions of base model and adapter that made it are known and are those that the
+//! call runs under.
 
 use crate::{
     direct::{
@@ -52,14 +52,15 @@
             .find(|loaded| loaded.name.as_str() == model)
     }
 
-    /// Version of the base model as stated by the engine itself. Its entry in the platform's list may predate a restart.
+    /// Version of the base model as stated by the engine itself. Its entry in the platform's list may predate a
+    /// restart.
     fn reported_base_version(&self, subject: &AdapterName) -> Option<u64> {
         let known_version = self.base_model(subject)?.known_version?;
         (known_version.teller != VersionTeller::List).then_some(known_version.version)
     }
 
-    /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order of
-    /// an earlier holder replaced unnoticed would make KV cache that is taken for the known version's.
+    /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order
+    /// of an earlier holder replaced unnoticed would make KV cache that is taken for the known version's.
     #[must_use]
     pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
@@ -143,8 +144,8 @@
 
     /// Records that the engine accepted an order.
     ///
-    /// An order with sequence number 0 is also accepted by an engine that has restarted unnoticed, with other weights, so
-    /// its KV cache counts as invalid until its next answer or report.
+    /// An order with sequence number 0 is also accepted by an engine that has restarted unnoticed, with other weights,
+    /// so its KV cache counts as invalid until its next answer or report.
     pub fn record_accepted_order(&mut self, order: &EngineOrder) {
         if order.expected == 0 {
             let models: Vec<_> = self
@@ -183,8 +184,8 @@
         }
     }
 
-    /// Invalidates base models for which a changed entry lists another version than the known one, and requests a report to
-    /// learn which is loaded.
+    /// Invalidates base models for which a changed entry lists another version than the known one, and requests a
+    /// report to learn which is loaded.
     pub(super) fn check_listed_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
@@ -199,8 +200,8 @@
         }
     }
 
-    /// Records that the prompt of a call was read under this version of the base model. Ignored if the adapter or base model
-    /// was loaded again since the call was sent.
+    /// Records that the prompt of a call was read under this version of the base model. Ignored if the adapter or base
+    /// model was loaded again since the call was sent.
     pub fn record_prompt_read(&mut self, key: &CallKey, version: u64, now: Instant) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
@@ -269,9 +270,9 @@
         Some(LendableCache { mark, tokens })
     }
 
-    /// Whether a call here may use KV cache with this mark. If the version of the adapter here is unknown, the call asks
-    /// for the version that made the cache. The engine rejects the call if it has another version, and its report is then
-    /// read before the next transfer.
+    /// Whether a call here may use KV cache with this mark. If the version of the adapter here is unknown, the call
+    /// asks for the version that made the cache. The engine rejects the call if it has another version, and its report
+    /// is then read before the next transfer.
     #[must_use]
     pub fn can_use_cache(
         &self,
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -105,8 +105,8 @@
 
     /// Whether the copy may be replaced by another version.
     ///
-    /// This is stricter than for an unload: an unloaded copy lends nothing, while a fetch from a replaced copy would get
-    /// KV cache of the new version.
+    /// This is stricter than for an unload: an unloaded copy lends nothing, while a fetch from a replaced copy would
+    /// get KV cache of the new version.
     #[must_use]
     pub fn is_replaceable(&self, now: Instant) -> bool {
         self.is_unused(now) && now >= self.lent_until
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -1,7 +1,9 @@
-//! State of one engine as its zone holder knows it: loaded adapters, loads in progress, queued orders and running calls.
+//! State of one engine as its zone holder knows it: loaded adapters, loads in progress, queued orders and running
+//! calls.
 //!
-//! The state comes from the engine's reports, its entry in the platform's list, the outcomes of orders and the calls that
-//! the planner placed. A *life* is one run of the engine process; a restart under the same name begins another one.
+//! The state comes from the engine's reports, its entry in the platform's list, the outcomes of orders and the calls
+//! that the planner placed. A *life* is one run of the engine process; a restart under the same name begins another
+//! one.
 //!
 //! | module | contents |
 //! |---|---|
@@ -38,8 +40,8 @@
 
 /// Time for which a call may continue at an engine after its gateway is gone.
 pub const ORPHANED_CALL_TTL: Duration = Duration::from_millis(2_500);
-/// Time within which gateways report their open calls to a new holder. Until then, an adapter that is known only from the
-/// engine's report or the platform's list may be in use.
+/// Time within which gateways report their open calls to a new holder. Until then, an adapter that is known only from
+/// the engine's report or the platform's list may be in use.
 pub const CALL_ADOPTION_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time assumed until an adapter that a report lists as loading is loaded.
 const REPORTED_LOAD_TIME: Duration = Duration::from_millis(100);
@@ -56,8 +58,8 @@
     pub entry: Arc<TargetEntry>,
     /// Sequence number: orders accepted by the engine in this life, as far as known.
     pub sequence: u64,
-    /// Whether the engine's inventory is known from a report of its own since the holder started. Cleared by a conflict, a
-    /// refusal or an unanswered order.
+    /// Whether the engine's inventory is known from a report of its own since the holder started. Cleared by a
+    /// conflict, a refusal or an unanswered order.
     pub is_inventory_known: bool,
     /// Loaded base models.
     pub models: Vec<LoadedModel>,
@@ -90,8 +92,8 @@
     sent_segments: PrefixTable,
     /// Segments of prompts known to have been read by the engine.
     read_segments: PrefixTable,
-    /// Whether the engine has accepted an order of this holder. Orders of an earlier holder then have a lower sequence number
-    /// and are no longer carried out.
+    /// Whether the engine has accepted an order of this holder. Orders of an earlier holder then have a lower sequence
+    /// number and are no longer carried out.
     pub has_accepted_order: bool,
     /// Time at which a report was last applied.
     pub reported_at: Instant,
@@ -159,8 +161,8 @@
         engine
     }
 
-    /// Creates the state of the engine after a restart, which loses everything but its unanswered adapter loads. These may
-    /// still be carried out in the new life, once it has accepted as many orders as they expect.
+    /// Creates the state of the engine after a restart, which loses everything but its unanswered adapter loads. These
+    /// may still be carried out in the new life, once it has accepted as many orders as they expect.
     #[must_use]
     pub fn restarted(&self, entry: Arc<TargetEntry>, now: Instant) -> Self {
         let mut engine = Self::new(entry, now);
@@ -172,8 +174,9 @@
         engine
     }
 
-    /// Updates the platform's entry. An entry of an older life, which a report may have superseded before the list did, is
-    /// ignored. An entry without a life is applied to the current one, as it still tells whether the engine accepts work.
+    /// Updates the platform's entry. An entry of an older life, which a report may have superseded before the list did,
+    /// is ignored. An entry without a life is applied to the current one, as it still tells whether the engine accepts
+    /// work.
     pub fn update_entry(&mut self, entry: Arc<TargetEntry>, now: Instant) {
         let life = self.entry.life;
         if entry.life == life {
@@ -211,7 +214,8 @@
             .count()
     }
 
-    /// Whether a report is from the current life. If the engine's reports state their life, one that does not is outdated.
+    /// Whether a report is from the current life. If the engine's reports state their life, one that does not is
+    /// outdated.
     pub fn is_from_current_life(&mut self, report: &EngineReport) -> bool {
         let unknown = TargetLife::default();
         if report.life == unknown && !self.reports_life {
@@ -369,8 +373,8 @@
         coming + usize::from(is_pending)
     }
 
-    /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so that
-    /// only the first call after a load tells whether the load was in time.
+    /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so
+    /// that only the first call after a load tells whether the load was in time.
     pub fn resolve_load(&mut self, key: &CallKey) -> Option<StoreLoad> {
         let call = self.calls.get(key)?;
         let load = self.copies.get_mut(&call.subject)?.load.as_mut()?;
@@ -425,8 +429,8 @@
         }
     }
 
-    /// Whether the engine had an adapter recently in this version and reloads it quickly. Another version comes from the
-    /// weight store.
+    /// Whether the engine had an adapter recently in this version and reloads it quickly. Another version comes from
+    /// the weight store.
     #[must_use]
     pub fn was_recently_loaded(&self, adapter: &AdapterName, named_version: Option<u64>) -> bool {
         let mut had = self.recent_loads.iter();
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -1,11 +1,11 @@
 //! Placement of calls to plain services, those whose targets are not engines.
 //!
 //! Plain services have few targets with few slots each. If every gateway placed calls by its own view only, many would
-//! pick targets that are already full: with 70 gateways and one target of three left under heavy load, targets turned away
-//! 45% of the sends, and a third of the calls that ran came late from a queue. So the holder of one zone places all calls
-//! of a service. It knows every call in flight, accepts a call only where an answer in time is expected, and has the
-//! others refused before they are sent. The zone follows from the service's name by rendezvous hashing. If its holder does
-//! not answer, the next zone's is asked, and as a last resort each gateway picks a target by its own view.
+//! pick targets that are already full: with 70 gateways and one target of three left under heavy load, targets turned
+//! away 45% of the sends, and a third of the calls that ran came late from a queue. So the holder of one zone places
+//! all calls of a service. It knows every call in flight, accepts a call only where an answer in time is expected, and
+//! has the others refused before they are sent. The zone follows from the service's name by rendezvous hashing. If its
+//! holder does not answer, the next zone's is asked, and as a last resort each gateway picks a target by its own view.
 
 use crate::{
     direct::{
@@ -31,9 +31,9 @@
 /// transit says little about its target: one call of 4 s raised the expected duration to 420 ms, and 380 calls were
 /// refused within three seconds.
 const MAX_OUTLIER_FACTOR: u32 = 3;
-/// Fraction of the time left to the objective within which the answer has to be expected, by rank, the most urgent first.
-/// It is below 1 because some calls take half as long again as usual, and smaller for lower ranks so that under overload
-/// the least urgent calls are refused first.
+/// Fraction of the time left to the objective within which the answer has to be expected, by rank, the most urgent
+/// first. It is below 1 because some calls take half as long again as usual, and smaller for lower ranks so that under
+/// overload the least urgent calls are refused first.
 const EXPECTED_TIME_FRACTIONS: [f64; 3] = [0.85, 0.75, 0.65];
 /// Penalty for a target whose calls all fail, in calls in flight.
 const FAILURE_PENALTY: f64 = 12.0;
@@ -309,8 +309,8 @@
     let best = candidates()
         .filter(|entry| !health.is_out(&entry.name, now))
         .min_by(|left, right| order(left, right));
-    // Without any other candidate, a target with a single failed connection is still tried. After several failures the call
-    // is refused at once.
+    // Without any other candidate, a target with a single failed connection is still tried. After several failures the
+    // call is refused at once.
     best.or_else(|| candidates().find(|entry| !health.is_lost(&entry.name, now)))
 }
 
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -1,10 +1,10 @@
 //! Transfer of KV cache for prompt prefixes between engines, as an alternative to computing it again.
 //!
-//! Long prompts often share most of their tokens with others for the same adapter, and an adapter in demand is loaded at
-//! several engines, each of which would read the shared prefix again. Reading 6,000 tokens takes about 200 ms, fetching
-//! their cache from another engine about 20 ms, so the planner compares the two times. Engines fetch what they are told
-//! to without checking which weights made it, so a source is named only if its versions are those that the call runs
-//! under.
+//! Long prompts often share most of their tokens with others for the same adapter, and an adapter in demand is loaded
+//! at several engines, each of which would read the shared prefix again. Reading 6,000 tokens takes about 200 ms,
+//! fetching their cache from another engine about 20 ms, so the planner compares the two times. Engines fetch what they
+//! are told to without checking which weights made it, so a source is named only if its versions are those that the
+//! call runs under.
 
 use crate::{
     direct::{
@@ -91,8 +91,8 @@
         engine.has_accepted_order || engine.reported_at >= self.earlier_orders_until
     }
 
-    /// Whether no other engine is listed at the engine's address. An engine that has ended may still be listed beside its
-    /// successor at the same address.
+    /// Whether no other engine is listed at the engine's address. An engine that has ended may still be listed beside
+    /// its successor at the same address.
     fn has_unique_address(&self, engine: &EngineState) -> bool {
         let mut others = self.engines.values();
         !others.any(|other| {
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Records that a call fetches cache from a source, or that a source is passed over because its versions do not match.
+    /// Records that a call fetches cache from a source, or that a source is passed over because its versions do not
+    /// match.
     pub(super) fn record_transfer(
         &mut self,
         name: &TargetName,
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -44,8 +44,8 @@
     pub prompt_tokens: u32,
     /// Expected length of the output, in tokens.
     pub output_tokens: u32,
-    /// Segments of the prompt with their lengths in tokens, as (hash, tokens). All but the last may be shared with other
-    /// calls.
+    /// Segments of the prompt with their lengths in tokens, as (hash, tokens). All but the last may be shared with
+    /// other calls.
     pub prefix: Vec<(u64, u32)>,
     /// Rank of the route; 0 is the most urgent.
     pub priority: u8,
@@ -90,12 +90,13 @@
         fetch: Option<SocketAddr>,
         /// Expected time until the first event, in milliseconds.
         expected_ms: u32,
-        /// Version that the call has to ask for: the named version of the adapter, or the version that made the fetched KV
-        /// cache.
+        /// Version that the call has to ask for: the named version of the adapter, or the version that made the fetched
+        /// KV cache.
         version: Option<u64>,
         /// Whether the adapter is in such demand that other zones should load it too.
         is_sought: bool,
-        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the holder.
+        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the
+        /// holder.
         is_limited: bool,
     },
     /// The zone does not take the call now.
@@ -112,8 +113,8 @@
 pub enum RefusalCause {
     /// No engine has the adapter or can make room for it.
     NoEngine,
-    /// The zone could take the call at this cost, in milliseconds: the wait plus the penalty for what the placement takes
-    /// from other calls.
+    /// The zone could take the call at this cost, in milliseconds: the wait plus the penalty for what the placement
+    /// takes from other calls.
     Offer(u32),
     /// Expected wait at the best engine, in milliseconds, which exceeds the bound of the call.
     TooLong(u32),
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -1,10 +1,10 @@
 //! Planner of a zone's engines: places calls, and decides which adapters are loaded and evicted.
 //!
 //! The holder of a zone runs one planner, and all calls and orders for the zone's engines pass through it. So it knows
-//! the calls in flight, the prompts waiting to be read and the adapters in use. Its state is soft: after a takeover it is
-//! rebuilt from the engines' reports and from the calls that gateways still have open. Engines check adapter, version,
-//! fencing token and sequence themselves, so a wrong belief here costs time and never gives a wrong answer. The exception
-//! is KV cache that engines fetch from each other: only `cache_transfer` checks which versions made it.
+//! the calls in flight, the prompts waiting to be read and the adapters in use. Its state is soft: after a takeover it
+//! is rebuilt from the engines' reports and from the calls that gateways still have open. Engines check adapter,
+//! version, fencing token and sequence themselves, so a wrong belief here costs time and never gives a wrong answer.
+//! The exception is KV cache that engines fetch from each other: only `cache_transfer` checks which versions made it.
 //!
 //! The *named* version of an adapter is the one that operators made current. A *subject* is a base model, or an adapter
 //! with its base model, written `model/adapter`.
@@ -157,7 +157,8 @@
         self.orders_from = Instant(u64::MAX);
     }
 
-    /// Marks that another holder had the zone until `now`. Its orders may be carried out late and replace copies unnoticed.
+    /// Marks that another holder had the zone until `now`. Its orders may be carried out late and replace copies
+    /// unnoticed.
     pub fn mark_takeover(&mut self, now: Instant) {
         self.earlier_orders_until = now.after(UNANSWERED_ORDER_TTL);
     }
@@ -167,8 +168,8 @@
         self.are_orders_fenced = is_fenced;
     }
 
-    /// Sets the time until which no other holder can have sent orders to these engines. A holder that is cut off from the
-    /// log or was suspended may have been replaced: it still places calls, but lends no KV cache after that time.
+    /// Sets the time until which no other holder can have sent orders to these engines. A holder that is cut off from
+    /// the log or was suspended may have been replaced: it still places calls, but lends no KV cache after that time.
     pub fn set_lead_until(&mut self, time: Instant) {
         self.lead_until = time;
     }
@@ -262,8 +263,8 @@
         self.replace_stale_copies(adapter, now);
     }
 
-    /// Version of an adapter that calls have to ask for. None for a base model: engines get its new weights at their next
-    /// start only, and until then every engine would reject calls that ask for them.
+    /// Version of an adapter that calls have to ask for. None for a base model: engines get its new weights at their
+    /// next start only, and until then every engine would reject calls that ask for them.
     pub(super) fn named_version(&self, subject: &AdapterName) -> Option<u64> {
         let has_adapter = split_subject(subject).1.is_some();
         let named = self.named_versions.get(subject).filter(|_| has_adapter);
@@ -355,7 +356,8 @@
         freed
     }
 
-    /// Records that a target rejected a call because it lacks the subject. Most likely the load takes longer than expected.
+    /// Records that a target rejected a call because it lacks the subject. Most likely the load takes longer than
+    /// expected.
     pub fn report_missing_copy(&mut self, key: &CallKey, target: &TargetName, now: Instant) {
         let Some(engine) = self.engines.get_mut(target) else {
             return;
--- a/crates/core/src/direct/planner/model_loading.rs
+++ b/crates/core/src/direct/planner/model_loading.rs
@@ -1,8 +1,8 @@
 //! Loading of the base model into engines that hold none.
 //!
 //! Loading a base model from the weight store costs as much as loading dozens of adapters, and another engine gains
-//! nothing while the zone's engines are half idle. So an empty engine loads from the store only if the zone needs it. An
-//! engine with a local copy of the model puts no load on the store and always loads it.
+//! nothing while the zone's engines are half idle. So an empty engine loads from the store only if the zone needs it.
+//! An engine with a local copy of the model puts no load on the store and always loads it.
 
 use crate::{
     direct::{
@@ -18,7 +18,8 @@
 const SAMPLE_WEIGHT: f64 = 0.08;
 
 impl ZonePlanner {
-    /// Samples the utilization of the zone: the larger of the fraction of slots in use and of engines that read a prompt.
+    /// Samples the utilization of the zone: the larger of the fraction of slots in use and of engines that read a
+    /// prompt.
     pub(super) fn update_utilization(&mut self, now: Instant) {
         let (mut slots, mut calls, mut engines, mut reading) = (0_usize, 0, 0_usize, 0_usize);
         for engine in self.engines.values().filter(|engine| can_serve(engine)) {
--- a/crates/core/src/direct/planner/orders.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -276,9 +276,9 @@
 
     /// Remaining time for which no load is ordered after a takeover.
     ///
-    /// Late loads of an earlier holder may still take adapter slots. Their number is unknown, as an engine that has restarted
-    /// since has accepted fewer orders than they expect. An engine crashes if it is given more adapters than it has slots
-    /// for. Engines that check fencing tokens refuse such loads, so there is no wait for these.
+    /// Late loads of an earlier holder may still take adapter slots. Their number is unknown, as an engine that has
+    /// restarted since has accepted fewer orders than they expect. An engine crashes if it is given more adapters than
+    /// it has slots for. Engines that check fencing tokens refuse such loads, so there is no wait for these.
     pub(super) fn load_hold_remaining(&self, now: Instant) -> Duration {
         if self.are_orders_fenced {
             Duration::ZERO
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -235,8 +235,8 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// Queues the load of an adapter for a refused call, if that evicts nothing. Under load most slots are in use, and an
-    /// adapter that is preloaded would be evicted again before the caller retries.
+    /// Queues the load of an adapter for a refused call, if that evicts nothing. Under load most slots are in use, and
+    /// an adapter that is preloaded would be evicted again before the caller retries.
     pub(super) fn preload(&mut self, name: &TargetName, request: &PlacementRequest, now: Instant) {
         let has_adapter = split_subject(&request.subject).1.is_some();
         let Some(engine) = self.engines.get_mut(name) else {
--- a/crates/core/src/direct/search.rs
+++ b/crates/core/src/direct/search.rs
@@ -1,13 +1,14 @@
 //! Search of a gateway for the zone that takes a call: the order of the zones asked and the terms.
 //!
-//! The home zone of the call is asked first. It takes the call if an engine that has the adapter can keep the objective;
-//! otherwise it offers a cost, and each other zone may take the call at a lower one. Without this comparison, a call that
-//! needs an adapter load waits behind the prompts of the four engines of its home zone, while under heavy load half of
-//! the fleet's engines are not reading a prompt at any moment. Asking the zones takes a few ms, a load about 250 ms.
+//! The home zone of the call is asked first. It takes the call if an engine that has the adapter can keep the
+//! objective; otherwise it offers a cost, and each other zone may take the call at a lower one. Without this
+//! comparison, a call that needs an adapter load waits behind the prompts of the four engines of its home zone, while
+//! under heavy load half of the fleet's engines are not reading a prompt at any moment. Asking the zones takes a few
+//! ms, a load about 250 ms.
 //!
-//! If no zone takes the call on these terms, the home zone is asked to take it within the longest wait for its rank, and
-//! then every zone that has the adapter. This is repeated once after a pause, as a zone whose holder changes answers
-//! again after a moment.
+//! If no zone takes the call on these terms, the home zone is asked to take it within the longest wait for its rank,
+//! and then every zone that has the adapter. This is repeated once after a pause, as a zone whose holder changes
+//! answers again after a moment.
 
 use crate::direct::{
     millis,
@@ -82,8 +83,8 @@
             zone,
             pass,
             terms: self.terms(pass, zone),
-            // All zones load from the same store. So apart from the home zone, only a zone that takes the call at a lower
-            // cost loads the adapter, unless the home zone does not answer.
+            // All zones load from the same store. So apart from the home zone, only a zone that takes the call at a
+            // lower cost loads the adapter, unless the home zone does not answer.
             may_load: zone == 0 || pass == SearchPass::Compare || self.is_home_silent,
         })
     }
