--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -1,5 +1,5 @@
-//! The planner of a zone against a small model of engines: orders that are late, lost or refused, adapters in use,
-//! reports that lag. An engine must never be ordered beyond its places, and every call must be answered.
+//! Tests of a zone's planner against a small model of engines, with late, lost and refused orders, adapters in use and
+//! outdated reports. No engine may be ordered beyond its adapter slots, and every call must be answered.
 
 use hoplanding_core::{
     direct::{
@@ -21,15 +21,15 @@
     time::Duration,
 };
 
-const PLACES: usize = 4;
+const ADAPTER_SLOTS: usize = 4;
 const LOAD_MICROS: u64 = 250_000;
-const LAG_MICROS: u64 = 150_000;
+const REPORT_LAG_MICROS: u64 = 150_000;
 
 fn limits() -> EngineLimits {
     EngineLimits {
         slots: 8,
         kv_tokens: 1_000_000,
-        adapter_slots: PLACES as u32,
+        adapter_slots: ADAPTER_SLOTS as u32,
         loads_per_s: 3.0,
         models: vec![AdapterName::new("base")],
     }
@@ -59,7 +59,7 @@
     }
 }
 
-fn ask(adapter: &str) -> PlacementRequest {
+fn request(adapter: &str) -> PlacementRequest {
     PlacementRequest {
         fingerprint: Default::default(),
         is_trial: false,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A planner over engines whose reports were read.
+/// Creates a planner for engines whose reports have been read.
 fn planner(names: &[&str], now: Instant) -> ZonePlanner {
     let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(names.iter().map(|name| entry(name)).collect(), now);
@@ -106,19 +106,19 @@
 }
 
 fn orders(actions: VecDeque<PlannerAction>) -> Vec<(TargetName, EngineOrder)> {
-    let given = actions.into_iter().filter_map(|action| match action {
+    let sent = actions.into_iter().filter_map(|action| match action {
         PlannerAction::Order(entry, order) => Some((entry.name.clone(), order)),
         _ => None,
     });
-    given.collect()
+    sent.collect()
 }
 
 fn answers(actions: &VecDeque<PlannerAction>) -> Vec<(CallKey, PlacementAnswer)> {
-    let given = actions.iter().filter_map(|action| match action {
+    let sent = actions.iter().filter_map(|action| match action {
         PlannerAction::Answer(key, answer) => Some((key.clone(), answer.clone())),
         _ => None,
     });
-    given.collect()
+    sent.collect()
 }
 
 fn after(now: Instant, ms: u64) -> Instant {
@@ -126,14 +126,14 @@
 }
 
 #[test]
-fn calls_for_one_absent_adapter_share_one_load() {
+fn calls_for_an_adapter_that_is_not_loaded_share_one_load() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1", "e2"], now);
-    planner.place(key(1), ask("base/a1"), now);
-    planner.place(key(2), ask("base/a1"), now);
-    let given = orders(planner.take_actions());
-    assert_eq!(given.len(), 1, "{given:?}");
-    planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
+    planner.place(key(1), request("base/a1"), now);
+    planner.place(key(2), request("base/a1"), now);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent.len(), 1, "{sent:?}");
+    planner.order_ended(&sent[0].0, OrderOutcome::Begun, now);
     let actions = planner.take_actions();
     let placed = answers(&actions);
     assert_eq!(placed.len(), 2);
@@ -144,31 +144,34 @@
         else {
             panic!("not placed");
         };
-        assert_eq!(target, given[0].0);
-        assert!(wait_ms >= 250, "waits for its load, not {wait_ms} ms");
+        assert_eq!(target, sent[0].0);
+        assert!(
+            wait_ms >= 250,
+            "sent before its load ends: after {wait_ms} ms"
+        );
     }
 }
 
 #[test]
-fn an_unload_of_an_adapter_in_use_blocks_its_engine_until_the_report_shows_it_gone() {
+fn unload_of_adapter_in_use_blocks_engine_until_report_shows_it_unloaded() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
     let name = TargetName::new("e1");
-    // Four adapters that the holder believes unused: one of them has a run that nobody counts.
+    // The holder believes four adapters unused, but one of them has an untracked call.
     let full = report(&["base/a1", "base/a2", "base/a3", "base/a4"], 4);
     planner.report_received(&name, Some(&full), now);
     planner.take_actions();
     let now = after(now, 4_000);
-    planner.place(key(1), ask("base/a9"), now);
-    let given = orders(planner.take_actions());
-    assert_eq!(given[0].1.kind, OrderKind::Unload);
+    planner.place(key(1), request("base/a9"), now);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent[0].1.kind, OrderKind::Unload);
     planner.order_ended(&name, OrderOutcome::Begun, now);
     let actions = planner.take_actions();
     assert!(
         orders(actions.clone()).is_empty(),
         "no order while it waits"
     );
-    // The call that waited is turned away at once, as there is no other engine.
+    // The waiting call is refused at once, as there is no other engine.
     assert!(matches!(
         answers(&actions)[0].1,
         PlacementAnswer::Refuse { .. }
@@ -184,36 +187,36 @@
         }),
         now,
     );
-    planner.place(key(2), ask("base/a9"), now);
-    assert!(orders(planner.take_actions()).is_empty(), "still leaving");
+    planner.place(key(2), request("base/a9"), now);
+    assert!(orders(planner.take_actions()).is_empty(), "still unloading");
     let now = after(now, 400);
     planner.tick(now);
     let gone: Vec<_> = full
         .adapters
         .iter()
         .map(|(adapter, _)| adapter.as_str())
-        .filter(|adapter| *adapter != given[0].1.subject.as_str())
+        .filter(|adapter| *adapter != sent[0].1.subject.as_str())
         .collect();
     planner.report_received(&name, Some(&report(&gone, 5)), now);
-    planner.place(key(3), ask("base/a9"), now);
-    let given = orders(planner.take_actions());
-    assert_eq!(given[0].1.kind, OrderKind::Load);
-    assert_eq!(given[0].1.expected, 5);
+    planner.place(key(3), request("base/a9"), now);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent[0].1.kind, OrderKind::Load);
+    assert_eq!(sent[0].1.expected, 5);
 }
 
 #[test]
-fn a_call_that_comes_too_early_for_its_load_waits_at_the_same_engine() {
+fn call_rejected_before_its_load_finished_is_placed_at_the_same_engine() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1", "e2"], now);
-    planner.place(key(1), ask("base/a1"), now);
-    let given = orders(planner.take_actions());
-    planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
+    planner.place(key(1), request("base/a1"), now);
+    let sent = orders(planner.take_actions());
+    planner.order_ended(&sent[0].0, OrderOutcome::Begun, now);
     planner.take_actions();
     let now = after(now, 265);
     planner.tick(now);
-    planner.report_missing_copy(&key(1), &given[0].0, now);
-    planner.call_ended(&key(1), Some(&given[0].0), None, now);
-    planner.place(key(2), ask("base/a1"), now);
+    planner.report_missing_copy(&key(1), &sent[0].0, now);
+    planner.call_ended(&key(1), Some(&sent[0].0), None, now);
+    planner.place(key(2), request("base/a1"), now);
     let actions = planner.take_actions();
     assert!(orders(actions.clone()).is_empty(), "no second load");
     let PlacementAnswer::Send {
@@ -222,22 +225,22 @@
     else {
         panic!("not placed");
     };
-    assert_eq!(*target, given[0].0);
+    assert_eq!(*target, sent[0].0);
     assert!(*wait_ms > 0);
 }
 
 #[test]
-fn a_named_version_bars_old_copies_and_replaces_them_once_unused() {
+fn named_version_blocks_old_copies_and_reloads_them_once_unused() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
     let name = TargetName::new("e1");
     planner.report_received(&name, Some(&report(&["base/a1"], 1)), now);
     let now = after(now, 3_000);
-    planner.place(key(1), ask("base/a1"), now);
+    planner.place(key(1), request("base/a1"), now);
     planner.take_actions();
     planner.set_version(&AdapterName::new("base/a1"), 2, now);
     assert!(orders(planner.take_actions()).is_empty(), "in use");
-    planner.place(key(2), ask("base/a1"), now);
+    planner.place(key(2), request("base/a1"), now);
     assert!(
         answers(&planner.take_actions())
             .iter()
@@ -246,9 +249,9 @@
     );
     planner.call_ended(&key(1), Some(&name), Some(CallOutcome::Good), now);
     planner.tick(now);
-    let given = orders(planner.take_actions());
-    assert_eq!(given.len(), 1, "one replacement: {given:?}");
-    assert_eq!(given[0].1.version, Some(2));
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent.len(), 1, "one replacement: {sent:?}");
+    assert_eq!(sent[0].1.version, Some(2));
     for _ in 0..10 {
         planner.tick(now);
     }
@@ -256,7 +259,7 @@
 }
 
 #[test]
-fn a_resident_adapter_of_an_entry_is_not_loaded_again() {
+fn adapter_listed_as_loaded_is_not_loaded_again() {
     let now = Instant(1_000_000);
     let mut listed = TargetEntry::clone(&entry("e1"));
     listed.adapters.push(ResidentAdapter {
@@ -265,7 +268,7 @@
     });
     let mut planner = ZonePlanner::new(EngineEstimates::default(), limits(), after(now, 3_000));
     planner.set_targets(vec![Arc::new(listed)], now);
-    planner.place(key(1), ask("base/a1"), now);
+    planner.place(key(1), request("base/a1"), now);
     let actions = planner.take_actions();
     assert!(matches!(
         answers(&actions)[0].1,
@@ -274,20 +277,20 @@
 }
 
 #[test]
-fn a_call_whose_load_is_not_accepted_in_time_is_turned_away_and_the_load_goes_on() {
+fn call_is_refused_if_its_load_is_not_accepted_in_time_and_the_load_continues() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
     let urgent = PlacementRequest {
         bound_ms: 600,
-        ..ask("base/a1")
+        ..request("base/a1")
     };
     planner.place(key(1), urgent, now);
-    let given = orders(planner.take_actions());
-    assert_eq!(given.len(), 1);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent.len(), 1);
     planner.tick(after(now, 500));
     assert!(
         answers(&planner.take_actions()).is_empty(),
-        "it may come yet"
+        "refused too early"
     );
     let now = after(now, 900);
     planner.tick(now);
@@ -296,15 +299,16 @@
         turned_away[..],
         [(_, PlacementAnswer::Refuse { .. })]
     ));
-    planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
-    planner.place(key(2), ask("base/a1"), after(now, 300));
+    planner.order_ended(&sent[0].0, OrderOutcome::Begun, now);
+    planner.place(key(2), request("base/a1"), after(now, 300));
     assert!(matches!(
         answers(&planner.take_actions())[..],
         [(_, PlacementAnswer::Send { .. })]
     ));
 }
 
-/// A successor's planner over one engine that holds nothing; engines check fencing tokens or don't.
+/// Creates the planner of a new holder for one engine without adapters. `are_fenced` tells whether engines check
+/// fencing tokens.
 fn successor(are_fenced: bool, now: Instant) -> ZonePlanner {
     let mut planner = planner(&["e1"], now);
     planner.set_order_fencing(are_fenced);
@@ -312,8 +316,9 @@
     planner
 }
 
-/// The regular work up to a time, with reports of an engine that holds nothing; gives what else is to be done.
-fn work_until(planner: &mut ZonePlanner, from: Instant, until: Instant) -> VecDeque<PlannerAction> {
+/// Runs the periodic work until `until`, answering with reports of an engine without adapters. Returns all other
+/// actions.
+fn tick_until(planner: &mut ZonePlanner, from: Instant, until: Instant) -> VecDeque<PlannerAction> {
     let mut left = VecDeque::new();
     let mut now = from;
     while now < until {
@@ -331,19 +336,19 @@
     left
 }
 
-// What callers saw: where engines check no fencing tokens, a call for an absent adapter waited for up to 12.5 s after each change of
-// holder, planned ones too, and was refused at its deadline. What happens: loads are held for that time, as late loads of
-// the holder before may take places; the call was placed as if its load began at once. It was found by reading, and this
-// test failed with no answer at all before.
+// Guards against calls that wait for a load which is not allowed yet. If engines check no fencing tokens, loads are
+// held for 12.5 s after each change of holder, as late loads of the earlier holder may take slots. A call for an
+// adapter that is not loaded was placed as if its load started at once, waited for up to 12.5 s and was refused at its
+// deadline.
 #[test]
-fn a_call_whose_load_is_held_after_a_takeover_is_refused_at_once_with_the_time_to_come_back() {
+fn call_is_refused_at_once_with_retry_delay_if_loads_are_held_after_a_takeover() {
     let now = Instant(1_000_000);
     let mut planner = successor(false, now);
-    let patience = PlacementRequest {
+    let patient = PlacementRequest {
         bound_ms: 8_000,
-        ..ask("base/a1")
+        ..request("base/a1")
     };
-    planner.place(key(1), patience.clone(), now);
+    planner.place(key(1), patient.clone(), now);
     let actions = planner.take_actions();
     let answered = answers(&actions);
     let [
@@ -359,20 +364,23 @@
         panic!("not refused at once: {answered:?}");
     };
     assert!(matches!(cause, RefusalCause::TooLong(_)), "{cause:?}");
-    assert!(orders(actions).is_empty(), "a load before the time is over");
+    assert!(
+        orders(actions).is_empty(),
+        "a load is ordered while loads are held"
+    );
     let held = UNANSWERED_ORDER_TTL.as_millis() as u64;
     assert!(
         (held..held + 1_000).contains(&u64::from(*retry_after_ms)),
         "{retry_after_ms} ms"
     );
-    // The load begins as soon as it may, and whoever comes back then is served.
+    // The load starts as soon as it is allowed, and a retry after the stated delay is served.
     let over = after(now, held + 100);
-    let given = orders(work_until(&mut planner, now, over));
-    assert_eq!(given.len(), 1, "{given:?}");
+    let sent = orders(tick_until(&mut planner, now, over));
+    assert_eq!(sent.len(), 1, "{sent:?}");
     let now = over;
-    planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
+    planner.order_ended(&sent[0].0, OrderOutcome::Begun, now);
     let now = after(now, u64::from(*retry_after_ms) - held);
-    planner.place(key(2), patience, now);
+    planner.place(key(2), patient, now);
     let answered = answers(&planner.take_actions());
     assert!(
         matches!(answered[..], [(_, PlacementAnswer::Send { .. })]),
@@ -381,15 +389,15 @@
 }
 
 #[test]
-fn a_call_with_the_patience_waits_for_a_load_that_is_held() {
+fn call_with_a_long_bound_waits_for_a_held_load() {
     let now = Instant(1_000_000);
     let mut planner = successor(false, now);
-    planner.place(key(1), ask("base/a1"), now);
+    planner.place(key(1), request("base/a1"), now);
     assert!(answers(&planner.take_actions()).is_empty());
     let over = after(now, UNANSWERED_ORDER_TTL.as_millis() as u64 + 100);
-    let given = orders(work_until(&mut planner, now, over));
+    let sent = orders(tick_until(&mut planner, now, over));
     let now = over;
-    planner.order_ended(&given[0].0, OrderOutcome::Begun, now);
+    planner.order_ended(&sent[0].0, OrderOutcome::Begun, now);
     let answered = answers(&planner.take_actions());
     assert!(
         matches!(answered[..], [(_, PlacementAnswer::Send { .. })]),
@@ -398,15 +406,15 @@
 }
 
 #[test]
-fn no_load_is_held_after_a_takeover_where_engines_check_fencing_tokens() {
+fn loads_are_not_held_after_a_takeover_if_engines_check_fencing_tokens() {
     let now = Instant(1_000_000);
     let mut planner = successor(true, now);
-    planner.place(key(1), ask("base/a1"), now);
+    planner.place(key(1), request("base/a1"), now);
     assert_eq!(orders(planner.take_actions()).len(), 1);
 }
 
-/// A planner over an engine with the model and an empty one; `own_copies` are those of the empty one.
-fn planner_beside_empty(local_models: &[&str], now: Instant) -> ZonePlanner {
+/// Creates a planner for an engine with the base model and an empty one. `local_models` are those of the empty one.
+fn planner_with_empty_engine(local_models: &[&str], now: Instant) -> ZonePlanner {
     let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     let mut empty = (*entry("empty")).clone();
     empty.models.clear();
@@ -427,8 +435,8 @@
     planner
 }
 
-/// Base models ordered over some seconds of regular work.
-fn models_ordered(planner: &mut ZonePlanner, from: Instant) -> usize {
+/// Counts the base models ordered for the empty engine over some seconds of periodic work.
+fn count_model_orders(planner: &mut ZonePlanner, from: Instant) -> usize {
     let mut ordered = 0;
     for step in 1..60 {
         planner.tick(after(from, 50 * step));
@@ -441,38 +449,38 @@
 }
 
 #[test]
-fn an_adapter_that_crowds_its_engine_gets_a_second_copy_before_the_places_are_full() {
+fn adapter_that_crowds_its_engine_is_replicated_before_the_slots_are_full() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two"], now);
     planner.report_received(&TargetName::new("one"), Some(&report(&["base/a"], 0)), now);
     let mut loads = Vec::new();
     for number in 0..5 {
-        planner.place(key(number), ask("base/a"), now);
+        planner.place(key(number), request("base/a"), now);
         loads.extend(orders(planner.take_actions()));
-        // Its prompt is read before the next one comes.
+        // The prompt is read before the next call arrives.
         planner.tick(after(now, 30 * (number + 1)));
         planner.take_actions();
     }
-    // Five of eight places: one load, at the other engine, and no call waits for it.
+    // Five of eight slots are in use: one load at the other engine, and no call waits for it.
     assert_eq!(loads.len(), 1);
     assert_eq!(loads[0].0.as_str(), "two");
     assert_eq!(loads[0].1.subject.as_str(), "base/a");
-    // While it comes, no third one.
+    // No third copy while that load is in progress.
     planner.order_ended(&loads[0].0, OrderOutcome::Begun, after(now, 150));
-    planner.place(key(9), ask("base/a"), after(now, 160));
+    planner.place(key(9), request("base/a"), after(now, 160));
     assert!(orders(planner.take_actions()).is_empty());
 }
 
 #[test]
-fn an_adapter_that_takes_much_of_its_zone_is_said_to_be_sought() {
+fn adapter_that_uses_a_large_share_of_the_zone_is_reported_as_sought() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two", "three"], now);
     let held = report(&["base/a", "base/b"], 0);
     planner.report_received(&TargetName::new("one"), Some(&held), now);
-    let sought: Vec<_> = (0..6)
+    let hot: Vec<_> = (0..6)
         .map(|number| {
             let adapter = if number == 5 { "base/b" } else { "base/a" };
-            planner.place(key(number), ask(adapter), after(now, 30 * number));
+            planner.place(key(number), request(adapter), after(now, 30 * number));
             let answers = answers(&planner.take_actions());
             matches!(
                 answers[0].1,
@@ -483,12 +491,12 @@
             )
         })
         .collect();
-    // 15% of 24 places are 3.6 calls.
-    assert_eq!(sought, [false, false, false, true, true, false]);
+    // 15% of 24 slots are 3.6 calls.
+    assert_eq!(hot, [false, false, false, true, true, false]);
 }
 
 #[test]
-fn adapters_that_share_a_crowded_engine_get_no_second_copies() {
+fn adapters_with_small_shares_of_a_crowded_engine_are_not_replicated() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two"], now);
     let held = report(&["base/a", "base/b", "base/c", "base/d"], 0);
@@ -496,65 +504,69 @@
     let mut loads = 0;
     for (number, adapter) in (0..).zip(["base/a", "base/b", "base/c", "base/d", "base/a", "base/b"])
     {
-        planner.place(key(number), ask(adapter), after(now, 30 * number));
+        planner.place(key(number), request(adapter), after(now, 30 * number));
         loads += orders(planner.take_actions()).len();
     }
-    assert_eq!(loads, 1, "only the one that makes up a third of the calls");
+    assert_eq!(loads, 1, "only the adapter with a third of the calls");
 }
 
 #[test]
-fn an_empty_engine_is_filled_from_the_store_only_where_the_zone_needs_it() {
+fn empty_engine_loads_base_model_from_the_store_only_if_the_zone_needs_it() {
     let now = Instant(1_000_000);
-    let mut calm = planner_beside_empty(&[], now);
-    assert_eq!(models_ordered(&mut calm, now), 0);
-    let mut busy = planner_beside_empty(&[], now);
+    let mut calm = planner_with_empty_engine(&[], now);
+    assert_eq!(count_model_orders(&mut calm, now), 0);
+    let mut busy = planner_with_empty_engine(&[], now);
     for number in 0..8 {
-        busy.place(key(number), ask("base"), now);
+        busy.place(key(number), request("base"), now);
     }
     busy.take_actions();
-    assert_eq!(models_ordered(&mut busy, now), 1);
-    let mut with_copy = planner_beside_empty(&["base"], now);
-    assert_eq!(models_ordered(&mut with_copy, now), 1);
-    // Where no engine is left that could serve, none is needed to be busy.
-    let mut bereft = planner_beside_empty(&[], now);
+    assert_eq!(count_model_orders(&mut busy, now), 1);
+    let mut with_copy = planner_with_empty_engine(&["base"], now);
+    assert_eq!(count_model_orders(&mut with_copy, now), 1);
+    // Without any serving engine, the zone needs one at any utilization.
+    let mut without_serving = planner_with_empty_engine(&[], now);
     let mut empty = (*entry("empty")).clone();
     empty.models.clear();
-    bereft.set_targets(vec![Arc::new(empty)], now);
-    assert_eq!(models_ordered(&mut bereft, now), 1);
+    without_serving.set_targets(vec![Arc::new(empty)], now);
+    assert_eq!(count_model_orders(&mut without_serving, now), 1);
 }
 
-/// Holders follow each other within less than the pause between two loads of models: none of them knows when the one before
-/// it began its last, and together they must not go beyond the zone's share of the store.
+/// Guards against too many model loads when holders follow each other within the interval between two loads. None of
+/// them knows when the previous one last started a load, and together they must not exceed the zone's share of the
+/// store.
 #[test]
-fn holders_in_series_load_no_more_models_than_one_would() {
+fn successive_holders_keep_the_interval_between_model_loads() {
     let start = Instant(1_000_000);
     let pause = EngineEstimates::per_zone(1, 3.0).model_load_interval;
     let life = pause / 2;
     let mut ordered = 0;
     for holder in 0..20 {
         let from = start.after(life * holder);
-        let mut planner = planner_beside_empty(&["base"], from);
+        let mut planner = planner_with_empty_engine(&["base"], from);
         for step in 1..=10 {
             planner.tick(from.after(life * step / 10));
-            let given = orders(planner.take_actions());
+            let sent = orders(planner.take_actions());
             let is_model = |order: &EngineOrder| order.subject.as_str() == "base";
-            ordered += given.iter().filter(|(_, order)| is_model(order)).count();
+            ordered += sent.iter().filter(|(_, order)| is_model(order)).count();
         }
     }
-    assert!(ordered <= 10, "{ordered} loads in the time of ten");
+    assert!(
+        ordered <= 10,
+        "{ordered} loads in the time of ten intervals"
+    );
 }
 
 #[test]
-fn a_new_holder_makes_room_as_soon_as_nothing_runs_that_it_does_not_know() {
+fn new_holder_evicts_adapters_once_the_report_shows_no_untracked_calls() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one"], now);
     let one = TargetName::new("one");
     let full = ["base/a", "base/b", "base/c", "base/d"];
     planner.report_received(&one, Some(&report(&full, 0)), now);
-    planner.place(key(1), ask("base/e"), now);
+    planner.place(key(1), request("base/e"), now);
     let refused = answers(&planner.take_actions());
     assert!(matches!(refused[0].1, PlacementAnswer::Refuse { .. }));
-    // It asks again without being told to, and the engine has become idle.
+    // The planner reads the report again by itself, and the engine has become idle.
     let later = after(now, 350);
     planner.tick(later);
     let asks = planner.take_actions();
@@ -564,13 +576,13 @@
         ..report(&full, 0)
     };
     planner.report_received(&one, Some(&idle), later);
-    planner.place(key(2), ask("base/e"), later);
-    let given = orders(planner.take_actions());
-    assert_eq!(given[0].1.kind, OrderKind::Unload);
+    planner.place(key(2), request("base/e"), later);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent[0].1.kind, OrderKind::Unload);
 }
 
 #[test]
-fn what_only_a_report_shows_is_held_until_gateways_told_of_their_calls() {
+fn reported_adapters_are_pinned_until_gateways_reported_their_calls() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one"], now);
     let one = TargetName::new("one");
@@ -583,19 +595,19 @@
     let told = after(now, 950);
     planner.tick(told);
     planner.report_received(&one, Some(&report(&full, 0)), told);
-    planner.place(key(9), ask("base/e"), told);
-    let given = orders(planner.take_actions());
-    assert_eq!(given.len(), 1);
-    assert_eq!(given[0].1.kind, OrderKind::Unload);
+    planner.place(key(9), request("base/e"), told);
+    let sent = orders(planner.take_actions());
+    assert_eq!(sent.len(), 1);
+    assert_eq!(sent[0].1.kind, OrderKind::Unload);
     assert_eq!(
-        given[0].1.subject.as_str(),
+        sent[0].1.subject.as_str(),
         "base/d",
-        "the one without a call"
+        "the adapter without a call"
     );
 }
 
 #[test]
-fn a_target_out_of_reach_twice_is_lost_until_its_pause_ends() {
+fn target_unreachable_twice_is_lost_until_its_pause_ends() {
     let mut health = HealthTable::default();
     let target = TargetName::new("i-1");
     let now = Instant(1_000_000);
@@ -613,49 +625,49 @@
     );
 }
 
-/// An engine as the users' pages describe it.
+/// Model of an engine, after its specification.
 #[derive(Clone, Debug, Default)]
 struct EngineModel {
     sequence: u64,
-    here: BTreeSet<AdapterName>,
-    coming: BTreeMap<AdapterName, u64>,
-    leaving: Option<AdapterName>,
+    loaded: BTreeSet<AdapterName>,
+    loading: BTreeMap<AdapterName, u64>,
+    unloading: Option<AdapterName>,
     running: BTreeMap<CallKey, AdapterName>,
     history: VecDeque<(u64, EngineReport)>,
 }
 
 impl EngineModel {
-    fn places(&self) -> usize {
-        self.here.len() + self.coming.len()
+    fn occupied_slots(&self) -> usize {
+        self.loaded.len() + self.loading.len()
     }
 
-    fn uses(&self, adapter: &AdapterName) -> bool {
+    fn is_in_use(&self, adapter: &AdapterName) -> bool {
         self.running.values().any(|used| used == adapter)
     }
 
     fn advance(&mut self, now: u64) {
         let done: Vec<_> = self
-            .coming
+            .loading
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(adapter, _)| adapter.clone())
             .collect();
         for adapter in done {
-            self.coming.remove(&adapter);
-            self.here.insert(adapter);
+            self.loading.remove(&adapter);
+            self.loaded.insert(adapter);
         }
-        if let Some(adapter) = self.leaving.clone()
-            && !self.uses(&adapter)
+        if let Some(adapter) = self.unloading.clone()
+            && !self.is_in_use(&adapter)
         {
-            self.here.remove(&adapter);
-            self.leaving = None;
+            self.loaded.remove(&adapter);
+            self.unloading = None;
         }
         let report = EngineReport {
             life: TargetLife::default(),
             orders_taken: self.sequence,
             models: vec![(AdapterName::new("base"), 1)],
-            adapters: self.here.iter().map(|held| (held.clone(), 1)).collect(),
-            loading: self.coming.keys().map(|held| (held.clone(), 1)).collect(),
+            adapters: self.loaded.iter().map(|held| (held.clone(), 1)).collect(),
+            loading: self.loading.keys().map(|held| (held.clone(), 1)).collect(),
             local_models: Vec::new(),
             requests: u32::try_from(self.running.len()).expect("few"),
             is_busy: false,
@@ -664,7 +676,7 @@
         while self
             .history
             .get(1)
-            .is_some_and(|(at, _)| at + LAG_MICROS <= now)
+            .is_some_and(|(at, _)| at + REPORT_LAG_MICROS <= now)
         {
             self.history.pop_front();
         }
@@ -675,32 +687,35 @@
     }
 
     fn take(&mut self, order: &EngineOrder, now: u64) -> OrderOutcome {
-        if self.leaving.as_ref() == Some(&order.subject) && order.kind == OrderKind::Unload {
+        if self.unloading.as_ref() == Some(&order.subject) && order.kind == OrderKind::Unload {
             return OrderOutcome::Begun;
         }
-        if self.leaving.is_some() || order.expected != self.sequence {
+        if self.unloading.is_some() || order.expected != self.sequence {
             return OrderOutcome::Conflict;
         }
         match order.kind {
-            OrderKind::Load if self.here.contains(&order.subject) => OrderOutcome::Done,
+            OrderKind::Load if self.loaded.contains(&order.subject) => OrderOutcome::Done,
             OrderKind::Load => {
                 self.sequence += 1;
-                self.coming.insert(order.subject.clone(), now + LOAD_MICROS);
+                self.loading
+                    .insert(order.subject.clone(), now + LOAD_MICROS);
                 assert!(
-                    self.places() <= PLACES,
-                    "ordered beyond its places: {order:?}"
+                    self.occupied_slots() <= ADAPTER_SLOTS,
+                    "ordered beyond its adapter slots: {order:?}"
                 );
                 OrderOutcome::Begun
             }
-            OrderKind::Unload if self.coming.contains_key(&order.subject) => OrderOutcome::Conflict,
-            OrderKind::Unload if !self.here.contains(&order.subject) => OrderOutcome::Done,
+            OrderKind::Unload if self.loading.contains_key(&order.subject) => {
+                OrderOutcome::Conflict
+            }
+            OrderKind::Unload if !self.loaded.contains(&order.subject) => OrderOutcome::Done,
             OrderKind::Unload => {
                 self.sequence += 1;
-                if self.uses(&order.subject) {
-                    self.leaving = Some(order.subject.clone());
+                if self.is_in_use(&order.subject) {
+                    self.unloading = Some(order.subject.clone());
                     OrderOutcome::Begun
                 } else {
-                    self.here.remove(&order.subject);
+                    self.loaded.remove(&order.subject);
                     OrderOutcome::Done
                 }
             }
@@ -708,7 +723,7 @@
     }
 }
 
-/// One random run; calls whose gateway is gone run on, orders get lost and are carried out late.
+/// Runs one random schedule in which calls of lost gateways continue, and orders are lost or carried out late.
 fn run_schedule(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let names = ["e1", "e2", "e3"].map(TargetName::new);
@@ -719,7 +734,7 @@
     let mut now = Instant(1_000_000);
     let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(names.iter().map(|name| entry(name.as_str())).collect(), now);
-    let mut asked = BTreeSet::new();
+    let mut unanswered = BTreeSet::new();
     let mut running: Vec<(CallKey, TargetName, u64)> = Vec::new();
     let mut late: Vec<(u64, TargetName, EngineOrder)> = Vec::new();
     let mut next = 1;
@@ -742,8 +757,8 @@
                 number: next,
             };
             next += 1;
-            asked.insert(call.clone());
-            planner.place(call, ask(&format!("base/a{}", rank as u32)), now);
+            unanswered.insert(call.clone());
+            planner.place(call, request(&format!("base/a{}", rank as u32)), now);
         }
         let ended: Vec<_> = running.extract_if(.., |(.., at)| *at <= now.0).collect();
         for (call, name, _) in ended {
@@ -755,10 +770,10 @@
             planner.call_ended(&call, Some(&name), Some(CallOutcome::Good), now);
         }
         if random.random_bool(0.002) {
-            // The link to a gateway breaks; its calls run on for a while.
+            // The connection to a gateway breaks; its calls continue for a while.
             let vm = VmName::new("vm1");
             planner.forget_gateway(&vm, now);
-            asked.retain(|call| call.vm != vm);
+            unanswered.retain(|call| call.vm != vm);
         }
         if step % 10 == 0 {
             planner.tick(now);
@@ -771,7 +786,7 @@
             for action in actions {
                 match action {
                     PlannerAction::Answer(call, answer) => {
-                        asked.remove(&call);
+                        unanswered.remove(&call);
                         if let PlacementAnswer::Send { target, .. } = answer {
                             let engine = engines.get_mut(&target).expect("an engine");
                             let subject = planner.engines()[&target]
@@ -779,7 +794,7 @@
                                 .get(&call)
                                 .map(|sent| sent.subject.clone());
                             if let Some(subject) = subject
-                                && engine.here.contains(&subject)
+                                && engine.loaded.contains(&subject)
                             {
                                 engine.running.insert(call.clone(), subject);
                             }
@@ -814,23 +829,26 @@
             }
         }
     }
-    assert!(asked.is_empty(), "seed {seed}: never answered: {asked:?}");
+    assert!(
+        unanswered.is_empty(),
+        "seed {seed}: never answered: {unanswered:?}"
+    );
 }
 
 #[test]
-fn no_engine_is_ordered_beyond_its_places_whatever_happens_to_orders() {
+fn engines_are_not_ordered_beyond_their_slots_if_orders_are_lost_or_late() {
     for seed in 0..60 {
         run_schedule(seed);
     }
 }
 
 #[test]
-fn a_zone_offers_what_it_would_have_to_load_and_takes_it_only_for_less() {
+fn zone_offers_the_cost_of_a_load_and_loads_only_below_the_given_cost() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["e1"], now);
     let with = |terms| PlacementRequest {
         terms,
-        ..ask("base/a1")
+        ..request("base/a1")
     };
     planner.place(key(1), with(PlacementTerms::Inquire), now);
     let actions = planner.take_actions();
@@ -847,13 +865,13 @@
         answers(&actions)[..],
         [(_, PlacementAnswer::Refuse { .. })]
     ));
-    assert!(orders(actions).is_empty(), "it is no cheaper");
+    assert!(orders(actions).is_empty(), "it does not cost less");
     planner.place(key(3), with(PlacementTerms::Beat(cost + 1)), now);
     assert_eq!(orders(planner.take_actions()).len(), 1);
 }
 
-/// Takes every order, and gives the calls that were sent.
-fn take_orders(planner: &mut ZonePlanner, now: Instant) -> Vec<(CallKey, TargetName)> {
+/// Accepts every order, and returns the calls that were sent.
+fn accept_orders(planner: &mut ZonePlanner, now: Instant) -> Vec<(CallKey, TargetName)> {
     let mut sent = Vec::new();
     loop {
         let actions = planner.take_actions();
@@ -871,8 +889,8 @@
     }
 }
 
-/// A planner over engines with room for every adapter.
-fn roomy_planner(names: &[String], now: Instant) -> ZonePlanner {
+/// Creates a planner for engines with slots for every adapter.
+fn planner_with_free_slots(names: &[String], now: Instant) -> ZonePlanner {
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let mut planner = planner(&names, now);
     planner.set_limits(EngineLimits {
@@ -883,31 +901,31 @@
 }
 
 #[test]
-fn loads_on_their_way_are_limited_from_the_first_order_on() {
+fn concurrent_loads_are_limited_from_the_first_order() {
     let now = Instant(1_000_000);
     let names: Vec<_> = (0..12).map(|at| format!("e{at}")).collect();
-    let mut planner = roomy_planner(&names, now);
+    let mut planner = planner_with_free_slots(&names, now);
     for number in 0..12 {
-        planner.place(key(number), ask(&format!("base/a{number}")), now);
+        planner.place(key(number), request(&format!("base/a{number}")), now);
     }
-    // None of them is answered yet.
-    let given = orders(planner.take_actions());
-    assert!((1..8).contains(&given.len()), "{given:?}");
+    // No order has been answered yet.
+    let sent = orders(planner.take_actions());
+    assert!((1..8).contains(&sent.len()), "{sent:?}");
 }
 
 #[test]
-fn loads_that_come_in_time_make_room_for_more_and_late_ones_take_it() {
+fn load_limit_rises_with_timely_loads_and_falls_with_late_ones() {
     let mut now = Instant(1_000_000);
     let names: Vec<_> = (0..24).map(|at| format!("e{at}")).collect();
-    let mut planner = roomy_planner(&names, now);
+    let mut planner = planner_with_free_slots(&names, now);
     let mut number = 0;
-    // Calls for forty new adapters: those whose loads begin at once.
+    // Sends calls for forty new adapters, and returns those whose loads start at once.
     let mut wave = |planner: &mut ZonePlanner, now: Instant| {
         for _ in 0..40 {
             number += 1;
-            planner.place(key(number), ask(&format!("base/a{number}")), now);
+            planner.place(key(number), request(&format!("base/a{number}")), now);
         }
-        take_orders(planner, now)
+        accept_orders(planner, now)
     };
     let first = wave(&mut planner, now);
     let mut open = first.clone();
@@ -919,7 +937,7 @@
             planner.call_ended(&key, Some(&target), None, now);
         }
         planner.tick(now);
-        open = take_orders(&mut planner, now);
+        open = accept_orders(&mut planner, now);
         if open.is_empty() {
             open = wave(&mut planner, now);
         }
@@ -939,58 +957,58 @@
     assert!(open.len() * 2 < widest, "{} of {widest}", open.len());
 }
 
-/// An engine as listed in the life that began at a Unix time, in ms.
-fn born(name: &str, born: u64) -> Arc<TargetEntry> {
+/// Entry of an engine in the life that started at a Unix time, in ms.
+fn entry_with_life(name: &str, entry_with_life: u64) -> Arc<TargetEntry> {
     let mut listed = (*entry(name)).clone();
-    listed.life = TargetLife::begun_at(born);
+    listed.life = TargetLife::begun_at(entry_with_life);
     Arc::new(listed)
 }
 
-/// A planner over one engine in its first life, which has loaded an adapter for a call that runs.
-fn planner_with_a_run(now: Instant) -> ZonePlanner {
+/// Creates a planner for one engine in its first life, which has loaded an adapter for a running call.
+fn planner_with_running_call(now: Instant) -> ZonePlanner {
     let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
-    planner.set_targets(vec![born("e1", 1_000)], now);
+    planner.set_targets(vec![entry_with_life("e1", 1_000)], now);
     planner.tick(now);
     let first = EngineReport {
         life: TargetLife::begun_at(1_000),
         ..report(&[], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&first), now);
-    planner.place(key(1), ask("base/a1"), now);
-    take_orders(&mut planner, now);
+    planner.place(key(1), request("base/a1"), now);
+    accept_orders(&mut planner, now);
     assert_eq!(planner.engines()[&TargetName::new("e1")].calls.len(), 1);
     planner
 }
 
 #[test]
-fn an_engine_that_starts_again_under_its_name_holds_and_knows_nothing_of_before() {
+fn engine_state_is_reset_when_an_engine_restarts_under_its_name() {
     let now = Instant(1_000_000);
-    let mut planner = planner_with_a_run(now);
+    let mut planner = planner_with_running_call(now);
     let name = TargetName::new("e1");
     for number in 0..20 {
         let failed = Some(CallOutcome::Failed);
         planner.call_ended(&key(100 + number), Some(&name), failed, now);
     }
-    planner.set_targets(vec![born("e1", 2_000)], after(now, 10));
+    planner.set_targets(vec![entry_with_life("e1", 2_000)], after(now, 10));
     let engine = &planner.engines()[&name];
     assert!(engine.copies.is_empty() && engine.calls.is_empty());
     assert_eq!((engine.sequence, engine.is_inventory_known), (0, false));
     assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
     assert!(!planner.is_current_life(&name, TargetLife::begun_at(1_000)));
-    // The end of a call that the life before ran frees nothing here.
+    // The end of a call of the earlier life has no effect.
     planner.call_ended(&key(1), Some(&name), None, after(now, 20));
     assert!(planner.engines()[&name].calls.is_empty());
-    // An entry of the life before changes nothing.
-    planner.set_targets(vec![born("e1", 1_000)], after(now, 30));
+    // An entry of the earlier life has no effect.
+    planner.set_targets(vec![entry_with_life("e1", 1_000)], after(now, 30));
     assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
 }
 
 #[test]
-fn a_late_report_of_an_earlier_life_changes_nothing_and_one_of_a_newer_life_does() {
+fn reports_of_an_earlier_life_are_ignored_and_those_of_a_newer_life_applied() {
     let now = Instant(1_000_000);
-    let mut planner = planner_with_a_run(now);
+    let mut planner = planner_with_running_call(now);
     let name = TargetName::new("e1");
-    planner.set_targets(vec![born("e1", 2_000)], now);
+    planner.set_targets(vec![entry_with_life("e1", 2_000)], now);
     let late = EngineReport {
         life: TargetLife::begun_at(1_000),
         ..report(&["base/a1"], 1)
@@ -998,7 +1016,7 @@
     planner.report_received(&name, Some(&late), after(now, 10));
     let engine = &planner.engines()[&name];
     assert!(engine.copies.is_empty() && !engine.is_inventory_known);
-    // One that does not say its life is from before too: the engine's reports do.
+    // A report without a life is outdated too, as the engine's reports state theirs.
     planner.report_received(&name, Some(&report(&["base/a1"], 1)), after(now, 20));
     assert!(!planner.engines()[&name].is_inventory_known);
     let own = EngineReport {
@@ -1008,7 +1026,7 @@
     planner.report_received(&name, Some(&own), after(now, 30));
     let engine = &planner.engines()[&name];
     assert_eq!((engine.sequence, engine.copies.len()), (3, 1));
-    // A report may tell of the next life before the list does.
+    // A report may show the next life before the list does.
     let next = EngineReport {
         life: TargetLife::begun_at(3_000),
         ..report(&[], 0)
@@ -1020,31 +1038,33 @@
 }
 
 #[test]
-fn calls_that_wait_for_a_load_of_an_earlier_life_are_placed_again() {
+fn calls_waiting_for_a_load_are_placed_again_when_the_engine_restarts() {
     let now = Instant(1_000_000);
-    let mut planner = planner_with_a_run(now);
+    let mut planner = planner_with_running_call(now);
     let name = TargetName::new("e1");
-    // Its order is not answered before the engine starts again.
-    planner.place(key(2), ask("base/a2"), now);
+    // The order is not answered before the engine restarts.
+    planner.place(key(2), request("base/a2"), now);
     assert_eq!(orders(planner.take_actions()).len(), 1);
-    planner.set_targets(vec![born("e1", 2_000)], after(now, 10));
+    planner.set_targets(vec![entry_with_life("e1", 2_000)], after(now, 10));
     let sent = answers(&planner.take_actions());
     let refused = sent
         .iter()
         .any(|(key, answer)| key.number == 2 && matches!(answer, PlacementAnswer::Refuse { .. }));
-    assert!(refused, "told at once, as no engine is known: {sent:?}");
+    assert!(refused, "refused at once, as no engine is known: {sent:?}");
     assert!(planner.engines()[&name].pending.is_none());
 }
 
-/// A planner whose engine did not answer a load before it started again. In its new life it has taken one order, as many as
-/// that load expects, all its places but one are taken, and its report comes at `reported`.
-fn planner_beside_a_late_load(now: Instant, reported: Instant) -> ZonePlanner {
-    let mut planner = planner_with_a_run(now);
-    planner.place(key(2), ask("base/a2"), now);
+/// Creates a planner whose engine restarted before it answered a load. In its new life the engine has accepted one
+/// order, as many as that load expects, and all its slots but one are in use. Its report is read at `reported`.
+fn planner_with_late_load(now: Instant, reported: Instant) -> ZonePlanner {
+    let mut planner = planner_with_running_call(now);
+    planner.place(key(2), request("base/a2"), now);
     planner.take_actions();
-    planner.set_targets(vec![born("e1", 2_000)], after(now, 10));
-    let places = limits().adapter_slots as usize;
-    let held: Vec<_> = (0..places - 1).map(|at| format!("base/b{at}")).collect();
+    planner.set_targets(vec![entry_with_life("e1", 2_000)], after(now, 10));
+    let occupied_slots = limits().adapter_slots as usize;
+    let held: Vec<_> = (0..occupied_slots - 1)
+        .map(|at| format!("base/b{at}"))
+        .collect();
     let held: Vec<_> = held.iter().map(String::as_str).collect();
     let own = EngineReport {
         life: TargetLife::begun_at(2_000),
@@ -1056,35 +1076,40 @@
     planner
 }
 
-// A load that was ordered and not answered may be carried out up to twelve seconds later, by the engine's next life too
-// if that has taken as many orders as it expects. An engine that is given more than it has places for ends.
+// Guards against loading more adapters than an engine has slots for, which crashes it. An unanswered load may be
+// carried out up to twelve seconds later, also in the engine's next life once that has accepted as many orders as it
+// expects.
 #[test]
-fn a_place_is_left_for_a_load_that_an_earlier_life_did_not_answer() {
+fn slot_is_reserved_for_an_unanswered_load_of_an_earlier_life() {
     let now = Instant(1_000_000);
-    let mut planner = planner_beside_a_late_load(now, after(now, 1_500));
+    let mut planner = planner_with_late_load(now, after(now, 1_500));
     let name = TargetName::new("e1");
-    planner.place(key(3), ask("base/c1"), after(now, 1_600));
-    let given = orders(planner.take_actions());
-    let kinds: Vec<_> = given.iter().map(|(_, order)| order.kind).collect();
-    assert_eq!(kinds, [OrderKind::Unload], "the last place may be taken");
+    planner.place(key(3), request("base/c1"), after(now, 1_600));
+    let sent = orders(planner.take_actions());
+    let kinds: Vec<_> = sent.iter().map(|(_, order)| order.kind).collect();
+    assert_eq!(
+        kinds,
+        [OrderKind::Unload],
+        "the last slot may be taken by the late load"
+    );
     planner.order_ended(&name, OrderOutcome::Done, after(now, 1_610));
-    let given = orders(planner.take_actions());
-    let kinds: Vec<_> = given.iter().map(|(_, order)| order.kind).collect();
+    let sent = orders(planner.take_actions());
+    let kinds: Vec<_> = sent.iter().map(|(_, order)| order.kind).collect();
     assert_eq!(kinds, [OrderKind::Load]);
 }
 
 #[test]
-fn a_load_that_can_no_longer_be_carried_out_takes_no_place() {
+fn unanswered_load_reserves_no_slot_after_its_ttl() {
     let now = Instant(1_000_000);
-    let mut planner = planner_beside_a_late_load(now, after(now, 13_000));
-    planner.place(key(3), ask("base/c1"), after(now, 13_100));
-    let given = orders(planner.take_actions());
-    let kinds: Vec<_> = given.iter().map(|(_, order)| order.kind).collect();
+    let mut planner = planner_with_late_load(now, after(now, 13_000));
+    planner.place(key(3), request("base/c1"), after(now, 13_100));
+    let sent = orders(planner.take_actions());
+    let kinds: Vec<_> = sent.iter().map(|(_, order)| order.kind).collect();
     assert_eq!(kinds, [OrderKind::Load]);
 }
 
 #[test]
-fn a_list_that_tells_no_lives_says_that_an_engine_leaves_though_its_reports_tell_them() {
+fn list_without_lives_still_marks_an_engine_as_draining() {
     let now = Instant(1_000_000);
     let mut planner = ZonePlanner::new(EngineEstimates::per_zone(1, 3.0), limits(), now);
     planner.set_targets(vec![entry("e1")], now);
@@ -1094,10 +1119,10 @@
         ..report(&["base/a1"], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&own), now);
-    let mut leaving = (*entry("e1")).clone();
-    leaving.stage = TargetStage::Draining;
-    planner.set_targets(vec![Arc::new(leaving)], after(now, 10));
-    planner.place(key(1), ask("base/a1"), after(now, 20));
+    let mut unloading = (*entry("e1")).clone();
+    unloading.stage = TargetStage::Draining;
+    planner.set_targets(vec![Arc::new(unloading)], after(now, 10));
+    planner.place(key(1), request("base/a1"), after(now, 20));
     let sent = answers(&planner.take_actions());
     assert!(
         matches!(sent[..], [(_, PlacementAnswer::Refuse { .. })]),
