--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -1,6 +1,6 @@
 //! What an engine truly is and has, whatever its holder believes.
 
-use crate::drawn::{DrawnWorld, LifeTelling};
+use crate::scenario::{LifeReporting, Scenario};
 use hoplanding_core::{
     direct::{
         catalog::{ResidentAdapter, TargetEntry, TargetStage},
@@ -12,13 +12,13 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 /// Adapters that an engine has places for; one that is given more falls. Fewer than the worlds' adapters, so that some make way.
-pub const PLACES: usize = 2;
+pub const ADAPTER_SLOTS: usize = 2;
 /// Calls that an engine works on at once.
-pub const SLOTS: u32 = 8;
+pub const CALL_SLOTS: u32 = 8;
 /// Time of an adapter's load, in ms.
 const ADAPTER_LOAD_MS: u64 = 250;
 /// The same for an adapter that the engine had lately: ten times as fast.
-const LATELY_LOAD_MS: u64 = 25;
+const ADAPTER_RELOAD_MS: u64 = 25;
 /// Time of a base model's load from the engine's disk, in ms.
 const BASE_LOAD_MS: u64 = 600;
 
@@ -29,7 +29,7 @@
 
 /// The versions that made a part of memory; adapter 0 where the base model alone made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemoryMark {
+pub struct CacheMark {
     pub base: u64,
     pub adapter: u64,
 }
@@ -52,26 +52,29 @@
 /// An adapter at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CopyState {
-    Here,
+    Loaded,
     /// It is there at this time, in ms.
-    Coming(u64),
+    Loading(u64),
     /// It goes once its runs have ended.
-    Leaving,
+    Unloading,
     /// This version comes in its place once its runs have ended.
-    Replaced(u64),
+    Replacing(u64),
     /// This version is loaded beside it, is there at this time, in ms, and takes its place once its runs have ended.
-    Swapped(u64, u64),
+    LoadingBeside(u64, u64),
 }
 
 impl CopyState {
     /// Whether an order on it waits for runs, or for what comes beside it; its requests are turned away until then.
     fn is_under_order(self) -> bool {
-        matches!(self, Self::Leaving | Self::Replaced(_) | Self::Swapped(..))
+        matches!(
+            self,
+            Self::Unloading | Self::Replacing(_) | Self::LoadingBeside(..)
+        )
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct TrueCopy {
+struct AdapterCopy {
     version: u64,
     state: CopyState,
 }
@@ -81,13 +84,13 @@
 pub struct EngineRun {
     pub subject: AdapterName,
     /// Whether it has had its first token.
-    pub has_begun: bool,
+    pub has_started: bool,
 }
 
 /// How an engine takes a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reception {
-    Taken,
+    Accepted,
     /// 421: it lacks what is asked for.
     Misdirected,
     /// 503: an order on what is asked for is under way.
@@ -96,11 +99,11 @@
 
 /// An order beyond an engine's places.
 #[derive(Debug)]
-pub struct PlaceOverrun;
+pub struct SlotOverrun;
 
 /// One machine, in the life that its engine has now.
 #[derive(Clone, Debug)]
-pub struct TrueEngine {
+pub struct EngineModel {
     pub name: TargetName,
     pub address: SocketAddr,
     pub is_up: bool,
@@ -109,22 +112,22 @@
     pub base: Option<u64>,
     /// Requests by the number of their call.
     pub runs: BTreeMap<u64, EngineRun>,
-    copies: BTreeMap<AdapterName, TrueCopy>,
-    kept: BTreeMap<(AdapterName, u64), MemoryMark>,
+    copies: BTreeMap<AdapterName, AdapterCopy>,
+    cached: BTreeMap<(AdapterName, u64), CacheMark>,
     /// The base model that is being loaded, and when it is there, in ms.
-    base_coming: Option<(u64, u64)>,
-    lately: Vec<AdapterName>,
+    base_loading: Option<(u64, u64)>,
+    recent_adapters: Vec<AdapterName>,
     sequence: u64,
     /// Highest fencing token that it has seen.
-    fence: u64,
-    checks_fences: bool,
+    highest_token: u64,
+    checks_fencing: bool,
     /// Whether a replacement is loaded while the copy that it replaces is still there.
-    loads_beside: bool,
-    telling: LifeTelling,
+    loads_side_by_side: bool,
+    life_reporting: LifeReporting,
 }
 
-impl TrueEngine {
-    pub fn new(number: u16, drawn: &DrawnWorld) -> Self {
+impl EngineModel {
+    pub fn new(number: u16, scenario: &Scenario) -> Self {
         Self {
             name: TargetName::new(&format!("e{number}")),
             address: SocketAddr::from(([127, 0, 0, 1], number)),
@@ -133,21 +136,21 @@
             base: Some(1),
             runs: BTreeMap::new(),
             copies: BTreeMap::new(),
-            kept: BTreeMap::new(),
-            base_coming: None,
-            lately: Vec::new(),
+            cached: BTreeMap::new(),
+            base_loading: None,
+            recent_adapters: Vec::new(),
             sequence: 0,
-            fence: 0,
-            checks_fences: drawn.checks_fences,
-            loads_beside: drawn.loads_beside,
-            telling: drawn.telling,
+            highest_token: 0,
+            checks_fencing: scenario.checks_fencing,
+            loads_side_by_side: scenario.loads_side_by_side,
+            life_reporting: scenario.life_reporting,
         }
     }
 
     /// Has an adapter from the start.
-    pub fn hold(&mut self, adapter: AdapterName, version: u64) {
-        let state = CopyState::Here;
-        self.copies.insert(adapter, TrueCopy { version, state });
+    pub fn add_adapter(&mut self, adapter: AdapterName, version: u64) {
+        let state = CopyState::Loaded;
+        self.copies.insert(adapter, AdapterCopy { version, state });
     }
 
     /// It crashes: nothing is left but the name of the machine.
@@ -155,48 +158,48 @@
         self.is_up = false;
         self.life += 1;
         self.base = None;
-        self.base_coming = None;
+        self.base_loading = None;
         self.runs.clear();
         self.copies.clear();
-        self.kept.clear();
-        self.lately.clear();
+        self.cached.clear();
+        self.recent_adapters.clear();
         self.sequence = 0;
-        self.fence = 0;
+        self.highest_token = 0;
     }
 
     /// Time passes: loads end.
     pub fn advance(&mut self, now_ms: u64) {
-        if let Some((version, _)) = self.base_coming.filter(|(_, at)| *at <= now_ms) {
+        if let Some((version, _)) = self.base_loading.filter(|(_, at)| *at <= now_ms) {
             self.base = Some(version);
-            self.base_coming = None;
+            self.base_loading = None;
         }
         let mut swapped = Vec::new();
         for (adapter, copy) in &mut self.copies {
             match copy.state {
-                CopyState::Coming(at) if at <= now_ms => copy.state = CopyState::Here,
-                CopyState::Swapped(version, at) if at <= now_ms => {
+                CopyState::Loading(at) if at <= now_ms => copy.state = CopyState::Loaded,
+                CopyState::LoadingBeside(version, at) if at <= now_ms => {
                     swapped.push((adapter.clone(), version));
                 }
                 _ => {}
             }
         }
-        swapped.retain(|(adapter, _)| !self.is_used(adapter));
+        swapped.retain(|(adapter, _)| !self.is_in_use(adapter));
         for (adapter, version) in swapped {
-            self.drop_copy(&adapter);
-            self.hold(adapter, version);
+            self.remove_copy(&adapter);
+            self.add_adapter(adapter, version);
         }
     }
 
     /// The versions that a run for a subject is made under now.
-    pub fn mark(&self, subject: &AdapterName) -> Option<MemoryMark> {
+    pub fn mark(&self, subject: &AdapterName) -> Option<CacheMark> {
         let base = self.base?;
         if split_subject(subject).1.is_none() {
-            return Some(MemoryMark { base, adapter: 0 });
+            return Some(CacheMark { base, adapter: 0 });
         }
         let copy = self.copies.get(subject)?;
-        let is_there = !matches!(copy.state, CopyState::Coming(_));
+        let is_there = !matches!(copy.state, CopyState::Loading(_));
         let adapter = copy.version;
-        is_there.then_some(MemoryMark { base, adapter })
+        is_there.then_some(CacheMark { base, adapter })
     }
 
     /// A request comes.
@@ -213,16 +216,18 @@
         if expected.is_some_and(|expected| expected != version) {
             return Reception::Misdirected;
         }
-        Reception::Taken
+        Reception::Accepted
     }
 
-    pub fn kept(&self, subject: &AdapterName, part: u64) -> Option<MemoryMark> {
-        self.kept.get(&(subject.clone(), part)).copied()
+    pub fn cached(&self, subject: &AdapterName, segment: u64) -> Option<CacheMark> {
+        self.cached.get(&(subject.clone(), segment)).copied()
     }
 
     /// Keeps a part, unless it has it.
-    pub fn keep(&mut self, subject: &AdapterName, part: u64, mark: MemoryMark) {
-        self.kept.entry((subject.clone(), part)).or_insert(mark);
+    pub fn cache_segment(&mut self, subject: &AdapterName, segment: u64, mark: CacheMark) {
+        self.cached
+            .entry((subject.clone(), segment))
+            .or_insert(mark);
     }
 
     /// A request has ended or was dropped; what waits for its end goes on.
@@ -230,12 +235,12 @@
         let Some(run) = self.runs.remove(&number) else {
             return;
         };
-        if self.is_used(&run.subject) {
+        if self.is_in_use(&run.subject) {
             return;
         }
         match self.copies.get(&run.subject).map(|copy| copy.state) {
-            Some(CopyState::Leaving) => self.drop_copy(&run.subject),
-            Some(CopyState::Replaced(next)) => self.replace(&run.subject, next, now_ms),
+            Some(CopyState::Unloading) => self.remove_copy(&run.subject),
+            Some(CopyState::Replacing(next)) => self.replace(&run.subject, next, now_ms),
             _ => {}
         }
     }
@@ -246,8 +251,8 @@
         let is_deferred = |run: &EngineRun| {
             let copy = copies.get(&run.subject);
             let is_there = split_subject(&run.subject).1.is_none()
-                || copy.is_some_and(|copy| copy.state == CopyState::Here);
-            !run.has_begun && !is_there
+                || copy.is_some_and(|copy| copy.state == CopyState::Loaded);
+            !run.has_started && !is_there
         };
         let deferred: Vec<_> = self
             .runs
@@ -262,24 +267,24 @@
     }
 
     /// Takes an order, as far as `expected` and fence allow.
-    pub fn take(
+    pub fn accept_order(
         &mut self,
         order: &EngineOrder,
-        token: u64,
+        fencing_token: u64,
         named: &NamedVersions,
         now_ms: u64,
-    ) -> Result<OrderOutcome, PlaceOverrun> {
-        if self.checks_fences && token < self.fence {
+    ) -> Result<OrderOutcome, SlotOverrun> {
+        if self.checks_fencing && fencing_token < self.highest_token {
             return Ok(OrderOutcome::Fenced);
         }
-        self.fence = self.fence.max(token);
+        self.highest_token = self.highest_token.max(fencing_token);
         if split_subject(&order.subject).1.is_none() {
-            return Ok(self.take_base(order, named, now_ms));
+            return Ok(self.load_base(order, named, now_ms));
         }
         if self.base.is_none() {
             return Ok(OrderOutcome::Refused);
         }
-        let is_leaving = |copy: &TrueCopy| copy.state == CopyState::Leaving;
+        let is_leaving = |copy: &AdapterCopy| copy.state == CopyState::Unloading;
         let copy = self.copies.get(&order.subject).copied();
         if order.kind == OrderKind::Unload && copy.as_ref().is_some_and(is_leaving) {
             return Ok(OrderOutcome::Begun);
@@ -299,7 +304,7 @@
         copies.any(|copy| copy.state.is_under_order())
     }
 
-    fn take_base(
+    fn load_base(
         &mut self,
         order: &EngineOrder,
         named: &NamedVersions,
@@ -311,102 +316,102 @@
         if self.base.is_some() {
             return OrderOutcome::Done;
         }
-        if self.base_coming.is_some() {
+        if self.base_loading.is_some() {
             return OrderOutcome::Conflict;
         }
         self.sequence += 1;
         let version = named.newest(&order.subject);
-        self.base_coming = Some((version, now_ms + BASE_LOAD_MS));
+        self.base_loading = Some((version, now_ms + BASE_LOAD_MS));
         OrderOutcome::Begun
     }
 
     fn load(
         &mut self,
         order: &EngineOrder,
-        copy: Option<TrueCopy>,
+        copy: Option<AdapterCopy>,
         named: &NamedVersions,
         now_ms: u64,
-    ) -> Result<OrderOutcome, PlaceOverrun> {
+    ) -> Result<OrderOutcome, SlotOverrun> {
         let adapter = &order.subject;
         let version = order.version.unwrap_or_else(|| named.newest(adapter));
         match copy {
-            Some(copy) if matches!(copy.state, CopyState::Coming(_)) => Ok(OrderOutcome::Conflict),
+            Some(copy) if matches!(copy.state, CopyState::Loading(_)) => Ok(OrderOutcome::Conflict),
             Some(copy) if copy.version == version => Ok(OrderOutcome::Done),
             Some(copy) => {
                 self.sequence += 1;
-                let state = if self.loads_beside {
-                    CopyState::Swapped(version, now_ms + self.load_time_ms(adapter))
+                let state = if self.loads_side_by_side {
+                    CopyState::LoadingBeside(version, now_ms + self.load_time_ms(adapter))
                 } else {
-                    CopyState::Replaced(version)
+                    CopyState::Replacing(version)
                 };
                 self.copies
-                    .insert(adapter.clone(), TrueCopy { state, ..copy });
-                if !self.loads_beside && !self.is_used(adapter) {
+                    .insert(adapter.clone(), AdapterCopy { state, ..copy });
+                if !self.loads_side_by_side && !self.is_in_use(adapter) {
                     self.replace(adapter, version, now_ms);
                 }
                 Ok(OrderOutcome::Begun)
             }
             None => {
                 self.sequence += 1;
-                self.bring(adapter, version, now_ms);
-                if self.copies.len() > PLACES {
-                    return Err(PlaceOverrun);
+                self.start_load(adapter, version, now_ms);
+                if self.copies.len() > ADAPTER_SLOTS {
+                    return Err(SlotOverrun);
                 }
                 Ok(OrderOutcome::Begun)
             }
         }
     }
 
-    fn unload(&mut self, adapter: &AdapterName, copy: Option<TrueCopy>) -> OrderOutcome {
+    fn unload(&mut self, adapter: &AdapterName, copy: Option<AdapterCopy>) -> OrderOutcome {
         let Some(copy) = copy else {
             return OrderOutcome::Done;
         };
-        if matches!(copy.state, CopyState::Coming(_)) {
+        if matches!(copy.state, CopyState::Loading(_)) {
             return OrderOutcome::Conflict;
         }
         self.sequence += 1;
-        if !self.is_used(adapter) {
-            self.drop_copy(adapter);
+        if !self.is_in_use(adapter) {
+            self.remove_copy(adapter);
             return OrderOutcome::Done;
         }
-        let state = CopyState::Leaving;
+        let state = CopyState::Unloading;
         self.copies
-            .insert(adapter.clone(), TrueCopy { state, ..copy });
+            .insert(adapter.clone(), AdapterCopy { state, ..copy });
         OrderOutcome::Begun
     }
 
     /// Whether runs hold an adapter; requests that have not begun do not.
-    fn is_used(&self, adapter: &AdapterName) -> bool {
+    fn is_in_use(&self, adapter: &AdapterName) -> bool {
         let mut runs = self.runs.values();
-        runs.any(|run| run.has_begun && run.subject == *adapter)
+        runs.any(|run| run.has_started && run.subject == *adapter)
     }
 
-    fn drop_copy(&mut self, adapter: &AdapterName) {
+    fn remove_copy(&mut self, adapter: &AdapterName) {
         self.copies.remove(adapter);
-        self.kept.retain(|(subject, _), _| subject != adapter);
+        self.cached.retain(|(subject, _), _| subject != adapter);
     }
 
     fn replace(&mut self, adapter: &AdapterName, version: u64, now_ms: u64) {
-        self.drop_copy(adapter);
-        self.bring(adapter, version, now_ms);
+        self.remove_copy(adapter);
+        self.start_load(adapter, version, now_ms);
     }
 
-    fn bring(&mut self, adapter: &AdapterName, version: u64, now_ms: u64) {
-        let state = CopyState::Coming(now_ms + self.load_time_ms(adapter));
+    fn start_load(&mut self, adapter: &AdapterName, version: u64, now_ms: u64) {
+        let state = CopyState::Loading(now_ms + self.load_time_ms(adapter));
         self.copies
-            .insert(adapter.clone(), TrueCopy { version, state });
+            .insert(adapter.clone(), AdapterCopy { version, state });
     }
 
     /// Time of an adapter's load, which from now on it had lately.
     fn load_time_ms(&mut self, adapter: &AdapterName) -> u64 {
-        if self.lately.contains(adapter) {
-            return LATELY_LOAD_MS;
+        if self.recent_adapters.contains(adapter) {
+            return ADAPTER_RELOAD_MS;
         }
-        self.lately.push(adapter.clone());
+        self.recent_adapters.push(adapter.clone());
         ADAPTER_LOAD_MS
     }
 
-    fn told_life(&self) -> TargetLife {
+    fn reported_life(&self) -> TargetLife {
         TargetLife::begun_at(self.life)
     }
 
@@ -417,8 +422,8 @@
         for (adapter, copy) in &self.copies {
             let listed = (adapter.clone(), copy.version);
             match copy.state {
-                CopyState::Coming(_) => coming.push(listed),
-                CopyState::Swapped(version, _) => {
+                CopyState::Loading(_) => coming.push(listed),
+                CopyState::LoadingBeside(version, _) => {
                     adapters.push(listed);
                     coming.push((adapter.clone(), version));
                 }
@@ -426,9 +431,9 @@
             }
         }
         EngineReport {
-            life: match self.telling {
-                LifeTelling::Nobody => TargetLife::default(),
-                LifeTelling::Reports | LifeTelling::All => self.told_life(),
+            life: match self.life_reporting {
+                LifeReporting::Nowhere => TargetLife::default(),
+                LifeReporting::Reports | LifeReporting::ReportsAndList => self.reported_life(),
             },
             orders_taken: self.sequence,
             models: self
@@ -440,7 +445,7 @@
             loading: coming,
             local_models: vec![base_model()],
             requests: u32::try_from(self.runs.len()).expect("few"),
-            is_busy: self.base_coming.is_some(),
+            is_busy: self.base_loading.is_some(),
         }
     }
 
@@ -450,14 +455,14 @@
         let resident = |(adapter, version)| ResidentAdapter { adapter, version };
         Arc::new(TargetEntry {
             name: self.name.clone(),
-            life: match self.telling {
-                LifeTelling::Nobody | LifeTelling::Reports => TargetLife::default(),
-                LifeTelling::All => self.told_life(),
+            life: match self.life_reporting {
+                LifeReporting::Nowhere | LifeReporting::Reports => TargetLife::default(),
+                LifeReporting::ReportsAndList => self.reported_life(),
             },
             service: ServiceName::new("scribe"),
             address: self.address,
             zone: AvailabilityZone::new("hall"),
-            slots: SLOTS,
+            slots: CALL_SLOTS,
             stage: TargetStage::Ready,
             remaining: None,
             cold: Duration::ZERO,
--- a/crates/core/tests/direct_memory/world.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -1,10 +1,12 @@
 //! A zone with its engines as they truly are, its gateways, an operator and the planner, on a clock of its own.
 
 use crate::{
-    drawn::{DrawnCall, DrawnEvent, DrawnWorld, Hearing, OrderFate, ReportFate, Return},
     engine::{
-        EngineRun, MemoryMark, NamedVersions, PLACES, Reception, SLOTS, TrueEngine, base_model,
-        instant,
+        ADAPTER_SLOTS, CALL_SLOTS, CacheMark, EngineModel, EngineRun, NamedVersions, Reception,
+        base_model, instant,
+    },
+    scenario::{
+        CallPlan, OrderFate, ReportFate, RestartIdentity, Scenario, ScenarioEvent, VersionNotice,
     },
 };
 use hoplanding_core::{
@@ -30,55 +32,55 @@
 };
 
 /// When worlds begin, in ms.
-const BEGIN_MS: u64 = 60_000;
-/// Time for which a settled world's holder has been there, in ms: longer than an order can be late.
+const START_MS: u64 = 60_000;
+/// Time for which a settled simulation's holder has been there, in ms: longer than an order can be late.
 const SETTLED_MS: u64 = 20_000;
 /// Time between two turns of the holder's regular work, in ms.
 const TICK_MS: u64 = 50;
-/// Time that a world goes on after its last event, in ms: longer than a call waits at three engines one after the other.
+/// Time that a simulation goes on after its last event, in ms: longer than a call waits at three engines one after the other.
 const DRAIN_MS: u64 = 9_000;
 /// Longest wait that a call is placed for, in ms.
 const BOUND_MS: u32 = 2_500;
 /// Time after which an order or a question counts as without an answer, in ms.
 const TIMEOUT_MS: u64 = 250;
 /// Pause before a call is placed again, in ms.
-const AGAIN_MS: u64 = 20;
+const RETRY_DELAY_MS: u64 = 20;
 /// Times that a call is placed.
-const MOST_PLACINGS: u8 = 4;
+const MAX_ATTEMPTS: u8 = 4;
 /// Time after which the entry of an engine that is gone goes too, in ms.
-const LAPSE_MS: u64 = 2_500;
+const ENTRY_TTL_MS: u64 = 2_500;
 /// Time for which an engine is away that was given more than it has places for, in ms.
-const FALL_MS: u64 = 1_000;
+const OVERRUN_DOWN_MS: u64 = 1_000;
 /// Age up to which engines' states are remembered, in ms: more than reports and lists can have.
-const REMEMBERED_MS: u64 = 4_000;
+const STATE_HISTORY_MS: u64 = 4_000;
 /// Shared parts of the prompts, and their tokens; the last part of each is the call's own.
 const PROMPTS: [[(u64, u32); 2]; 2] = [[(1, 2_520), (2, 3_780)], [(1, 2_520), (3, 5_000)]];
-/// Gateways of a world.
+/// Gateways of a simulation.
 const GATEWAYS: u8 = 2;
 /// Tokens of a prompt's own part.
 const OWN_TOKENS: u32 = 400;
 
-/// What has to hold in every world.
+/// What has to hold in every simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// No run uses memory that other versions made than it runs under.
-    OwnMemory,
+    MatchingCache,
     /// No engine is ordered beyond its places.
-    Places,
+    AdapterSlots,
     /// Every call is answered.
     Answers,
     /// Some memory moves.
-    Moves,
+    Transfers,
 }
 
-/// How a world came to break a rule.
+/// How a simulation came to break a rule.
 #[derive(Debug)]
-pub struct BrokenRule {
+pub struct RuleViolation {
     pub how: String,
     pub trace: Vec<String>,
 }
 
-impl fmt::Display for BrokenRule {
+impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "{}", self.how)?;
         self.trace.iter().try_for_each(|line| writeln!(f, "{line}"))
@@ -87,24 +89,24 @@
 
 /// What happened in worlds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorldCounts {
+pub struct SimulationCounts {
     /// Calls that ran.
     pub runs: u32,
     /// Calls that were told of an engine to take parts from.
-    pub told: u32,
+    pub fetches: u32,
     /// Parts that engines took from others.
-    pub parts: u32,
+    pub segments: u32,
     /// Calls that were turned away for what their engine lacked.
     pub misdirected: u32,
 }
 
-impl WorldCounts {
+impl SimulationCounts {
     /// Both together.
     pub fn and(self, other: Self) -> Self {
         Self {
             runs: self.runs + other.runs,
-            told: self.told + other.told,
-            parts: self.parts + other.parts,
+            fetches: self.fetches + other.fetches,
+            segments: self.segments + other.segments,
             misdirected: self.misdirected + other.misdirected,
         }
     }
@@ -113,24 +115,24 @@
 /// What is due at a moment.
 #[derive(Clone, Debug)]
 enum Due {
-    Drawn(usize),
+    Event(usize),
     Tick,
-    Name(AdapterName, u64),
-    Place(NewCall),
+    LearnVersion(AdapterName, u64),
+    Place(PendingCall),
     Depart(u64),
     Arrive(u64),
-    Move(u64, EngineLife),
-    Begin(u64, EngineLife),
+    FetchCache(u64, EngineLife),
+    Start(u64, EngineLife),
     End(u64, EngineLife),
-    Quit(u64),
-    TellBegun(u64, u64),
-    TellEnded(u64, CallEnd),
+    CallerDisconnect(u64),
+    ReportStarted(u64, u64),
+    ReportEnded(u64, CallEnd),
     Adopt(VmName, u64),
-    Carry(TargetName, EngineOrder, u64),
+    ApplyOrder(TargetName, EngineOrder, u64),
     OrderEnded(Arc<TargetEntry>, OrderOutcome, u64),
     Reported(TargetName, Option<EngineReport>, u64),
     Lapse(TargetName),
-    Return(usize, bool),
+    Restart(usize, bool),
 }
 
 /// How the platform lists a target from a time on, in ms; nothing once it is gone.
@@ -145,22 +147,22 @@
 
 /// A call that is to be placed.
 #[derive(Clone, Debug)]
-struct NewCall {
-    drawn: DrawnCall,
+struct PendingCall {
+    plan: CallPlan,
     tried: Vec<TargetName>,
-    placings_left: u8,
+    attempts_left: u8,
 }
 
 /// How a call ended, as its gateway tells it.
 #[derive(Clone, Copy, Debug)]
 struct CallEnd {
     outcome: Option<CallOutcome>,
-    is_absent: bool,
+    is_missing: bool,
 }
 
 /// Where a call was sent, and with what.
 #[derive(Clone, Debug)]
-struct SentTo {
+struct Destination {
     target: TargetName,
     life: TargetLife,
     fetch: Option<SocketAddr>,
@@ -170,44 +172,44 @@
 /// A call at its gateway.
 #[derive(Clone, Debug)]
 struct GatewayCall {
-    new: NewCall,
-    sent: Option<SentTo>,
+    pending: PendingCall,
+    sent: Option<Destination>,
     /// Whether the holder does not know of it.
-    is_alone: bool,
-    is_over: bool,
+    is_untracked: bool,
+    is_closed: bool,
 }
 
-pub struct World {
-    drawn: DrawnWorld,
+pub struct Simulation {
+    scenario: Scenario,
     /// The rule that is looked at; what breaks another has its consequences and no more.
     rule: Rule,
     now_ms: u64,
     agenda: BTreeMap<(u64, u64), Due>,
     agenda_count: u64,
-    engines: Vec<TrueEngine>,
-    engines_made: u16,
+    engines: Vec<EngineModel>,
+    engines_created: u16,
     /// What reports of each engine said, with the time from which, in ms.
     reports: Vec<Vec<(u64, EngineReport)>>,
     /// The same of the platform's list.
     entries: BTreeMap<TargetName, Vec<ListedState>>,
     named: NamedVersions,
-    heard: BTreeMap<AdapterName, u64>,
+    known_versions: BTreeMap<AdapterName, u64>,
     planner: ZonePlanner,
     /// The holder's fencing token.
-    token: u64,
+    fencing_token: u64,
     /// The time that the holder's list shows, in ms.
-    listed_ms: u64,
+    list_time_ms: u64,
     list: Vec<Arc<TargetEntry>>,
     calls: BTreeMap<u64, GatewayCall>,
     /// Calls that wait for the holder's answer.
-    asked: BTreeSet<u64>,
+    unanswered: BTreeSet<u64>,
     /// Gateways that are cut off, with the number of the link that they will have.
-    cut: BTreeMap<VmName, u64>,
-    links_made: u64,
-    calls_made: u64,
-    orders_given: usize,
-    reports_asked: usize,
-    counts: WorldCounts,
+    disconnected: BTreeMap<VmName, u64>,
+    connections_made: u64,
+    calls_created: u64,
+    orders_received: usize,
+    reports_requested: usize,
+    counts: SimulationCounts,
     trace: Vec<String>,
 }
 
@@ -224,16 +226,16 @@
 
 fn limits() -> EngineLimits {
     EngineLimits {
-        slots: SLOTS,
+        slots: CALL_SLOTS,
         kv_tokens: 1_000_000,
-        adapter_slots: PLACES as u32,
+        adapter_slots: ADAPTER_SLOTS as u32,
         loads_per_s: 3.0,
         models: vec![base_model()],
     }
 }
 
 /// Weights of a zone in which memory moves wherever its versions let it.
-fn free_moves() -> PlacementPolicy {
+fn free_fetch_policy() -> PlacementPolicy {
     PlacementPolicy {
         cache_fetch_time: Duration::ZERO,
         min_fetch_saving: Duration::ZERO,
@@ -241,81 +243,85 @@
     }
 }
 
-fn new_planner(orders_from_ms: u64, drawn: &DrawnWorld) -> ZonePlanner {
+fn new_planner(orders_from_ms: u64, scenario: &Scenario) -> ZonePlanner {
     let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits(), instant(orders_from_ms));
-    planner.set_order_fencing(drawn.checks_fences);
-    if drawn.moves_freely {
-        planner.set_policy(free_moves());
+    planner.set_order_fencing(scenario.checks_fencing);
+    if scenario.fetches_freely {
+        planner.set_policy(free_fetch_policy());
     }
     // Worlds have one holder at a time.
     planner.set_lead_until(Instant(u64::MAX));
     planner
 }
 
-impl World {
-    /// Plays a world to its end, or until a rule is broken.
-    pub fn play(drawn: &DrawnWorld, rule: Rule) -> Result<WorldCounts, BrokenRule> {
-        let mut world = Self::new(drawn.clone(), rule);
-        match world.run() {
-            Ok(()) => Ok(world.counts),
-            Err(how) => Err(BrokenRule {
+impl Simulation {
+    /// Plays a simulation to its end, or until a rule is broken.
+    pub fn play(scenario: &Scenario, rule: Rule) -> Result<SimulationCounts, RuleViolation> {
+        let mut simulation = Self::new(scenario.clone(), rule);
+        match simulation.run() {
+            Ok(()) => Ok(simulation.counts),
+            Err(how) => Err(RuleViolation {
                 how,
-                trace: world.trace,
+                trace: simulation.trace,
             }),
         }
     }
 
-    fn new(drawn: DrawnWorld, rule: Rule) -> Self {
-        let engines: Vec<_> = (1..=u16::from(drawn.engines))
-            .map(|number| TrueEngine::new(number, &drawn))
+    fn new(scenario: Scenario, rule: Rule) -> Self {
+        let engines: Vec<_> = (1..=u16::from(scenario.engines))
+            .map(|number| EngineModel::new(number, &scenario))
             .collect();
-        let mut world = Self {
-            now_ms: BEGIN_MS,
+        let mut simulation = Self {
+            now_ms: START_MS,
             agenda: BTreeMap::new(),
             agenda_count: 0,
-            engines_made: u16::from(drawn.engines),
+            engines_created: u16::from(scenario.engines),
             reports: vec![Vec::new(); engines.len()],
             engines,
             entries: BTreeMap::new(),
             named: NamedVersions::default(),
-            heard: BTreeMap::new(),
-            planner: new_planner(BEGIN_MS, &drawn),
-            token: 1,
-            listed_ms: BEGIN_MS,
+            known_versions: BTreeMap::new(),
+            planner: new_planner(START_MS, &scenario),
+            fencing_token: 1,
+            list_time_ms: START_MS,
             list: Vec::new(),
             calls: BTreeMap::new(),
-            asked: BTreeSet::new(),
-            cut: BTreeMap::new(),
-            links_made: 0,
-            calls_made: 0,
-            orders_given: 0,
-            reports_asked: 0,
-            counts: WorldCounts::default(),
+            unanswered: BTreeSet::new(),
+            disconnected: BTreeMap::new(),
+            connections_made: 0,
+            calls_created: 0,
+            orders_received: 0,
+            reports_requested: 0,
+            counts: SimulationCounts::default(),
             trace: Vec::new(),
             rule,
-            drawn,
+            scenario,
         };
-        if world.drawn.has_adapters {
-            for (at, engine) in world.engines.iter_mut().enumerate() {
-                engine.hold(subject(1), 1);
-                engine.hold(subject(2 + at as u8 % 2), 1);
+        if simulation.scenario.has_adapters {
+            for (at, engine) in simulation.engines.iter_mut().enumerate() {
+                engine.add_adapter(subject(1), 1);
+                engine.add_adapter(subject(2 + at as u8 % 2), 1);
             }
         }
-        world.remember();
-        world.read_list(BEGIN_MS);
-        world
+        simulation.record_states();
+        simulation.read_list(START_MS);
+        simulation
     }
 
     fn run(&mut self) -> Result<(), String> {
-        let pause_ms = if self.drawn.is_settled { SETTLED_MS } else { 0 };
+        let pause_ms = if self.scenario.is_holder_settled {
+            SETTLED_MS
+        } else {
+            0
+        };
         let mut at_ms = self.now_ms + pause_ms;
-        for number in 0..self.drawn.events.len() {
-            at_ms += self.drawn.events[number].0;
-            self.put(at_ms, Due::Drawn(number));
+        for number in 0..self.scenario.events.len() {
+            at_ms += self.scenario.events[number].0;
+            self.schedule(at_ms, Due::Event(number));
         }
         let end_ms = at_ms + DRAIN_MS;
-        self.put(self.now_ms, Due::Tick);
+        self.schedule(self.now_ms, Due::Tick);
         while let Some(((at_ms, _), due)) = self.agenda.pop_first() {
             if at_ms > end_ms {
                 break;
@@ -324,72 +330,74 @@
             for engine in &mut self.engines {
                 engine.advance(at_ms);
             }
-            self.take(due)?;
-            self.carry_out()?;
+            self.handle(due)?;
+            self.run_actions()?;
             self.end_deferred();
-            self.remember();
+            self.record_states();
         }
-        if !self.asked.is_empty() {
-            let how = format!("never answered: calls {:?}", self.asked);
-            self.break_rule(Rule::Answers, how)?;
+        if !self.unanswered.is_empty() {
+            let how = format!("never answered: calls {:?}", self.unanswered);
+            self.check_rule(Rule::Answers, how)?;
         }
-        if self.counts.parts == 0 {
-            self.break_rule(Rule::Moves, "no part moves".to_owned())?;
+        if self.counts.segments == 0 {
+            self.check_rule(Rule::Transfers, "no segment was fetched".to_owned())?;
         }
         Ok(())
     }
 
-    fn break_rule(&self, rule: Rule, how: String) -> Result<(), String> {
+    fn check_rule(&self, rule: Rule, how: String) -> Result<(), String> {
         if rule == self.rule { Err(how) } else { Ok(()) }
     }
 
-    fn put(&mut self, at_ms: u64, due: Due) {
+    fn schedule(&mut self, at_ms: u64, due: Due) {
         self.agenda_count += 1;
         self.agenda.insert((at_ms, self.agenda_count), due);
     }
 
-    fn put_after(&mut self, ms: u64, due: Due) {
-        self.put(self.now_ms + ms, due);
+    fn schedule_after(&mut self, ms: u64, due: Due) {
+        self.schedule(self.now_ms + ms, due);
     }
 
-    fn note(&mut self, line: &str) {
-        let at_ms = self.now_ms - BEGIN_MS;
+    fn log(&mut self, line: &str) {
+        let at_ms = self.now_ms - START_MS;
         self.trace.push(format!("{at_ms:>6} ms: {line}"));
     }
 
-    fn take(&mut self, due: Due) -> Result<(), String> {
+    fn handle(&mut self, due: Due) -> Result<(), String> {
         let now = instant(self.now_ms);
         match due {
-            Due::Drawn(number) => self.happen(number),
+            Due::Event(number) => self.apply_event(number),
             Due::Tick => {
                 self.planner.tick(now);
-                self.put_after(TICK_MS, Due::Tick);
+                self.schedule_after(TICK_MS, Due::Tick);
             }
-            Due::Name(subject, version) => {
-                self.note(&format!("the holder hears of {subject} version {version}"));
+            Due::LearnVersion(subject, version) => {
+                self.log(&format!("the holder learns of {subject} version {version}"));
                 self.planner.set_version(&subject, version, now);
-                self.heard.insert(subject, version);
+                self.known_versions.insert(subject, version);
             }
-            Due::Place(new) => self.place(new),
+            Due::Place(pending) => self.place(pending),
             Due::Depart(number) => self.depart(number),
             Due::Arrive(number) => self.arrive(number),
-            Due::Move(number, life) => self.move_parts(number, life),
-            Due::Begin(number, life) => return self.begin(number, life),
-            Due::End(number, life) => self.end(number, life),
-            Due::Quit(number) => self.quit(number),
-            Due::TellBegun(number, base) => self.tell_begun(number, base),
-            Due::TellEnded(number, end) => self.tell_ended(number, end),
+            Due::FetchCache(number, life) => self.fetch_segments(number, life),
+            Due::Start(number, life) => return self.start_call(number, life),
+            Due::End(number, life) => self.finish_call(number, life),
+            Due::CallerDisconnect(number) => self.disconnect_caller(number),
+            Due::ReportStarted(number, base) => self.report_started(number, base),
+            Due::ReportEnded(number, end) => self.report_ended(number, end),
             Due::Adopt(vm, link) => self.adopt(&vm, link),
-            Due::Carry(target, order, token) => {
-                self.carry(&target, &order, token)?;
+            Due::ApplyOrder(target, order, fencing_token) => {
+                self.apply_order(&target, &order, fencing_token)?;
             }
-            Due::OrderEnded(entry, outcome, token) => {
-                if token == self.token && self.planner.is_current_life(&entry.name, entry.life) {
+            Due::OrderEnded(entry, outcome, fencing_token) => {
+                if fencing_token == self.fencing_token
+                    && self.planner.is_current_life(&entry.name, entry.life)
+                {
                     self.planner.order_ended(&entry.name, outcome, now);
                 }
             }
-            Due::Reported(target, report, token) => {
-                if token == self.token {
+            Due::Reported(target, report, fencing_token) => {
+                if fencing_token == self.fencing_token {
                     self.planner.report_received(&target, report.as_ref(), now);
                 }
             }
@@ -403,64 +411,69 @@
                     states.push((self.now_ms, None));
                 }
             }
-            Due::Return(at, has_base) => self.bring_back(at, has_base),
+            Due::Restart(at, has_base) => self.restart_engine(at, has_base),
         }
         Ok(())
     }
 
-    fn happen(&mut self, number: usize) {
-        match self.drawn.events[number].1 {
-            DrawnEvent::Name {
+    fn apply_event(&mut self, number: usize) {
+        match self.scenario.events[number].1 {
+            ScenarioEvent::NameVersion {
                 subject: number,
                 steps,
-                hearing,
+                notice,
             } => {
                 let subject = subject(number);
                 let version = self.named.newest(&subject) + steps;
-                self.note(&format!("{subject} version {version} is named"));
+                self.log(&format!("{subject} version {version} is named"));
                 self.named.name(subject.clone(), version);
-                if let Hearing::AfterMs(ms) = hearing {
-                    self.put_after(ms, Due::Name(subject, version));
+                if let VersionNotice::AfterMs(ms) = notice {
+                    self.schedule_after(ms, Due::LearnVersion(subject, version));
                 }
             }
-            DrawnEvent::Call(drawn) => self.place(NewCall {
-                drawn,
+            ScenarioEvent::Call(plan) => self.place(PendingCall {
+                plan,
                 tried: Vec::new(),
-                placings_left: MOST_PLACINGS,
+                attempts_left: MAX_ATTEMPTS,
             }),
-            DrawnEvent::Crash {
+            ScenarioEvent::Crash {
                 engine,
                 down_ms,
-                back,
+                identity,
                 has_base,
-            } => self.crash(usize::from(engine), down_ms, back, has_base),
-            DrawnEvent::List { age_ms } => self.read_list(self.now_ms.saturating_sub(age_ms)),
-            DrawnEvent::TakeOver {
-                quiet_ms,
-                adopted_ms,
+            } => self.crash(usize::from(engine), down_ms, identity, has_base),
+            ScenarioEvent::ReadList { age_ms } => {
+                self.read_list(self.now_ms.saturating_sub(age_ms))
+            }
+            ScenarioEvent::Takeover {
+                order_pause_ms,
+                adoption_ms,
                 age_ms,
-                knows_names,
+                knows_versions,
             } => {
-                self.take_over(quiet_ms, age_ms, knows_names);
+                self.take_over(order_pause_ms, age_ms, knows_versions);
                 for number in 0..GATEWAYS {
-                    self.cut_off(&vm(number), adopted_ms);
+                    self.disconnect(&vm(number), adoption_ms);
                 }
             }
-            DrawnEvent::Cut { vm: number, for_ms } => {
+            ScenarioEvent::Disconnect {
+                vm: number,
+                duration_ms,
+            } => {
                 self.planner
                     .forget_gateway(&vm(number), instant(self.now_ms));
-                self.cut_off(&vm(number), for_ms);
+                self.disconnect(&vm(number), duration_ms);
             }
         }
     }
 
-    fn crash(&mut self, number: usize, down_ms: u64, back: Return, has_base: bool) {
+    fn crash(&mut self, number: usize, down_ms: u64, identity: RestartIdentity, has_base: bool) {
         let at = number % self.engines.len();
         if !self.engines[at].is_up {
             return;
         }
-        self.note(&format!(
-            "{} crashes, back as {back:?}",
+        self.log(&format!(
+            "{} crashes, restarts as {identity:?}",
             self.engines[at].name
         ));
         let lost: Vec<_> = self.engines[at].runs.keys().copied().collect();
@@ -468,32 +481,35 @@
         let old = engine.name.clone();
         engine.crash();
         self.reports[at].clear();
-        if !matches!(back, Return::Itself) {
-            self.engines_made += 1;
-            engine.name = TargetName::new(&format!("e{}", self.engines_made));
+        if !matches!(identity, RestartIdentity::SameTarget) {
+            self.engines_created += 1;
+            engine.name = TargetName::new(&format!("e{}", self.engines_created));
         }
-        if matches!(back, Return::Elsewhere) {
-            engine.address.set_port(self.engines_made);
+        if matches!(identity, RestartIdentity::NewAddress) {
+            engine.address.set_port(self.engines_created);
         }
         for number in lost {
             self.retry(number, old.clone(), Some(CallOutcome::Failed));
         }
-        self.put_after(LAPSE_MS, Due::Lapse(old));
-        self.put_after(down_ms, Due::Return(at, has_base));
+        self.schedule_after(ENTRY_TTL_MS, Due::Lapse(old));
+        self.schedule_after(down_ms, Due::Restart(at, has_base));
     }
 
-    fn bring_back(&mut self, at: usize, has_base: bool) {
+    fn restart_engine(&mut self, at: usize, has_base: bool) {
         let newest = self.named.newest(&base_model());
         let engine = &mut self.engines[at];
         engine.is_up = true;
         engine.base = has_base.then_some(newest);
-        let line = format!("{} is up with weights {:?}", engine.name, engine.base);
-        self.note(&line);
+        let line = format!(
+            "{} is up with base model version {:?}",
+            engine.name, engine.base
+        );
+        self.log(&line);
     }
 
     /// Notes what engines would say of themselves from now on.
-    fn remember(&mut self) {
-        let oldest_ms = self.now_ms.saturating_sub(REMEMBERED_MS);
+    fn record_states(&mut self) {
+        let oldest_ms = self.now_ms.saturating_sub(STATE_HISTORY_MS);
         for (engine, reports) in self.engines.iter().zip(&mut self.reports) {
             if !engine.is_up {
                 continue;
@@ -519,11 +535,11 @@
 
     /// The holder reads the list as it was at a time; lists don't go back.
     fn read_list(&mut self, as_of_ms: u64) {
-        self.listed_ms = self.listed_ms.max(as_of_ms);
+        self.list_time_ms = self.list_time_ms.max(as_of_ms);
         let states = self.entries.values();
         let listed = states.filter_map(|states| {
             let mut states = states.iter().rev();
-            let state = states.find(|(at_ms, _)| *at_ms <= self.listed_ms)?;
+            let state = states.find(|(at_ms, _)| *at_ms <= self.list_time_ms)?;
             state.1.clone()
         });
         self.list = listed.collect();
@@ -531,139 +547,141 @@
             .set_targets(self.list.clone(), instant(self.now_ms));
     }
 
-    fn take_over(&mut self, quiet_ms: u64, age_ms: u64, knows_names: bool) {
-        self.note(&format!(
-            "another VM holds the zone, orders after {quiet_ms} ms"
+    fn take_over(&mut self, order_pause_ms: u64, age_ms: u64, knows_versions: bool) {
+        self.log(&format!(
+            "another VM holds the zone, orders after {order_pause_ms} ms"
         ));
-        self.token += 1;
-        self.planner = new_planner(self.now_ms + quiet_ms, &self.drawn);
+        self.fencing_token += 1;
+        self.planner = new_planner(self.now_ms + order_pause_ms, &self.scenario);
         self.planner.mark_takeover(instant(self.now_ms));
-        self.listed_ms = 0;
-        self.read_list(self.now_ms.saturating_sub(age_ms).max(BEGIN_MS));
-        if knows_names {
-            for (subject, version) in &self.heard {
+        self.list_time_ms = 0;
+        self.read_list(self.now_ms.saturating_sub(age_ms).max(START_MS));
+        if knows_versions {
+            for (subject, version) in &self.known_versions {
                 self.planner
                     .set_version(subject, *version, instant(self.now_ms));
             }
         } else {
-            self.heard.clear();
+            self.known_versions.clear();
         }
     }
 
     /// A gateway has no link to the holder for a time; its questions without an answer are asked anew.
-    fn cut_off(&mut self, vm: &VmName, for_ms: u64) {
-        self.note(&format!("{vm} is cut off for {for_ms} ms"));
-        let (lost, kept): (Vec<_>, _) = std::mem::take(&mut self.asked)
+    fn disconnect(&mut self, vm: &VmName, duration_ms: u64) {
+        self.log(&format!(
+            "{vm} is disconnected from the holder for {duration_ms} ms"
+        ));
+        let (lost, cached): (Vec<_>, _) = std::mem::take(&mut self.unanswered)
             .into_iter()
             .partition(|number| self.key(*number).vm == *vm);
-        self.asked = kept.into_iter().collect();
+        self.unanswered = cached.into_iter().collect();
         for number in lost {
             if let Some(call) = self.calls.remove(&number) {
-                self.put_after(AGAIN_MS, Due::Place(call.new));
+                self.schedule_after(RETRY_DELAY_MS, Due::Place(call.pending));
             }
         }
-        self.links_made += 1;
-        self.cut.insert(vm.clone(), self.links_made);
-        self.put_after(for_ms, Due::Adopt(vm.clone(), self.links_made));
+        self.connections_made += 1;
+        self.disconnected.insert(vm.clone(), self.connections_made);
+        self.schedule_after(duration_ms, Due::Adopt(vm.clone(), self.connections_made));
     }
 
     /// A gateway has a link again, and tells of the calls that it has open.
     fn adopt(&mut self, vm: &VmName, link: u64) {
-        if self.cut.get(vm) != Some(&link) {
+        if self.disconnected.get(vm) != Some(&link) {
             return;
         }
-        self.cut.remove(vm);
+        self.disconnected.remove(vm);
         for (number, call) in &self.calls {
-            let is_told = !call.is_over && !call.is_alone;
+            let is_told = !call.is_closed && !call.is_untracked;
             let Some(sent) = call.sent.as_ref().filter(|_| is_told) else {
                 continue;
             };
-            let key = call_key(*number, &call.new.drawn);
+            let key = call_key(*number, &call.pending.plan);
             let is_known = self.planner.is_current_life(&sent.target, sent.life);
             if key.vm == *vm && is_known {
-                let subject = subject(call.new.drawn.subject);
+                let subject = subject(call.pending.plan.subject);
                 self.planner.adopt_call(key, &sent.target, &subject);
             }
         }
     }
 
     fn key(&self, number: u64) -> CallKey {
-        call_key(number, &self.calls[&number].new.drawn)
+        call_key(number, &self.calls[&number].pending.plan)
     }
 
-    fn place(&mut self, new: NewCall) {
-        let drawn = new.drawn;
-        if self.cut.contains_key(&vm(drawn.vm)) {
-            self.place_alone(new);
+    fn place(&mut self, pending: PendingCall) {
+        let plan = pending.plan;
+        if self.disconnected.contains_key(&vm(plan.vm)) {
+            self.place_without_holder(pending);
             return;
         }
-        self.calls_made += 1;
-        let number = self.calls_made;
-        let key = call_key(number, &drawn);
-        let avoided = drawn.avoids.map(|at| usize::from(at) % self.engines.len());
+        self.calls_created += 1;
+        let number = self.calls_created;
+        let key = call_key(number, &plan);
+        let avoided = plan.avoids.map(|at| usize::from(at) % self.engines.len());
         let avoided = avoided.map(|at| self.engines[at].name.clone());
         let ask = PlacementRequest {
             fingerprint: Default::default(),
             is_trial: false,
             charge: None,
-            subject: subject(drawn.subject),
-            prompt_tokens: prompt(&drawn, number).map(|(_, tokens)| tokens).sum(),
+            subject: subject(plan.subject),
+            prompt_tokens: prompt(&plan, number).map(|(_, tokens)| tokens).sum(),
             output_tokens: 50,
-            prefix: prompt(&drawn, number).collect(),
+            prefix: prompt(&plan, number).collect(),
             priority: 1,
             bound_ms: BOUND_MS,
-            exclude: new.tried.iter().cloned().chain(avoided).collect(),
+            exclude: pending.tried.iter().cloned().chain(avoided).collect(),
             resting: Vec::new(),
             may_load: true,
             terms: PlacementTerms::Take,
         };
         let call = GatewayCall {
-            new,
+            pending,
             sent: None,
-            is_alone: false,
-            is_over: false,
+            is_untracked: false,
+            is_closed: false,
         };
         self.calls.insert(number, call);
-        self.asked.insert(number);
+        self.unanswered.insert(number);
         self.planner.place(key, ask, instant(self.now_ms));
     }
 
     /// A gateway that has no link to the holder sends a call to a target that is listed with what it asks for, and tells nobody.
-    fn place_alone(&mut self, new: NewCall) {
-        let subject = subject(new.drawn.subject);
-        let version = self.heard.get(&subject).copied();
+    fn place_without_holder(&mut self, pending: PendingCall) {
+        let subject = subject(pending.plan.subject);
+        let version = self.known_versions.get(&subject).copied();
         let version = version.filter(|_| subject != base_model());
         let mut listed = self.list.iter().filter(|entry| {
-            !new.tried.contains(&entry.name) && lists(entry, &subject, version.unwrap_or(0))
+            !pending.tried.contains(&entry.name) && lists(entry, &subject, version.unwrap_or(0))
         });
         let Some(entry) = listed.next() else {
-            self.put_after(AGAIN_MS, Due::Place(new));
+            self.schedule_after(RETRY_DELAY_MS, Due::Place(pending));
             return;
         };
-        let sent = SentTo {
+        let sent = Destination {
             target: entry.name.clone(),
             life: entry.life,
             fetch: None,
             version: version.or_else(|| listed_version(entry, &subject)),
         };
-        self.calls_made += 1;
-        let number = self.calls_made;
-        self.note(&format!(
+        self.calls_created += 1;
+        let number = self.calls_created;
+        self.log(&format!(
             "call {number} for {subject} is sent to {} without the holder, version {:?}",
             sent.target, sent.version
         ));
         let call = GatewayCall {
-            new,
+            pending,
             sent: Some(sent),
-            is_alone: true,
-            is_over: false,
+            is_untracked: true,
+            is_closed: false,
         };
         self.calls.insert(number, call);
-        self.put_after(0, Due::Depart(number));
+        self.schedule_after(0, Due::Depart(number));
     }
 
     /// Does what the planner wants done.
-    fn carry_out(&mut self) -> Result<(), String> {
+    fn run_actions(&mut self) -> Result<(), String> {
         loop {
             let actions = self.planner.take_actions();
             if actions.is_empty() {
@@ -672,7 +690,7 @@
             for action in actions {
                 match action {
                     PlannerAction::Answer(key, answer) => self.answer(key.number, answer),
-                    PlannerAction::Order(entry, order) => self.order(&entry, order)?,
+                    PlannerAction::Order(entry, order) => self.receive_order(&entry, order)?,
                     PlannerAction::FetchReport(entry) => self.ask_report(&entry),
                     PlannerAction::RecordTransfer(_) => {}
                 }
@@ -681,7 +699,7 @@
     }
 
     fn answer(&mut self, number: u64, answer: PlacementAnswer) {
-        self.asked.remove(&number);
+        self.unanswered.remove(&number);
         let Some(call) = self.calls.get_mut(&number) else {
             return;
         };
@@ -694,27 +712,27 @@
             ..
         } = answer
         else {
-            call.is_over = true;
+            call.is_closed = true;
             return;
         };
-        self.counts.told += u32::from(fetch.is_some());
+        self.counts.fetches += u32::from(fetch.is_some());
         let line = format!(
             "call {number} for {} goes to {target} in {wait_ms} ms, version {version:?}, fetch {fetch:?}",
-            subject(call.new.drawn.subject)
+            subject(call.pending.plan.subject)
         );
-        call.sent = Some(SentTo {
+        call.sent = Some(Destination {
             target,
             life,
             fetch,
             version,
         });
-        self.note(&line);
-        self.put_after(u64::from(wait_ms), Due::Depart(number));
+        self.log(&line);
+        self.schedule_after(u64::from(wait_ms), Due::Depart(number));
     }
 
     /// A call leaves its gateway, if its target is still listed in the life that it was placed at.
     fn depart(&mut self, number: u64) {
-        let Some((drawn, sent)) = self.sent(number) else {
+        let Some((plan, sent)) = self.sent(number) else {
             return;
         };
         let mut entries = self.list.iter();
@@ -722,7 +740,7 @@
             self.calls
                 .get_mut(&number)
                 .expect("it is sent")
-                .new
+                .pending
                 .tried
                 .push(sent.target);
             self.close(number, None, true);
@@ -732,41 +750,47 @@
             self.close(number, None, true);
             return;
         }
-        self.put_after(drawn.travel_ms, Due::Arrive(number));
-        if let Some(ms) = drawn.quits_ms {
-            self.put_after(ms, Due::Quit(number));
+        self.schedule_after(plan.travel_ms, Due::Arrive(number));
+        if let Some(ms) = plan.disconnect_ms {
+            self.schedule_after(ms, Due::CallerDisconnect(number));
         }
     }
 
     fn arrive(&mut self, number: u64) {
-        let Some((drawn, sent)) = self.sent(number) else {
+        let Some((plan, sent)) = self.sent(number) else {
             return;
         };
-        let subject = subject(drawn.subject);
-        let up = |engine: &TrueEngine| engine.is_up && engine.name == sent.target;
+        let subject = subject(plan.subject);
+        let up = |engine: &EngineModel| engine.is_up && engine.name == sent.target;
         let Some(at) = self.engines.iter().position(up) else {
             self.retry(number, sent.target, Some(CallOutcome::Unreached));
             return;
         };
         let engine = &mut self.engines[at];
         match engine.receive(&subject, sent.version) {
-            Reception::Taken => {
-                let has_begun = false;
-                engine.runs.insert(number, EngineRun { subject, has_begun });
+            Reception::Accepted => {
+                let has_started = false;
+                engine.runs.insert(
+                    number,
+                    EngineRun {
+                        subject,
+                        has_started,
+                    },
+                );
                 let life = EngineLife {
                     at,
                     life: engine.life,
                 };
-                self.put_after(drawn.move_ms, Due::Move(number, life));
-                self.put_after(drawn.move_ms + drawn.read_ms, Due::Begin(number, life));
+                self.schedule_after(plan.fetch_ms, Due::FetchCache(number, life));
+                self.schedule_after(plan.fetch_ms + plan.read_ms, Due::Start(number, life));
             }
             Reception::Misdirected => {
-                let line = format!("call {number} is turned away by {}", engine.name);
-                self.note(&line);
+                let line = format!("call {number} is rejected by {}", engine.name);
+                self.log(&line);
                 self.counts.misdirected += 1;
                 let end = CallEnd {
                     outcome: None,
-                    is_absent: true,
+                    is_missing: true,
                 };
                 self.close_with(number, end, true);
             }
@@ -777,74 +801,74 @@
     }
 
     /// An engine takes what another one has kept of a prompt beyond its own, by name of adapter and part.
-    fn move_parts(&mut self, number: u64, life: EngineLife) {
-        if !self.runs(number, life) {
+    fn fetch_segments(&mut self, number: u64, life: EngineLife) {
+        if !self.is_running(number, life) {
             return;
         }
         let call = &self.calls[&number];
         let Some(fetch) = call.sent.as_ref().and_then(|sent| sent.fetch) else {
             return;
         };
-        let drawn = call.new.drawn;
-        let subject = subject(drawn.subject);
-        let from = |engine: &&TrueEngine| engine.is_up && engine.address == fetch;
+        let plan = call.pending.plan;
+        let subject = subject(plan.subject);
+        let from = |engine: &&EngineModel| engine.is_up && engine.address == fetch;
         let Some(source) = self.engines.iter().find(from).cloned() else {
             return;
         };
         let mut lines = Vec::new();
         let engine = &mut self.engines[life.at];
-        for (part, _) in shared_parts(&drawn) {
-            if engine.kept(&subject, part).is_some() {
+        for (segment, _) in shared_segments(&plan) {
+            if engine.cached(&subject, segment).is_some() {
                 continue;
             }
-            let Some(mark) = source.kept(&subject, part) else {
+            let Some(mark) = source.cached(&subject, segment) else {
                 break;
             };
-            engine.keep(&subject, part, mark);
-            self.counts.parts += 1;
+            engine.cache_segment(&subject, segment, mark);
+            self.counts.segments += 1;
             lines.push(format!(
-                "{} takes part {part} for call {number} from {}, made under {mark:?}",
+                "{} fetches segment {segment} for call {number} from {}, made under {mark:?}",
                 engine.name, source.name
             ));
         }
         for line in lines {
-            self.note(&line);
+            self.log(&line);
         }
     }
 
     /// A call's first event: its prompt is read, what was kept of it used.
-    fn begin(&mut self, number: u64, life: EngineLife) -> Result<(), String> {
-        if !self.runs(number, life) {
+    fn start_call(&mut self, number: u64, life: EngineLife) -> Result<(), String> {
+        if !self.is_running(number, life) {
             return Ok(());
         }
-        let drawn = self.calls[&number].new.drawn;
-        let subject = subject(drawn.subject);
+        let plan = self.calls[&number].pending.plan;
+        let subject = subject(plan.subject);
         let engine = &mut self.engines[life.at];
         let mark = engine
             .mark(&subject)
             .expect("requests wait for what is there");
         let name = engine.name.clone();
-        let used = use_parts(engine, &subject, &drawn, mark);
+        let used = use_segments(engine, &subject, &plan, mark);
         if let Some(run) = engine.runs.get_mut(&number) {
-            run.has_begun = true;
+            run.has_started = true;
         }
         self.counts.runs += 1;
-        self.note(&format!("call {number} runs at {name} under {mark:?}"));
+        self.log(&format!("call {number} runs at {name} under {mark:?}"));
         if let Some(other) = used.iter().find(|used| **used != mark) {
             let how = format!(
-                "call {number} for {subject} runs at {name} under {mark:?} and uses memory made under {other:?}"
+                "call {number} for {subject} runs at {name} under {mark:?} and uses KV cache made under {other:?}"
             );
-            self.break_rule(Rule::OwnMemory, how)?;
+            self.check_rule(Rule::MatchingCache, how)?;
         }
-        if !self.calls[&number].is_over {
-            self.put_after(drawn.tell_ms, Due::TellBegun(number, mark.base));
+        if !self.calls[&number].is_closed {
+            self.schedule_after(plan.report_ms, Due::ReportStarted(number, mark.base));
         }
-        self.put_after(drawn.run_ms, Due::End(number, life));
+        self.schedule_after(plan.run_ms, Due::End(number, life));
         Ok(())
     }
 
-    fn end(&mut self, number: u64, life: EngineLife) {
-        if !self.runs(number, life) {
+    fn finish_call(&mut self, number: u64, life: EngineLife) {
+        if !self.is_running(number, life) {
             return;
         }
         self.engines[life.at].end_run(number, self.now_ms);
@@ -852,14 +876,14 @@
     }
 
     /// A caller leaves; some engines go on with its request.
-    fn quit(&mut self, number: u64) {
-        let Some((drawn, sent)) = self.sent(number) else {
+    fn disconnect_caller(&mut self, number: u64) {
+        let Some((plan, sent)) = self.sent(number) else {
             return;
         };
-        self.note(&format!("the caller of call {number} leaves"));
+        self.log(&format!("the caller of call {number} disconnects"));
         let mut engines = self.engines.iter_mut();
         if let Some(engine) = engines.find(|engine| engine.name == sent.target)
-            && !drawn.runs_on
+            && !plan.ignores_disconnect
         {
             engine.end_run(number, self.now_ms);
         }
@@ -867,15 +891,15 @@
     }
 
     /// Whether a request is at an engine in this life of it.
-    fn runs(&self, number: u64, life: EngineLife) -> bool {
+    fn is_running(&self, number: u64, life: EngineLife) -> bool {
         let engine = &self.engines[life.at];
         engine.is_up && engine.life == life.life && engine.runs.contains_key(&number)
     }
 
     /// A call that was sent and is not over at its gateway.
-    fn sent(&self, number: u64) -> Option<(DrawnCall, SentTo)> {
-        let call = self.calls.get(&number).filter(|call| !call.is_over)?;
-        Some((call.new.drawn, call.sent.clone()?))
+    fn sent(&self, number: u64) -> Option<(CallPlan, Destination)> {
+        let call = self.calls.get(&number).filter(|call| !call.is_closed)?;
+        Some((call.pending.plan, call.sent.clone()?))
     }
 
     /// Requests that were turned away as an order on their adapter came between.
@@ -895,7 +919,7 @@
     /// A call is over at a target and is placed elsewhere.
     fn retry(&mut self, number: u64, target: TargetName, outcome: Option<CallOutcome>) {
         if let Some(call) = self.calls.get_mut(&number) {
-            call.new.tried.push(target);
+            call.pending.tried.push(target);
         }
         self.close(number, outcome, true);
     }
@@ -903,27 +927,27 @@
     fn close(&mut self, number: u64, outcome: Option<CallOutcome>, is_retried: bool) {
         let end = CallEnd {
             outcome,
-            is_absent: false,
+            is_missing: false,
         };
         self.close_with(number, end, is_retried);
     }
 
     fn close_with(&mut self, number: u64, end: CallEnd, is_retried: bool) {
-        let Some(call) = self.calls.get_mut(&number).filter(|call| !call.is_over) else {
+        let Some(call) = self.calls.get_mut(&number).filter(|call| !call.is_closed) else {
             return;
         };
-        call.is_over = true;
-        let mut new = call.new.clone();
-        let tell_ms = new.drawn.tell_ms;
-        new.placings_left -= 1;
-        self.put_after(tell_ms, Due::TellEnded(number, end));
-        if is_retried && new.placings_left > 0 {
-            self.put_after(tell_ms + AGAIN_MS, Due::Place(new));
+        call.is_closed = true;
+        let mut pending = call.pending.clone();
+        let report_ms = pending.plan.report_ms;
+        pending.attempts_left -= 1;
+        self.schedule_after(report_ms, Due::ReportEnded(number, end));
+        if is_retried && pending.attempts_left > 0 {
+            self.schedule_after(report_ms + RETRY_DELAY_MS, Due::Place(pending));
         }
     }
 
-    fn tell_begun(&mut self, number: u64, base: u64) {
-        if let Some(sent) = self.told_of(number) {
+    fn report_started(&mut self, number: u64, base: u64) {
+        if let Some(sent) = self.reachable_destination(number) {
             let now = instant(self.now_ms);
             let target = sent.target.clone();
             self.planner
@@ -932,20 +956,20 @@
     }
 
     /// Where a call was sent, if its gateway can tell the holder of it.
-    fn told_of(&self, number: u64) -> Option<&SentTo> {
+    fn reachable_destination(&self, number: u64) -> Option<&Destination> {
         let call = &self.calls[&number];
-        let is_cut = self.cut.contains_key(&vm(call.new.drawn.vm));
-        let is_told = !is_cut && !call.is_alone;
+        let is_cut = self.disconnected.contains_key(&vm(call.pending.plan.vm));
+        let is_told = !is_cut && !call.is_untracked;
         call.sent.as_ref().filter(|_| is_told)
     }
 
-    fn tell_ended(&mut self, number: u64, end: CallEnd) {
-        let Some(sent) = self.told_of(number).cloned() else {
+    fn report_ended(&mut self, number: u64, end: CallEnd) {
+        let Some(sent) = self.reachable_destination(number).cloned() else {
             return;
         };
         let key = self.key(number);
         let now = instant(self.now_ms);
-        if end.is_absent {
+        if end.is_missing {
             self.planner.report_missing_copy(&key, &sent.target, now);
         }
         // What an earlier life did says nothing about this one.
@@ -955,64 +979,69 @@
             .call_ended(&key, Some(&sent.target), outcome, now);
     }
 
-    fn order(&mut self, entry: &Arc<TargetEntry>, order: EngineOrder) -> Result<(), String> {
-        let fates = &self.drawn.order_fates;
-        let fate = fates[self.orders_given % fates.len()];
-        self.orders_given += 1;
-        self.note(&format!(
+    fn receive_order(
+        &mut self,
+        entry: &Arc<TargetEntry>,
+        order: EngineOrder,
+    ) -> Result<(), String> {
+        let fates = &self.scenario.order_fates;
+        let fate = fates[self.orders_received % fates.len()];
+        self.orders_received += 1;
+        self.log(&format!(
             "{} is ordered: {:?} {} version {:?} expected {}, {fate:?}",
             entry.name, order.kind, order.subject, order.version, order.expected
         ));
         let (after_ms, outcome) = match fate {
-            OrderFate::Answered { after_ms } => {
-                (after_ms, self.carry(&entry.name, &order, self.token)?)
-            }
-            OrderFate::Unheard => {
-                self.carry(&entry.name, &order, self.token)?;
+            OrderFate::Answered { after_ms } => (
+                after_ms,
+                self.apply_order(&entry.name, &order, self.fencing_token)?,
+            ),
+            OrderFate::AnswerLost => {
+                self.apply_order(&entry.name, &order, self.fencing_token)?;
                 (TIMEOUT_MS, OrderOutcome::Unanswered)
             }
             OrderFate::Lost => (TIMEOUT_MS, OrderOutcome::Unanswered),
             OrderFate::Late { after_ms } => {
-                let carried = Due::Carry(entry.name.clone(), order, self.token);
-                self.put_after(after_ms, carried);
+                let carried = Due::ApplyOrder(entry.name.clone(), order, self.fencing_token);
+                self.schedule_after(after_ms, carried);
                 (TIMEOUT_MS, OrderOutcome::Unanswered)
             }
         };
-        let ended = Due::OrderEnded(Arc::clone(entry), outcome, self.token);
-        self.put_after(after_ms, ended);
+        let ended = Due::OrderEnded(Arc::clone(entry), outcome, self.fencing_token);
+        self.schedule_after(after_ms, ended);
         Ok(())
     }
 
     /// An order reaches its engine, if that is there.
-    fn carry(
+    fn apply_order(
         &mut self,
         target: &TargetName,
         order: &EngineOrder,
-        token: u64,
+        fencing_token: u64,
     ) -> Result<OrderOutcome, String> {
-        let up = |engine: &TrueEngine| engine.is_up && engine.name == *target;
+        let up = |engine: &EngineModel| engine.is_up && engine.name == *target;
         let Some(at) = self.engines.iter().position(up) else {
             return Ok(OrderOutcome::Refused);
         };
-        let taken = self.engines[at].take(order, token, &self.named, self.now_ms);
-        self.note(&format!(
-            "{target} takes {:?} {} version {:?}: {taken:?}",
+        let taken = self.engines[at].accept_order(order, fencing_token, &self.named, self.now_ms);
+        self.log(&format!(
+            "{target} handles {:?} {} version {:?}: {taken:?}",
             order.kind, order.subject, order.version
         ));
         if let Ok(outcome) = taken {
             return Ok(outcome);
         }
-        let how = format!("{target} is ordered beyond its places: {order:?}");
-        self.break_rule(Rule::Places, how)?;
-        self.crash(at, FALL_MS, Return::Itself, false);
+        let how = format!("{target} is ordered beyond its adapter slots: {order:?}");
+        self.check_rule(Rule::AdapterSlots, how)?;
+        self.crash(at, OVERRUN_DOWN_MS, RestartIdentity::SameTarget, false);
         Ok(OrderOutcome::Unanswered)
     }
 
     fn ask_report(&mut self, entry: &TargetEntry) {
-        let fates = &self.drawn.report_fates;
-        let fate = fates[self.reports_asked % fates.len()];
-        self.reports_asked += 1;
-        let up = |engine: &TrueEngine| engine.is_up && engine.name == entry.name;
+        let fates = &self.scenario.report_fates;
+        let fate = fates[self.reports_requested % fates.len()];
+        self.reports_requested += 1;
+        let up = |engine: &EngineModel| engine.is_up && engine.name == entry.name;
         let at = self.engines.iter().position(up);
         let (after_ms, report) = match (fate, at) {
             (ReportFate::Read { age_ms, after_ms }, Some(at)) => {
@@ -1020,8 +1049,8 @@
             }
             _ => (TIMEOUT_MS, None),
         };
-        let reported = Due::Reported(entry.name.clone(), report, self.token);
-        self.put_after(after_ms, reported);
+        let reported = Due::Reported(entry.name.clone(), report, self.fencing_token);
+        self.schedule_after(after_ms, reported);
     }
 
     /// What an engine said of itself some time ago, in the life that it has.
@@ -1034,9 +1063,9 @@
     }
 }
 
-fn call_key(number: u64, drawn: &DrawnCall) -> CallKey {
+fn call_key(number: u64, plan: &CallPlan) -> CallKey {
     CallKey {
-        vm: vm(drawn.vm),
+        vm: vm(plan.vm),
         number,
     }
 }
@@ -1061,27 +1090,27 @@
         .or(model.map(|(_, version)| *version))
 }
 
-fn shared_parts(drawn: &DrawnCall) -> impl Iterator<Item = (u64, u32)> {
-    PROMPTS[usize::from(drawn.prompt)].into_iter()
+fn shared_segments(plan: &CallPlan) -> impl Iterator<Item = (u64, u32)> {
+    PROMPTS[usize::from(plan.prompt)].into_iter()
 }
 
 /// A call's prompt: its shared parts, and one of its own.
-fn prompt(drawn: &DrawnCall, number: u64) -> impl Iterator<Item = (u64, u32)> {
+fn prompt(plan: &CallPlan, number: u64) -> impl Iterator<Item = (u64, u32)> {
     let own = (1_000 + number, OWN_TOKENS);
-    shared_parts(drawn).chain(std::iter::once(own))
+    shared_segments(plan).chain(std::iter::once(own))
 }
 
 /// What made the parts of a prompt that an engine has kept, one after the other; it keeps the others from now on.
-fn use_parts(
-    engine: &mut TrueEngine,
+fn use_segments(
+    engine: &mut EngineModel,
     subject: &AdapterName,
-    drawn: &DrawnCall,
-    mark: MemoryMark,
-) -> Vec<MemoryMark> {
-    let kept = shared_parts(drawn).map_while(|(part, _)| engine.kept(subject, part));
-    let used = kept.collect();
-    for (part, _) in shared_parts(drawn) {
-        engine.keep(subject, part, mark);
+    plan: &CallPlan,
+    mark: CacheMark,
+) -> Vec<CacheMark> {
+    let cached = shared_segments(plan).map_while(|(segment, _)| engine.cached(subject, segment));
+    let used = cached.collect();
+    for (segment, _) in shared_segments(plan) {
+        engine.cache_segment(subject, segment, mark);
     }
     used
 }
