--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -9,7 +9,7 @@
     direct::{
         engine::{CopyState, EngineOrder, EngineState, LoadedModel, SentCall, shared_segments},
         planner::{CallKey, PlacementRequest, split_subject},
-        versions::{MemoryMark, MemoryVersions, VersionMatch, VersionSight, VersionTeller},
+        versions::{CacheTag, CacheVersions, ObservedVersion, VersionMatch, VersionSource},
     },
     ids::{AdapterName, Instant},
 };
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendableCache {
     /// Versions that made the cache.
-    pub mark: MemoryMark,
+    pub mark: CacheTag,
     /// Length of the prefix, in tokens.
     pub tokens: u32,
 }
@@ -33,8 +33,8 @@
 
     /// Versions that make KV cache for a subject here, as far as known.
     #[must_use]
-    pub fn memory_versions(&self, subject: &AdapterName) -> MemoryVersions {
-        MemoryVersions {
+    pub fn memory_versions(&self, subject: &AdapterName) -> CacheVersions {
+        CacheVersions {
             base: self
                 .base_model(subject)
                 .and_then(|loaded| loaded.known_version),
@@ -56,7 +56,7 @@
     /// restart.
     fn reported_base_version(&self, subject: &AdapterName) -> Option<u64> {
         let known_version = self.base_model(subject)?.known_version?;
-        (known_version.teller != VersionTeller::List).then_some(known_version.version)
+        (known_version.source != VersionSource::List).then_some(known_version.version)
     }
 
     /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order
@@ -82,7 +82,7 @@
     pub(super) fn update_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
-            let known_version = VersionSight::told(*version, VersionTeller::Report, now);
+            let known_version = ObservedVersion::observe(*version, VersionSource::Report, now);
             match old.iter().find(|loaded| loaded.name == *name) {
                 Some(known) => self.models.push(known.clone()),
                 None => {
@@ -99,11 +99,11 @@
     }
 
     /// Records an observed version of a base model.
-    fn observe_base_version(&mut self, model: &str, known_version: Option<VersionSight>) {
+    fn observe_base_version(&mut self, model: &str, known_version: Option<ObservedVersion>) {
         let known = self
             .loaded_model(model)
             .and_then(|loaded| loaded.known_version);
-        if VersionMatch::of(known, known_version) == VersionMatch::Unlike {
+        if VersionMatch::of(known, known_version) == VersionMatch::Different {
             self.invalidate_cache(model);
         }
         let mut models = self.models.iter_mut();
@@ -171,7 +171,8 @@
                 && copy.known_version.is_none()
                 && copy.state == CopyState::Loaded
             {
-                copy.known_version = VersionSight::told(resident.version, VersionTeller::List, now);
+                copy.known_version =
+                    ObservedVersion::observe(resident.version, VersionSource::List, now);
             }
         }
     }
@@ -189,11 +190,11 @@
     pub(super) fn check_listed_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
-            let listed = VersionSight::told(*version, VersionTeller::List, now);
+            let listed = ObservedVersion::observe(*version, VersionSource::List, now);
             let known = self
                 .loaded_model(model)
                 .and_then(|loaded| loaded.known_version);
-            if VersionMatch::of(known, listed) == VersionMatch::Unlike {
+            if VersionMatch::of(known, listed) == VersionMatch::Different {
                 self.invalidate_cache(model);
                 self.report_due_at = Some(now);
             }
@@ -214,7 +215,7 @@
         if self.generation(&subject) != Some(generation) {
             return;
         }
-        let known_version = VersionSight::told(version, VersionTeller::Answer, now);
+        let known_version = ObservedVersion::observe(version, VersionSource::Answer, now);
         self.observe_base_version(split_subject(&subject).0, known_version);
         self.read_segments.insert(&subject, generation, &shared);
     }
@@ -266,7 +267,7 @@
             }
             None => None,
         };
-        let mark = MemoryMark { base, adapter };
+        let mark = CacheTag { base, adapter };
         Some(LendableCache { mark, tokens })
     }
 
@@ -276,7 +277,7 @@
     #[must_use]
     pub fn can_use_cache(
         &self,
-        mark: MemoryMark,
+        mark: CacheTag,
         subject: &AdapterName,
         named_version: Option<u64>,
     ) -> bool {
--- a/crates/core/src/direct/engine/copies.rs
+++ b/crates/core/src/direct/engine/copies.rs
@@ -3,10 +3,10 @@
 use crate::{
     direct::{
         engine::CALL_ADOPTION_TIMEOUT,
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{CallKey, PlacementRequest},
         suspects::RequestFingerprint,
-        versions::VersionSight,
+        versions::ObservedVersion,
     },
     ids::{AdapterName, Instant},
 };
@@ -43,7 +43,7 @@
     /// Load state.
     pub state: CopyState,
     /// Version, with the source of that knowledge, if known.
-    pub known_version: Option<VersionSight>,
+    pub known_version: Option<ObservedVersion>,
     /// Generation of the copy. It changes with each load, so that KV cache of earlier weights is not used.
     pub generation: u64,
     /// Calls sent to the copy that have not ended.
@@ -69,7 +69,7 @@
 impl AdapterCopy {
     pub(super) fn new(
         state: CopyState,
-        known_version: Option<VersionSight>,
+        known_version: Option<ObservedVersion>,
         generation: u64,
         now: Instant,
     ) -> Self {
@@ -126,7 +126,7 @@
     /// Name of the model.
     pub name: AdapterName,
     /// Version, with the source of that knowledge, if known.
-    pub known_version: Option<VersionSight>,
+    pub known_version: Option<ObservedVersion>,
     /// Generation, as for an adapter copy.
     pub generation: u64,
 }
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -25,10 +25,10 @@
     direct::{
         catalog::TargetEntry,
         engine::prefix_cache::PrefixTable,
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{CallKey, split_subject},
-        reading::PromptQueue,
-        versions::{VersionMatch, VersionSight, VersionTeller},
+        prefill::PrefillQueue,
+        versions::{ObservedVersion, VersionMatch, VersionSource},
     },
     ids::{AdapterName, Instant, TargetLife},
 };
@@ -85,7 +85,7 @@
     /// Whether the report is being read.
     pub is_reporting: bool,
     /// Prompts that the engine has not read yet.
-    pub prompts: PromptQueue,
+    pub prompts: PrefillQueue,
     /// Recently loaded adapters with the version that was named then; the oldest first.
     recent_loads: VecDeque<(AdapterName, Option<u64>)>,
     /// Segments of prompts sent to the engine.
@@ -130,7 +130,7 @@
             ordered_at: Instant::default(),
             report_due_at: Some(now),
             is_reporting: false,
-            prompts: PromptQueue::default(),
+            prompts: PrefillQueue::default(),
             recent_loads: VecDeque::new(),
             sent_segments: PrefixTable::default(),
             read_segments: PrefixTable::default(),
@@ -147,12 +147,13 @@
             .iter()
             .map(|(model, version)| LoadedModel {
                 name: AdapterName::new(model),
-                known_version: VersionSight::told(*version, VersionTeller::List, now),
+                known_version: ObservedVersion::observe(*version, VersionSource::List, now),
                 generation: 0,
             })
             .collect();
         for resident in &entry.adapters {
-            let known_version = VersionSight::told(resident.version, VersionTeller::List, now);
+            let known_version =
+                ObservedVersion::observe(resident.version, VersionSource::List, now);
             let generation = engine.next_generation();
             let mut copy = AdapterCopy::new(CopyState::Loaded, known_version, generation, now);
             copy.pin_for_adoption(now);
@@ -291,7 +292,7 @@
         version: u64,
         now: Instant,
     ) -> AdapterCopy {
-        let known_version = VersionSight::told(version, VersionTeller::Report, now);
+        let known_version = ObservedVersion::observe(version, VersionSource::Report, now);
         // A copy that is being replaced is reported twice: as loaded and as loading.
         let known = old.remove(adapter).or_else(|| self.copies.remove(adapter));
         let Some(known) = known else {
@@ -303,9 +304,9 @@
         // A version from the platform's list may be outdated.
         let reliable_version = known
             .known_version
-            .filter(|known| known.teller != VersionTeller::List);
+            .filter(|known| known.source != VersionSource::List);
         let has_changed = VersionMatch::of(known.known_version, known_version)
-            == VersionMatch::Unlike
+            == VersionMatch::Different
             || (known.known_version != reliable_version && known_version.is_none());
         let generation = if has_changed {
             self.next_generation()
@@ -399,7 +400,7 @@
 
     /// Removes a call that has ended.
     pub fn remove_call(&mut self, key: &CallKey) -> Option<SentCall> {
-        self.prompts.forget(key);
+        self.prompts.remove(key);
         let call = self.calls.remove(key)?;
         self.tokens_sent -= call.tokens;
         Some(call)
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -11,7 +11,7 @@
     direct::{
         catalog::TargetEntry,
         health::{CallOutcome, HealthTable},
-        limits::{LimitTable, NamedLimit},
+        limits::{AdvertisedLimit, RateLimitTable},
         millis,
         planner::{CallKey, PlacementAnswer, RefusalCause},
         quotas::QuotaCharge,
@@ -122,7 +122,7 @@
     lives: HashMap<TargetName, TargetLife>,
     health: HealthTable,
     /// Rate limits that targets announced.
-    rate_limits: LimitTable,
+    rate_limits: RateLimitTable,
 }
 
 impl PlainPlanner {
@@ -153,7 +153,7 @@
             let cause = RefusalCause::TooLong(millis(expected));
             return refuse(expected.saturating_sub(bound), token_wait, cause);
         }
-        self.rate_limits.take(&entry.name, now);
+        self.rate_limits.take_token(&entry.name, now);
         load.calls += 1;
         let call = PlacedCall {
             run,
@@ -219,13 +219,13 @@
             return;
         };
         if let Some(outcome) = outcome {
-            self.health.note(&call.run.name, outcome, now);
+            self.health.record(&call.run.name, outcome, now);
         }
         let Some(load) = self.loads.get_mut(&call.run) else {
             return;
         };
         load.calls = load.calls.saturating_sub(1);
-        if outcome == Some(CallOutcome::Good) {
+        if outcome == Some(CallOutcome::Success) {
             let duration = now.since(call.sent).div_f64(call.calls_per_slot);
             let duration = duration.min(load.call_time * MAX_OUTLIER_FACTOR);
             load.call_time =
@@ -247,8 +247,8 @@
     }
 
     /// Records the rate limit that a target announced in an answer.
-    pub fn record_limit(&mut self, limit: &NamedLimit, now: Instant) {
-        self.rate_limits.note(limit, now);
+    pub fn record_limit(&mut self, limit: &AdvertisedLimit, now: Instant) {
+        self.rate_limits.record(limit, now);
     }
 
     /// Forgets targets for which `keep` is false, except for the calls still in flight there.
@@ -288,11 +288,11 @@
 
 /// Penalty for a target's health, in calls in flight.
 fn health_penalty(health: &HealthTable, target: &TargetName, now: Instant) -> f64 {
-    let mut cost = FAILURE_PENALTY * health.failing(target);
-    if health.is_doubted(target) {
+    let mut cost = FAILURE_PENALTY * health.failure_rate(target);
+    if health.is_degraded(target) {
         cost += DOUBT_PENALTY;
     }
-    if health.is_shedding(target, now) {
+    if health.is_overloaded(target, now) {
         cost += SHED_PENALTY;
     }
     cost
@@ -307,11 +307,11 @@
 ) -> Option<&'a Arc<TargetEntry>> {
     let candidates = || targets.iter().filter(|entry| is_eligible(&entry.name));
     let best = candidates()
-        .filter(|entry| !health.is_out(&entry.name, now))
+        .filter(|entry| !health.is_unreachable(&entry.name, now))
         .min_by(|left, right| order(left, right));
     // Without any other candidate, a target with a single failed connection is still tried. After several failures the
     // call is refused at once.
-    best.or_else(|| candidates().find(|entry| !health.is_lost(&entry.name, now)))
+    best.or_else(|| candidates().find(|entry| !health.is_down(&entry.name, now)))
 }
 
 /// Refuses a call. The retry delay may exceed its usual bound if the target's rate limit requires a longer wait.
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -11,7 +11,7 @@
         catalog::TargetStage,
         engine::EngineState,
         planner::{CacheTransfer, CallKey, PlacementRequest, PlannerAction, ZonePlanner},
-        versions::MemoryMark,
+        versions::CacheTag,
     },
     ids::{AdapterName, Instant, TargetName},
 };
@@ -22,7 +22,7 @@
 pub(super) struct CacheSource {
     pub name: TargetName,
     pub address: SocketAddr,
-    pub mark: MemoryMark,
+    pub mark: CacheTag,
     tokens: u32,
 }
 
@@ -66,8 +66,8 @@
             let is_usable = engine.entry.stage == TargetStage::Ready
                 && self.is_inventory_settled(engine)
                 && self.has_unique_address(engine)
-                && !self.health.is_out(name, now)
-                && !self.health.is_doubted(name);
+                && !self.health.is_unreachable(name, now)
+                && !self.health.is_degraded(name);
             if !is_usable {
                 continue;
             }
@@ -111,7 +111,7 @@
         let named = self.named_version(&request.subject);
         let cached = engine.cached_tokens(request);
         let tokens = request.prompt_tokens.saturating_sub(cached);
-        let time = engine.prompts.own_time(tokens, &self.pace, now);
+        let time = engine.prompts.prefill_time(tokens, &self.pace, now);
         let without_fetch = PrefillPlan {
             tokens,
             time,
@@ -127,7 +127,8 @@
             return without_fetch;
         }
         let tokens = request.prompt_tokens.saturating_sub(source.tokens);
-        let time = engine.prompts.own_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
+        let time =
+            engine.prompts.prefill_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
         if time + self.policy.min_fetch_saving > without_fetch.time {
             return without_fetch;
         }
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -7,7 +7,7 @@
         planner::split_subject,
         quotas::QuotaCharge,
         suspects::RequestFingerprint,
-        versions::{MemoryVersions, VersionMatch},
+        versions::{CacheVersions, VersionMatch},
     },
     ids::{AdapterName, TargetLife, TargetName, VmName},
 };
@@ -142,11 +142,11 @@
     /// Engine that holds the cache.
     pub source: TargetName,
     /// Versions that made the cache, as far as known.
-    pub source_versions: MemoryVersions,
+    pub source_versions: CacheVersions,
     /// Engine that runs the call.
     pub target: TargetName,
     /// Versions under which the call will run, as far as known.
-    pub target_versions: MemoryVersions,
+    pub target_versions: CacheVersions,
     /// Latest named version of the adapter.
     pub named_version: Option<u64>,
     /// Whether the target is told to fetch; if not, the versions do not match.
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -42,12 +42,12 @@
         demand::DemandTable,
         engine::{CopyState, EngineState, ORPHANED_CALL_TTL, SentCall, UNANSWERED_ORDER_TTL},
         health::{CallOutcome, HealthTable},
-        limits::{LimitTable, NamedLimit},
-        loading::LoadLimiter,
+        limits::{AdvertisedLimit, RateLimitTable},
+        load_limiter::LoadLimiter,
         millis,
         planner::cache_transfer::CacheLoan,
         policy::PlacementPolicy,
-        reading::ReadingPace,
+        prefill::PrefillModel,
         suspects::SuspectTable,
     },
     ids::{AdapterName, Instant, TargetLife, TargetName, VmName},
@@ -76,12 +76,12 @@
     policy: PlacementPolicy,
     limits: EngineLimits,
     /// Rate limits that engines announced.
-    rate_limits: LimitTable,
+    rate_limits: RateLimitTable,
     engines: BTreeMap<TargetName, EngineState>,
     named_versions: HashMap<AdapterName, u64>,
     demand: DemandTable,
     health: HealthTable,
-    pace: ReadingPace,
+    pace: PrefillModel,
     load_limiter: LoadLimiter,
     /// KV cache that calls are about to fetch.
     loans: HashMap<CallKey, CacheLoan>,
@@ -111,13 +111,13 @@
             estimates,
             policy: PlacementPolicy::default(),
             limits,
-            rate_limits: LimitTable::default(),
+            rate_limits: RateLimitTable::default(),
             engines: BTreeMap::new(),
             named_versions: HashMap::new(),
             demand: DemandTable::default(),
             health: HealthTable::default(),
-            pace: ReadingPace::default(),
-            load_limiter: LoadLimiter::starting_with(estimates.initial_load_limit),
+            pace: PrefillModel::default(),
+            load_limiter: LoadLimiter::with_initial_limit(estimates.initial_load_limit),
             loans: HashMap::new(),
             lead_until: Instant::default(),
             earlier_orders_until: Instant::default(),
@@ -226,9 +226,9 @@
     }
 
     /// Records the rate limit that an engine announced in an answer.
-    pub fn record_limit(&mut self, limit: &NamedLimit, now: Instant) {
+    pub fn record_limit(&mut self, limit: &AdvertisedLimit, now: Instant) {
         if self.engines.contains_key(&limit.run.name) {
-            self.rate_limits.note(limit, now);
+            self.rate_limits.record(limit, now);
         }
     }
 
@@ -241,7 +241,7 @@
         let old = std::mem::replace(engine, fresh);
         self.invalidate_loans(name);
         self.health.forget(name);
-        self.load_limiter.forget(name);
+        self.load_limiter.reset_target(name);
         let waiters = old.copies.into_values().flat_map(|copy| copy.waiters);
         self.place_again(waiters.collect(), now);
     }
@@ -304,11 +304,11 @@
             if let Some(version) = version {
                 engine.record_prompt_read(key, version, now);
             }
-            engine.prompts.begun(key, &mut self.pace, now);
+            engine.prompts.record_first_event(key, &mut self.pace, now);
             if let Some(load) = engine.resolve_load(key)
                 && !load.is_judged
             {
-                self.load_limiter.came_in_time(target, load, now);
+                self.load_limiter.record_on_time(target, load, now);
             }
         }
     }
@@ -322,7 +322,7 @@
         now: Instant,
     ) {
         if let (Some(target), Some(outcome)) = (target, outcome) {
-            self.health.note(target, outcome, now);
+            self.health.record(target, outcome, now);
         }
         // If the caller has disconnected, the engine may still receive the call and fetch the cache.
         self.end_loan(key, now.after(ORPHANED_CALL_TTL));
@@ -367,7 +367,7 @@
         // rejection does not show that the load was late.
         let fetches_cache = self.loans.contains_key(key);
         if let Some(load) = engine.resolve_load(key).filter(|_| !fetches_cache) {
-            self.load_limiter.came_late(target, load, now);
+            self.load_limiter.record_late(target, load, now);
         }
         let Some(subject) = engine.calls.get(key).map(|call| call.subject.clone()) else {
             return;
@@ -414,7 +414,7 @@
     /// Runs the periodic work: finished loads, due reports, expired waiters, empty engines and queued orders.
     pub fn tick(&mut self, now: Instant) {
         self.update_utilization(now);
-        self.load_limiter.relax(now);
+        self.load_limiter.decay(now);
         let names: Vec<_> = self.engines.keys().cloned().collect();
         for name in &names {
             self.refresh_engine(name, now);
@@ -470,7 +470,7 @@
             late.extend(copy.waiters.extract_if(.., |waiting| now >= waiting.until));
         }
         for waiting in late {
-            let retry_after_ms = millis(self.load_limiter.expected(name));
+            let retry_after_ms = millis(self.load_limiter.expected_time(name));
             let cause = RefusalCause::LoadLate;
             self.refuse(waiting.key, retry_after_ms, cause);
         }
--- a/crates/core/src/direct/planner/orders.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -8,12 +8,12 @@
             CopyState, EngineOrder, EngineReport, EngineState, ORPHANED_CALL_TTL, OrderKind,
             OrderOutcome, WaitingCall,
         },
-        loading::StoreLoad,
+        load_limiter::StoreLoad,
         planner::{
             LOAD_MARGIN, MAX_LOADING_ADAPTERS, PlannerAction, REPORT_RETRY_DELAY, RETRY_AFTER_MS,
             RefusalCause, ZonePlanner, millis, split_subject,
         },
-        versions::{VersionSight, VersionTeller},
+        versions::{ObservedVersion, VersionSource},
     },
     ids::{AdapterName, Instant, TargetName},
 };
@@ -27,7 +27,7 @@
 impl ZonePlanner {
     /// Records the answer to the pending order of an engine, or that it timed out.
     pub fn order_ended(&mut self, name: &TargetName, outcome: OrderOutcome, now: Instant) {
-        let load_time = self.load_limiter.expected(name);
+        let load_time = self.load_limiter.expected_time(name);
         let is_bound =
             self.store_loads_in_flight(now) + self.queued_loads() >= self.load_limiter.limit();
         let Some(engine) = self.engines.get_mut(name) else {
@@ -58,7 +58,7 @@
                     _ if engine.was_recently_loaded(&subject, order.version) => {
                         (self.estimates.reload_time, None)
                     }
-                    _ => (load_time, Some(StoreLoad::begun(now, is_bound))),
+                    _ => (load_time, Some(StoreLoad::started(now, is_bound))),
                 };
                 engine.record_recent_load(&subject, order.version, self.policy.max_recent_adapters);
                 if let Some(copy) = engine.copies.get_mut(&subject) {
@@ -70,8 +70,9 @@
                     copy.load = load;
                     // Without a named version the engine loads the newest of that moment, which is unknown here.
                     let named = order.version;
-                    copy.known_version = named
-                        .and_then(|version| VersionSight::told(version, VersionTeller::Order, now));
+                    copy.known_version = named.and_then(|version| {
+                        ObservedVersion::observe(version, VersionSource::Order, now)
+                    });
                     let waiters = std::mem::take(&mut copy.waiters);
                     self.send_waiters(name, waiters, now);
                 }
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -77,28 +77,31 @@
         let loads_ahead = self.store_loads_in_flight(now) + self.queued_loads();
         let sources = self.cache_sources(request, now);
         let engines_sharing_ends = self.engines_sharing_ends(request.fingerprint, now);
-        let all_doubted = self.engines.keys().all(|name| self.health.is_doubted(name));
+        let all_doubted = self
+            .engines
+            .keys()
+            .all(|name| self.health.is_degraded(name));
         self.engines
             .iter()
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
                     && !request.exclude.contains(name)
                     && !request.resting.contains(name)
-                    && !self.health.is_out(name, now)
+                    && !self.health.is_unreachable(name, now)
             })
             .filter_map(|(name, engine)| {
                 let mut cost = self.cost(engine, request, &sources, loads_ahead, now)?;
-                if self.health.is_doubted(name) && !all_doubted {
+                if self.health.is_degraded(name) && !all_doubted {
                     cost.total += self.policy.doubt_penalty;
                 }
                 cost.total += self
                     .policy
                     .failure_penalty
-                    .mul_f64(self.health.failing(name));
+                    .mul_f64(self.health.failure_rate(name));
                 if engines_sharing_ends.contains(name) {
                     cost.total += SHARED_SUSPECT_PENALTY;
                 }
-                if self.health.is_shedding(name, now) {
+                if self.health.is_overloaded(name, now) {
                     cost.total += self.policy.shed_penalty;
                 }
                 Some((name.clone(), cost))
@@ -131,7 +134,7 @@
             + self.estimates.time_per_call * calls
             + self.estimates.slot_hold_time / engine.entry.slots.max(1) * excess_calls
             + kv_penalty
-            + engine.entry.cold.min(Duration::from_secs(1));
+            + engine.entry.warmup_remaining.min(Duration::from_secs(1));
         Some(PlacementCost {
             wait,
             total: wait + load.penalty,
@@ -166,11 +169,11 @@
                     }),
                     CopyState::Queued => Some(LoadCost {
                         time: self.load_hold_remaining(now)
-                            + self.load_limiter.expected(&engine.entry.name),
+                            + self.load_limiter.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     CopyState::ReloadQueued => Some(LoadCost {
-                        time: self.load_limiter.expected(&engine.entry.name),
+                        time: self.load_limiter.expected_time(&engine.entry.name),
                         ..LoadCost::default()
                     }),
                     _ => Some(LoadCost::default()),
@@ -194,7 +197,7 @@
                 let (time, penalty) = if is_new {
                     (
                         self.load_limiter
-                            .wait_behind(&engine.entry.name, loads_ahead),
+                            .expected_wait(&engine.entry.name, loads_ahead),
                         self.policy.load_penalty,
                     )
                 } else {
@@ -308,7 +311,7 @@
         now: Instant,
     ) {
         let token_wait = self.rate_limits.wait(name, now);
-        self.rate_limits.take(name, now);
+        self.rate_limits.take_token(name, now);
         let wait_ms = adapter_ms.max(millis(token_wait));
         let sent = self.record_sent(name, key.clone(), request, wait_ms, now);
         self.answer_send(name, key, &request.subject, wait_ms, sent);
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -29,7 +29,7 @@
 
 /// The versions that made a part of memory; adapter 0 where the base model alone made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CacheMark {
+pub struct CacheTag {
     pub base: u64,
     pub adapter: u64,
 }
@@ -113,7 +113,7 @@
     /// Requests by the number of their call.
     pub runs: BTreeMap<u64, EngineRun>,
     copies: BTreeMap<AdapterName, AdapterCopy>,
-    cached: BTreeMap<(AdapterName, u64), CacheMark>,
+    cached: BTreeMap<(AdapterName, u64), CacheTag>,
     /// The base model that is being loaded, and when it is there, in ms.
     base_loading: Option<(u64, u64)>,
     recent_adapters: Vec<AdapterName>,
@@ -191,15 +191,15 @@
     }
 
     /// The versions that a run for a subject is made under now.
-    pub fn mark(&self, subject: &AdapterName) -> Option<CacheMark> {
+    pub fn mark(&self, subject: &AdapterName) -> Option<CacheTag> {
         let base = self.base?;
         if split_subject(subject).1.is_none() {
-            return Some(CacheMark { base, adapter: 0 });
+            return Some(CacheTag { base, adapter: 0 });
         }
         let copy = self.copies.get(subject)?;
         let is_there = !matches!(copy.state, CopyState::Loading(_));
         let adapter = copy.version;
-        is_there.then_some(CacheMark { base, adapter })
+        is_there.then_some(CacheTag { base, adapter })
     }
 
     /// A request comes.
@@ -219,12 +219,12 @@
         Reception::Accepted
     }
 
-    pub fn cached(&self, subject: &AdapterName, segment: u64) -> Option<CacheMark> {
+    pub fn cached(&self, subject: &AdapterName, segment: u64) -> Option<CacheTag> {
         self.cached.get(&(subject.clone(), segment)).copied()
     }
 
     /// Keeps a part, unless it has it.
-    pub fn cache_segment(&mut self, subject: &AdapterName, segment: u64, mark: CacheMark) {
+    pub fn cache_segment(&mut self, subject: &AdapterName, segment: u64, mark: CacheTag) {
         self.cached
             .entry((subject.clone(), segment))
             .or_insert(mark);
@@ -465,7 +465,7 @@
             slots: CALL_SLOTS,
             stage: TargetStage::Ready,
             remaining: None,
-            cold: Duration::ZERO,
+            warmup_remaining: Duration::ZERO,
             orders_taken: self.sequence,
             models: self
                 .base
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     engine::{
-        ADAPTER_SLOTS, CALL_SLOTS, CacheMark, EngineModel, EngineRun, NamedVersions, Reception,
+        ADAPTER_SLOTS, CALL_SLOTS, CacheTag, EngineModel, EngineRun, NamedVersions, Reception,
         base_model, instant,
     },
     scenario::{
@@ -525,7 +525,7 @@
             let entries = self.entries.entry(engine.name.clone()).or_default();
             let is_told = |last: &Option<Arc<TargetEntry>>| {
                 last.as_ref()
-                    .is_some_and(|last| last.leads_alike(&entry) && last.adapters == entry.adapters)
+                    .is_some_and(|last| last.routes_like(&entry) && last.adapters == entry.adapters)
             };
             if !entries.last().is_some_and(|(_, last)| is_told(last)) {
                 entries.push((self.now_ms, Some(entry)));
@@ -763,7 +763,7 @@
         let subject = subject(plan.subject);
         let up = |engine: &EngineModel| engine.is_up && engine.name == sent.target;
         let Some(at) = self.engines.iter().position(up) else {
-            self.retry(number, sent.target, Some(CallOutcome::Unreached));
+            self.retry(number, sent.target, Some(CallOutcome::ConnectFailed));
             return;
         };
         let engine = &mut self.engines[at];
@@ -794,9 +794,11 @@
                 };
                 self.close_with(number, end, true);
             }
-            Reception::Deferred => {
-                self.retry(number, sent.target, Some(CallOutcome::Shed(Duration::ZERO)))
-            }
+            Reception::Deferred => self.retry(
+                number,
+                sent.target,
+                Some(CallOutcome::Overloaded(Duration::ZERO)),
+            ),
         }
     }
 
@@ -872,7 +874,7 @@
             return;
         }
         self.engines[life.at].end_run(number, self.now_ms);
-        self.close(number, Some(CallOutcome::Good), false);
+        self.close(number, Some(CallOutcome::Success), false);
     }
 
     /// A caller leaves; some engines go on with its request.
@@ -910,7 +912,7 @@
                 self.retry(
                     number,
                     name.clone(),
-                    Some(CallOutcome::Shed(Duration::ZERO)),
+                    Some(CallOutcome::Overloaded(Duration::ZERO)),
                 );
             }
         }
@@ -1105,8 +1107,8 @@
     engine: &mut EngineModel,
     subject: &AdapterName,
     plan: &CallPlan,
-    mark: CacheMark,
-) -> Vec<CacheMark> {
+    mark: CacheTag,
+) -> Vec<CacheTag> {
     let cached = shared_segments(plan).map_while(|(segment, _)| engine.cached(subject, segment));
     let used = cached.collect();
     for (segment, _) in shared_segments(plan) {
--- a/crates/daemon/src/direct/access.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -3,22 +3,22 @@
 use crate::{
     clock,
     direct::{
-        asking::{HolderNotice, HolderQuestion},
         fleet::FleetState,
-        links::{LinkContact, VmLink},
-        message::{CallEnd, CallEnding, VmMessage},
+        holder_requests::{HolderNotice, HolderRequest},
+        links::{LinkStatus, VmLink},
+        message::{CallEnd, CompletedCall, VmMessage},
         trials::TrialPermit,
-        zone::{PlaceReply, ReplyTo, ZoneEvent},
+        zone::{HolderReply, ReplySender, ZoneEvent},
     },
 };
 use hoplanding_core::{
     direct::{
         lease::{HolderContact, ZoneLease},
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         plain::PlainRequest,
         planner::{CallKey, PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::{TrialAnswer, trial_zones},
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, VmName},
@@ -61,7 +61,7 @@
 
 /// Asks holders, and tells them how calls ended.
 #[derive(Debug)]
-pub struct ZoneAccess {
+pub struct HolderClient {
     fleet: Arc<FleetState>,
     zone: mpsc::Sender<ZoneEvent>,
     links: Mutex<HashMap<VmName, VmLink>>,
@@ -69,7 +69,7 @@
     numbers: AtomicU64,
 }
 
-impl ZoneAccess {
+impl HolderClient {
     /// Access by way of this VM's own zone worker and links to others.
     #[must_use]
     pub fn new(fleet: Arc<FleetState>, zone: mpsc::Sender<ZoneEvent>) -> Self {
@@ -87,17 +87,17 @@
         self: &Arc<Self>,
         zone: &AvailabilityZone,
         ask: PlacementRequest,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let subject = ask.subject.clone();
         let withdrawal = WithdrawnAsk {
-            access: self,
+            holder_client: self,
             zone,
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Place(Box::new(ask));
+        let question = HolderRequest::Place(Box::new(ask));
         let reply = self.question(zone, &lease, number, question).await?;
         self.settle(withdrawal, zone, number, subject, reply)
     }
@@ -107,16 +107,16 @@
         self: &Arc<Self>,
         zone: &AvailabilityZone,
         ask: PlainRequest,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
         let withdrawal = WithdrawnAsk {
-            access: self,
+            holder_client: self,
             zone,
             number,
             is_settled: false,
         };
-        let question = HolderQuestion::Plain(Box::new(ask));
+        let question = HolderRequest::Plain(Box::new(ask));
         let asked = self.question(zone, &lease, number, question);
         let reply = timeout(PLAIN_WAIT, asked).await.ok()??;
         self.settle(withdrawal, zone, number, AdapterName::new(""), reply)
@@ -130,14 +130,14 @@
     ) -> Option<Result<(), Duration>> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Pay(charge);
+        let question = HolderRequest::Pay(charge);
         match self.question(zone, &lease, number, question).await? {
-            PlaceReply::Paid(None) => Some(Ok(())),
-            PlaceReply::Paid(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
-            PlaceReply::Answer(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_)
-            | PlaceReply::NotHolder => None,
+            HolderReply::Charged(None) => Some(Ok(())),
+            HolderReply::Charged(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
+            HolderReply::Placement(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_)
+            | HolderReply::NotHolder => None,
         }
     }
 
@@ -154,9 +154,9 @@
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
             // Dropped where nobody answers, as a trial may have been granted that nobody heard of.
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
-            let question = HolderQuestion::Trial(fingerprint);
+            let question = HolderRequest::Trial(fingerprint);
             let asked = self.question(&zone, &lease, number, question);
-            if let Ok(Some(PlaceReply::Trial(answer))) = timeout(TRIAL_WAIT, asked).await {
+            if let Ok(Some(HolderReply::Trial(answer))) = timeout(TRIAL_WAIT, asked).await {
                 return Some((answer, permit));
             }
         }
@@ -169,10 +169,10 @@
             return;
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = HolderQuestion::Target(target.clone());
+        let question = HolderRequest::Target(target.clone());
         let asked = self.question(zone, &lease, number, question);
-        if let Ok(Some(PlaceReply::Target(Some(record)))) = timeout(TARGET_WAIT, asked).await {
-            self.fleet.take_asked(record);
+        if let Ok(Some(HolderReply::Target(Some(record)))) = timeout(TARGET_WAIT, asked).await {
+            self.fleet.apply_requested(record);
         }
     }
 
@@ -192,12 +192,12 @@
             notice(zone);
             return;
         }
-        self.fleet.pardon(fingerprint);
+        self.fleet.clear_suspicion(fingerprint);
         self.all_zones().iter().for_each(notice);
     }
 
     fn all_zones(&self) -> Vec<AvailabilityZone> {
-        self.fleet.books().leases.keys().cloned().collect()
+        self.fleet.tables().leases.keys().cloned().collect()
     }
 
     /// Asks a zone's holder; nothing where it does not answer.
@@ -206,11 +206,11 @@
         zone: &AvailabilityZone,
         lease: &ZoneLease,
         number: u64,
-        question: HolderQuestion,
-    ) -> Option<PlaceReply> {
+        question: HolderRequest,
+    ) -> Option<HolderReply> {
         if self.is_mine(lease) {
             let (sender, receiver) = oneshot::channel();
-            let event = question.into_event(self.key(number), ReplyTo::Local(sender));
+            let event = question.into_event(self.key(number), ReplySender::Local(sender));
             self.zone.send(event).await.ok()?;
             return receiver.await.ok();
         }
@@ -232,16 +232,16 @@
         zone: &AvailabilityZone,
         number: u64,
         subject: AdapterName,
-        reply: PlaceReply,
-    ) -> Option<(PlacementAnswer, Option<CallTicket>)> {
+        reply: HolderReply,
+    ) -> Option<(PlacementAnswer, Option<PlacedCall>)> {
         withdrawal.is_settled = true;
         match reply {
-            PlaceReply::NotHolder
-            | PlaceReply::Paid(_)
-            | PlaceReply::Trial(_)
-            | PlaceReply::Target(_) => None,
-            PlaceReply::Answer(answer) => {
-                let ticket = match &answer {
+            HolderReply::NotHolder
+            | HolderReply::Charged(_)
+            | HolderReply::Trial(_)
+            | HolderReply::Target(_) => None,
+            HolderReply::Placement(answer) => {
+                let placed_call = match &answer {
                     PlacementAnswer::Send { target, life, .. } => {
                         let call = OpenCall {
                             zone: zone.clone(),
@@ -249,22 +249,22 @@
                             life: *life,
                             subject,
                         };
-                        Some(self.ticket(number, call))
+                        Some(self.placed_call(number, call))
                     }
                     PlacementAnswer::Refuse { .. } => None,
                 };
-                Some((answer, ticket))
+                Some((answer, placed_call))
             }
         }
     }
 
-    fn ticket(self: &Arc<Self>, number: u64, call: OpenCall) -> CallTicket {
+    fn placed_call(self: &Arc<Self>, number: u64, call: OpenCall) -> PlacedCall {
         self.open
             .lock()
             .expect("no holder of the lock panics")
             .insert(number, call);
-        CallTicket {
-            access: Arc::clone(self),
+        PlacedCall {
+            holder_client: Arc::clone(self),
             number,
             outcome: None,
         }
@@ -290,16 +290,16 @@
         };
         let known = known.filter(|link| link.incarnation == lease.incarnation);
         let is_new = known.is_none();
-        if let Some(LinkContact::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
+        if let Some(LinkStatus::Ended { at, .. }) = known.as_ref().map(VmLink::contact)
             && clock::now().since(at) < REDIAL_PAUSE
         {
             return None;
         }
         let link = self.link(zone, lease)?;
         match link.contact() {
-            LinkContact::Up => link.is_heard_within(HOLDER_SILENCE).then_some(link),
-            LinkContact::Dialling if is_new || !link.is_redial => Some(link),
-            LinkContact::Dialling | LinkContact::Ended { .. } => None,
+            LinkStatus::Up => link.is_heard_within(HOLDER_SILENCE).then_some(link),
+            LinkStatus::Dialling if is_new || !link.is_redial => Some(link),
+            LinkStatus::Dialling | LinkStatus::Ended { .. } => None,
         }
     }
 
@@ -312,14 +312,14 @@
             .filter(|link| link.incarnation == lease.incarnation)
             .cloned();
         if let Some(link) = &earlier
-            && !matches!(link.contact(), LinkContact::Ended { .. })
+            && !matches!(link.contact(), LinkStatus::Ended { .. })
         {
             return Some(link.clone());
         }
         let known: Vec<_> = {
-            let books = self.fleet.books();
-            let suspects = books.suspects.told(clock::now());
-            let limits = books.limits.told().map(VmMessage::LimitNamed);
+            let tables = self.fleet.tables();
+            let suspects = tables.suspects.crashes(clock::now());
+            let limits = tables.limits.advertised().map(VmMessage::LimitNamed);
             suspects.map(VmMessage::EndedUnder).chain(limits).collect()
         };
         let first = self
@@ -367,13 +367,13 @@
         });
         match known.filter(|link| link.incarnation == lease.incarnation) {
             Some(link) => match link.contact() {
-                LinkContact::Up => HolderContact::Heard,
-                LinkContact::Dialling if !link.is_redial => HolderContact::Heard,
-                LinkContact::Ended {
+                LinkStatus::Up => HolderContact::Heard,
+                LinkStatus::Dialling if !link.is_redial => HolderContact::Heard,
+                LinkStatus::Ended {
                     is_process_gone: true,
                     ..
                 } => HolderContact::Ended,
-                LinkContact::Dialling | LinkContact::Ended { .. } => {
+                LinkStatus::Dialling | LinkStatus::Ended { .. } => {
                     HolderContact::Silent(link.heard())
                 }
             },
@@ -394,7 +394,7 @@
             .and_then(|vm| links.get(vm))
             .is_some_and(|link| {
                 link.incarnation == lease.incarnation
-                    && link.contact() == LinkContact::Up
+                    && link.contact() == LinkStatus::Up
                     && link.is_heard_within(within)
             })
     }
@@ -407,18 +407,18 @@
     }
 
     /// Asks a zone's holder for its lease, which was recorded at a position.
-    pub fn ask_for_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
+    pub fn request_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
         if let Some(link) = self.link(zone, lease) {
             link.tell(VmMessage::LeaseWanted(position));
         }
     }
 
-    fn tell(&self, zone: &AvailabilityZone, ending: CallEnding) {
+    fn tell(&self, zone: &AvailabilityZone, ending: CompletedCall) {
         let Some(lease) = self.fleet.lease(zone) else {
             return;
         };
         if self.is_mine(&lease) {
-            let event = ZoneEvent::Ended(self.fleet.vm.clone(), ending);
+            let event = ZoneEvent::CallEnded(self.fleet.vm.clone(), ending);
             if let Err(mpsc::error::TrySendError::Full(event)) = self.zone.try_send(event) {
                 let zone = self.zone.clone();
                 tokio::spawn(async move {
@@ -432,19 +432,19 @@
     }
 
     /// Gives a charge back to this VM's own zone's holder.
-    pub fn give_back(&self, charge: QuotaCharge) {
+    pub fn refund(&self, charge: QuotaCharge) {
         self.notify(&self.fleet.zone, HolderNotice::GiveBack(charge));
     }
 
     /// Tells every zone's holder that a target ended while a request ran there.
-    pub fn tell_ended_under(&self, ended: &EndedUnder) {
+    pub fn tell_ended_under(&self, ended: &TargetCrash) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::EndedUnder(ended.clone()));
         }
     }
 
     /// Tells every zone's holder what an answer said of its target's limit.
-    pub fn tell_limit(&self, named: &NamedLimit) {
+    pub fn tell_limit(&self, named: &AdvertisedLimit) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::LimitNamed(named.clone()));
         }
@@ -468,7 +468,7 @@
 
 /// Withdraws a question that nobody waits for any more.
 struct WithdrawnAsk<'a> {
-    access: &'a ZoneAccess,
+    holder_client: &'a HolderClient,
     zone: &'a AvailabilityZone,
     number: u64,
     is_settled: bool,
@@ -477,7 +477,7 @@
 impl Drop for WithdrawnAsk<'_> {
     fn drop(&mut self) {
         if !self.is_settled {
-            self.access
+            self.holder_client
                 .notify(self.zone, HolderNotice::Withdrawn(self.number));
         }
     }
@@ -485,13 +485,13 @@
 
 /// A placed call; tells the holder of its end when dropped.
 #[derive(Debug)]
-pub struct CallTicket {
-    access: Arc<ZoneAccess>,
+pub struct PlacedCall {
+    holder_client: Arc<HolderClient>,
     number: u64,
     outcome: Option<CallEnd>,
 }
 
-impl CallTicket {
+impl PlacedCall {
     /// The holder's number of the call.
     #[must_use]
     pub fn number(&self) -> u64 {
@@ -502,7 +502,7 @@
     /// the base model.
     pub fn note_first_event(&self, version: Option<u64>) {
         let call = self
-            .access
+            .holder_client
             .open
             .lock()
             .expect("no holder of the lock panics")
@@ -510,32 +510,32 @@
             .cloned();
         if let Some(call) = call {
             let notice = HolderNotice::Begun(self.number, call.target, version);
-            self.access.notify(&call.zone, notice);
+            self.holder_client.notify(&call.zone, notice);
         }
     }
 
     /// Ends the call with what it says about its target.
-    pub fn end(mut self, outcome: CallEnd) {
+    pub fn finish(mut self, outcome: CallEnd) {
         self.outcome = Some(outcome);
     }
 }
 
-impl Drop for CallTicket {
+impl Drop for PlacedCall {
     fn drop(&mut self) {
         let call = self
-            .access
+            .holder_client
             .open
             .lock()
             .expect("no holder of the lock panics")
             .remove(&self.number);
         if let Some(call) = call {
-            let ending = CallEnding {
+            let ending = CompletedCall {
                 number: self.number,
                 target: call.target,
                 life: call.life,
                 outcome: self.outcome,
             };
-            self.access.tell(&call.zone, ending);
+            self.holder_client.tell(&call.zone, ending);
         }
     }
 }
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -3,13 +3,13 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        freshness::{BeatEcho, PassedProof},
+        freshness::{HeartbeatEcho, RelayedProof},
         health::CallOutcome,
-        limits::NamedLimit,
+        limits::AdvertisedLimit,
         plain::PlainRequest,
         planner::{PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::TrialAnswer,
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, TargetRun, VmName},
@@ -22,7 +22,7 @@
 
 /// How a call ended at a target, for the holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallEnding {
+pub struct CompletedCall {
     /// The gateway's number of the call.
     pub number: u64,
     /// The target that it was sent to.
@@ -56,12 +56,12 @@
     #[must_use]
     pub fn health(self) -> Option<CallOutcome> {
         match self {
-            Self::Good => Some(CallOutcome::Good),
+            Self::Good => Some(CallOutcome::Success),
             Self::Failed => Some(CallOutcome::Failed),
-            Self::Unreached => Some(CallOutcome::Unreached),
+            Self::Unreached => Some(CallOutcome::ConnectFailed),
             Self::Shed { rest_ms } => {
                 let rest = Duration::from_millis(u64::from(rest_ms));
-                Some(CallOutcome::Shed(rest))
+                Some(CallOutcome::Overloaded(rest))
             }
             Self::Absent => None,
         }
@@ -70,7 +70,7 @@
 
 /// A record of the platform's log that one VM passes on to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PassedRecord {
+pub struct ForwardedRecord {
     /// Its topic.
     pub topic: FeedTopic,
     /// Its key.
@@ -150,9 +150,9 @@
         /// The sender's clock, in microseconds, to be given back.
         sent: u64,
         /// The receiver's last sign of life that came over this link.
-        echo: Option<BeatEcho>,
+        echo: Option<HeartbeatEcho>,
         /// The sender's proof that its configuration is the newest.
-        proof: Option<PassedProof>,
+        proof: Option<RelayedProof>,
     },
     /// Place a call.
     Place(u64, Box<PlacementRequest>),
@@ -166,7 +166,7 @@
     /// if the answer tells it.
     Begun(u64, TargetName, Option<u64>),
     /// A call ended.
-    Ended(CallEnding),
+    Ended(CompletedCall),
     /// The gateway no longer wants a placement.
     Withdrawn(u64),
     /// Pay a call's charge out of the receiver's part of its organisation's quota.
@@ -176,7 +176,7 @@
     /// A call that was paid for did not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// Grant a trial of a suspect.
     Trial(u64, RequestFingerprint),
     /// Whether a trial is granted.
@@ -184,7 +184,7 @@
     /// A trial ended, answered well or not.
     TrialEnded(u64, RequestFingerprint, bool),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A call that was open before the link.
     Open(u64, TargetName, TargetLife, AdapterName),
     /// The sender, a stronger VM of the zone, would rather hold it than the receiver by the lease at this position.
@@ -194,15 +194,15 @@
     /// Tell the record of a target: the sender does not know the target list yet.
     TargetWanted(u64, TargetName),
     /// The record of a target that is known.
-    TargetTold(u64, Option<PassedRecord>),
+    TargetTold(u64, Option<ForwardedRecord>),
     /// Records that may be news.
-    Records(Vec<PassedRecord>),
+    Records(Vec<ForwardedRecord>),
     /// Targets that said in their answers that they leave.
     Leaving(Vec<TargetRun>),
     /// The records that were asked for.
     Answer {
         /// Every record of the topics from the wanted positions on.
-        records: Vec<PassedRecord>,
+        records: Vec<ForwardedRecord>,
         /// Of the wanted topics those of which the sender knows every key, and so the receiver does now.
         spans: Vec<TopicSpan>,
     },
--- a/crates/daemon/src/direct/figures.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock,
-    direct::{call::EntryFault, fleet::FleetState},
+    direct::{call::AdmissionFault, fleet::FleetState},
     event,
     events::Event,
     logging::dropped_lines,
@@ -12,10 +12,10 @@
 use hoplanding_core::{
     direct::{
         catalog::TargetStage,
-        config::{AnswerShape, RepeatRule, RouteRule},
+        config::{ResponseShape, RetryPolicy, RouteRule},
         planner::CacheTransfer,
         quotas::BucketCounts,
-        versions::{MemoryVersions, SightAge, VersionMatch},
+        versions::{CacheVersions, VersionAge, VersionMatch},
     },
     ids::OrganisationName,
 };
@@ -50,10 +50,10 @@
     /// The kind that a route's requests are of.
     #[must_use]
     pub fn of(route: &RouteRule) -> Self {
-        match (&route.shape, route.repeat) {
-            (AnswerShape::Events { .. }, _) => Self::Stream,
-            (AnswerShape::Whole, RepeatRule::Idempotent) => Self::Idempotent,
-            (AnswerShape::Whole, RepeatRule::AtMostOnce) => Self::Once,
+        match (&route.response_shape, route.retry_policy) {
+            (ResponseShape::EventStream { .. }, _) => Self::Stream,
+            (ResponseShape::Buffered, RetryPolicy::Idempotent) => Self::Idempotent,
+            (ResponseShape::Buffered, RetryPolicy::AtMostOnce) => Self::Once,
         }
     }
 }
@@ -96,7 +96,7 @@
 
 /// Why a record is passed on to another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum PassReason {
+pub enum ForwardReason {
     /// It is news.
     News,
     /// The other VM has asked for it.
@@ -105,7 +105,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct PassLabels {
-    reason: PassReason,
+    reason: ForwardReason,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -142,7 +142,7 @@
 
 /// Counts of this VM.
 #[derive(Debug)]
-pub struct DirectFigures {
+pub struct DirectMetrics {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
     repeats: Family<RepeatLabels, Counter>,
@@ -164,11 +164,11 @@
     memory: Gauge,
 }
 
-impl DirectFigures {
+impl DirectMetrics {
     /// Counts that begin at zero.
     #[must_use]
     pub fn new() -> Self {
-        let mut figures = Self {
+        let mut metrics = Self {
             registry: Registry::with_prefix("hoplanding"),
             requests: Family::default(),
             repeats: Family::default(),
@@ -189,8 +189,8 @@
             lines_dropped: Gauge::default(),
             memory: Gauge::default(),
         };
-        figures.register();
-        figures
+        metrics.register();
+        metrics
     }
 
     fn register(&mut self) {
@@ -285,13 +285,13 @@
     }
 
     /// A request was not let in for its key.
-    pub fn count_entry_fault(&self, fault: EntryFault) {
+    pub fn count_entry_fault(&self, fault: AdmissionFault) {
         let cause = fault.label();
         self.entries.get_or_create(&EntryLabels { cause }).inc();
     }
 
     /// What a zone's holder has paid out of organisations' quotas; of those that asked for most, so that their number is bounded.
-    pub fn tell_quotas<'a>(
+    pub fn set_quota_counts<'a>(
         &self,
         counts: impl Iterator<Item = (&'a OrganisationName, BucketCounts)>,
     ) {
@@ -312,7 +312,7 @@
     }
 
     /// Requests that a zone's holder suspects, and those of them that it sends nowhere.
-    pub fn tell_suspects(&self, (suspected, quarantined): (usize, usize)) {
+    pub fn set_suspect_counts(&self, (suspected, quarantined): (usize, usize)) {
         for (state, count) in [("suspected", suspected), ("sent_nowhere", quarantined)] {
             let labels = SuspectLabels { state };
             self.suspects
@@ -327,19 +327,21 @@
     }
 
     /// An engine could take parts of a prompt from another one, and is told to or not.
-    pub fn tell_move(&self, moved: &CacheTransfer) {
+    pub fn count_prompt_move(&self, moved: &CacheTransfer) {
         let now = clock::now();
         let versions = match moved.version_match() {
             VersionMatch::Same => "same",
-            VersionMatch::Unlike => "unlike",
+            VersionMatch::Different => "unlike",
             VersionMatch::Unknown => "unknown",
         };
         let told = moved.is_permitted;
         let labels = MoveLabels { versions, told };
         self.moves.get_or_create(&labels).inc();
-        let known = |versions: &MemoryVersions| {
-            let [base, adapter] =
-                [versions.base, versions.adapter].map(|sight| SightAge { sight, now });
+        let known = |versions: &CacheVersions| {
+            let [base, adapter] = [versions.base, versions.adapter].map(|sight| VersionAge {
+                observed: sight,
+                now,
+            });
             format!("base {base}, adapter {adapter}")
         };
         event!(
@@ -363,7 +365,7 @@
     }
 
     /// Records were passed on to another VM.
-    pub fn count_passed(&self, reason: PassReason, records: usize) {
+    pub fn count_forwarded_records(&self, reason: ForwardReason, records: usize) {
         let labels = PassLabels { reason };
         self.passed.get_or_create(&labels).inc_by(records as u64);
     }
@@ -392,25 +394,26 @@
     }
 
     fn take_books(&self, fleet: &FleetState) {
-        let books = fleet.books();
+        let tables = fleet.tables();
         for (stage, name) in [
             (TargetStage::Ready, "ready"),
             (TargetStage::Draining, "draining"),
         ] {
-            let count = books.catalog.iter().filter(|entry| entry.stage == stage);
+            let count = tables.catalog.iter().filter(|entry| entry.stage == stage);
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(signed(count.count() as u64));
         }
-        self.doubted.set(signed(books.catalog.doubted() as u64));
-        let in_flight: u32 = books.in_flight.values().sum();
+        self.doubted
+            .set(signed(tables.catalog.pending_removals() as u64));
+        let in_flight: u32 = tables.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
-        let version = books
+        let version = tables
             .active
             .as_ref()
             .map_or(0, |active| active.config.version);
         self.config_version.set(signed(version));
-        self.vms.set(signed(books.vms.len() as u64));
-        let holder = books
+        self.vms.set(signed(tables.vms.len() as u64));
+        let holder = tables
             .leases
             .get(&fleet.zone)
             .and_then(|state| state.holder());
@@ -418,7 +421,7 @@
     }
 }
 
-impl Default for DirectFigures {
+impl Default for DirectMetrics {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -6,12 +6,12 @@
     clock,
     direct::{
         claims::release_lease,
-        engine_calls::{give_order, read_report},
+        engine_client::{fetch_report, send_order},
         fleet::FleetState,
-        ledger::{LeaseOrigin, ZoneLedger},
-        message::{CallEnd, CallEnding, PassedRecord, VmMessage},
-        sender::ConnectionPool,
+        holder_state::{HolderState, LeaseOrigin},
+        message::{CallEnd, CompletedCall, ForwardedRecord, VmMessage},
         settings::DirectSettings,
+        target_connections::ConnectionPool,
     },
     event,
     events::Event,
@@ -21,15 +21,15 @@
         config::EngineLimits,
         engine::{EngineReport, OrderOutcome},
         lease::LeaseState,
-        limits::NamedLimit,
-        loading::LoadSummary,
+        limits::AdvertisedLimit,
+        load_limiter::LoadSummary,
         millis,
         plain::PlainRequest,
         planner::{
             CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner,
         },
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::TrialAnswer,
     },
     ids::{AdapterName, FencingToken, Instant, ServiceName, TargetLife, TargetName, VmName},
@@ -48,69 +48,69 @@
 const LIST_LOOK: Duration = Duration::from_millis(500);
 /// What a gateway gets for its question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlaceReply {
+pub enum HolderReply {
     /// The holder's answer.
-    Answer(PlacementAnswer),
+    Placement(PlacementAnswer),
     /// A charge is paid, or there will be enough after so many milliseconds.
-    Paid(Option<u32>),
+    Charged(Option<u32>),
     /// Whether a trial is granted.
     Trial(TrialAnswer),
     /// The record of a target that is known.
-    Target(Option<PassedRecord>),
+    Target(Option<ForwardedRecord>),
     /// The VM asked does not hold the zone.
     NotHolder,
 }
 
 /// Where a reply goes.
 #[derive(Debug)]
-pub enum ReplyTo {
+pub enum ReplySender {
     /// A call of this VM.
-    Local(oneshot::Sender<PlaceReply>),
+    Local(oneshot::Sender<HolderReply>),
     /// A gateway on another VM.
-    Link(mpsc::Sender<VmMessage>),
+    Peer(mpsc::Sender<VmMessage>),
 }
 
 /// What happens to a zone.
 #[derive(Debug)]
 pub enum ZoneEvent {
     /// Place a call.
-    Place(CallKey, Box<PlacementRequest>, ReplyTo),
+    Place(CallKey, Box<PlacementRequest>, ReplySender),
     /// Place a call of a plain service.
-    PlacePlain(CallKey, Box<PlainRequest>, ReplyTo),
+    PlacePlain(CallKey, Box<PlainRequest>, ReplySender),
     /// Pay a charge.
-    Pay(CallKey, QuotaCharge, ReplyTo),
+    ChargeQuota(CallKey, QuotaCharge, ReplySender),
     /// A call that was paid for did not run.
-    GiveBack(QuotaCharge),
+    RefundQuota(QuotaCharge),
     /// A target ended while a request ran there.
-    EndedUnder(EndedUnder),
+    TargetEnded(TargetCrash),
     /// An answer told of a target's limit.
-    LimitNamed(NamedLimit),
+    TargetLimit(AdvertisedLimit),
     /// Grant a trial of a suspect.
-    Trial(CallKey, RequestFingerprint, ReplyTo),
+    RequestTrial(CallKey, RequestFingerprint, ReplySender),
     /// Tell the record of a target.
-    Target(CallKey, TargetName, ReplyTo),
+    LookUpTarget(CallKey, TargetName, ReplySender),
     /// A trial ended, answered well or not.
     TrialEnded(CallKey, RequestFingerprint, bool),
     /// The first event of a call came from this target, made by this version of the base model.
-    Begun(CallKey, TargetName, Option<u64>),
+    FirstEvent(CallKey, TargetName, Option<u64>),
     /// A call ended.
-    Ended(VmName, CallEnding),
+    CallEnded(VmName, CompletedCall),
     /// A placement is no longer wanted.
-    Withdrawn(CallKey),
+    PlacementWithdrawn(CallKey),
     /// A call was open before.
-    Open(CallKey, TargetName, TargetLife, AdapterName),
+    OpenCall(CallKey, TargetName, TargetLife, AdapterName),
     /// A gateway can't be reached.
-    GatewayGone(VmName),
+    GatewayLost(VmName),
     /// An order to a life of a target ended.
     OrderEnded(TargetName, TargetLife, OrderOutcome),
     /// A report came, or did not.
-    Reported(TargetName, Option<EngineReport>),
+    ReportReceived(TargetName, Option<EngineReport>),
     /// The VM stops: give no further orders, and say when that holds.
-    Release(oneshot::Sender<bool>),
+    ReleaseLease(oneshot::Sender<bool>),
     /// A stronger VM asks for the lease with this token.
-    Wanted(VmName, FencingToken),
+    LeaseWanted(VmName, FencingToken),
     /// The lease with this token could not be given up: it is held again.
-    Kept(FencingToken),
+    LeaseRetained(FencingToken),
 }
 
 struct HeldZone {
@@ -129,14 +129,14 @@
     /// Says what has been learned of the weight store, if that has changed.
     fn tell_loads(&mut self) {
         let summary = self.planner.load_limiter().summary();
-        if summary.differs_from(&self.told_loads) {
+        if summary.differs_notably(&self.told_loads) {
             self.told_loads = summary;
             event!(
                 Event::LoadsLimited,
                 "to {} at once, {:?} each, {:?} without a crowd",
                 summary.limit,
-                summary.expected,
-                summary.shortest
+                summary.expected_time,
+                summary.uncontended_time
             );
         }
     }
@@ -144,7 +144,7 @@
 
 /// A call that waits for a place.
 struct PendingAsk {
-    reply: ReplyTo,
+    reply: ReplySender,
     /// What was paid for it.
     charge: Option<QuotaCharge>,
 }
@@ -156,7 +156,7 @@
     events: mpsc::Sender<ZoneEvent>,
     held: Option<HeldZone>,
     /// There as long as the lease can be used, also where no service has engines.
-    ledger: Option<ZoneLedger>,
+    holder_state: Option<HolderState>,
     pending: HashMap<CallKey, PendingAsk>,
     settings: Arc<DirectSettings>,
     /// Token that is not used: a target refused it, or it is being given up.
@@ -179,7 +179,7 @@
             events,
             settings,
             held: None,
-            ledger: None,
+            holder_state: None,
             pending: HashMap::new(),
             refused: None,
             is_released: false,
@@ -200,17 +200,17 @@
                     None => return,
                 },
                 _ = changes.changed() => self.refresh(),
-                _ = look.tick(), if self.ledger.is_some() => {
+                _ = look.tick(), if self.holder_state.is_some() => {
                     self.look_at_list();
                     self.tell_figures();
                 }
-                _ = tick.tick(), if self.ledger.is_some() => {
+                _ = tick.tick(), if self.holder_state.is_some() => {
                     let led_until = self.led_until();
-                    if let Some(ledger) = &mut self.ledger {
-                        ledger.lead_until(led_until);
+                    if let Some(holder_state) = &mut self.holder_state {
+                        holder_state.lead_until(led_until);
                     }
                     self.sync_suspects();
-                    let confirmed = self.fleet.books().confirmed;
+                    let confirmed = self.fleet.tables().confirmed_token;
                     if let Some(held) = &mut self.held {
                         if confirmed != Some(held.token) {
                             held.planner.hold_orders(clock::now().after(2 * TICK));
@@ -228,9 +228,9 @@
 
     fn take(&mut self, event: ZoneEvent) {
         let now = clock::now();
-        if let ZoneEvent::Target(key, target, reply) = event {
+        if let ZoneEvent::LookUpTarget(key, target, reply) = event {
             let record = self.fleet.target_record(&target);
-            send_reply(&key, reply, PlaceReply::Target(record));
+            send_reply(&key, reply, HolderReply::Target(record));
             return;
         }
         let Some(event) = self.take_for_ledger(event, now) else {
@@ -238,13 +238,13 @@
         };
         let Some(held) = &mut self.held else {
             match event {
-                ZoneEvent::Place(key, _, reply) => send_reply(&key, reply, PlaceReply::NotHolder),
-                ZoneEvent::Release(done) => {
+                ZoneEvent::Place(key, _, reply) => send_reply(&key, reply, HolderReply::NotHolder),
+                ZoneEvent::ReleaseLease(done) => {
                     self.is_released = true;
                     // Whoever asked may have ended since.
                     let _ = done.send(false);
                 }
-                ZoneEvent::Kept(token) if self.refused == Some(token) => {
+                ZoneEvent::LeaseRetained(token) if self.refused == Some(token) => {
                     self.refused = None;
                     self.refresh();
                 }
@@ -255,22 +255,21 @@
         match event {
             ZoneEvent::Place(key, ask, reply) => {
                 let charge = ask.charge.clone();
-                let paid = self
-                    .ledger
-                    .as_mut()
-                    .map_or(Ok(()), |ledger| ledger.pay_for_place(charge.as_ref(), now));
+                let paid = self.holder_state.as_mut().map_or(Ok(()), |holder_state| {
+                    holder_state.charge_placement(charge.as_ref(), now)
+                });
                 if let Err(refusal) = paid {
-                    send_reply(&key, reply, PlaceReply::Answer(refusal));
+                    send_reply(&key, reply, HolderReply::Placement(refusal));
                     return;
                 }
                 let pending = PendingAsk { reply, charge };
                 self.pending.insert(key.clone(), pending);
                 held.planner.place(key, *ask, now);
             }
-            ZoneEvent::Begun(key, target, version) => {
+            ZoneEvent::FirstEvent(key, target, version) => {
                 held.planner.call_started(&key, &target, version, now);
             }
-            ZoneEvent::Ended(vm, ending) => {
+            ZoneEvent::CallEnded(vm, ending) => {
                 let key = CallKey {
                     vm,
                     number: ending.number,
@@ -285,21 +284,22 @@
                 held.planner
                     .call_ended(&key, Some(&ending.target), health, now);
             }
-            ZoneEvent::Withdrawn(key) => {
+            ZoneEvent::PlacementWithdrawn(key) => {
                 let pending = self.pending.remove(&key);
-                if let (Some(charge), Some(ledger)) =
-                    (pending.and_then(|pending| pending.charge), &mut self.ledger)
-                {
-                    ledger.give_back(&charge, now);
+                if let (Some(charge), Some(holder_state)) = (
+                    pending.and_then(|pending| pending.charge),
+                    &mut self.holder_state,
+                ) {
+                    holder_state.refund(&charge, now);
                 }
                 held.planner.call_ended(&key, None, None, now);
             }
-            ZoneEvent::Open(key, target, life, subject) => {
+            ZoneEvent::OpenCall(key, target, life, subject) => {
                 if held.planner.is_current_life(&target, life) {
                     held.planner.adopt_call(key, &target, &subject);
                 }
             }
-            ZoneEvent::GatewayGone(vm) => {
+            ZoneEvent::GatewayLost(vm) => {
                 self.pending.retain(|key, _| key.vm != vm);
                 held.planner.forget_gateway(&vm, now);
             }
@@ -314,80 +314,80 @@
                     held.planner.order_ended(&target, outcome, now);
                 }
             }
-            ZoneEvent::Reported(target, report) => {
+            ZoneEvent::ReportReceived(target, report) => {
                 held.planner.report_received(&target, report.as_ref(), now);
             }
-            ZoneEvent::Release(done) => {
+            ZoneEvent::ReleaseLease(done) => {
                 self.is_released = true;
                 self.give_up();
                 let _ = done.send(true);
             }
-            ZoneEvent::Wanted(vm, token) if held.token == token && !held.is_yielding => {
+            ZoneEvent::LeaseWanted(vm, token) if held.token == token && !held.is_yielding => {
                 event!(Event::LeaseYielded, "{} to {vm}", self.fleet.zone);
                 held.is_yielding = true;
                 held.planner.stop_orders();
             }
             // Asked for by an older record, or a second time.
-            ZoneEvent::Wanted(..)
-            | ZoneEvent::Kept(_)
+            ZoneEvent::LeaseWanted(..)
+            | ZoneEvent::LeaseRetained(_)
             | ZoneEvent::PlacePlain(..)
-            | ZoneEvent::Pay(..)
-            | ZoneEvent::GiveBack(_)
-            | ZoneEvent::EndedUnder(_)
-            | ZoneEvent::LimitNamed(_)
-            | ZoneEvent::Trial(..)
-            | ZoneEvent::Target(..)
+            | ZoneEvent::ChargeQuota(..)
+            | ZoneEvent::RefundQuota(_)
+            | ZoneEvent::TargetEnded(_)
+            | ZoneEvent::TargetLimit(_)
+            | ZoneEvent::RequestTrial(..)
+            | ZoneEvent::LookUpTarget(..)
             | ZoneEvent::TrialEnded(..) => {}
         }
     }
 
     /// Does what an event asks of the ledger; gives the event back if something else is left to do.
     fn take_for_ledger(&mut self, event: ZoneEvent, now: Instant) -> Option<ZoneEvent> {
-        let Some(ledger) = &mut self.ledger else {
+        let Some(holder_state) = &mut self.holder_state else {
             return match event {
-                ZoneEvent::Pay(key, _, reply)
+                ZoneEvent::ChargeQuota(key, _, reply)
                 | ZoneEvent::PlacePlain(key, _, reply)
-                | ZoneEvent::Trial(key, _, reply) => {
-                    send_reply(&key, reply, PlaceReply::NotHolder);
+                | ZoneEvent::RequestTrial(key, _, reply) => {
+                    send_reply(&key, reply, HolderReply::NotHolder);
                     None
                 }
                 other => Some(other),
             };
         };
         match event {
-            ZoneEvent::Pay(key, charge, reply) => {
-                let short = ledger.pay(&charge, now).err();
-                send_reply(&key, reply, PlaceReply::Paid(short.map(millis)));
+            ZoneEvent::ChargeQuota(key, charge, reply) => {
+                let short = holder_state.pay(&charge, now).err();
+                send_reply(&key, reply, HolderReply::Charged(short.map(millis)));
                 None
             }
-            ZoneEvent::GiveBack(charge) => {
-                ledger.give_back(&charge, now);
+            ZoneEvent::RefundQuota(charge) => {
+                holder_state.refund(&charge, now);
                 None
             }
-            ZoneEvent::Trial(key, fingerprint, reply) => {
-                let answer = ledger.ask_trial(&self.fleet, fingerprint, key.clone(), now);
-                send_reply(&key, reply, PlaceReply::Trial(answer));
+            ZoneEvent::RequestTrial(key, fingerprint, reply) => {
+                let answer = holder_state.ask_trial(&self.fleet, fingerprint, key.clone(), now);
+                send_reply(&key, reply, HolderReply::Trial(answer));
                 None
             }
             ZoneEvent::TrialEnded(key, fingerprint, is_good) => {
-                ledger.end_trial(fingerprint, &key);
+                holder_state.end_trial(fingerprint, &key);
                 if is_good {
-                    self.fleet.pardon(fingerprint);
+                    self.fleet.clear_suspicion(fingerprint);
                     if let Some(held) = &mut self.held {
                         held.planner.clear_suspicion(fingerprint);
                     }
                 }
                 None
             }
-            ZoneEvent::LimitNamed(named) => {
-                self.fleet.books().limits.note(&named, now);
-                ledger.note_limit(&named, now);
+            ZoneEvent::TargetLimit(named) => {
+                self.fleet.tables().limits.record(&named, now);
+                holder_state.note_limit(&named, now);
                 if let Some(held) = &mut self.held {
                     held.planner.record_limit(&named, now);
                 }
                 None
             }
-            ZoneEvent::EndedUnder(ended) => {
+            ZoneEvent::TargetEnded(ended) => {
                 self.fleet.note_ended_under(&ended);
                 if let Some(held) = &mut self.held {
                     held.planner.target_ended(&ended, now);
@@ -395,25 +395,25 @@
                 None
             }
             ZoneEvent::PlacePlain(key, ask, reply) => {
-                let answer = ledger.place_plain(&self.fleet, key.clone(), &ask, now);
-                send_reply(&key, reply, PlaceReply::Answer(answer));
+                let answer = holder_state.place_plain(&self.fleet, key.clone(), &ask, now);
+                send_reply(&key, reply, HolderReply::Placement(answer));
                 None
             }
-            ZoneEvent::Withdrawn(ref key) => {
-                let is_plain = ledger.end_plain(key, None, now);
+            ZoneEvent::PlacementWithdrawn(ref key) => {
+                let is_plain = holder_state.end_plain(key, None, now);
                 (!is_plain).then_some(event)
             }
-            ZoneEvent::Ended(ref vm, ref ending) => {
+            ZoneEvent::CallEnded(ref vm, ref ending) => {
                 let key = CallKey {
                     vm: vm.clone(),
                     number: ending.number,
                 };
                 let outcome = ending.outcome.and_then(CallEnd::health);
-                let is_plain = ledger.end_plain(&key, outcome, now);
+                let is_plain = holder_state.end_plain(&key, outcome, now);
                 (!is_plain).then_some(event)
             }
-            ZoneEvent::GatewayGone(ref vm) => {
-                ledger.forget_gateway(vm, now);
+            ZoneEvent::GatewayLost(ref vm) => {
+                holder_state.forget_gateway(vm, now);
                 Some(event)
             }
             other => Some(other),
@@ -425,18 +425,20 @@
         let Some(held) = &mut self.held else {
             return;
         };
-        let books = self.fleet.books();
-        let revision = books.suspects.revision();
+        let tables = self.fleet.tables();
+        let revision = tables.suspects.revision();
         if held.synced != Some(revision) {
             held.synced = Some(revision);
-            held.planner.set_suspects(books.suspects.clone());
+            held.planner.set_suspects(tables.suspects.clone());
         }
     }
 
     /// A successor gives no order for a turn after it has claimed the zone, unless this VM has given it up or ended.
     fn led_until(&self) -> Instant {
-        let read_at = self.fleet.books().fleet_read_at;
-        read_at.unwrap_or_default().after(self.settings.leases.turn)
+        let read_at = self.fleet.tables().fleet_read_at;
+        read_at
+            .unwrap_or_default()
+            .after(self.settings.leases.handover_delay)
     }
 
     /// Gives the lease up for a stronger VM once no order is under way, so that the successor's are the next ones.
@@ -454,12 +456,12 @@
         let settings = Arc::clone(&self.settings);
         let events = self.events.clone();
         tokio::spawn(async move {
-            let within = settings.pace.platform_timeout;
+            let within = settings.timing.platform_timeout;
             if !release_lease(&fleet, settings.platform_address, within).await {
                 // It may be recorded yet, and a successor may act on that: the zone rests for a turn.
-                sleep(settings.leases.turn).await;
+                sleep(settings.leases.handover_delay).await;
                 // The worker ends with the process.
-                let _ = events.send(ZoneEvent::Kept(token)).await;
+                let _ = events.send(ZoneEvent::LeaseRetained(token)).await;
             }
         });
     }
@@ -469,9 +471,9 @@
         if self.held.take().is_some() {
             event!(Event::LeaseLost, "{}", self.fleet.zone);
         }
-        self.ledger = None;
+        self.holder_state = None;
         for (key, pending) in self.pending.drain() {
-            send_reply(&key, pending.reply, PlaceReply::NotHolder);
+            send_reply(&key, pending.reply, HolderReply::NotHolder);
         }
     }
 
@@ -483,8 +485,8 @@
             self.fleet.zone,
             token.0
         );
-        if let Some(ledger) = &mut self.ledger {
-            ledger.token = token;
+        if let Some(holder_state) = &mut self.holder_state {
+            holder_state.token = token;
         }
         if let Some(held) = &mut self.held {
             held.token = token;
@@ -500,11 +502,11 @@
     }
 
     fn tell_figures(&self) {
-        let figures = &self.fleet.figures;
-        if let Some(ledger) = &self.ledger {
-            figures.tell_quotas(ledger.counts());
-            let books = self.fleet.books();
-            figures.tell_suspects(books.suspects.counts(clock::now()));
+        let metrics = &self.fleet.metrics;
+        if let Some(holder_state) = &self.holder_state {
+            metrics.set_quota_counts(holder_state.counts());
+            let tables = self.fleet.tables();
+            metrics.set_suspect_counts(tables.suspects.counts(clock::now()));
         }
     }
 
@@ -512,24 +514,24 @@
     fn refresh(&mut self) {
         let now = clock::now();
         let led_until = self.led_until();
-        let books = self.fleet.books();
-        let lease = books.leases.get(&self.fleet.zone).filter(|state| {
+        let tables = self.fleet.tables();
+        let lease = tables.leases.get(&self.fleet.zone).filter(|state| {
             state.lease.as_ref().is_some_and(|lease| {
                 lease.vm.as_ref() == Some(&self.fleet.vm)
                     && lease.incarnation == self.fleet.incarnation
             })
         });
         let token = lease.map(LeaseState::token);
-        let is_copied = lease.is_some_and(|state| state.is_copied);
-        let renewed = lease.and_then(|state| state.renewed);
-        let had_holder = books
+        let is_copied = lease.is_some_and(|state| state.is_from_earlier_era);
+        let renewed = lease.and_then(|state| state.renewed_token);
+        let had_holder = tables
             .leases
             .get(&self.fleet.zone)
             .is_some_and(|state| state.had_holder);
-        let quiet = books.claim_quiet;
-        let is_confirmed = token.is_some() && books.confirmed == token;
-        let policy = books.policy;
-        let service = books.active.as_ref().and_then(|active| {
+        let quiet = tables.claim_delay;
+        let is_confirmed = token.is_some() && tables.confirmed_token == token;
+        let policy = tables.policy;
+        let service = tables.active.as_ref().and_then(|active| {
             let service = active
                 .config
                 .services
@@ -537,14 +539,17 @@
                 .find(|service| service.engine.is_some())?;
             Some((service.name.clone(), service.engine.clone()?))
         });
-        let versions: Vec<_> = books
+        let versions: Vec<_> = tables
             .versions
             .iter()
             .map(|(subject, version)| (subject.clone(), *version))
             .collect();
-        let named_limits: Vec<_> = books.limits.told().collect();
-        drop(books);
-        let held = self.ledger.as_ref().map(|ledger| ledger.token);
+        let named_limits: Vec<_> = tables.limits.advertised().collect();
+        drop(tables);
+        let held = self
+            .holder_state
+            .as_ref()
+            .map(|holder_state| holder_state.token);
         // Nobody begins to hold a zone by a claim of an earlier history.
         let token = token.filter(|token| !is_copied || held == Some(*token));
         let is_renewal = held.is_some() && held == renewed && quiet.is_zero();
@@ -552,26 +557,31 @@
         if let (Some(token), true) = (usable, is_renewal) {
             self.renew(token);
         }
-        if self.ledger.as_ref().map(|ledger| ledger.token) != usable {
+        if self
+            .holder_state
+            .as_ref()
+            .map(|holder_state| holder_state.token)
+            != usable
+        {
             self.give_up();
         }
         let Some(token) = usable else {
             return;
         };
-        let ledger = self.ledger.get_or_insert_with(|| {
+        let holder_state = self.holder_state.get_or_insert_with(|| {
             let lease = LeaseOrigin {
                 token,
                 had_holder,
                 quiet,
             };
-            let mut ledger = ZoneLedger::new(&self.settings, lease, led_until, now);
+            let mut holder_state = HolderState::new(&self.settings, lease, led_until, now);
             for named in &named_limits {
-                ledger.note_limit(named, now);
+                holder_state.note_limit(named, now);
             }
-            ledger
+            holder_state
         });
-        ledger.refresh(&self.fleet, now);
-        ledger.lead_until(led_until);
+        holder_state.refresh(&self.fleet, now);
+        holder_state.lead_until(led_until);
         let Some((service, limits)) = service else {
             return;
         };
@@ -598,7 +608,7 @@
         held.planner.set_limits(limits);
         held.planner.set_policy(policy);
         held.planner
-            .set_order_fencing(self.settings.are_orders_fenced);
+            .set_order_fencing(self.settings.has_order_fencing);
         held.planner.set_lead_until(led_until);
         held.planner
             .set_targets(self.fleet.zone_targets(&service, &self.fleet.zone), now);
@@ -624,12 +634,13 @@
                         continue;
                     };
                     let is_refused = matches!(answer, PlacementAnswer::Refuse { .. });
-                    if let (Some(charge), Some(ledger)) = (&pending.charge, &mut self.ledger)
+                    if let (Some(charge), Some(holder_state)) =
+                        (&pending.charge, &mut self.holder_state)
                         && is_refused
                     {
-                        ledger.give_back(charge, clock::now());
+                        holder_state.refund(charge, clock::now());
                     }
-                    send_reply(&key, pending.reply, PlaceReply::Answer(answer));
+                    send_reply(&key, pending.reply, HolderReply::Placement(answer));
                 }
                 // An engine that wants nothing from this VM is as good as out of reach for it.
                 PlannerAction::Order(entry, _) if self.fleet.is_resting(&entry.run()) => {
@@ -647,7 +658,7 @@
                     let pool = Arc::clone(&self.pool);
                     let events = self.events.clone();
                     tokio::spawn(async move {
-                        let outcome = give_order(&fleet, &pool, &entry, &order, request).await;
+                        let outcome = send_order(&fleet, &pool, &entry, &order, request).await;
                         // The worker ends with the process.
                         let _ = events
                             .send(ZoneEvent::OrderEnded(
@@ -658,15 +669,17 @@
                             .await;
                     });
                 }
-                PlannerAction::RecordTransfer(moved) => self.fleet.figures.tell_move(&moved),
+                PlannerAction::RecordTransfer(moved) => {
+                    self.fleet.metrics.count_prompt_move(&moved)
+                }
                 PlannerAction::FetchReport(entry) => {
                     let fleet = Arc::clone(&self.fleet);
                     let pool = Arc::clone(&self.pool);
                     let events = self.events.clone();
                     tokio::spawn(async move {
-                        let report = read_report(&fleet, &pool, &entry).await;
+                        let report = fetch_report(&fleet, &pool, &entry).await;
                         let _ = events
-                            .send(ZoneEvent::Reported(entry.name.clone(), report))
+                            .send(ZoneEvent::ReportReceived(entry.name.clone(), report))
                             .await;
                     });
                 }
@@ -696,17 +709,17 @@
     }
 }
 
-fn send_reply(key: &CallKey, reply: ReplyTo, answer: PlaceReply) {
+fn send_reply(key: &CallKey, reply: ReplySender, answer: HolderReply) {
     match reply {
         // A caller that left needs no reply.
-        ReplyTo::Local(sender) => drop(sender.send(answer)),
-        ReplyTo::Link(sender) => {
+        ReplySender::Local(sender) => drop(sender.send(answer)),
+        ReplySender::Peer(sender) => {
             let message = match answer {
-                PlaceReply::Answer(answer) => VmMessage::Placed(key.number, answer),
-                PlaceReply::Paid(after_ms) => VmMessage::Paid(key.number, after_ms),
-                PlaceReply::Trial(answer) => VmMessage::TrialAnswered(key.number, answer),
-                PlaceReply::Target(record) => VmMessage::TargetTold(key.number, record),
-                PlaceReply::NotHolder => VmMessage::NotHolder(key.number),
+                HolderReply::Placement(answer) => VmMessage::Placed(key.number, answer),
+                HolderReply::Charged(after_ms) => VmMessage::Paid(key.number, after_ms),
+                HolderReply::Trial(answer) => VmMessage::TrialAnswered(key.number, answer),
+                HolderReply::Target(record) => VmMessage::TargetTold(key.number, record),
+                HolderReply::NotHolder => VmMessage::NotHolder(key.number),
             };
             // A full or closed link: the gateway's own timeout takes it from here.
             drop(sender.try_send(message));
