--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendableCache {
     /// Versions that made the cache.
-    pub mark: CacheTag,
+    pub tag: CacheTag,
     /// Length of the prefix, in tokens.
     pub tokens: u32,
 }
@@ -33,7 +33,7 @@
 
     /// Versions that make KV cache for a subject here, as far as known.
     #[must_use]
-    pub fn memory_versions(&self, subject: &AdapterName) -> CacheVersions {
+    pub fn cache_versions(&self, subject: &AdapterName) -> CacheVersions {
         CacheVersions {
             base: self
                 .base_model(subject)
@@ -267,23 +267,23 @@
             }
             None => None,
         };
-        let mark = CacheTag { base, adapter };
-        Some(LendableCache { mark, tokens })
+        let tag = CacheTag { base, adapter };
+        Some(LendableCache { tag, tokens })
     }
 
-    /// Whether a call here may use KV cache with this mark. If the version of the adapter here is unknown, the call
+    /// Whether a call here may use KV cache with this tag. If the version of the adapter here is unknown, the call
     /// asks for the version that made the cache. The engine rejects the call if it has another version, and its report
     /// is then read before the next transfer.
     #[must_use]
     pub fn can_use_cache(
         &self,
-        mark: CacheTag,
+        tag: CacheTag,
         subject: &AdapterName,
         named_version: Option<u64>,
     ) -> bool {
         let own = self.copies.get(subject).and_then(|copy| copy.known_version);
         let is_usable = match (
-            mark.adapter,
+            tag.adapter,
             named_version.or(own.map(|known_version| known_version.version)),
         ) {
             (None, _) => true,
@@ -292,7 +292,7 @@
         };
         self.is_inventory_known
             && is_usable
-            && self.reported_base_version(subject) == Some(mark.base)
+            && self.reported_base_version(subject) == Some(tag.base)
     }
 
     /// Pins a copy until a call at another engine has fetched its KV cache.
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -22,7 +22,7 @@
 pub(super) struct CacheSource {
     pub name: TargetName,
     pub address: SocketAddr,
-    pub mark: CacheTag,
+    pub tag: CacheTag,
     tokens: u32,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl ZonePlanner {
-    /// Engines of the zone that can lend KV cache for a prompt: for each mark the one with the longest prefix.
+    /// Engines of the zone that can lend KV cache for a prompt: for each tag the one with the longest prefix.
     ///
     /// Empty after `lead_until`: another holder may have replaced copies since.
     pub(super) fn cache_sources(
@@ -60,7 +60,7 @@
             return best;
         }
         for (name, engine) in &self.engines {
-            let Some(memory) = engine.lendable_cache(request) else {
+            let Some(cache) = engine.lendable_cache(request) else {
                 continue;
             };
             let is_usable = engine.entry.stage == TargetStage::Ready
@@ -74,10 +74,10 @@
             let source = CacheSource {
                 name: name.clone(),
                 address: engine.entry.address,
-                mark: memory.mark,
-                tokens: memory.tokens,
+                tag: cache.tag,
+                tokens: cache.tokens,
             };
-            match best.iter_mut().find(|known| known.mark == memory.mark) {
+            match best.iter_mut().find(|known| known.tag == cache.tag) {
                 Some(known) if known.tokens < source.tokens => *known = source,
                 Some(_) => {}
                 None => best.push(source),
@@ -111,7 +111,9 @@
         let named = self.named_version(&request.subject);
         let cached = engine.cached_tokens(request);
         let tokens = request.prompt_tokens.saturating_sub(cached);
-        let time = engine.prompts.prefill_time(tokens, &self.pace, now);
+        let time = engine
+            .prompts
+            .prefill_time(tokens, &self.prefill_model, now);
         let without_fetch = PrefillPlan {
             tokens,
             time,
@@ -119,7 +121,7 @@
         };
         let usable = sources
             .iter()
-            .filter(|source| engine.can_use_cache(source.mark, &request.subject, named));
+            .filter(|source| engine.can_use_cache(source.tag, &request.subject, named));
         let Some(source) = usable.max_by_key(|source| source.tokens) else {
             return without_fetch;
         };
@@ -127,8 +129,10 @@
             return without_fetch;
         }
         let tokens = request.prompt_tokens.saturating_sub(source.tokens);
-        let time =
-            engine.prompts.prefill_time(tokens, &self.pace, now) + self.policy.cache_fetch_time;
+        let time = engine
+            .prompts
+            .prefill_time(tokens, &self.prefill_model, now)
+            + self.policy.cache_fetch_time;
         if time + self.policy.min_fetch_saving > without_fetch.time {
             return without_fetch;
         }
@@ -155,20 +159,20 @@
         let named = self.named_version(&request.subject);
         let cached = engine.cached_tokens(request);
         let unusable = sources.iter().find(|source| {
-            source.tokens > cached && !engine.can_use_cache(source.mark, &request.subject, named)
+            source.tokens > cached && !engine.can_use_cache(source.tag, &request.subject, named)
         });
         let Some(source) = fetch.or(unusable) else {
             return;
         };
         let lender = self.engines.get(&source.name);
-        let lender = lender.map(|lender| lender.memory_versions(&request.subject));
+        let lender = lender.map(|lender| lender.cache_versions(&request.subject));
         let transfer = CacheTransfer {
             key: key.clone(),
             subject: request.subject.clone(),
             source: source.name.clone(),
             source_versions: lender.unwrap_or_default(),
             target: name.clone(),
-            target_versions: engine.memory_versions(&request.subject),
+            target_versions: engine.cache_versions(&request.subject),
             named_version: named,
             is_permitted: fetch.is_some(),
         };
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -122,7 +122,7 @@
     LoadsFailed,
     /// The adapter load did not start in time.
     LoadLate,
-    /// Targets have ended while they ran the same request, so it may run as a granted trial only.
+    /// Targets have crashed while they ran the same request, so it may run as a granted trial only.
     NeedsTrial,
     /// The request is quarantined: no trial is granted for now.
     Quarantined,
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -18,7 +18,7 @@
 //! | `orders` | load and unload orders to engines |
 //! | `replication` | additional copies of adapters in high demand |
 //! | `model_loading` | base model loads into empty engines |
-//! | `suspects` | placement of requests under which engines ended |
+//! | `suspects` | placement of requests under which engines crashed |
 
 mod cache_transfer;
 mod estimates;
@@ -81,7 +81,7 @@
     named_versions: HashMap<AdapterName, u64>,
     demand: DemandTable,
     health: HealthTable,
-    pace: PrefillModel,
+    prefill_model: PrefillModel,
     load_limiter: LoadLimiter,
     /// KV cache that calls are about to fetch.
     loans: HashMap<CallKey, CacheLoan>,
@@ -93,7 +93,7 @@
     are_orders_fenced: bool,
     orders_from: Instant,
     next_model_load_at: Instant,
-    /// Requests under which engines ended.
+    /// Requests under which engines crashed.
     suspects: SuspectTable,
     /// Moving average of the zone's utilization, from 0 to 1.
     utilization: f64,
@@ -116,7 +116,7 @@
             named_versions: HashMap::new(),
             demand: DemandTable::default(),
             health: HealthTable::default(),
-            pace: PrefillModel::default(),
+            prefill_model: PrefillModel::default(),
             load_limiter: LoadLimiter::with_initial_limit(estimates.initial_load_limit),
             loans: HashMap::new(),
             lead_until: Instant::default(),
@@ -304,7 +304,9 @@
             if let Some(version) = version {
                 engine.record_prompt_read(key, version, now);
             }
-            engine.prompts.record_first_event(key, &mut self.pace, now);
+            engine
+                .prompts
+                .record_first_event(key, &mut self.prefill_model, now);
             if let Some(load) = engine.resolve_load(key)
                 && !load.is_judged
             {
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -7,7 +7,7 @@
         planner::{
             CallKey, LOAD_MARGIN, MAX_LOADING_ADAPTERS, PlacementAnswer, PlacementRequest,
             PlacementTerms, RETRY_AFTER_MS, RefusalCause, ZonePlanner, cache_transfer::CacheSource,
-            millis, split_subject, suspects::SHARED_SUSPECT_PENALTY,
+            millis, split_subject, suspects::SHARED_CRASH_PENALTY,
         },
     },
     ids::{AdapterName, Instant, TargetName},
@@ -76,7 +76,7 @@
     ) -> Option<(TargetName, PlacementCost)> {
         let loads_ahead = self.store_loads_in_flight(now) + self.queued_loads();
         let sources = self.cache_sources(request, now);
-        let engines_sharing_ends = self.engines_sharing_ends(request.fingerprint, now);
+        let engines_sharing_crash = self.engines_sharing_crash(request.fingerprint, now);
         let all_doubted = self
             .engines
             .keys()
@@ -98,8 +98,8 @@
                     .policy
                     .failure_penalty
                     .mul_f64(self.health.failure_rate(name));
-                if engines_sharing_ends.contains(name) {
-                    cost.total += SHARED_SUSPECT_PENALTY;
+                if engines_sharing_crash.contains(name) {
+                    cost.total += SHARED_CRASH_PENALTY;
                 }
                 if self.health.is_overloaded(name, now) {
                     cost.total += self.policy.shed_penalty;
@@ -119,7 +119,9 @@
     ) -> Option<PlacementCost> {
         let load = self.load_cost(engine, request, loads_ahead, now)?;
         let prefill_time = self.prefill_plan(engine, request, sources, now).time;
-        let backlog = engine.prompts.backlog(request.priority, &self.pace, now);
+        let backlog = engine
+            .prompts
+            .backlog(request.priority, &self.prefill_model, now);
         let calls = u32::try_from(engine.calls.len()).unwrap_or(u32::MAX);
         let excess_calls = calls.saturating_sub(engine.entry.slots.saturating_sub(1));
         let tokens = engine.tokens_sent() + request.max_kv_tokens();
@@ -354,9 +356,11 @@
         let load = Duration::from_millis(u64::from(wait_ms));
         let sources = self.cache_sources(request, now);
         let plan = self.prefill_plan(engine, request, &sources, now);
-        let backlog = engine.prompts.backlog(request.priority, &self.pace, now);
+        let backlog = engine
+            .prompts
+            .backlog(request.priority, &self.prefill_model, now);
         let named = self.named_version(&request.subject);
-        let fetched_version = plan.fetch.map(|source| source.mark.expected());
+        let fetched_version = plan.fetch.map(|source| source.tag.expected());
         let version = named
             .or(fetched_version)
             .or(engine.pinned_version(&request.subject));
--- a/crates/core/src/direct/planner/replication.rs
+++ b/crates/core/src/direct/planner/replication.rs
@@ -93,6 +93,7 @@
     fn is_crowded(&self, engine: &EngineState, now: Instant) -> bool {
         let slots = f64::from(engine.entry.slots.max(1));
         engine.calls.len() as f64 >= slots * self.policy.crowded_slot_fraction
-            || engine.prompts.backlog(u8::MAX, &self.pace, now) >= self.policy.crowded_backlog
+            || engine.prompts.backlog(u8::MAX, &self.prefill_model, now)
+                >= self.policy.crowded_backlog
     }
 }
--- a/crates/core/src/direct/planner/suspects.rs
+++ b/crates/core/src/direct/planner/suspects.rs
@@ -1,4 +1,4 @@
-//! Placement of suspect requests: those that were running when an engine ended.
+//! Placement of suspect requests: those that were running when an engine crashed.
 
 use crate::{
     direct::{
@@ -10,12 +10,12 @@
 };
 use std::{collections::HashSet, time::Duration};
 
-/// Penalty for an engine that runs another request which was at the same engine when that ended. Any other engine is
-/// preferred, so that a second end shows which of the two requests is the cause.
-pub(super) const SHARED_SUSPECT_PENALTY: Duration = Duration::from_secs(10);
+/// Penalty for an engine that runs another request which was at the same engine when that crashed. Any other engine is
+/// preferred, so that a second crash shows which of the two requests is the cause.
+pub(super) const SHARED_CRASH_PENALTY: Duration = Duration::from_secs(10);
 
 impl ZonePlanner {
-    /// Records that an engine ended while a request ran there.
+    /// Records that an engine crashed while a request ran there.
     pub fn target_ended(&mut self, ended: &TargetCrash, now: Instant) {
         self.suspects.record_crash(ended, now);
     }
@@ -35,8 +35,8 @@
         self.suspects.suspicion(fingerprint, now) != Suspicion::Clear
     }
 
-    /// Engines that run another request suspected of the same end as this one.
-    pub(super) fn engines_sharing_ends(
+    /// Engines that run another request suspected of the same crash as this one.
+    pub(super) fn engines_sharing_crash(
         &self,
         fingerprint: RequestFingerprint,
         now: Instant,
@@ -44,13 +44,13 @@
         if !self.needs_trial(fingerprint, now) {
             return HashSet::new();
         }
-        let shares = |call: &SentCall| {
+        let shares_crash = |call: &SentCall| {
             call.fingerprint
                 .is_some_and(|other| self.suspects.share_crash(fingerprint, other))
         };
         self.engines
             .iter()
-            .filter(|(_, engine)| engine.calls.values().any(shares))
+            .filter(|(_, engine)| engine.calls.values().any(shares_crash))
             .map(|(name, _)| name.clone())
             .collect()
     }
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine truly is and has, whatever its holder believes.
+//! Model of an engine's actual state, independent of what the holder knows of it.
 
 use crate::scenario::{LifeReporting, Scenario};
 use hoplanding_core::{
@@ -11,35 +11,36 @@
 };
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
-/// Adapters that an engine has places for; one that is given more falls. Fewer than the worlds' adapters, so that some make way.
+/// Adapter slots of an engine, which crashes if it is given more. Fewer than the adapters of a scenario, so that some
+/// are evicted.
 pub const ADAPTER_SLOTS: usize = 2;
-/// Calls that an engine works on at once.
+/// Number of calls that an engine runs at once.
 pub const CALL_SLOTS: u32 = 8;
-/// Time of an adapter's load, in ms.
+/// Time to load an adapter, in ms.
 const ADAPTER_LOAD_MS: u64 = 250;
-/// The same for an adapter that the engine had lately: ten times as fast.
+/// Time to load an adapter that the engine has held recently, in ms.
 const ADAPTER_RELOAD_MS: u64 = 25;
-/// Time of a base model's load from the engine's disk, in ms.
+/// Time to load a base model from the engine's disk, in ms.
 const BASE_LOAD_MS: u64 = 600;
 
-/// The base model of every world.
+/// Base model of every scenario.
 pub fn base_model() -> AdapterName {
     AdapterName::new("base")
 }
 
-/// The versions that made a part of memory; adapter 0 where the base model alone made it.
+/// Versions that made a cached segment. The adapter is 0 if the base model alone made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheTag {
     pub base: u64,
     pub adapter: u64,
 }
 
-/// The newest version of each subject by the operator's word, whoever has heard of it.
+/// Newest version of each subject that the operator named, whether or not the holder knows it.
 #[derive(Clone, Debug, Default)]
 pub struct NamedVersions(BTreeMap<AdapterName, u64>);
 
 impl NamedVersions {
-    /// The first version is there without a name.
+    /// Newest version of a subject; 1 if none was named.
     pub fn newest(&self, subject: &AdapterName) -> u64 {
         self.0.get(subject).copied().unwrap_or(1)
     }
@@ -49,22 +50,22 @@
     }
 }
 
-/// An adapter at an engine.
+/// State of an adapter at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CopyState {
     Loaded,
-    /// It is there at this time, in ms.
+    /// The load finishes at this time, in ms.
     Loading(u64),
-    /// It goes once its runs have ended.
+    /// The adapter is unloaded once its runs have ended.
     Unloading,
-    /// This version comes in its place once its runs have ended.
+    /// This version is loaded in its place once its runs have ended.
     Replacing(u64),
-    /// This version is loaded beside it, is there at this time, in ms, and takes its place once its runs have ended.
+    /// This version is loaded beside the old one until this time, in ms, and replaces it once its runs have ended.
     LoadingBeside(u64, u64),
 }
 
 impl CopyState {
-    /// Whether an order on it waits for runs, or for what comes beside it; its requests are turned away until then.
+    /// Whether an order on the adapter waits for runs to end or for a load beside it. Requests are rejected until then.
     fn is_under_order(self) -> bool {
         matches!(
             self,
@@ -83,45 +84,45 @@
 #[derive(Clone, Debug)]
 pub struct EngineRun {
     pub subject: AdapterName,
-    /// Whether it has had its first token.
+    /// Whether the first token was produced.
     pub has_started: bool,
 }
 
-/// How an engine takes a request.
+/// Reaction of an engine to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reception {
     Accepted,
-    /// 421: it lacks what is asked for.
+    /// 421: the engine lacks the subject or version.
     Misdirected,
-    /// 503: an order on what is asked for is under way.
+    /// 503: an order on the subject is in progress.
     Deferred,
 }
 
-/// An order beyond an engine's places.
+/// An order loaded more adapters than the engine has slots for.
 #[derive(Debug)]
 pub struct SlotOverrun;
 
-/// One machine, in the life that its engine has now.
+/// One machine, in the current life of its engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     pub name: TargetName,
     pub address: SocketAddr,
     pub is_up: bool,
-    /// Lives so far.
+    /// Number of restarts.
     pub life: u64,
     pub base: Option<u64>,
-    /// Requests by the number of their call.
+    /// Requests by call number.
     pub runs: BTreeMap<u64, EngineRun>,
     copies: BTreeMap<AdapterName, AdapterCopy>,
     cached: BTreeMap<(AdapterName, u64), CacheTag>,
-    /// The base model that is being loaded, and when it is there, in ms.
+    /// Version of the base model that is being loaded, and the time at which the load finishes, in ms.
     base_loading: Option<(u64, u64)>,
     recent_adapters: Vec<AdapterName>,
     sequence: u64,
-    /// Highest fencing token that it has seen.
+    /// Highest fencing token seen.
     highest_token: u64,
     checks_fencing: bool,
-    /// Whether a replacement is loaded while the copy that it replaces is still there.
+    /// Whether a new version of an adapter is loaded while the old one is still loaded.
     loads_side_by_side: bool,
     life_reporting: LifeReporting,
 }
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Has an adapter from the start.
+    /// Adds a loaded adapter.
     pub fn add_adapter(&mut self, adapter: AdapterName, version: u64) {
         let state = CopyState::Loaded;
         self.copies.insert(adapter, AdapterCopy { version, state });
     }
 
-    /// It crashes: nothing is left but the name of the machine.
+    /// Crashes the engine, which loses everything but its name and address.
     pub fn crash(&mut self) {
         self.is_up = false;
         self.life += 1;
@@ -167,7 +168,7 @@
         self.highest_token = 0;
     }
 
-    /// Time passes: loads end.
+    /// Finishes loads that are due.
     pub fn advance(&mut self, now_ms: u64) {
         if let Some((version, _)) = self.base_loading.filter(|(_, at)| *at <= now_ms) {
             self.base = Some(version);
@@ -190,8 +191,8 @@
         }
     }
 
-    /// The versions that a run for a subject is made under now.
-    pub fn mark(&self, subject: &AdapterName) -> Option<CacheTag> {
+    /// Versions under which a call for a subject would run now.
+    pub fn tag(&self, subject: &AdapterName) -> Option<CacheTag> {
         let base = self.base?;
         if split_subject(subject).1.is_none() {
             return Some(CacheTag { base, adapter: 0 });
@@ -202,17 +203,17 @@
         is_there.then_some(CacheTag { base, adapter })
     }
 
-    /// A request comes.
+    /// Decides on a request that arrives.
     pub fn receive(&self, subject: &AdapterName, expected: Option<u64>) -> Reception {
         let copy = self.copies.get(subject);
         if copy.is_some_and(|copy| copy.state.is_under_order()) {
             return Reception::Deferred;
         }
-        let Some(mark) = self.mark(subject) else {
+        let Some(tag) = self.tag(subject) else {
             return Reception::Misdirected;
         };
         let is_adapter = split_subject(subject).1.is_some();
-        let version = if is_adapter { mark.adapter } else { mark.base };
+        let version = if is_adapter { tag.adapter } else { tag.base };
         if expected.is_some_and(|expected| expected != version) {
             return Reception::Misdirected;
         }
@@ -223,14 +224,12 @@
         self.cached.get(&(subject.clone(), segment)).copied()
     }
 
-    /// Keeps a part, unless it has it.
-    pub fn cache_segment(&mut self, subject: &AdapterName, segment: u64, mark: CacheTag) {
-        self.cached
-            .entry((subject.clone(), segment))
-            .or_insert(mark);
+    /// Stores a segment in the cache, unless it is there already.
+    pub fn cache_segment(&mut self, subject: &AdapterName, segment: u64, tag: CacheTag) {
+        self.cached.entry((subject.clone(), segment)).or_insert(tag);
     }
 
-    /// A request has ended or was dropped; what waits for its end goes on.
+    /// Ends or drops a request, and continues an order that waits for its end.
     pub fn end_run(&mut self, number: u64, now_ms: u64) {
         let Some(run) = self.runs.remove(&number) else {
             return;
@@ -245,7 +244,7 @@
         }
     }
 
-    /// Requests that have not begun and that an order has turned away.
+    /// Removes and returns the requests that have not started and that an order on their adapter rejects.
     pub fn take_deferred(&mut self) -> Vec<u64> {
         let copies = &self.copies;
         let is_deferred = |run: &EngineRun| {
@@ -266,7 +265,7 @@
         deferred
     }
 
-    /// Takes an order, as far as `expected` and fence allow.
+    /// Handles an order, subject to its expected sequence number and fencing token.
     pub fn accept_order(
         &mut self,
         order: &EngineOrder,
@@ -298,7 +297,7 @@
         }
     }
 
-    /// Whether an order waits for runs.
+    /// Whether an order waits for runs to end.
     fn is_blocked(&self) -> bool {
         let mut copies = self.copies.values();
         copies.any(|copy| copy.state.is_under_order())
@@ -380,7 +379,7 @@
         OrderOutcome::Begun
     }
 
-    /// Whether runs hold an adapter; requests that have not begun do not.
+    /// Whether runs use an adapter. Requests that have not started do not count.
     fn is_in_use(&self, adapter: &AdapterName) -> bool {
         let mut runs = self.runs.values();
         runs.any(|run| run.has_started && run.subject == *adapter)
@@ -402,7 +401,7 @@
             .insert(adapter.clone(), AdapterCopy { version, state });
     }
 
-    /// Time of an adapter's load, which from now on it had lately.
+    /// Load time of an adapter, which counts as recent from now on.
     fn load_time_ms(&mut self, adapter: &AdapterName) -> u64 {
         if self.recent_adapters.contains(adapter) {
             return ADAPTER_RELOAD_MS;
@@ -415,7 +414,7 @@
         TargetLife::begun_at(self.life)
     }
 
-    /// What it says of itself now.
+    /// Current report.
     pub fn report(&self) -> EngineReport {
         let mut adapters = Vec::new();
         let mut coming = Vec::new();
@@ -449,7 +448,7 @@
         }
     }
 
-    /// What the platform lists of it now.
+    /// Current entry in the platform's list.
     pub fn entry(&self) -> Arc<TargetEntry> {
         let report = self.report();
         let resident = |(adapter, version)| ResidentAdapter { adapter, version };
@@ -477,7 +476,7 @@
     }
 }
 
-/// A moment of a world on the planner's clock.
+/// Converts simulated time to the planner's clock.
 pub fn instant(ms: u64) -> Instant {
     Instant(ms * 1_000)
 }
--- a/crates/core/tests/direct_memory/main.rs
+++ b/crates/core/tests/direct_memory/main.rs
@@ -1,7 +1,7 @@
-//! Property tests of KV cache transfer between engines, over generated scenarios with new versions, crashes, late orders,
-//! outdated reports and lists, and takeovers. The engine models follow the specification of the engines and track the
-//! versions that made each cached segment. The planner is the real one and learns only what gateways, reports and lists
-//! state.
+//! Property tests of KV cache transfer between engines, over generated scenarios with new versions, crashes, late
+//! orders, outdated reports and lists, and takeovers. The engine models follow the specification of the engines and
+//! track the versions that made each cached segment. The planner is the real one and learns only what gateways, reports
+//! and lists state.
 //!
 //! | module | contents |
 //! |---|---|
@@ -29,9 +29,9 @@
 const CALM_SCENARIOS: u32 = 20;
 /// Range of prompt reading times over all engines and prompt lengths, in ms.
 const ANY_READ_MS: Range<u64> = 10..350;
-/// Range of reading times for which a fetch saves enough, in ms. A fetch has to save 60 ms beyond the 20 ms that it takes.
-/// All but a sixteenth of the prompt is shared, and the first 12 ms of reading are not saved by any fetch:
-/// 12 + 80 x 16 / 15, rounded up by 2 ms.
+/// Range of reading times for which a fetch saves enough, in ms. A fetch has to save 60 ms beyond the 20 ms that it
+/// takes. All but a sixteenth of the prompt is shared, and the first 12 ms of reading are not saved by any fetch: 12 +
+/// 80 x 16 / 15, rounded up by 2 ms.
 const LONG_READ_MS: Range<u64> = 100..350;
 /// Maximum number of scenarios per fetched segment. About 200 segments are fetched in 200 scenarios.
 const SCENARIOS_PER_SEGMENT: u32 = 2;
@@ -157,11 +157,12 @@
     play_many(Rule::Answers, &any_scenario());
 }
 
-// Guard against versions that withhold cache without need. No fetch is also correct if prompts are read too quickly for a
-// fetch to pay off: in calm scenarios with the default policy, nothing was fetched for 53 of 121 seeds, as the planner
-// learns from the first call that a prompt takes 10 ms (it expects 408 ms before that call and 164 ms after it), while a
-// fetch has to save 60 ms beyond the 20 ms that it takes. With both set to zero, segments are fetched for all 121 seeds.
-// So the first test removes the required saving, and the second draws reading times for which a fetch pays off.
+// Guard against versions that withhold cache without need. No fetch is also correct if prompts are read too quickly for
+// a fetch to pay off: in calm scenarios with the default policy, nothing was fetched for 53 of 121 seeds, as the
+// planner learns from the first call that a prompt takes 10 ms (it expects 408 ms before that call and 164 ms after
+// it), while a fetch has to save 60 ms beyond the 20 ms that it takes. With both set to zero, segments are fetched for
+// all 121 seeds. So the first test removes the required saving, and the second draws reading times for which a fetch
+// pays off.
 #[test]
 fn cache_of_equal_versions_is_fetched_without_faults() {
     play_scenarios(
@@ -181,11 +182,11 @@
 }
 
 // Guards against a late order of an earlier holder that takes an adapter slot in a new life of an engine. The engine
-// restarts under its name and states no life. Another VM takes over the zone and sends the new life as many orders as the
-// old one had accepted; then an unanswered order of the earlier holder is carried out and takes one more slot. The number
-// of such orders is unknown, so if engines check no fencing tokens, a new holder orders no load until all of them have
-// expired. Without that wait, seed 11 overruns the slots of an engine by a load that expects two earlier orders, as many
-// as the new life has accepted; with it, all 6,000 scenarios pass.
+// restarts under its name and states no life. Another VM takes over the zone and sends the new life as many orders as
+// the old one had accepted; then an unanswered order of the earlier holder is carried out and takes one more slot. The
+// number of such orders is unknown, so if engines check no fencing tokens, a new holder orders no load until all of
+// them have expired. Without that wait, seed 11 overruns the slots of an engine by a load that expects two earlier
+// orders, as many as the new life has accepted; with it, all 6,000 scenarios pass.
 #[test]
 fn no_order_of_an_earlier_holder_takes_a_slot_in_a_new_life() {
     play_seed(Rule::AdapterSlots, 6_000, &any_scenario(), 11);
--- a/crates/core/tests/direct_memory/regressions.rs
+++ b/crates/core/tests/direct_memory/regressions.rs
@@ -83,7 +83,8 @@
     ])
 }
 
-/// The source has restarted with new weights, and has made its cache again before the first event of a call showed that.
+/// The source has restarted with new weights, and has made its cache again before the first event of a call showed
+/// that.
 pub fn restarted_source() -> Scenario {
     let told_late = CallPlan {
         report_ms: 200,
@@ -172,8 +173,8 @@
     }
 }
 
-/// The machine of the source has restarted as another target with new weights at the same address, and the old target is
-/// still listed.
+/// The machine of the source has restarted as another target with new weights at the same address, and the old target
+/// is still listed.
 pub fn source_with_reused_address() -> Scenario {
     let long_run = CallPlan {
         run_ms: 4 * LONG_MS,
--- a/crates/core/tests/direct_memory/scenario.rs
+++ b/crates/core/tests/direct_memory/scenario.rs
@@ -155,20 +155,20 @@
     let run_ms = prop_oneof![3 => 5..400_u64, 1 => 5..4_000_u64];
     let report_ms = prop_oneof![4 => 0..10_u64, 1 => 0..200_u64];
     let disconnect_ms = option::weighted(0.05, 0..600_u64);
-    let way = (travel_ms, fetch_ms, 10..350_u64, run_ms, report_ms);
+    let durations = (travel_ms, fetch_ms, 10..350_u64, run_ms, report_ms);
     let avoids = option::weighted(0.6, 0..4_u8);
-    let whom = (0..2_u8, subjects, 0..2_u8, avoids);
-    (whom, way, disconnect_ms, any::<bool>()).prop_map(
-        |(whom, way, disconnect_ms, ignores_disconnect)| CallPlan {
-            vm: whom.0,
-            subject: whom.1,
-            prompt: whom.2,
-            avoids: whom.3,
-            travel_ms: way.0,
-            fetch_ms: way.1,
-            read_ms: way.2,
-            run_ms: way.3,
-            report_ms: way.4,
+    let addressing = (0..2_u8, subjects, 0..2_u8, avoids);
+    (addressing, durations, disconnect_ms, any::<bool>()).prop_map(
+        |(addressing, durations, disconnect_ms, ignores_disconnect)| CallPlan {
+            vm: addressing.0,
+            subject: addressing.1,
+            prompt: addressing.2,
+            avoids: addressing.3,
+            travel_ms: durations.0,
+            fetch_ms: durations.1,
+            read_ms: durations.2,
+            run_ms: durations.3,
+            report_ms: durations.4,
             disconnect_ms,
             ignores_disconnect,
         },
@@ -302,8 +302,8 @@
     scenarios_of(restart_event())
 }
 
-/// Scenarios of two engines with calls only, under a settled holder. The first two calls share their prompt prefix and go
-/// to one engine each; the prompt of the first takes `read_ms` to read.
+/// Scenarios of two engines with calls only, under a settled holder. The first two calls share their prompt prefix and
+/// go to one engine each; the prompt of the first takes `read_ms` to read.
 pub fn calm_scenario(read_ms: Range<u64>, fetches_freely: bool) -> impl Strategy<Value = Scenario> {
     let pair = (0..2_u8, 0..2_u8, call(0..1), call(0..1), read_ms);
     let others = vec(call(0..2), 0..20);
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -1,4 +1,4 @@
-//! A zone with its engines as they truly are, its gateways, an operator and the planner, on a clock of its own.
+//! Event-driven simulation of a zone: engine models, gateways, an operator and the planner, on a simulated clock.
 
 use crate::{
     engine::{
@@ -31,49 +31,49 @@
     time::Duration,
 };
 
-/// When worlds begin, in ms.
+/// Start time of simulations, in ms.
 const START_MS: u64 = 60_000;
-/// Time for which a settled simulation's holder has been there, in ms: longer than an order can be late.
+/// Time for which a settled holder has had the zone, in ms; longer than an order can be late.
 const SETTLED_MS: u64 = 20_000;
-/// Time between two turns of the holder's regular work, in ms.
+/// Interval of the holder's periodic work, in ms.
 const TICK_MS: u64 = 50;
-/// Time that a simulation goes on after its last event, in ms: longer than a call waits at three engines one after the other.
+/// Time that a simulation continues after its last event, in ms; longer than a call waits at three engines in turn.
 const DRAIN_MS: u64 = 9_000;
-/// Longest wait that a call is placed for, in ms.
+/// Longest wait with which a call is placed, in ms.
 const BOUND_MS: u32 = 2_500;
-/// Time after which an order or a question counts as without an answer, in ms.
+/// Timeout of orders and report requests, in ms.
 const TIMEOUT_MS: u64 = 250;
-/// Pause before a call is placed again, in ms.
+/// Delay before a call is placed again, in ms.
 const RETRY_DELAY_MS: u64 = 20;
-/// Times that a call is placed.
+/// Maximum number of placements of a call.
 const MAX_ATTEMPTS: u8 = 4;
-/// Time after which the entry of an engine that is gone goes too, in ms.
+/// Time after which the entry of an engine that is gone is removed from the list, in ms.
 const ENTRY_TTL_MS: u64 = 2_500;
-/// Time for which an engine is away that was given more than it has places for, in ms.
+/// Downtime of an engine that crashed because it was given more adapters than it has slots for, in ms.
 const OVERRUN_DOWN_MS: u64 = 1_000;
-/// Age up to which engines' states are remembered, in ms: more than reports and lists can have.
+/// Age up to which engine states are kept, in ms; more than the age of any report or list.
 const STATE_HISTORY_MS: u64 = 4_000;
-/// Shared parts of the prompts, and their tokens; the last part of each is the call's own.
+/// Shared segments of the prompts, as (hash, tokens). Each call adds a last segment of its own.
 const PROMPTS: [[(u64, u32); 2]; 2] = [[(1, 2_520), (2, 3_780)], [(1, 2_520), (3, 5_000)]];
-/// Gateways of a simulation.
+/// Number of gateways.
 const GATEWAYS: u8 = 2;
-/// Tokens of a prompt's own part.
+/// Tokens of the segment that is unique to a call.
 const OWN_TOKENS: u32 = 400;
 
-/// What has to hold in every simulation.
+/// Rule that every simulation has to keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No run uses memory that other versions made than it runs under.
+    /// No call uses KV cache made by other versions than those it runs under.
     MatchingCache,
-    /// No engine is ordered beyond its places.
+    /// No engine is ordered to load more adapters than it has slots for.
     AdapterSlots,
     /// Every call is answered.
     Answers,
-    /// Some memory moves.
+    /// Some segment is fetched.
     Transfers,
 }
 
-/// How a simulation came to break a rule.
+/// Violation of a rule, with the trace that led to it.
 #[derive(Debug)]
 pub struct RuleViolation {
     pub how: String,
@@ -87,21 +87,21 @@
     }
 }
 
-/// What happened in worlds.
+/// Counts over simulations.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SimulationCounts {
     /// Calls that ran.
     pub runs: u32,
-    /// Calls that were told of an engine to take parts from.
+    /// Calls that were told to fetch from an engine.
     pub fetches: u32,
-    /// Parts that engines took from others.
+    /// Segments that engines fetched from others.
     pub segments: u32,
-    /// Calls that were turned away for what their engine lacked.
+    /// Calls rejected because the engine lacked the subject or version.
     pub misdirected: u32,
 }
 
 impl SimulationCounts {
-    /// Both together.
+    /// Sum of both.
     pub fn and(self, other: Self) -> Self {
         Self {
             runs: self.runs + other.runs,
@@ -112,7 +112,7 @@
     }
 }
 
-/// What is due at a moment.
+/// Action that is due at a time.
 #[derive(Clone, Debug)]
 enum Due {
     Event(usize),
@@ -135,7 +135,7 @@
     Restart(usize, bool),
 }
 
-/// How the platform lists a target from a time on, in ms; nothing once it is gone.
+/// Entry of a target in the platform's list from a time on, in ms; none once the target is gone.
 type ListedState = (u64, Option<Arc<TargetEntry>>);
 
 /// An engine in one of its lives.
@@ -145,7 +145,7 @@
     life: u64,
 }
 
-/// A call that is to be placed.
+/// A call to be placed.
 #[derive(Clone, Debug)]
 struct PendingCall {
     plan: CallPlan,
@@ -153,14 +153,14 @@
     attempts_left: u8,
 }
 
-/// How a call ended, as its gateway tells it.
+/// End of a call as its gateway reports it.
 #[derive(Clone, Copy, Debug)]
 struct CallEnd {
     outcome: Option<CallOutcome>,
     is_missing: bool,
 }
 
-/// Where a call was sent, and with what.
+/// Where and how a call was sent.
 #[derive(Clone, Debug)]
 struct Destination {
     target: TargetName,
@@ -174,36 +174,36 @@
 struct GatewayCall {
     pending: PendingCall,
     sent: Option<Destination>,
-    /// Whether the holder does not know of it.
+    /// Whether the call is unknown to the holder.
     is_untracked: bool,
     is_closed: bool,
 }
 
 pub struct Simulation {
     scenario: Scenario,
-    /// The rule that is looked at; what breaks another has its consequences and no more.
+    /// Rule that is checked. Violations of other rules take their effect but do not fail the simulation.
     rule: Rule,
     now_ms: u64,
     agenda: BTreeMap<(u64, u64), Due>,
     agenda_count: u64,
     engines: Vec<EngineModel>,
     engines_created: u16,
-    /// What reports of each engine said, with the time from which, in ms.
+    /// Reports of each engine, each with the time from which it holds, in ms.
     reports: Vec<Vec<(u64, EngineReport)>>,
-    /// The same of the platform's list.
+    /// Entries of each target in the platform's list over time.
     entries: BTreeMap<TargetName, Vec<ListedState>>,
     named: NamedVersions,
     known_versions: BTreeMap<AdapterName, u64>,
     planner: ZonePlanner,
-    /// The holder's fencing token.
+    /// Fencing token of the holder.
     fencing_token: u64,
-    /// The time that the holder's list shows, in ms.
+    /// Time that the holder's list reflects, in ms.
     list_time_ms: u64,
     list: Vec<Arc<TargetEntry>>,
     calls: BTreeMap<u64, GatewayCall>,
-    /// Calls that wait for the holder's answer.
+    /// Calls that wait for an answer of the holder.
     unanswered: BTreeSet<u64>,
-    /// Gateways that are cut off, with the number of the link that they will have.
+    /// Disconnected gateways, with the number of their next connection.
     disconnected: BTreeMap<VmName, u64>,
     connections_made: u64,
     calls_created: u64,
@@ -234,7 +234,7 @@
     }
 }
 
-/// Weights of a zone in which memory moves wherever its versions let it.
+/// Policy under which cache is fetched whenever its versions allow it.
 fn free_fetch_policy() -> PlacementPolicy {
     PlacementPolicy {
         cache_fetch_time: Duration::ZERO,
@@ -250,13 +250,13 @@
     if scenario.fetches_freely {
         planner.set_policy(free_fetch_policy());
     }
-    // Worlds have one holder at a time.
+    // Simulations have one holder at a time.
     planner.set_lead_until(Instant(u64::MAX));
     planner
 }
 
 impl Simulation {
-    /// Plays a simulation to its end, or until a rule is broken.
+    /// Runs a scenario to its end, or until the rule is violated.
     pub fn play(scenario: &Scenario, rule: Rule) -> Result<SimulationCounts, RuleViolation> {
         let mut simulation = Self::new(scenario.clone(), rule);
         match simulation.run() {
@@ -507,7 +507,7 @@
         self.log(&line);
     }
 
-    /// Notes what engines would say of themselves from now on.
+    /// Records changed reports and list entries of the engines.
     fn record_states(&mut self) {
         let oldest_ms = self.now_ms.saturating_sub(STATE_HISTORY_MS);
         for (engine, reports) in self.engines.iter().zip(&mut self.reports) {
@@ -533,7 +533,7 @@
         }
     }
 
-    /// The holder reads the list as it was at a time; lists don't go back.
+    /// Lets the holder read the list as it was at a time. A list never replaces a newer one.
     fn read_list(&mut self, as_of_ms: u64) {
         self.list_time_ms = self.list_time_ms.max(as_of_ms);
         let states = self.entries.values();
@@ -566,7 +566,7 @@
         }
     }
 
-    /// A gateway has no link to the holder for a time; its questions without an answer are asked anew.
+    /// Disconnects a gateway from the holder for a time. Its unanswered requests are repeated.
     fn disconnect(&mut self, vm: &VmName, duration_ms: u64) {
         self.log(&format!(
             "{vm} is disconnected from the holder for {duration_ms} ms"
@@ -585,7 +585,7 @@
         self.schedule_after(duration_ms, Due::Adopt(vm.clone(), self.connections_made));
     }
 
-    /// A gateway has a link again, and tells of the calls that it has open.
+    /// Reconnects a gateway, which reports its open calls.
     fn adopt(&mut self, vm: &VmName, link: u64) {
         if self.disconnected.get(vm) != Some(&link) {
             return;
@@ -646,7 +646,8 @@
         self.planner.place(key, ask, instant(self.now_ms));
     }
 
-    /// A gateway that has no link to the holder sends a call to a target that is listed with what it asks for, and tells nobody.
+    /// Sends a call of a disconnected gateway to a target that is listed with the subject, without the holder's
+    /// knowledge.
     fn place_without_holder(&mut self, pending: PendingCall) {
         let subject = subject(pending.plan.subject);
         let version = self.known_versions.get(&subject).copied();
@@ -680,7 +681,7 @@
         self.schedule_after(0, Due::Depart(number));
     }
 
-    /// Does what the planner wants done.
+    /// Carries out the actions of the planner.
     fn run_actions(&mut self) -> Result<(), String> {
         loop {
             let actions = self.planner.take_actions();
@@ -730,7 +731,7 @@
         self.schedule_after(u64::from(wait_ms), Due::Depart(number));
     }
 
-    /// A call leaves its gateway, if its target is still listed in the life that it was placed at.
+    /// Sends a call from its gateway, if its target is still listed in the life for which it was placed.
     fn depart(&mut self, number: u64) {
         let Some((plan, sent)) = self.sent(number) else {
             return;
@@ -739,7 +740,7 @@
         let Some(entry) = entries.find(|entry| entry.name == sent.target) else {
             self.calls
                 .get_mut(&number)
-                .expect("it is sent")
+                .expect("the call was sent")
                 .pending
                 .tried
                 .push(sent.target);
@@ -802,7 +803,8 @@
         }
     }
 
-    /// An engine takes what another one has kept of a prompt beyond its own, by name of adapter and part.
+    /// Lets an engine fetch the cached segments that it lacks. The source serves them by subject and segment, whatever
+    /// versions made them.
     fn fetch_segments(&mut self, number: u64, life: EngineLife) {
         if !self.is_running(number, life) {
             return;
@@ -823,13 +825,13 @@
             if engine.cached(&subject, segment).is_some() {
                 continue;
             }
-            let Some(mark) = source.cached(&subject, segment) else {
+            let Some(tag) = source.cached(&subject, segment) else {
                 break;
             };
-            engine.cache_segment(&subject, segment, mark);
+            engine.cache_segment(&subject, segment, tag);
             self.counts.segments += 1;
             lines.push(format!(
-                "{} fetches segment {segment} for call {number} from {}, made under {mark:?}",
+                "{} fetches segment {segment} for call {number} from {}, made under {tag:?}",
                 engine.name, source.name
             ));
         }
@@ -838,7 +840,7 @@
         }
     }
 
-    /// A call's first event: its prompt is read, what was kept of it used.
+    /// Starts a call at its first event: its prompt has been read, using the cached segments.
     fn start_call(&mut self, number: u64, life: EngineLife) -> Result<(), String> {
         if !self.is_running(number, life) {
             return Ok(());
@@ -846,24 +848,24 @@
         let plan = self.calls[&number].pending.plan;
         let subject = subject(plan.subject);
         let engine = &mut self.engines[life.at];
-        let mark = engine
-            .mark(&subject)
-            .expect("requests wait for what is there");
+        let tag = engine
+            .tag(&subject)
+            .expect("an accepted request has a loaded subject");
         let name = engine.name.clone();
-        let used = use_segments(engine, &subject, &plan, mark);
+        let used = use_segments(engine, &subject, &plan, tag);
         if let Some(run) = engine.runs.get_mut(&number) {
             run.has_started = true;
         }
         self.counts.runs += 1;
-        self.log(&format!("call {number} runs at {name} under {mark:?}"));
-        if let Some(other) = used.iter().find(|used| **used != mark) {
+        self.log(&format!("call {number} runs at {name} under {tag:?}"));
+        if let Some(other) = used.iter().find(|used| **used != tag) {
             let how = format!(
-                "call {number} for {subject} runs at {name} under {mark:?} and uses KV cache made under {other:?}"
+                "call {number} for {subject} runs at {name} under {tag:?} and uses KV cache made under {other:?}"
             );
             self.check_rule(Rule::MatchingCache, how)?;
         }
         if !self.calls[&number].is_closed {
-            self.schedule_after(plan.report_ms, Due::ReportStarted(number, mark.base));
+            self.schedule_after(plan.report_ms, Due::ReportStarted(number, tag.base));
         }
         self.schedule_after(plan.run_ms, Due::End(number, life));
         Ok(())
@@ -877,7 +879,7 @@
         self.close(number, Some(CallOutcome::Success), false);
     }
 
-    /// A caller leaves; some engines go on with its request.
+    /// Disconnects the caller of a call. Some engines continue the request.
     fn disconnect_caller(&mut self, number: u64) {
         let Some((plan, sent)) = self.sent(number) else {
             return;
@@ -892,19 +894,19 @@
         self.close(number, None, false);
     }
 
-    /// Whether a request is at an engine in this life of it.
+    /// Whether a request is at an engine in this life.
     fn is_running(&self, number: u64, life: EngineLife) -> bool {
         let engine = &self.engines[life.at];
         engine.is_up && engine.life == life.life && engine.runs.contains_key(&number)
     }
 
-    /// A call that was sent and is not over at its gateway.
+    /// Plan and destination of a call that was sent and has not ended at its gateway.
     fn sent(&self, number: u64) -> Option<(CallPlan, Destination)> {
         let call = self.calls.get(&number).filter(|call| !call.is_closed)?;
         Some((call.pending.plan, call.sent.clone()?))
     }
 
-    /// Requests that were turned away as an order on their adapter came between.
+    /// Retries requests that were rejected because of an order on their adapter.
     fn end_deferred(&mut self) {
         for at in 0..self.engines.len() {
             let name = self.engines[at].name.clone();
@@ -918,7 +920,7 @@
         }
     }
 
-    /// A call is over at a target and is placed elsewhere.
+    /// Ends a call at a target and places it elsewhere.
     fn retry(&mut self, number: u64, target: TargetName, outcome: Option<CallOutcome>) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.pending.tried.push(target);
@@ -957,7 +959,7 @@
         }
     }
 
-    /// Where a call was sent, if its gateway can tell the holder of it.
+    /// Destination of a call whose gateway can report it to the holder.
     fn reachable_destination(&self, number: u64) -> Option<&Destination> {
         let call = &self.calls[&number];
         let is_cut = self.disconnected.contains_key(&vm(call.pending.plan.vm));
@@ -974,7 +976,7 @@
         if end.is_missing {
             self.planner.report_missing_copy(&key, &sent.target, now);
         }
-        // What an earlier life did says nothing about this one.
+        // The outcome of an earlier life does not count for the health of the current one.
         let is_known = self.planner.is_current_life(&sent.target, sent.life);
         let outcome = end.outcome.filter(|_| is_known);
         self.planner
@@ -1014,7 +1016,7 @@
         Ok(())
     }
 
-    /// An order reaches its engine, if that is there.
+    /// Delivers an order to its engine, if that is up.
     fn apply_order(
         &mut self,
         target: &TargetName,
@@ -1055,7 +1057,7 @@
         self.schedule_after(after_ms, reported);
     }
 
-    /// What an engine said of itself some time ago, in the life that it has.
+    /// Report of an engine as of some time ago, within its current life.
     fn report_before(&self, at: usize, age_ms: u64) -> Option<EngineReport> {
         let reports = &self.reports[at];
         let as_of_ms = self.now_ms - age_ms;
@@ -1072,7 +1074,7 @@
     }
 }
 
-/// Whether a target is listed with what a call asks for, an adapter in this version at least.
+/// Whether a target is listed with a subject, an adapter in this version or a newer one.
 fn lists(entry: &TargetEntry, subject: &AdapterName, version: u64) -> bool {
     if *subject == base_model() {
         return !entry.models.is_empty();
@@ -1081,7 +1083,7 @@
     adapters.any(|resident| resident.adapter == *subject && resident.version >= version)
 }
 
-/// The version of what a call asks for, by its target's entry.
+/// Version of a subject in its target's entry.
 fn listed_version(entry: &TargetEntry, subject: &AdapterName) -> Option<u64> {
     let mut adapters = entry.adapters.iter();
     let adapter = adapters.find(|resident| resident.adapter == *subject);
@@ -1096,23 +1098,23 @@
     PROMPTS[usize::from(plan.prompt)].into_iter()
 }
 
-/// A call's prompt: its shared parts, and one of its own.
+/// Segments of a call's prompt: the shared ones and one of its own.
 fn prompt(plan: &CallPlan, number: u64) -> impl Iterator<Item = (u64, u32)> {
     let own = (1_000 + number, OWN_TOKENS);
     shared_segments(plan).chain(std::iter::once(own))
 }
 
-/// What made the parts of a prompt that an engine has kept, one after the other; it keeps the others from now on.
+/// Tags of the longest cached prefix of a prompt. The other segments are cached from now on.
 fn use_segments(
     engine: &mut EngineModel,
     subject: &AdapterName,
     plan: &CallPlan,
-    mark: CacheTag,
+    tag: CacheTag,
 ) -> Vec<CacheTag> {
     let cached = shared_segments(plan).map_while(|(segment, _)| engine.cached(subject, segment));
     let used = cached.collect();
     for (segment, _) in shared_segments(plan) {
-        engine.cache_segment(subject, segment, mark);
+        engine.cache_segment(subject, segment, tag);
     }
     used
 }
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -683,7 +683,7 @@
     }
 
     fn report(&self) -> EngineReport {
-        self.history.front().expect("it advanced").1.clone()
+        self.history.front().expect("the engine advanced").1.clone()
     }
 
     fn take(&mut self, order: &EngineOrder, now: u64) -> OrderOutcome {
