--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -99,18 +99,18 @@
     }
 
     /// Records an observed version of a base model.
-    fn observe_base_version(&mut self, model: &str, known_version: Option<ObservedVersion>) {
+    fn observe_base_version(&mut self, model: &str, observed: Option<ObservedVersion>) {
         let known = self
             .loaded_model(model)
             .and_then(|loaded| loaded.known_version);
-        if VersionMatch::of(known, known_version) == VersionMatch::Different {
+        if VersionMatch::of(known, observed) == VersionMatch::Different {
             self.invalidate_cache(model);
         }
         let mut models = self.models.iter_mut();
         if let Some(loaded) = models.find(|loaded| loaded.name.as_str() == model)
-            && known_version.is_some()
+            && observed.is_some()
         {
-            loaded.known_version = known_version;
+            loaded.known_version = observed;
         }
     }
 
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -47,7 +47,7 @@
 const REPORTED_LOAD_TIME: Duration = Duration::from_millis(100);
 /// Maximum age of a report. Within this time after an order, a report with a lower sequence number is discarded; later
 /// such a report means that the engine has restarted.
-const MAX_REPORT_LAG: Duration = Duration::from_millis(600);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(600);
 /// Time after which an unanswered order is no longer carried out. Engines are specified to take up to 12 seconds.
 pub const UNANSWERED_ORDER_TTL: Duration = Duration::from_millis(12_500);
 
@@ -231,7 +231,7 @@
     pub fn is_report_stale(&self, report: &EngineReport, now: Instant) -> bool {
         self.is_inventory_known
             && report.orders_taken < self.sequence
-            && now.since(self.ordered_at) < MAX_REPORT_LAG
+            && now.since(self.ordered_at) < MAX_REPORT_AGE
     }
 
     /// Applies a report. Copies whose load is queued are kept.
--- a/crates/core/src/direct/planner/orders.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -259,11 +259,11 @@
                 }
                 let occupied = engine.occupied_slots() + engine.late_load_slots(now);
                 if occupied >= self.limits.adapter_slots as usize {
-                    let Some(eviction_victim) = self.eviction_victim(engine, now) else {
+                    let Some(victim) = self.eviction_victim(engine, now) else {
                         self.drop_next_load(name, now);
                         continue;
                     };
-                    self.issue_order(name, OrderKind::Unload, &eviction_victim);
+                    self.issue_order(name, OrderKind::Unload, &victim);
                     return;
                 }
             }
--- a/crates/core/tests/direct_memory/main.rs
+++ b/crates/core/tests/direct_memory/main.rs
@@ -158,11 +158,11 @@
 }
 
 // Guard against versions that withhold cache without need. No fetch is also correct if prompts are read too quickly for
-// a fetch to pay off: in calm scenarios with the default policy, nothing was fetched for 53 of 121 seeds, as the
-// planner learns from the first call that a prompt takes 10 ms (it expects 408 ms before that call and 164 ms after
-// it), while a fetch has to save 60 ms beyond the 20 ms that it takes. With both set to zero, segments are fetched for
-// all 121 seeds. So the first test removes the required saving, and the second draws reading times for which a fetch
-// pays off.
+// a fetch to pay off: in calm scenarios with the default policy, nothing was fetched for 53 of 121 seeds (200 to 320),
+// as the planner learns from the first call that a prompt takes 10 ms (it expects 408 ms before that call and 164 ms
+// after it), while a fetch has to save 60 ms beyond the 20 ms that it takes. With both set to zero, segments are
+// fetched for all 121 seeds. So the first test removes the required saving, and the second draws reading times for
+// which a fetch pays off.
 #[test]
 fn cache_of_equal_versions_is_fetched_without_faults() {
     play_scenarios(
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -76,13 +76,13 @@
 /// Violation of a rule, with the trace that led to it.
 #[derive(Debug)]
 pub struct RuleViolation {
-    pub how: String,
+    pub message: String,
     pub trace: Vec<String>,
 }
 
 impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}", self.how)?;
+        writeln!(f, "{}", self.message)?;
         self.trace.iter().try_for_each(|line| writeln!(f, "{line}"))
     }
 }
@@ -127,11 +127,11 @@
     CallerDisconnect(u64),
     ReportStarted(u64, u64),
     ReportEnded(u64, CallEnd),
-    Adopt(VmName, u64),
+    Reconnect(VmName, u64),
     ApplyOrder(TargetName, EngineOrder, u64),
     OrderEnded(Arc<TargetEntry>, OrderOutcome, u64),
     Reported(TargetName, Option<EngineReport>, u64),
-    Lapse(TargetName),
+    RemoveEntry(TargetName),
     Restart(usize, bool),
 }
 
@@ -185,7 +185,7 @@
     rule: Rule,
     now_ms: u64,
     agenda: BTreeMap<(u64, u64), Due>,
-    agenda_count: u64,
+    last_agenda_number: u64,
     engines: Vec<EngineModel>,
     engines_created: u16,
     /// Reports of each engine, each with the time from which it holds, in ms.
@@ -261,8 +261,8 @@
         let mut simulation = Self::new(scenario.clone(), rule);
         match simulation.run() {
             Ok(()) => Ok(simulation.counts),
-            Err(how) => Err(RuleViolation {
-                how,
+            Err(message) => Err(RuleViolation {
+                message,
                 trace: simulation.trace,
             }),
         }
@@ -275,7 +275,7 @@
         let mut simulation = Self {
             now_ms: START_MS,
             agenda: BTreeMap::new(),
-            agenda_count: 0,
+            last_agenda_number: 0,
             engines_created: u16::from(scenario.engines),
             reports: vec![Vec::new(); engines.len()],
             engines,
@@ -336,8 +336,8 @@
             self.record_states();
         }
         if !self.unanswered.is_empty() {
-            let how = format!("never answered: calls {:?}", self.unanswered);
-            self.check_rule(Rule::Answers, how)?;
+            let message = format!("never answered: calls {:?}", self.unanswered);
+            self.check_rule(Rule::Answers, message)?;
         }
         if self.counts.segments == 0 {
             self.check_rule(Rule::Transfers, "no segment was fetched".to_owned())?;
@@ -345,13 +345,17 @@
         Ok(())
     }
 
-    fn check_rule(&self, rule: Rule, how: String) -> Result<(), String> {
-        if rule == self.rule { Err(how) } else { Ok(()) }
+    fn check_rule(&self, rule: Rule, message: String) -> Result<(), String> {
+        if rule == self.rule {
+            Err(message)
+        } else {
+            Ok(())
+        }
     }
 
     fn schedule(&mut self, at_ms: u64, due: Due) {
-        self.agenda_count += 1;
-        self.agenda.insert((at_ms, self.agenda_count), due);
+        self.last_agenda_number += 1;
+        self.agenda.insert((at_ms, self.last_agenda_number), due);
     }
 
     fn schedule_after(&mut self, ms: u64, due: Due) {
@@ -385,7 +389,7 @@
             Due::CallerDisconnect(number) => self.disconnect_caller(number),
             Due::ReportStarted(number, base) => self.report_started(number, base),
             Due::ReportEnded(number, end) => self.report_ended(number, end),
-            Due::Adopt(vm, link) => self.adopt(&vm, link),
+            Due::Reconnect(vm, connection) => self.reconnect(&vm, connection),
             Due::ApplyOrder(target, order, fencing_token) => {
                 self.apply_order(&target, &order, fencing_token)?;
             }
@@ -401,7 +405,7 @@
                     self.planner.report_received(&target, report.as_ref(), now);
                 }
             }
-            Due::Lapse(target) => {
+            Due::RemoveEntry(target) => {
                 if !self
                     .engines
                     .iter()
@@ -491,7 +495,7 @@
         for number in lost {
             self.retry(number, old.clone(), Some(CallOutcome::Failed));
         }
-        self.schedule_after(ENTRY_TTL_MS, Due::Lapse(old));
+        self.schedule_after(ENTRY_TTL_MS, Due::RemoveEntry(old));
         self.schedule_after(down_ms, Due::Restart(at, has_base));
     }
 
@@ -523,11 +527,11 @@
             }
             let entry = engine.entry();
             let entries = self.entries.entry(engine.name.clone()).or_default();
-            let is_told = |last: &Option<Arc<TargetEntry>>| {
+            let is_reported = |last: &Option<Arc<TargetEntry>>| {
                 last.as_ref()
                     .is_some_and(|last| last.routes_like(&entry) && last.adapters == entry.adapters)
             };
-            if !entries.last().is_some_and(|(_, last)| is_told(last)) {
+            if !entries.last().is_some_and(|(_, last)| is_reported(last)) {
                 entries.push((self.now_ms, Some(entry)));
             }
         }
@@ -571,10 +575,10 @@
         self.log(&format!(
             "{vm} is disconnected from the holder for {duration_ms} ms"
         ));
-        let (lost, cached): (Vec<_>, _) = std::mem::take(&mut self.unanswered)
+        let (lost, remaining): (Vec<_>, _) = std::mem::take(&mut self.unanswered)
             .into_iter()
             .partition(|number| self.key(*number).vm == *vm);
-        self.unanswered = cached.into_iter().collect();
+        self.unanswered = remaining.into_iter().collect();
         for number in lost {
             if let Some(call) = self.calls.remove(&number) {
                 self.schedule_after(RETRY_DELAY_MS, Due::Place(call.pending));
@@ -582,18 +586,21 @@
         }
         self.connections_made += 1;
         self.disconnected.insert(vm.clone(), self.connections_made);
-        self.schedule_after(duration_ms, Due::Adopt(vm.clone(), self.connections_made));
+        self.schedule_after(
+            duration_ms,
+            Due::Reconnect(vm.clone(), self.connections_made),
+        );
     }
 
     /// Reconnects a gateway, which reports its open calls.
-    fn adopt(&mut self, vm: &VmName, link: u64) {
-        if self.disconnected.get(vm) != Some(&link) {
+    fn reconnect(&mut self, vm: &VmName, connection: u64) {
+        if self.disconnected.get(vm) != Some(&connection) {
             return;
         }
         self.disconnected.remove(vm);
         for (number, call) in &self.calls {
-            let is_told = !call.is_closed && !call.is_untracked;
-            let Some(sent) = call.sent.as_ref().filter(|_| is_told) else {
+            let is_reported = !call.is_closed && !call.is_untracked;
+            let Some(sent) = call.sent.as_ref().filter(|_| is_reported) else {
                 continue;
             };
             let key = call_key(*number, &call.pending.plan);
@@ -620,7 +627,7 @@
         let key = call_key(number, &plan);
         let avoided = plan.avoids.map(|at| usize::from(at) % self.engines.len());
         let avoided = avoided.map(|at| self.engines[at].name.clone());
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             fingerprint: Default::default(),
             is_trial: false,
             charge: None,
@@ -643,7 +650,7 @@
         };
         self.calls.insert(number, call);
         self.unanswered.insert(number);
-        self.planner.place(key, ask, instant(self.now_ms));
+        self.planner.place(key, request, instant(self.now_ms));
     }
 
     /// Sends a call of a disconnected gateway to a target that is listed with the subject, without the holder's
@@ -692,7 +699,7 @@
                 match action {
                     PlannerAction::Answer(key, answer) => self.answer(key.number, answer),
                     PlannerAction::Order(entry, order) => self.receive_order(&entry, order)?,
-                    PlannerAction::FetchReport(entry) => self.ask_report(&entry),
+                    PlannerAction::FetchReport(entry) => self.request_report(&entry),
                     PlannerAction::RecordTransfer(_) => {}
                 }
             }
@@ -859,10 +866,10 @@
         self.counts.runs += 1;
         self.log(&format!("call {number} runs at {name} under {tag:?}"));
         if let Some(other) = used.iter().find(|used| **used != tag) {
-            let how = format!(
+            let message = format!(
                 "call {number} for {subject} runs at {name} under {tag:?} and uses KV cache made under {other:?}"
             );
-            self.check_rule(Rule::MatchingCache, how)?;
+            self.check_rule(Rule::MatchingCache, message)?;
         }
         if !self.calls[&number].is_closed {
             self.schedule_after(plan.report_ms, Due::ReportStarted(number, tag.base));
@@ -962,9 +969,9 @@
     /// Destination of a call whose gateway can report it to the holder.
     fn reachable_destination(&self, number: u64) -> Option<&Destination> {
         let call = &self.calls[&number];
-        let is_cut = self.disconnected.contains_key(&vm(call.pending.plan.vm));
-        let is_told = !is_cut && !call.is_untracked;
-        call.sent.as_ref().filter(|_| is_told)
+        let is_disconnected = self.disconnected.contains_key(&vm(call.pending.plan.vm));
+        let is_reported = !is_disconnected && !call.is_untracked;
+        call.sent.as_ref().filter(|_| is_reported)
     }
 
     fn report_ended(&mut self, number: u64, end: CallEnd) {
@@ -1035,13 +1042,13 @@
         if let Ok(outcome) = taken {
             return Ok(outcome);
         }
-        let how = format!("{target} is ordered beyond its adapter slots: {order:?}");
-        self.check_rule(Rule::AdapterSlots, how)?;
+        let message = format!("{target} is ordered beyond its adapter slots: {order:?}");
+        self.check_rule(Rule::AdapterSlots, message)?;
         self.crash(at, OVERRUN_DOWN_MS, RestartIdentity::SameTarget, false);
         Ok(OrderOutcome::Unanswered)
     }
 
-    fn ask_report(&mut self, entry: &TargetEntry) {
+    fn request_report(&mut self, entry: &TargetEntry) {
         let fates = &self.scenario.report_fates;
         let fate = fates[self.reports_requested % fates.len()];
         self.reports_requested += 1;
@@ -1062,8 +1069,8 @@
         let reports = &self.reports[at];
         let as_of_ms = self.now_ms - age_ms;
         let mut newest_first = reports.iter().rev();
-        let said = newest_first.find(|(from_ms, _)| *from_ms <= as_of_ms);
-        said.or(reports.first()).map(|(_, report)| report.clone())
+        let found = newest_first.find(|(from_ms, _)| *from_ms <= as_of_ms);
+        found.or(reports.first()).map(|(_, report)| report.clone())
     }
 }
 
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -191,13 +191,13 @@
     assert!(orders(planner.take_actions()).is_empty(), "still unloading");
     let now = after(now, 400);
     planner.tick(now);
-    let gone: Vec<_> = full
+    let remaining: Vec<_> = full
         .adapters
         .iter()
         .map(|(adapter, _)| adapter.as_str())
         .filter(|adapter| *adapter != sent[0].1.subject.as_str())
         .collect();
-    planner.report_received(&name, Some(&report(&gone, 5)), now);
+    planner.report_received(&name, Some(&report(&remaining, 5)), now);
     planner.place(key(3), request("base/a9"), now);
     let sent = orders(planner.take_actions());
     assert_eq!(sent[0].1.kind, OrderKind::Load);
@@ -319,7 +319,7 @@
 /// Runs the periodic work until `until`, answering with reports of an engine without adapters. Returns all other
 /// actions.
 fn tick_until(planner: &mut ZonePlanner, from: Instant, until: Instant) -> VecDeque<PlannerAction> {
-    let mut left = VecDeque::new();
+    let mut remaining = VecDeque::new();
     let mut now = from;
     while now < until {
         now = after(now, 50).min(until);
@@ -329,11 +329,11 @@
                 PlannerAction::FetchReport(entry) => {
                     planner.report_received(&entry.name, Some(&report(&[], 0)), now);
                 }
-                other => left.push_back(other),
+                other => remaining.push_back(other),
             }
         }
     }
-    left
+    remaining
 }
 
 // Guards against calls that wait for a load which is not allowed yet. If engines check no fencing tokens, loads are
@@ -537,14 +537,14 @@
 #[test]
 fn successive_holders_keep_the_interval_between_model_loads() {
     let start = Instant(1_000_000);
-    let pause = EngineEstimates::per_zone(1, 3.0).model_load_interval;
-    let life = pause / 2;
+    let interval = EngineEstimates::per_zone(1, 3.0).model_load_interval;
+    let tenure = interval / 2;
     let mut ordered = 0;
     for holder in 0..20 {
-        let from = start.after(life * holder);
+        let from = start.after(tenure * holder);
         let mut planner = planner_with_empty_engine(&["base"], from);
         for step in 1..=10 {
-            planner.tick(from.after(life * step / 10));
+            planner.tick(from.after(tenure * step / 10));
             let sent = orders(planner.take_actions());
             let is_model = |order: &EngineOrder| order.subject.as_str() == "base";
             ordered += sent.iter().filter(|(_, order)| is_model(order)).count();
@@ -592,10 +592,10 @@
         let adapter = AdapterName::new(full[number as usize - 1]);
         planner.adopt_call(key(number), &one, &adapter);
     }
-    let told = after(now, 950);
-    planner.tick(told);
-    planner.report_received(&one, Some(&report(&full, 0)), told);
-    planner.place(key(9), request("base/e"), told);
+    let later = after(now, 950);
+    planner.tick(later);
+    planner.report_received(&one, Some(&report(&full, 0)), later);
+    planner.place(key(9), request("base/e"), later);
     let sent = orders(planner.take_actions());
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].1.kind, OrderKind::Unload);
@@ -958,9 +958,9 @@
 }
 
 /// Entry of an engine in the life that started at a Unix time, in ms.
-fn entry_with_life(name: &str, entry_with_life: u64) -> Arc<TargetEntry> {
+fn entry_with_life(name: &str, started_ms: u64) -> Arc<TargetEntry> {
     let mut listed = (*entry(name)).clone();
-    listed.life = TargetLife::begun_at(entry_with_life);
+    listed.life = TargetLife::begun_at(started_ms);
     Arc::new(listed)
 }
 
@@ -1061,10 +1061,8 @@
     planner.place(key(2), request("base/a2"), now);
     planner.take_actions();
     planner.set_targets(vec![entry_with_life("e1", 2_000)], after(now, 10));
-    let occupied_slots = limits().adapter_slots as usize;
-    let held: Vec<_> = (0..occupied_slots - 1)
-        .map(|at| format!("base/b{at}"))
-        .collect();
+    let slots = limits().adapter_slots as usize;
+    let held: Vec<_> = (0..slots - 1).map(|at| format!("base/b{at}")).collect();
     let held: Vec<_> = held.iter().map(String::as_str).collect();
     let own = EngineReport {
         life: TargetLife::begun_at(2_000),
