--- a/crates/core/src/direct/planner/estimates.rs
+++ b/crates/core/src/direct/planner/estimates.rs
@@ -13,9 +13,9 @@
     pub slot_hold_time: Duration,
     /// Minimum interval between two base model loads in this zone.
     pub model_load_interval: Duration,
-    /// Initial limit of concurrent adapter loads. A weight store sustains at least as many as the base models that it
-    /// allows per second. For a store that sustains 48, an initial limit of 6 let 10% of the loads in the first five
-    /// seconds finish within half a second, and a limit of 13 let 70%.
+    /// Initial limit of concurrent adapter loads. A weight store is specified to sustain at least as many as the base
+    /// models that it allows per second. For a store that sustains 48, an initial limit of 6 let 10% of the loads in
+    /// the first five seconds finish within half a second, and a limit of 13 let 70%.
     pub initial_load_limit: f64,
 }
 
