--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -1,4 +1,9 @@
-//! What VMs tell each other of the platform's log: records as they come, and all that one lacks.
+//! Exchange of platform log records between VMs: new records as they arrive, and the ranges that a
+//! VM lacks.
+//!
+//! A VM that can't read the log, or need not, gets its records from the VMs that it is linked to.
+//! Each answer also says up to which position the sender knows a topic, so that the receiver knows
+//! whether it still has to read the log itself.
 
 use crate::{
     clock,
@@ -23,45 +28,48 @@
 use std::{collections::BTreeMap, slice, time::Duration};
 use tokio::sync::watch;
 
-/// VMs of a zone up to which its holder tells those that start all it knows. Beyond that its own link and memory would
-/// carry the whole list many times over, and the platform's log does that better.
-const MOST_TOLD: usize = 48;
-/// Bytes of a topic up to which the holder tells all of it: a tenth of a second of a link of 10 Mbit/s for each VM.
-const MOST_TOLD_BYTES: usize = 128 * 1024;
-/// Time for which a VM reads for another one that the log turns away. One that stays turned away asks again within 3.3 s:
-/// 0.9 s and the longest wait until a silent read has failed, then a pause of 1 s at most.
-const READS_FOR_OTHERS: Duration = Duration::from_secs(4);
+/// Size of a zone up to which its holder sends everything that it knows to VMs that start. In a
+/// larger zone the copies of the whole list would overload the holder's link and memory, and the
+/// log serves listings better.
+const MAX_INITIALIZED_VMS: usize = 48;
+/// Size of a topic up to which the holder sends all of it unless the log fails the receiver: 0.1 s
+/// of a 10 Mbit/s link for each VM.
+const MAX_FORWARDED_TOPIC_BYTES: usize = 128 * 1024;
+/// Time for which a VM reads the log on behalf of another one that can't. The other one repeats its
+/// request within 3.3 s: a silent read fails after 0.9 s plus its longest wait, and a pause of at
+/// most 1 s follows.
+const READ_REQUEST_TTL: Duration = Duration::from_secs(4);
 
 impl FleetState {
-    /// Folds records that another VM passed on.
-    pub fn apply_forwarded(&self, passed: Vec<ForwardedRecord>) {
-        self.take_told(passed, RecordSource::Passed);
+    /// Applies records that another VM forwarded.
+    pub fn apply_forwarded(&self, records: Vec<ForwardedRecord>) {
+        self.apply_from_vm(records, RecordSource::Forwarded);
     }
 
-    /// Folds a record that this VM asked for before it knows the topic.
-    pub fn apply_requested(&self, asked: ForwardedRecord) {
-        self.take_told(vec![asked], RecordSource::Asked);
+    /// Applies a record that this VM requested before it knew the topic.
+    pub fn apply_requested(&self, record: ForwardedRecord) {
+        self.apply_from_vm(vec![record], RecordSource::Requested);
     }
 
-    fn take_told(&self, passed: Vec<ForwardedRecord>, source: RecordSource) {
-        self.learn_eras(passed.iter().map(|record| record.position));
+    fn apply_from_vm(&self, records: Vec<ForwardedRecord>, source: RecordSource) {
+        self.learn_eras(records.iter().map(|record| record.position));
         let now = clock::now();
-        let mut has_news = false;
-        for record in passed {
+        let mut has_updates = false;
+        for record in records {
             let topic = record.topic;
             let record = KeyedRecord {
                 key: record.key,
                 value: record.value,
                 position: record.position,
             };
-            has_news |= self.fold(topic, slice::from_ref(&record), source, now);
+            has_updates |= self.fold(topic, slice::from_ref(&record), source, now);
         }
-        if has_news {
+        if has_updates {
             self.signal();
         }
     }
 
-    /// The record of a target, for a VM that does not know the target list.
+    /// Record of a target, for a VM that does not know the target list.
     #[must_use]
     pub fn target_record(&self, target: &TargetName) -> Option<ForwardedRecord> {
         self.tables()
@@ -69,8 +77,8 @@
             .passed(FeedTopic::Targets, target.as_str())
     }
 
-    /// Folds a record of the fleet that this VM appended. Where it lies at the end that was known, nothing remains to be
-    /// read before it.
+    /// Applies a record of the fleet topic that this VM appended. If it was appended at the known
+    /// end of the topic, no record before it is left to read.
     pub fn apply_own_record(&self, key: String, value: Vec<u8>, position: LogPosition) {
         if self.tables().fleet_end == Some(position) {
             self.note_end(FeedTopic::Fleet, position.plus(1));
@@ -78,45 +86,49 @@
         self.apply_forwarded(vec![ForwardedRecord {
             topic: FeedTopic::Fleet,
             key,
-            // A key without a value is dropped.
+            // An empty value removes the key.
             value: (!value.is_empty()).then(|| Bytes::from(value)),
             position,
         }]);
     }
 
-    /// Another VM can't read the log: this one may have to read for it. What it reads is passed on as news.
-    pub fn note_asked(&self) {
-        let until = clock::now().after(READS_FOR_OTHERS);
-        self.asked.send_replace(until);
+    /// Notes that another VM can't read the log, so that this one may have to read on its behalf
+    /// and forward the records.
+    pub fn note_read_request(&self) {
+        let until = clock::now().after(READ_REQUEST_TTL);
+        self.read_requests.send_replace(until);
     }
 
-    /// Whether another VM has lately said that it can't read the log.
+    /// Whether another VM reported within the last seconds that it can't read the log.
     #[must_use]
-    pub fn is_asked(&self) -> bool {
-        clock::now() < *self.asked.borrow()
+    pub fn has_read_request(&self) -> bool {
+        clock::now() < *self.read_requests.borrow()
     }
 
-    /// The records of topics from positions on, for a VM that has not read them itself, and up to where it then knows
-    /// everything of those that this VM knows whole. A VM that the log serves lists a long topic better itself.
+    /// Records of topics from the requested positions on, and the spans of those topics that this
+    /// VM knows completely. Long topics are left out for a VM that the log serves, as listing them
+    /// itself costs less.
     #[must_use]
     pub fn records_since(
         &self,
-        wanted: &[TopicEnd],
+        requested: &[TopicEnd],
         is_turned_away: bool,
     ) -> (Vec<ForwardedRecord>, Vec<TopicSpan>) {
-        let told = self.tellable_ends();
+        let forwardable = self.forwardable_ends();
         let tables = self.tables();
-        let is_told = |(topic, from): &&TopicEnd| {
-            is_turned_away || from.0 > 0 || tables.records.bytes(*topic) <= MOST_TOLD_BYTES
+        let is_forwarded = |(topic, from): &&TopicEnd| {
+            is_turned_away
+                || from.0 > 0
+                || tables.records.bytes(*topic) <= MAX_FORWARDED_TOPIC_BYTES
         };
-        let wanted: BTreeMap<FeedTopic, LogPosition> =
-            wanted.iter().filter(is_told).copied().collect();
-        let records = wanted
+        let requested: BTreeMap<FeedTopic, LogPosition> =
+            requested.iter().filter(is_forwarded).copied().collect();
+        let records = requested
             .iter()
             .flat_map(|(topic, from)| tables.records.since(*topic, *from));
-        let spans = told
+        let spans = forwardable
             .into_iter()
-            .filter(|(topic, _)| wanted.contains_key(topic))
+            .filter(|(topic, _)| requested.contains_key(topic))
             .map(|(topic, end)| TopicSpan {
                 topic,
                 since: tables.known_since.get(&topic).copied().unwrap_or(end),
@@ -125,25 +137,26 @@
         (records.collect(), spans.collect())
     }
 
-    /// Folds what another VM answered, and with it the topics of which that one knows every key.
-    pub fn take_answer(&self, records: Vec<ForwardedRecord>, spans: &[TopicSpan]) {
+    /// Applies the answer of another VM, including the spans of topics that it knows completely.
+    pub fn apply_answer(&self, records: Vec<ForwardedRecord>, spans: &[TopicSpan]) {
         self.learn_eras(spans.iter().map(|span| span.end));
         self.apply_forwarded(records);
         let was_ready = self.is_ready();
         for span in spans {
-            let is_whole = self.tables().note_told(*span);
-            if is_whole {
-                self.note_whole(*span, RecordSource::Passed);
+            let is_complete = self.tables().note_forwarded_span(*span);
+            if is_complete {
+                self.note_topic_known(*span, RecordSource::Forwarded);
             }
         }
         if self.is_ready() && !was_ready {
-            event!(Event::Ready, "by what another VM knows");
+            event!(Event::Ready, "from the records of another VM");
             self.signal();
         }
     }
 
-    /// Takes over up to where another VM, whose news this one has, knows everything.
-    pub fn take_ends(&self, ends: &[TopicEnd]) {
+    /// Applies the positions up to which another VM, whose updates this one has received, knows all
+    /// records.
+    pub fn apply_ends(&self, ends: &[TopicEnd]) {
         self.learn_eras(ends.iter().map(|(_, end)| *end));
         let mut tables = self.tables();
         for (topic, end) in ends {
@@ -153,10 +166,10 @@
         }
     }
 
-    /// Offsets up to which others know everything once they have this VM's records: not beyond a removal that is in doubt
-    /// here, as that is passed on when it counts.
+    /// Positions up to which other VMs know all records once they have this VM's records. An
+    /// unconfirmed removal is not forwarded until it is confirmed, so the position stays before it.
     #[must_use]
-    pub fn tellable_ends(&self) -> Vec<TopicEnd> {
+    pub fn forwardable_ends(&self) -> Vec<TopicEnd> {
         let tables = self.tables();
         let doubted = tables.catalog.first_doubted();
         let ends = tables
@@ -169,9 +182,9 @@
         ends.collect()
     }
 
-    /// How this VM's contact with the log stands, for others.
+    /// State of this VM's contact with the log, for other VMs.
     #[must_use]
-    pub fn log_report(&self) -> Option<ContactReport> {
+    pub fn contact_report(&self) -> Option<ContactReport> {
         let run = self.tables().contact.run()?;
         let now = clock::now();
         Some(ContactReport {
@@ -180,9 +193,9 @@
         })
     }
 
-    /// Another VM says how its contact with the log stands: an outage of this VM's own may turn out to be none of the
-    /// log's.
-    pub fn take_log_report(&self, vm: &VmName, report: Option<ContactReport>) {
+    /// Applies another VM's report of its contact with the log. It may show that an outage concerns
+    /// only this VM, and not the log.
+    pub fn apply_contact_report(&self, vm: &VmName, report: Option<ContactReport>) {
         let now = clock::now();
         let run = report.map(|report| AnswerRun {
             since: before(now, report.since_ms),
@@ -191,13 +204,13 @@
         {
             let mut tables = self.tables();
             tables.contact.take_report(vm, run);
-            tables.note_return();
+            tables.note_log_return();
         }
         self.expire();
     }
 
-    /// Another VM passes on its proof that the configuration is the newest.
-    pub fn take_proof(&self, proof: &PassedProof, echo: &BeatEcho) {
+    /// Applies another VM's proof that the configuration is the newest.
+    pub fn apply_proof(&self, proof: &PassedProof, echo: &BeatEcho) {
         let mut tables = self.tables();
         let Some(known) = tables.active.as_ref().map(|active| active.config.version) else {
             return;
@@ -205,11 +218,11 @@
         tables.proof.take_passed(proof, echo, known);
     }
 
-    /// What this VM lacks, for the VMs that it asks: of a topic that it never knew whole, everything, unless its zone is
-    /// too large for that.
+    /// Positions from which this VM lacks records, for its requests to other VMs. A topic that was
+    /// never complete is requested from the start, unless the zone is too large for that.
     #[must_use]
-    pub fn wanted(&self) -> Vec<TopicEnd> {
-        let may_be_all = self.learns_from_holder();
+    pub fn missing_ranges(&self) -> Vec<TopicEnd> {
+        let may_be_all = self.may_learn_from_holder();
         FeedTopic::ALL
             .into_iter()
             .filter(|topic| may_be_all || self.is_topic_known(*topic))
@@ -217,45 +230,45 @@
             .collect()
     }
 
-    /// Whether a VM of this zone that knows nothing yet is told everything by the zone's holder.
+    /// Whether the zone's holder sends all records to a VM of this zone that starts.
     #[must_use]
-    pub fn learns_from_holder(&self) -> bool {
-        self.zone_vms() <= MOST_TOLD
+    pub fn may_learn_from_holder(&self) -> bool {
+        self.zone_vms() <= MAX_INITIALIZED_VMS
     }
 
-    /// Asks all linked VMs for records: the log is out of reach.
-    pub fn ask_others(&self) {
-        self.pulls.send_modify(|count| *count += 1);
+    /// Requests records from all linked VMs because the log can't be reached.
+    pub fn request_records(&self) {
+        self.record_requests.send_modify(|count| *count += 1);
     }
 
-    /// A signal to ask the linked VMs for records.
+    /// Watches for requests to linked VMs.
     #[must_use]
-    pub fn watch_pulls(&self) -> watch::Receiver<u64> {
-        self.pulls.subscribe()
+    pub fn watch_record_requests(&self) -> watch::Receiver<u64> {
+        self.record_requests.subscribe()
     }
 
-    /// Until when this VM is asked to read for others, as it changes.
+    /// Watches the time until which this VM is asked to read on behalf of others.
     #[must_use]
-    pub fn watch_asked(&self) -> watch::Receiver<Instant> {
-        self.asked.subscribe()
+    pub fn watch_read_requests(&self) -> watch::Receiver<Instant> {
+        self.read_requests.subscribe()
     }
 
-    /// Topics that are known whole, as they become more.
+    /// Watches the number of complete topics.
     #[must_use]
-    pub fn watch_whole(&self) -> watch::Receiver<usize> {
-        self.whole.subscribe()
+    pub fn watch_known_topics(&self) -> watch::Receiver<usize> {
+        self.known_topics.subscribe()
     }
 
-    /// Topics that are known whole.
+    /// Number of complete topics.
     #[must_use]
-    pub fn whole_topics(&self) -> usize {
-        *self.whole.borrow()
+    pub fn known_topic_count(&self) -> usize {
+        *self.known_topics.borrow()
     }
 
-    /// A signal of records to pass on.
+    /// Watches for records to forward.
     #[must_use]
-    pub fn watch_news(&self) -> watch::Receiver<u64> {
-        self.news.subscribe()
+    pub fn watch_updates(&self) -> watch::Receiver<u64> {
+        self.updates.subscribe()
     }
 }
 
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -159,7 +159,7 @@
                 return true;
             }
             let knows_fleet = self.fleet.is_topic_known(FeedTopic::Fleet);
-            if knows_fleet && !(self.fleet.learns_from_holder() && self.may_be_told()) {
+            if knows_fleet && !(self.fleet.may_learn_from_holder() && self.may_be_told()) {
                 return false;
             }
             let until = *until.get_or_insert_with(|| Instant::now() + HOLDER_TELLS);
@@ -263,11 +263,11 @@
 
     /// Waits while the holder of the zone passes on what it reads, and others stand in for it.
     async fn wait_for_duty(&self) {
-        let mut asked = self.fleet.watch_asked();
+        let mut read_requests = self.fleet.watch_read_requests();
         while !self.has_duty() {
             self.reachability.stop_probing(self.topic);
             // The sender lives as long as the books.
-            let _ = timeout(DUTY_LOOK, asked.changed()).await;
+            let _ = timeout(DUTY_LOOK, read_requests.changed()).await;
         }
     }
 
@@ -287,7 +287,7 @@
             holder: self.holder_sight(),
             rank: self.fleet.rank(),
             zone_vms: self.fleet.zone_vms(),
-            is_asked: self.fleet.is_asked(),
+            is_asked: self.fleet.has_read_request(),
         };
         view.must_read()
     }
@@ -341,7 +341,7 @@
         if self.topic == FeedTopic::Targets {
             self.fleet.note_list_call(false);
         }
-        self.fleet.ask_others();
+        self.fleet.request_records();
         if self.failures == 0 {
             event!(Event::LogOut, "{:?}: {error}", self.topic);
         }
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -1,7 +1,10 @@
-//! What this VM knows: configuration, named versions, targets, leases and VMs.
+//! State of the fleet as this VM knows it: configuration, adapter versions, targets, leases and
+//! VMs.
 //!
-//! Records fold by what orders them by itself, such as a version, and else by position, so they may come from the log or from other
-//! VMs, in any order and more than once.
+//! [`FleetState`] guards the tables with one lock and signals changes to the workers of this VM.
+//! Records reach it from the platform log and from other VMs, in any order and more than once. A
+//! record that carries its own order, such as a configuration version, is applied by that order,
+//! and any other record by its log position.
 
 use crate::{
     clock,
@@ -50,34 +53,36 @@
 };
 use tokio::sync::watch;
 
-/// Key of the record of the log's era.
+/// Key of the record that describes the log's current era.
 pub const ERA_KEY: &str = "era";
-/// Start of the keys of VM records.
+/// Key prefix of VM records.
 pub const VM_KEY_PREFIX: &str = "vm/";
-/// Start of the keys of suspects.
+/// Key prefix of suspect records.
 pub const SUSPECT_KEY_PREFIX: &str = "suspect/";
-/// Start of the keys of zone leases.
+/// Key prefix of zone leases.
 pub const ZONE_KEY_PREFIX: &str = "zone/";
-/// Time for which an adapter that takes much of its home zone counts as at home everywhere. By then this VM's own count
-/// tells; it takes that long to rise after a shift of demand.
-const SOUGHT_FOR: Duration = Duration::from_secs(6);
-/// VMs that the retry budget is shared among at the least, so that one or two that join a small fleet do not go beyond it
-/// until the others know them.
-const FEWEST_SHARES: u32 = 8;
-
-/// A VM as recorded by itself; the record outlives its process, and a restart at the same address leaves it alone.
+/// Time for which an adapter in high demand counts as at home in every zone. By its end this VM's
+/// own demand count, which takes as long to rise after a shift of demand, shows the demand itself.
+const HIGH_DEMAND_TTL: Duration = Duration::from_secs(6);
+/// Lower bound of the number of VMs that the retry budget is divided by, so that one or two VMs
+/// that join a small fleet do not exceed the budget until the others know them.
+const MIN_BUDGET_SHARES: u32 = 8;
+
+/// Record that a VM writes about itself. It outlives the process, and a restart at the same address
+/// does not change it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Its zone.
+    /// Availability zone of the VM.
     pub zone: AvailabilityZone,
-    /// Where other VMs reach it.
+    /// Address at which other VMs reach it.
     pub address: SocketAddr,
-    /// Thousandths of a core that it has: the strongest VM of a zone gives its orders.
+    /// CPU capacity in thousandths of a core. The VM with the highest capacity holds its zone's
+    /// lease.
     #[serde(default)]
     pub strength: u32,
 }
 
-/// A configuration in force.
+/// Configuration in force, with its compiled routes.
 #[derive(Debug)]
 pub struct ActiveConfig {
     /// The configuration.
@@ -86,84 +91,87 @@
     pub routes: RouteTable,
 }
 
-/// Everything that is known, behind one lock.
+/// Tables of the fleet's state, guarded by one lock.
 #[derive(Debug)]
 pub struct FleetTables {
-    /// The configuration in force.
+    /// Configuration in force.
     pub active: Option<Arc<ActiveConfig>>,
-    /// The targets.
+    /// Known targets.
     pub catalog: TargetCatalog,
-    /// Named versions of adapters.
+    /// Current version of each named adapter.
     pub versions: HashMap<AdapterName, u64>,
-    /// Leases by zone.
+    /// Lease of each zone.
     pub leases: HashMap<AvailabilityZone, LeaseState>,
-    /// The VMs.
+    /// Records of the fleet's VMs.
     pub vms: HashMap<VmName, VmRecord>,
-    /// The newest era of the log that is known.
+    /// Newest known era of the log. An era begins when the log is restored from a backup.
     pub store_era: Option<StoreEra>,
-    /// Version of the newest configuration that the log holds in that era, as far as is known.
+    /// Newest configuration version that the log is known to hold in that era.
     pub stored_version: u64,
-    /// The era in which this VM listed the fleet's topic last.
+    /// Era in which this VM last listed the fleet topic.
     pub listed_era: Option<StoreEra>,
-    /// End of the fleet's topic as read.
+    /// End of the fleet topic as of the last read.
     pub fleet_end: Option<LogPosition>,
-    /// Time up to which all of the fleet's topic is known, and so the newest leases.
+    /// Time up to which all records of the fleet topic are known, and with them the newest leases.
     pub fleet_read_at: Option<Instant>,
-    /// The topics of which every key is known, by a listing of this VM's own or another's, and the position before which no
-    /// record is missing.
+    /// Topics of which every key is known, from a listing by this VM or another one, with the
+    /// position before which no record is missing.
     pub known_ends: BTreeMap<FeedTopic, LogPosition>,
-    /// Of those topics the position from which on every record is known, removals too.
+    /// For each of these topics the position from which on every record is known, removals
+    /// included.
     pub known_since: BTreeMap<FeedTopic, LogPosition>,
-    /// Topics that this VM has to read itself up to a position, as a listing of another VM left removals out.
+    /// Topics that this VM has to read itself up to a position, because the listing of another VM
+    /// left out removals.
     pub gaps: BTreeMap<FeedTopic, LogPosition>,
-    /// This VM's contact with the target list, and what others say of theirs.
+    /// Contact of this VM with the target list, and what other VMs report of theirs.
     pub contact: LogContact,
-    /// Outcomes of this VM's calls.
+    /// Health of targets by the outcomes of this VM's calls.
     pub health: HealthTable,
-    /// This VM's calls under way by target.
+    /// Open calls of this VM by target.
     pub in_flight: HashMap<TargetRun, u32>,
     /// This VM's share of the retry budget.
     pub retries: RetryShare,
-    /// How long streams of this VM took lately.
+    /// Recent duration of this VM's streams.
     pub streams: StreamPace,
-    /// What decisions weigh.
+    /// Weights of placement decisions.
     pub policy: PlacementPolicy,
-    /// How often callers of this VM ask for each adapter.
+    /// Request rate of this VM's callers by adapter.
     pub demand: DemandTable,
-    /// Adapters that take much of their home zone, and until when that counts.
+    /// Adapters in high demand in their home zone, and when that expires.
     pub sought: HashMap<AdapterName, Instant>,
-    /// Since when the configuration is known to be the newest.
+    /// Proof that the configuration is the newest, with its age.
     pub proof: ConfigProof,
-    /// Whether what the log holds of operators' records may lack the newest.
+    /// Whether the log may lack the newest operator records after a restore.
     pub copy_doubt: CopyDoubt,
-    /// What the log says of its present era.
+    /// Record of the log's current era.
     pub era_record: Option<EraRecord>,
-    /// Requests under which targets ended, by this VM's calls, others' word and the log.
+    /// Requests during which targets ended, from this VM's calls, other VMs and the log.
     pub suspects: SuspectTable,
-    /// Limits that targets named to this VM, or that others told of.
+    /// Limits that targets reported to this VM or to other VMs.
     pub limits: LimitTable,
-    /// Rests that targets asked this VM for.
+    /// Backoffs that targets requested from this VM.
     pub rests: RestTable,
-    /// The newest records, to be passed on.
+    /// Newest record of each key, to be forwarded to other VMs.
     pub records: RecordBook,
-    /// Pause before the first order after the claim that is under way.
+    /// Pause between the claim in progress and the first order.
     pub claim_delay: Duration,
-    /// When the turn after this VM's last claim is over.
+    /// Earliest time of an order after this VM's last claim.
     pub orders_from: Instant,
-    /// Token of this VM's claim by which it may give orders.
+    /// Fencing token of the claim with which this VM may give orders.
     pub confirmed_token: Option<FencingToken>,
-    /// Entries of the target list that could not be used.
+    /// Counts target list entries that could not be used.
     pub skipped_entries: EntryLogLimiter,
-    /// Headers in which targets tell of themselves that could not be read.
+    /// Counts unreadable headers in which targets describe themselves.
     pub unreadable_headers: EntryLogLimiter,
-    /// Targets that said in their answers that they leave, to be passed on.
+    /// Targets that announced in an answer that they are leaving, to be forwarded to other VMs.
     pub leaving: LeavingNews,
-    /// Where this VM itself is reached.
+    /// Addresses of this VM itself.
     pub(super) own_addresses: Vec<SocketAddr>,
 }
 
 impl FleetTables {
-    /// Whether a VM of this fleet is reached at an address, so that it can be no target's. All VMs have the same ports.
+    /// Whether a VM of this fleet has this address, which then can't be a target's. All VMs use the
+    /// same ports.
     #[must_use]
     pub fn is_own_address(&self, address: SocketAddr) -> bool {
         let mut own = self.own_addresses.iter();
@@ -174,13 +182,13 @@
         })
     }
 
-    /// Whether a holder said lately that an adapter takes much of its zone.
+    /// Whether a zone holder reported within the last seconds that an adapter is in high demand.
     #[must_use]
     pub fn is_sought(&self, adapter: &AdapterName, now: Instant) -> bool {
         self.sought.get(adapter).is_some_and(|until| now < *until)
     }
 
-    /// No record of a topic that is known whole is missing before a position.
+    /// Notes that no record of a complete topic is missing before a position.
     pub(super) fn advance(&mut self, topic: FeedTopic, end: LogPosition) {
         let Some(known) = self.known_ends.get_mut(&topic) else {
             return;
@@ -191,9 +199,10 @@
         }
     }
 
-    /// Another VM told all that it knows of a topic, but not what was removed before its listing: where this VM has listed the
-    /// topic before that one, it has to read on itself. Says whether nothing is missing.
-    pub(super) fn note_told(&mut self, span: TopicSpan) -> bool {
+    /// Notes that another VM forwarded all that it knows of a topic, except for removals before its
+    /// listing. Where this VM's own knowledge ends before that listing, it has to read the log
+    /// itself. Returns whether nothing is missing.
+    pub(super) fn note_forwarded_span(&mut self, span: TopicSpan) -> bool {
         let known = self.known_ends.get(&span.topic);
         let is_missing =
             |known: &LogPosition| !self.records.has_all(span.topic, *known, span.since);
@@ -204,8 +213,8 @@
         !self.gaps.contains_key(&span.topic)
     }
 
-    /// Whether keys that the configuration names are known to hold still: none of them was taken away so long ago that
-    /// it has to be refused.
+    /// Whether the API keys in the configuration may be trusted: no key can have been revoked so
+    /// long ago that it has to be refused.
     #[must_use]
     pub fn may_trust_keys(&self, rule: Option<RevocationRule>, now: Instant) -> bool {
         let is_keyed = |active: &Arc<ActiveConfig>| active.config.organisations.is_some();
@@ -213,14 +222,15 @@
             || !self.active.as_ref().is_some_and(is_keyed)
     }
 
-    /// This VM's proof that its configuration is the newest, for others.
+    /// Proof for other VMs that this VM's configuration is the newest.
     #[must_use]
-    pub fn passed_proof(&self, now: Instant) -> Option<PassedProof> {
+    pub fn freshness_proof(&self, now: Instant) -> Option<PassedProof> {
         let version = self.active.as_ref()?.config.version;
         self.proof.pass_on(version, now)
     }
 
-    /// The place of a VM in the order in which its zone's VMs take on duties.
+    /// Rank of this VM among the VMs of its zone that could take on its duties, without the lease
+    /// holder.
     #[must_use]
     pub fn rank(&self, fleet: &FleetState) -> u32 {
         let holder = self
@@ -236,25 +246,26 @@
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
 
-    /// Shares the retry budget, and what VMs without a holder send to limited targets, among the VMs that are known, once
-    /// all of them are.
-    pub(super) fn share_retries(&mut self) {
+    /// Divides the retry budget, and the rate that VMs without a holder may send to limited
+    /// targets, among the known VMs, once the fleet topic is complete.
+    pub(super) fn update_budget_shares(&mut self) {
         if self.known_ends.contains_key(&FeedTopic::Fleet) {
             let count = u32::try_from(self.vms.len()).unwrap_or(u32::MAX);
-            self.retries.set_vms(count.max(FEWEST_SHARES));
+            self.retries.set_vms(count.max(MIN_BUDGET_SHARES));
             self.limits
-                .set_share(1.0 / f64::from(count.max(FEWEST_SHARES)));
+                .set_share(1.0 / f64::from(count.max(MIN_BUDGET_SHARES)));
         }
     }
 
-    /// Targets that want nothing from this VM now.
+    /// Targets that currently ask this VM to back off.
     #[must_use]
     pub fn resting(&self, now: Instant) -> Vec<TargetName> {
         let resting = self.rests.resting(now);
         resting.map(|run| run.name.clone()).collect()
     }
 
-    /// Time until the first target of a service may be sent to again; none unless all of them rest.
+    /// Time until the first target of a service accepts calls again. `None` unless all of them
+    /// asked for a backoff.
     #[must_use]
     pub fn shortest_rest(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         if self.rests.is_empty() {
@@ -267,53 +278,53 @@
         rests?.into_iter().min()
     }
 
-    /// Whether the log has come back from a copy since the newest record of a zone's lease.
+    /// Whether the log was restored from a backup after the newest known record of a zone's lease.
     #[must_use]
     pub fn is_outdated(&self, zone: &AvailabilityZone) -> bool {
         let state = self.leases.get(zone).filter(|state| state.lease.is_some());
         state.is_some_and(|state| Some(state.position.era()) < self.store_era)
     }
 
-    /// Tells the catalog when the log came back, as it looks now.
-    pub(super) fn note_return(&mut self) {
+    /// Passes the time at which the log came back, as known now, to the catalog.
+    pub(super) fn note_log_return(&mut self) {
         self.catalog.log_returned(self.contact.returned());
     }
 }
 
-/// The books, and a signal of their changes.
+/// Tables of the fleet's state, and signals of their changes.
 #[derive(Debug)]
 pub struct FleetState {
-    /// This VM.
+    /// Name of this VM.
     pub vm: VmName,
-    /// The run of this process.
+    /// Incarnation of this process.
     pub incarnation: u64,
     started: Instant,
     /// Whether the whole fleet starts for the first time.
     pub(super) is_first_start: bool,
-    /// This VM's zone.
+    /// Zone of this VM.
     pub zone: AvailabilityZone,
-    /// How long keys that were taken away may still be served.
+    /// Bound on how long revoked API keys may still be accepted.
     pub revocation: Option<RevocationRule>,
-    /// How long operators take to write again what a copy of the log lacks.
+    /// How long operators take to rewrite records that a restored log lacks.
     pub rewrites: RewriteRule,
-    /// Thousandths of a core that this VM has.
+    /// CPU capacity of this VM in thousandths of a core.
     pub strength: u32,
-    /// Counts for the metrics page.
+    /// Counters of the metrics page.
     pub figures: DirectFigures,
-    /// VMs of this zone that are linked to this one and could take its lease over.
+    /// Linked VMs of this zone that could take over its lease.
     successors: Mutex<HashSet<VmName>>,
     stopping: watch::Sender<bool>,
     tables: Mutex<FleetTables>,
     changes: watch::Sender<u64>,
-    pub(super) pulls: watch::Sender<u64>,
-    pub(super) asked: watch::Sender<Instant>,
-    pub(super) news: watch::Sender<u64>,
-    pub(super) whole: watch::Sender<usize>,
+    pub(super) record_requests: watch::Sender<u64>,
+    pub(super) read_requests: watch::Sender<Instant>,
+    pub(super) updates: watch::Sender<u64>,
+    pub(super) known_topics: watch::Sender<usize>,
     pub(super) eras: watch::Sender<StoreEra>,
 }
 
 impl FleetState {
-    /// Empty books.
+    /// State without any record.
     #[must_use]
     pub fn new(settings: &DirectSettings, incarnation: u64) -> Self {
         let started = clock::now();
@@ -356,7 +367,7 @@
                 copy_doubt: CopyDoubt::default(),
                 era_record: None,
                 suspects: SuspectTable::default(),
-                limits: LimitTable::with_share(1.0 / f64::from(FEWEST_SHARES)),
+                limits: LimitTable::with_share(1.0 / f64::from(MIN_BUDGET_SHARES)),
                 rests: RestTable::default(),
                 records: RecordBook::default(),
                 claim_delay: Duration::ZERO,
@@ -368,26 +379,28 @@
                 own_addresses: Vec::new(),
             }),
             changes: watch::channel(0).0,
-            pulls: watch::channel(0).0,
-            asked: watch::channel(Instant(0)).0,
-            news: watch::channel(0).0,
-            whole: watch::channel(0).0,
+            record_requests: watch::channel(0).0,
+            read_requests: watch::channel(Instant(0)).0,
+            updates: watch::channel(0).0,
+            known_topics: watch::channel(0).0,
             eras: watch::channel(StoreEra::default()).0,
         }
     }
 
-    /// How long streams of this VM took lately.
+    /// Recent duration of this VM's streams.
     #[must_use]
     pub fn streams(&self) -> StreamPace {
         self.tables().streams
     }
 
-    /// The books.
+    /// Locks the tables.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     pub fn tables(&self) -> MutexGuard<'_, FleetTables> {
-        self.tables.lock().expect("no holder of the lock panics")
+        self.tables
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Time since this process started.
@@ -396,24 +409,24 @@
         clock::now().since(self.started)
     }
 
-    /// A planned stop of this VM begins.
+    /// Signals the start of a planned stop of this VM.
     pub fn begin_stop(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Whether a planned stop of this VM has begun, as it changes.
+    /// Watches whether a planned stop of this VM has begun.
     #[must_use]
     pub fn watch_stop(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
 
-    /// Whether another VM of the zone could take the lease over now.
+    /// Whether another VM of the zone could take over the lease now.
     #[must_use]
     pub fn has_successor(&self) -> bool {
         !self.successors().is_empty()
     }
 
-    /// A VM could take the lease over from now on, or no longer.
+    /// Notes whether a VM could take over the lease.
     pub fn note_successor(&self, vm: &VmName, is_one: bool) {
         if is_one {
             self.successors().insert(vm.clone());
@@ -425,16 +438,17 @@
     fn successors(&self) -> MutexGuard<'_, HashSet<VmName>> {
         self.successors
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     #[must_use]
     pub fn active(&self) -> Option<Arc<ActiveConfig>> {
         self.tables().active.clone()
     }
 
-    /// Whether callers can be served.
+    /// Whether callers can be served: configuration, targets and fleet are known, and API keys may
+    /// be trusted.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let tables = self.tables();
@@ -444,32 +458,34 @@
             && tables.may_trust_keys(self.revocation, clock::now())
     }
 
-    /// This VM's place in the order in which its zone's VMs take on duties, the strongest first.
+    /// Rank of this VM among those that could take on its zone's duties, the strongest first.
     #[must_use]
     pub fn rank(&self) -> u32 {
         self.tables().rank(self)
     }
 
-    /// A signal that fires after changes.
+    /// Watches for changes of the tables.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Fires the signal.
+    /// Signals a change of the tables.
     pub fn signal(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// A holder said that an adapter takes much of its zone.
+    /// Notes a holder's report that an adapter is in high demand in its zone.
     pub fn note_sought(&self, adapter: &AdapterName) {
         let now = clock::now();
         let mut tables = self.tables();
         tables.sought.retain(|_, until| now < *until);
-        tables.sought.insert(adapter.clone(), now.after(SOUGHT_FOR));
+        tables
+            .sought
+            .insert(adapter.clone(), now.after(HIGH_DEMAND_TTL));
     }
 
-    /// Offset up to which every record of a topic is known; 0 as long as it is not known whole.
+    /// Position before which every record of a topic is known; 0 until the topic is complete.
     #[must_use]
     pub fn known_end(&self, topic: FeedTopic) -> LogPosition {
         let tables = self.tables();
@@ -480,7 +496,7 @@
             .unwrap_or(LogPosition(0))
     }
 
-    /// Whether this VM has to read a topic itself, whoever else does.
+    /// Whether this VM has to read a topic itself, even if others read it too.
     #[must_use]
     pub fn has_gap(&self, topic: FeedTopic) -> bool {
         self.tables().gaps.contains_key(&topic)
@@ -492,7 +508,7 @@
         self.tables().known_ends.contains_key(&topic)
     }
 
-    /// VMs recorded in this VM's zone.
+    /// Number of VMs recorded in this VM's zone.
     #[must_use]
     pub fn zone_vms(&self) -> usize {
         let tables = self.tables();
@@ -503,7 +519,7 @@
         zone.count()
     }
 
-    /// Whether a target is about to leave, or gone.
+    /// Whether a target is draining or unknown.
     #[must_use]
     pub fn is_leaving(&self, target: &str) -> bool {
         let name = TargetName::new(target);
@@ -513,14 +529,15 @@
             .is_none_or(|entry| entry.stage == TargetStage::Draining)
     }
 
-    /// The holder of a zone by the newest record, and where it is reached.
+    /// Newest known lease of a zone.
     #[must_use]
     pub fn lease(&self, zone: &AvailabilityZone) -> Option<ZoneLease> {
         self.tables().leases.get(zone)?.lease.clone()
     }
 
-    /// All of the operators' records that the log had when a read was sent are known. A copy that is older than the configuration in
-    /// force proves nothing, nor does one that may lack the newest.
+    /// Notes that every operator record that the log held at `sent` is known. A log that is older
+    /// than the configuration in force, or that may lack the newest records after a restore, proves
+    /// nothing.
     pub fn note_config_read(&self, sent: Instant) {
         let mut tables = self.tables();
         let version = tables.active.as_ref().map(|active| active.config.version);
@@ -530,22 +547,22 @@
         }
     }
 
-    /// Whether keys are known to hold still.
+    /// Whether API keys may be trusted.
     #[must_use]
     pub fn may_trust_keys(&self) -> bool {
         self.tables().may_trust_keys(self.revocation, clock::now())
     }
 
-    /// When it is worth coming back while keys are not known to hold still.
+    /// Time after which a retry is worthwhile while API keys can't be trusted.
     #[must_use]
     pub fn key_retry_after(&self) -> Option<Duration> {
         self.tables().copy_doubt.remaining(clock::now())
     }
 
-    /// All of the fleet's topic is known as of then.
+    /// Notes that every record of the fleet topic is known as of a time.
     pub fn note_fleet_read(&self, known_at: Instant) {
         let mut tables = self.tables();
-        // Claims may be lost until this zone is claimed in the present history.
+        // Claims may be lost until this zone is claimed in the current era.
         if tables.is_outdated(&self.zone) {
             return;
         }
@@ -553,7 +570,7 @@
         *known = known_at.max(*known);
     }
 
-    /// Targets of a service in a zone, whatever their stage.
+    /// Targets of a service in a zone, in any stage.
     #[must_use]
     pub fn zone_targets(
         &self,
@@ -581,7 +598,7 @@
     format!("{VM_KEY_PREFIX}{vm}")
 }
 
-/// Key of a suspect.
+/// Key of a suspect's record.
 #[must_use]
 pub fn suspect_key(fingerprint: RequestFingerprint) -> String {
     format!("{SUSPECT_KEY_PREFIX}{:016x}", fingerprint.0)
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -93,7 +93,7 @@
     let name = TargetName::new(&record.key);
     let was_ready = is_ready(&tables.catalog, &name);
     let is_news = match &record.value {
-        None if source == RecordSource::Passed => tables.catalog.settle(&name, record.position),
+        None if source == RecordSource::Forwarded => tables.catalog.settle(&name, record.position),
         None => tables.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
             Ok(entry) if tables.is_own_address(entry.address) => {
@@ -331,7 +331,7 @@
     match serde_json::from_slice(value) {
         Ok(recorded) => {
             tables.vms.insert(VmName::new(vm), recorded);
-            tables.share_retries();
+            tables.update_budget_shares();
         }
         Err(error) => event!(Event::RecordSkipped, "VM {vm}: {error}"),
     }
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -30,9 +30,9 @@
     /// In a read of its own.
     Read,
     /// From another VM.
-    Passed,
+    Forwarded,
     /// From another VM that was asked for it.
-    Asked,
+    Requested,
 }
 
 impl FleetState {
@@ -45,7 +45,7 @@
         } else {
             tables.contact.failed(now);
         }
-        tables.note_return();
+        tables.note_log_return();
     }
 
     /// Folds a listing of the newest record of each key.
@@ -69,7 +69,7 @@
             since: listing.end,
             end: listing.end,
         };
-        self.note_whole(span, RecordSource::Listed);
+        self.note_topic_known(span, RecordSource::Listed);
         self.note_end(topic, listing.end);
         if topic == FeedTopic::Fleet {
             self.tables().listed_era = Some(listing.end.era());
@@ -78,9 +78,9 @@
     }
 
     /// Every key of a topic is known, and no record before a position is missing.
-    pub(super) fn note_whole(&self, span: TopicSpan, source: RecordSource) {
+    pub(super) fn note_topic_known(&self, span: TopicSpan, source: RecordSource) {
         let TopicSpan { topic, since, end } = span;
-        let whole = {
+        let known_topics = {
             let mut tables = self.tables();
             if !tables.known_ends.contains_key(&topic) {
                 event!(
@@ -99,12 +99,12 @@
             }
             tables.known_ends.entry(topic).or_insert(end);
             tables.advance(topic, end);
-            tables.share_retries();
+            tables.update_budget_shares();
             tables.known_ends.len()
         };
-        self.whole.send_if_modified(|known| {
-            let is_more = *known != whole;
-            *known = whole;
+        self.known_topics.send_if_modified(|known| {
+            let is_more = *known != known_topics;
+            *known = known_topics;
             is_more
         });
     }
@@ -140,7 +140,7 @@
         let mut has_news = false;
         let mut tables = self.tables();
         // What a VM takes in before it knows a topic, every VM lists or is told as well.
-        let is_own = matches!(source, RecordSource::Listed | RecordSource::Asked);
+        let is_own = matches!(source, RecordSource::Listed | RecordSource::Requested);
         let is_first = is_own && !tables.known_ends.contains_key(&topic);
         for record in records {
             let is_newer = tables.records.is_newer(topic, &record.key, record.position);
@@ -184,7 +184,7 @@
     /// Tells the links how far the news goes.
     pub(super) fn announce(&self, tables: &FleetTables) {
         let head = tables.records.head() + tables.leaving.head();
-        self.news.send_if_modified(|known| {
+        self.updates.send_if_modified(|known| {
             let is_more = *known != head;
             *known = head;
             is_more
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -1,7 +1,8 @@
-//! Links between VMs: WebSocket with CBOR messages.
+//! Links between VMs: WebSocket connections with CBOR messages.
 //!
-//! A gateway dials the holder of a zone; questions, answers and signs of life go over the one connection. A link that
-//! breaks or falls silent ends, and whoever needs it dials anew.
+//! A gateway dials the holder of a zone, and requests, replies and heartbeats share that
+//! connection. A link that breaks or stays silent for too long ends, and the gateway dials again
+//! when it needs one.
 
 use crate::{
     clock,
@@ -37,58 +38,54 @@
     tungstenite::{Message, protocol::WebSocketConfig},
 };
 
-/// Messages that wait for a socket.
-const OUTBOUND: usize = 512;
-/// Pause between two signs of life.
-const BEAT: Duration = Duration::from_millis(400);
-/// Silence after which a link ends.
-const SILENCE: Duration = Duration::from_millis(1_300);
-/// Time for a connection and the first messages.
-const CONNECT_WITHIN: Duration = Duration::from_millis(600);
-/// Bytes that a socket buffers for reading.
-const READ_BUFFER: usize = 4 * 1024;
-/// Largest message.
-const MESSAGE_BYTES: usize = 8 << 20;
+/// Capacity of the queue of messages for one socket.
+const OUTBOUND_QUEUE_LEN: usize = 512;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Time without a message after which a link ends.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_300);
+/// Time limit for the connection and the handshake.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
+const READ_BUFFER_BYTES: usize = 4 * 1024;
+const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// How the contact with a VM stands.
+/// State of the link to a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkStatus {
-    /// Being dialled.
+    /// The connection is being made.
     Dialling,
-    /// Up.
+    /// Connected.
     Up,
-    /// It ended, or the dialled address refused or belongs to another run.
+    /// The link ended, the address refused the connection, or another incarnation answered there.
     Ended {
-        /// Whether the process is known to have ended.
+        /// Whether the dialled process is known to have ended.
         is_process_gone: bool,
-        /// When it ended.
+        /// When the link ended.
         at: Instant,
     },
 }
 
 #[derive(Debug)]
 struct LinkState {
-    contact: LinkStatus,
-    /// When the VM was last heard.
+    status: LinkStatus,
     heard: Instant,
-    waiting: HashMap<u64, oneshot::Sender<PlaceReply>>,
+    pending_replies: HashMap<u64, oneshot::Sender<PlaceReply>>,
 }
 
-/// The dialling side of a link to one run of a VM.
+/// Dialling side of a link to one incarnation of a VM.
 #[derive(Clone, Debug)]
 pub struct VmLink {
     outbound: mpsc::Sender<VmMessage>,
     state: Arc<Mutex<LinkState>>,
-    /// The run that is meant.
+    /// The dialled incarnation.
     pub incarnation: u64,
-    /// Whether an earlier link to the same run ended.
+    /// Whether an earlier link to the same incarnation ended.
     pub is_redial: bool,
 }
 
 impl VmLink {
-    /// Dials a VM; `first` goes out right after the hello.
+    /// Dials a VM. `initial_messages` are sent right after the handshake.
     #[must_use]
     pub fn dial(
         fleet: &Arc<FleetState>,
@@ -97,14 +94,14 @@
         address: SocketAddr,
         incarnation: u64,
         earlier: Option<&Self>,
-        first: Vec<VmMessage>,
+        initial_messages: Vec<VmMessage>,
     ) -> Self {
         let heard = earlier.map_or_else(clock::now, Self::heard);
-        let (outbound, receiver) = mpsc::channel(OUTBOUND);
+        let (outbound, receiver) = mpsc::channel(OUTBOUND_QUEUE_LEN);
         let state = Arc::new(Mutex::new(LinkState {
-            contact: LinkStatus::Dialling,
+            status: LinkStatus::Dialling,
             heard,
-            waiting: HashMap::new(),
+            pending_replies: HashMap::new(),
         }));
         let worker = DialWorker {
             fleet: Arc::clone(fleet),
@@ -114,7 +111,7 @@
             incarnation,
             state: Arc::clone(&state),
         };
-        tokio::spawn(worker.run(receiver, first));
+        tokio::spawn(worker.run(receiver, initial_messages));
         Self {
             outbound,
             state,
@@ -123,59 +120,63 @@
         }
     }
 
-    /// When the VM was last heard, over this link or an earlier one to the same run.
+    /// When the VM last sent a message over this link or an earlier one to the same incarnation.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     #[must_use]
     pub fn heard(&self) -> Instant {
         self.state
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .heard
     }
 
-    /// How the contact stands.
+    /// State of the link.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     #[must_use]
     pub fn contact(&self) -> LinkStatus {
         self.state
             .lock()
-            .expect("no holder of the lock panics")
-            .contact
+            .expect("no thread panics while it holds the lock")
+            .status
     }
 
-    /// Whether the VM was heard within a span. A link that is being dialled counts from its start.
+    /// Whether the VM sent a message within a time span. A first link counts from the start of
+    /// dialling.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     #[must_use]
     pub fn is_heard_within(&self, span: Duration) -> bool {
         clock::now().since(self.heard()) <= span
     }
 
-    /// Asks for a placement; the receiver fails when the link ends.
+    /// Sends a request to the holder. The receiver fails when the link ends.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<PlaceReply>> {
         let (sender, receiver) = oneshot::channel();
         {
-            let mut state = self.state.lock().expect("no holder of the lock panics");
-            if matches!(state.contact, LinkStatus::Ended { .. }) {
+            let mut state = self
+                .state
+                .lock()
+                .expect("no thread panics while it holds the lock");
+            if matches!(state.status, LinkStatus::Ended { .. }) {
                 return None;
             }
-            state.waiting.insert(number, sender);
+            state.pending_replies.insert(number, sender);
         }
         self.outbound.try_send(message).ok()?;
         Some(receiver)
     }
 
-    /// Sends a message if the link has room for it.
+    /// Sends a message without a reply; drops it if the queue is full.
     pub fn tell(&self, message: VmMessage) {
-        // A full or ended link: the holder forgets the gateway's calls with the link.
+        // When a link ends, the holder discards the gateway's calls anyway.
         drop(self.outbound.try_send(message));
     }
 }
@@ -190,49 +191,49 @@
 }
 
 impl DialWorker {
-    async fn run(self, mut outbound: mpsc::Receiver<VmMessage>, first: Vec<VmMessage>) {
-        let dialled = timeout(CONNECT_WITHIN, self.dial()).await;
-        let is_process_gone = match dialled {
+    async fn run(self, mut outbound: mpsc::Receiver<VmMessage>, initial_messages: Vec<VmMessage>) {
+        let result = timeout(CONNECT_TIMEOUT, self.dial()).await;
+        let is_process_gone = match result {
             Ok(Ok(mut socket)) => {
                 event!(Event::LinkUp, "{}", self.vm);
                 self.note_heard(clock::now());
-                self.set_contact(LinkStatus::Up);
-                for message in first {
+                self.set_status(LinkStatus::Up);
+                for message in initial_messages {
                     if send(&mut socket, &message).await.is_err() {
                         break;
                     }
                 }
-                self.pass(socket, &mut outbound).await;
+                self.relay_messages(socket, &mut outbound).await;
                 event!(Event::LinkBroken, "{}", self.vm);
                 false
             }
             Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
             Err(_) => false,
         };
-        self.set_contact(LinkStatus::Ended {
+        self.set_status(LinkStatus::Ended {
             is_process_gone,
             at: clock::now(),
         });
-        // Whoever waits sees its sender dropped.
+        // Dropping the senders fails the requests that wait for a reply.
         self.state
             .lock()
-            .expect("no holder of the lock panics")
-            .waiting
+            .expect("no thread panics while it holds the lock")
+            .pending_replies
             .clear();
     }
 
     fn note_heard(&self, heard: Instant) {
         self.state
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .heard = heard;
     }
 
-    fn set_contact(&self, contact: LinkStatus) {
+    fn set_status(&self, status: LinkStatus) {
         self.state
             .lock()
-            .expect("no holder of the lock panics")
-            .contact = contact;
+            .expect("no thread panics while it holds the lock")
+            .status = status;
     }
 
     async fn dial(&self) -> io::Result<Socket> {
@@ -257,18 +258,20 @@
                 if incarnation == self.incarnation {
                     Ok(socket)
                 } else {
-                    // Another run answers: the one that is meant has ended.
+                    // Another incarnation answers at this address, so the dialled one has ended.
                     Err(io::ErrorKind::ConnectionRefused.into())
                 }
             }
-            _ => Err(io::Error::other("no welcome of this version")),
+            _ => Err(io::Error::other(
+                "peer sent no welcome of this message version",
+            )),
         }
     }
 
-    /// Passes messages until the link breaks.
-    async fn pass(&self, mut socket: Socket, outbound: &mut mpsc::Receiver<VmMessage>) {
+    /// Relays messages until the link breaks.
+    async fn relay_messages(&self, mut socket: Socket, outbound: &mut mpsc::Receiver<VmMessage>) {
         let mut heard = clock::now();
-        let mut heartbeat = interval(BEAT);
+        let mut heartbeat = interval(HEARTBEAT_INTERVAL);
         heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let is_same_zone = self.zone == self.fleet.zone;
         let mut sharing = RecordSharing::new(&self.fleet, is_same_zone);
@@ -278,7 +281,7 @@
             return;
         }
         let mut stopping = self.fleet.watch_stop();
-        let mut is_told = !is_same_zone;
+        let mut is_stop_sent = !is_same_zone;
         loop {
             tokio::select! {
                 message = sharing.next() => {
@@ -286,8 +289,8 @@
                         return;
                     }
                 }
-                () = stop_begun(&mut stopping), if !is_told => {
-                    is_told = true;
+                () = wait_for_stop(&mut stopping), if !is_stop_sent => {
+                    is_stop_sent = true;
                     if send(&mut socket, &VmMessage::Stopping).await.is_err() {
                         return;
                     }
@@ -304,13 +307,13 @@
                         self.note_heard(heard);
                         sharing.answer(&message);
                         if let Some(message) = sharing.take(&self.vm, message) {
-                            self.take(message);
+                            self.deliver_reply(message);
                         }
                     }
                     Ok(None) | Err(_) => return,
                 },
                 _ = heartbeat.tick() => {
-                    if clock::now().since(heard) > SILENCE
+                    if clock::now().since(heard) > SILENCE_TIMEOUT
                         || send(&mut socket, &sharing.heartbeat()).await.is_err()
                     {
                         return;
@@ -320,7 +323,7 @@
         }
     }
 
-    fn take(&self, message: VmMessage) {
+    fn deliver_reply(&self, message: VmMessage) {
         let (number, reply) = match message {
             VmMessage::Placed(number, answer) => (number, PlaceReply::Answer(answer)),
             VmMessage::Paid(number, after_ms) => (number, PlaceReply::Paid(after_ms)),
@@ -329,22 +332,21 @@
             VmMessage::NotHolder(number) => (number, PlaceReply::NotHolder),
             _ => return,
         };
-        let waiting = self
+        let pending_replies = self
             .state
             .lock()
-            .expect("no holder of the lock panics")
-            .waiting
+            .expect("no thread panics while it holds the lock")
+            .pending_replies
             .remove(&number);
-        if let Some(sender) = waiting {
-            // The call may have given up waiting.
+        if let Some(sender) = pending_replies {
+            // The call may have stopped waiting.
             drop(sender.send(reply));
         }
     }
 }
 
-/// Waits until a planned stop of this VM begins.
-async fn stop_begun(stopping: &mut watch::Receiver<bool>) {
-    // The sender lives as long as the books.
+async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
+    // `FleetState` keeps the sender alive.
     let _ = stopping.wait_for(|is_stopping| *is_stopping).await;
 }
 
@@ -356,14 +358,15 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors, most likely: give others time to close some.
+            // Most likely the process is out of file descriptors, and other connections need time
+            // to close.
             sleep(Duration::from_millis(50)).await;
             continue;
         };
         let fleet = Arc::clone(&fleet);
         let zone = zone.clone();
         tokio::spawn(async move {
-            // A link that breaks is dialled anew by the other side, which logs it.
+            // The dialling side logs a broken link and dials again.
             let _ = serve_link(stream, &fleet, &zone).await;
         });
     }
@@ -383,11 +386,11 @@
         let Some(VmMessage::Hello {
             version,
             vm,
-            zone: their_zone,
+            zone: peer_zone,
             ..
         }) = hello
         else {
-            return Err(io::Error::other("no hello"));
+            return Err(io::Error::other("first message of the peer is not a hello"));
         };
         let welcome = VmMessage::Welcome {
             version: MESSAGE_VERSION,
@@ -395,18 +398,18 @@
         };
         send(&mut socket, &welcome).await?;
         if version == MESSAGE_VERSION {
-            Ok((socket, vm, their_zone))
+            Ok((socket, vm, peer_zone))
         } else {
-            Err(io::Error::other("another version"))
+            Err(io::Error::other("peer uses another message version"))
         }
     };
-    let (mut socket, vm, their_zone) = timeout(CONNECT_WITHIN, handshake).await??;
-    let is_same_zone = their_zone == fleet.zone;
+    let (mut socket, vm, peer_zone) = timeout(CONNECT_TIMEOUT, handshake).await??;
+    let is_same_zone = peer_zone == fleet.zone;
     let mut sharing = RecordSharing::new(fleet, is_same_zone);
     fleet.note_successor(&vm, is_same_zone);
-    let (outbound, mut replies) = mpsc::channel(OUTBOUND);
+    let (outbound, mut replies) = mpsc::channel(OUTBOUND_QUEUE_LEN);
     let mut heard = clock::now();
-    let mut heartbeat = interval(BEAT);
+    let mut heartbeat = interval(HEARTBEAT_INTERVAL);
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let ended = loop {
         tokio::select! {
@@ -439,7 +442,7 @@
                 Err(error) => break Err(error),
             },
             _ = heartbeat.tick() => {
-                if clock::now().since(heard) > SILENCE {
+                if clock::now().since(heard) > SILENCE_TIMEOUT {
                     break Err(io::ErrorKind::TimedOut.into());
                 }
                 if let Err(error) = send(&mut socket, &sharing.heartbeat()).await {
@@ -449,7 +452,7 @@
         }
     };
     fleet.note_successor(&vm, false);
-    // The worker ends with the process.
+    // The zone worker ends only with the process.
     let _ = zone.send(ZoneEvent::GatewayGone(vm)).await;
     ended
 }
@@ -480,7 +483,7 @@
             ReplyTo::Link(outbound.clone()),
         )),
         VmMessage::GiveBack(charge) => Some(ZoneEvent::GiveBack(charge)),
-        VmMessage::LimitNamed(named) => Some(ZoneEvent::LimitNamed(named)),
+        VmMessage::LimitNamed(limit) => Some(ZoneEvent::LimitNamed(limit)),
         VmMessage::EndedUnder(ended) => Some(ZoneEvent::EndedUnder(ended)),
         VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::Trial(
             key(number),
@@ -510,20 +513,23 @@
 
 fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .read_buffer_size(READ_BUFFER)
-        .max_message_size(Some(MESSAGE_BYTES))
-        .max_frame_size(Some(MESSAGE_BYTES))
+        .read_buffer_size(READ_BUFFER_BYTES)
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 async fn send(socket: &mut Socket, message: &VmMessage) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(message, &mut bytes).map_err(io::Error::other)?;
-    timeout(SILENCE, socket.send(Message::Binary(Bytes::from(bytes))))
-        .await?
-        .map_err(io::Error::other)
+    timeout(
+        SILENCE_TIMEOUT,
+        socket.send(Message::Binary(Bytes::from(bytes))),
+    )
+    .await?
+    .map_err(io::Error::other)
 }
 
-/// Receives a message; none when the other side closed. Safe to drop between two messages.
+/// Receives a message; `None` when the peer closed the link. Cancel-safe between two messages.
 async fn receive(socket: &mut Socket) -> io::Result<Option<VmMessage>> {
     loop {
         match socket.next().await {
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -1,4 +1,7 @@
 //! Messages between VMs in direct mode.
+//!
+//! They are sent as CBOR over the links of [`links`](super::links), also between VMs of different
+//! builds. The names of fields and variants are part of the encoding.
 
 use bytes::Bytes;
 use hoplanding_core::{
@@ -17,34 +20,34 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Version of the messages; VMs of different versions do not link.
+/// Version of the messages. VMs with different versions do not link.
 pub const MESSAGE_VERSION: u32 = 11;
 
-/// How a call ended at a target, for the holder.
+/// Report to the holder that a call ended at a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CompletedCall {
     /// The gateway's number of the call.
     pub number: u64,
-    /// The target that it was sent to.
+    /// Target that the call was sent to.
     pub target: TargetName,
-    /// The target's life then.
+    /// Incarnation of the target that the call was sent to.
     pub life: TargetLife,
-    /// What that says about the target; nothing where the caller left.
+    /// Outcome at the target; `None` if the caller left.
     pub outcome: Option<CallEnd>,
 }
 
-/// [`CallOutcome`] on the wire, with what only the holder acts on.
+/// [`CallOutcome`] on the wire, with outcomes that only the holder acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// Answered well.
+    /// Answered successfully.
     Good,
-    /// Failed or broken off.
+    /// Failed, or broke off the answer.
     Failed,
-    /// No connection.
+    /// No connection could be made.
     Unreached,
-    /// Turned away as full.
+    /// Rejected because the target is full.
     Shed {
-        /// Time for which the target asked for rest, in milliseconds.
+        /// Backoff requested by the target, in milliseconds.
         rest_ms: u32,
     },
     /// The target lacked the adapter or its version.
@@ -52,7 +55,7 @@
 }
 
 impl CallEnd {
-    /// What it says about the target's health.
+    /// Outcome for the target's health, if it affects health.
     #[must_use]
     pub fn health(self) -> Option<CallOutcome> {
         match self {
@@ -68,50 +71,51 @@
     }
 }
 
-/// A record of the platform's log that one VM passes on to another.
+/// Platform log record that one VM forwards to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ForwardedRecord {
-    /// Its topic.
+    /// Topic of the record.
     pub topic: FeedTopic,
-    /// Its key.
+    /// Key of the record.
     pub key: String,
-    /// Its value; none for a dropped key.
+    /// Value of the record; `None` for a removed key.
     pub value: Option<Bytes>,
-    /// Its position.
+    /// Position in the topic.
     pub position: LogPosition,
 }
 
-/// An position of a topic before which everything is known.
+/// Position in a topic before which all records are known.
 pub type TopicEnd = (FeedTopic, LogPosition);
 
-/// The records of a topic that a VM knows whole.
+/// Range of a topic that a VM knows completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TopicSpan {
     /// The topic.
     pub topic: FeedTopic,
-    /// Offset from which on it knows every record; of those before, the newest of each key that was left at its listing.
+    /// Position from which on every record is known. Of earlier records only the newest of each key
+    /// that its listing still contained is known.
     pub since: LogPosition,
-    /// Offset before which no record is missing.
+    /// Position before which no record is missing.
     pub end: LogPosition,
 }
 
-/// A run of answers from the platform's log, by the ages of its ends.
+/// Uninterrupted run of answers from the platform log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ContactReport {
-    /// Age of its first answer, in milliseconds.
+    /// Age of the first answer of the run, in milliseconds.
     pub since_ms: u32,
-    /// Age of its last answer, in milliseconds.
+    /// Age of the last answer of the run, in milliseconds.
     pub last_ms: u32,
 }
 
-/// The topics that VMs read.
+/// Topics of the platform log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FeedTopic {
-    /// What operators write.
+    /// Records written by operators.
     Operators,
     /// The target list.
     Targets,
-    /// The fleet's own records.
+    /// Records written by the VMs.
     Fleet,
 }
 
@@ -120,97 +124,100 @@
     pub const ALL: [Self; 3] = [Self::Operators, Self::Targets, Self::Fleet];
 }
 
-/// A message between VMs.
+/// Message between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VmMessage {
-    /// First message of the VM that dialled.
+    /// First message of the dialling VM.
     Hello {
         /// Version of the messages.
         version: u32,
-        /// The VM.
+        /// The dialling VM.
         vm: VmName,
-        /// The run of its process.
+        /// Incarnation of its process.
         incarnation: u64,
         /// Its zone.
         zone: AvailabilityZone,
     },
-    /// First answer.
+    /// Answer to `Hello`.
     Welcome {
         /// Version of the messages.
         version: u32,
-        /// The run of the process.
+        /// Incarnation of the answering process.
         incarnation: u64,
     },
-    /// Sign of life.
+    /// Heartbeat.
     Beat {
-        /// The sender's present run of answers from the log; none if it has none.
+        /// The sender's current run of answers from the log, if any.
         contact: Option<ContactReport>,
-        /// Offsets up to which the receiver knows all that the sender knows, if it has asked before.
+        /// Positions up to which the receiver knows all that the sender knows, if it made a request
+        /// before.
         ends: Vec<TopicEnd>,
-        /// The sender's clock, in microseconds, to be given back.
+        /// The sender's clock in microseconds, to be echoed.
         sent: u64,
-        /// The receiver's last sign of life that came over this link.
+        /// Echo of the receiver's last heartbeat on this link.
         echo: Option<BeatEcho>,
-        /// The sender's proof that its configuration is the newest.
+        /// Proof that the sender's configuration is the newest.
         proof: Option<PassedProof>,
     },
-    /// Place a call.
+    /// Requests the placement of a call.
     Place(u64, Box<PlacementAsk>),
-    /// Place a call of a plain service.
+    /// Requests the placement of a call of a plain service.
     PlacePlain(u64, Box<PlainAsk>),
-    /// Where a call goes.
+    /// Placement of a call.
     Placed(u64, PlacementAnswer),
-    /// The receiver does not hold the zone.
+    /// The receiver of the request does not hold the zone.
     NotHolder(u64),
-    /// The first event of a call came from the target that it was sent to, made by this version of the base model,
-    /// if the answer tells it.
+    /// The first event of a call came from its target, with the version of the base model if the
+    /// answer names it.
     Begun(u64, TargetName, Option<u64>),
     /// A call ended.
     Ended(CompletedCall),
-    /// The gateway no longer wants a placement.
+    /// The gateway no longer needs a placement.
     Withdrawn(u64),
-    /// Pay a call's charge out of the receiver's part of its organisation's quota.
+    /// Requests a charge against the receiver's part of an organisation's quota.
     Pay(u64, QuotaCharge),
-    /// It is paid, or there will be enough after so many milliseconds.
+    /// The charge is paid, or how many milliseconds pass until the quota suffices.
     Paid(u64, Option<u32>),
-    /// A call that was paid for did not run.
+    /// Returns the charge of a call that was not run.
     GiveBack(QuotaCharge),
-    /// A target ended while a request ran there.
+    /// A target ended while a request ran on it.
     EndedUnder(EndedUnder),
-    /// Grant a trial of a suspect.
+    /// Requests a permit for a trial of a suspect.
     Trial(u64, RequestFingerprint),
-    /// Whether a trial is granted.
+    /// Answer to `Trial`.
     TrialAnswered(u64, TrialAnswer),
-    /// A trial ended, answered well or not.
+    /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
-    /// An answer told of a target's limit.
+    /// A target reported its limit in an answer.
     LimitNamed(NamedLimit),
-    /// A call that was open before the link.
+    /// A call that was open before this link existed.
     Open(u64, TargetName, TargetLife, AdapterName),
-    /// The sender, a stronger VM of the zone, would rather hold it than the receiver by the lease at this position.
+    /// The sender, a stronger VM of the zone, asks the receiver to give up its lease at this
+    /// position.
     LeaseWanted(LogPosition),
-    /// The sender's planned stop has begun: it takes on no duty any more.
+    /// The sender's planned stop has begun, and it takes on no more duties.
     Stopping,
-    /// Tell the record of a target: the sender does not know the target list yet.
+    /// Requests the record of a target, as the sender does not know the target list yet.
     TargetWanted(u64, TargetName),
-    /// The record of a target that is known.
+    /// Record of the requested target, if it is known.
     TargetTold(u64, Option<ForwardedRecord>),
-    /// Records that may be news.
+    /// Records that the receiver may not know.
     Records(Vec<ForwardedRecord>),
-    /// Targets that said in their answers that they leave.
+    /// Targets that announced in an answer that they are leaving.
     Leaving(Vec<TargetRun>),
-    /// The records that were asked for.
+    /// Answer to `Wanted`.
     Answer {
-        /// Every record of the topics from the wanted positions on.
+        /// Every record of the topics from the requested positions on.
         records: Vec<ForwardedRecord>,
-        /// Of the wanted topics those of which the sender knows every key, and so the receiver does now.
+        /// Those of the requested topics that the sender, and so from now on the receiver, knows
+        /// completely.
         spans: Vec<TopicSpan>,
     },
-    /// Send records of these topics from these positions on: the sender has not read them itself.
+    /// Requests the records of topics from positions on.
     Wanted {
-        /// Where to begin.
+        /// Topics and the positions to start from.
         from: Vec<TopicEnd>,
-        /// Whether the log does not serve the sender, so that others should read for it.
+        /// Whether the log does not serve the sender, so that other VMs should read on its behalf.
         is_turned_away: bool,
     },
 }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -1,9 +1,13 @@
-//! What one link passes on of the platform's log.
+//! Sharing of platform log records over one link.
 //!
-//! News goes out as it comes. What a VM's first listing of a topic brings is no news: every VM lists a topic itself or is
-//! told all of it, and of a fleet that starts at once each VM would pass its whole list on to each of its links. So the
-//! side that dialled asks for what it lacks, at first and whenever it knows a topic whole that it did not before, and has its
-//! answer once the other side knows the topic whole itself.
+//! New records are forwarded as they arrive. Records from a VM's first listing of a topic are not
+//! forwarded: every VM lists a topic itself or receives all of it in an answer, and if each VM of a
+//! fleet that starts at once forwarded its list over each of its links, the links would be
+//! overloaded.
+//!
+//! Instead the dialling side requests what it lacks, first when the link is up and again whenever
+//! one more of its topics is complete. The other side answers once the requested topic is complete
+//! there.
 
 use crate::{
     clock,
@@ -24,32 +28,35 @@
 };
 use tokio::sync::watch;
 
-/// Bytes of a record that is passed on to other zones unasked.
-const SMALL_RECORD: usize = 1024;
+/// Size limit in bytes of a record that is forwarded unasked to other zones.
+const MAX_CROSS_ZONE_RECORD_BYTES: usize = 1024;
 
-/// What one link passes on of the platform's log.
+/// Sharing state of one link.
 pub struct RecordSharing {
     fleet: Arc<FleetState>,
     is_same_zone: bool,
-    /// This link's place in the news: all before it has been passed on.
-    place: u64,
-    /// The same in the news of targets that leave.
-    leaving_place: u64,
-    news: watch::Receiver<u64>,
-    pulls: watch::Receiver<u64>,
-    whole: watch::Receiver<usize>,
-    /// Records that came over this link since its news was last passed on whole, which need not go back.
-    heard: HashMap<(FeedTopic, String), LogPosition>,
-    /// Topics that this VM knew whole when it asked last; none on the side that asks only if the log turns it away.
-    asked_with: Option<usize>,
-    /// What the other side has asked for, of topics that this VM does not know whole yet.
-    open: BTreeMap<FeedTopic, LogPosition>,
-    /// Answers that go out next.
+    /// Position in the updates up to which they have been forwarded over this link.
+    update_position: u64,
+    /// Position in the announcements of leaving targets.
+    leaving_position: u64,
+    updates: watch::Receiver<u64>,
+    record_requests: watch::Receiver<u64>,
+    known_topics: watch::Receiver<usize>,
+    /// Records received over this link since all updates were last forwarded, which need not be
+    /// sent back.
+    received: HashMap<(FeedTopic, String), LogPosition>,
+    /// Number of complete topics at the last request; `None` on the side that sends requests only
+    /// while the log does not serve it.
+    requested_with: Option<usize>,
+    /// Requests of the peer for topics that are not complete here yet.
+    open_requests: BTreeMap<FeedTopic, LogPosition>,
+    /// Answers to send next.
     replies: VecDeque<VmMessage>,
-    /// Topics of which the other side has had its answer, so that with this link's news it misses nothing of them.
-    answered: BTreeSet<FeedTopic>,
-    /// The other side's last sign of life: its clock then, and when it came.
-    last_beat: Option<(u64, Instant)>,
+    /// Topics that were sent to the peer in an answer, so that with this link's updates it lacks
+    /// none of their records.
+    answered_topics: BTreeSet<FeedTopic>,
+    /// Clock value in the peer's last heartbeat, and when that arrived.
+    last_heartbeat: Option<(u64, Instant)>,
 }
 
 impl RecordSharing {
@@ -57,72 +64,74 @@
         Self {
             fleet: Arc::clone(fleet),
             is_same_zone,
-            place: fleet.tables().records.head(),
-            leaving_place: 0,
-            news: fleet.watch_news(),
-            pulls: fleet.watch_pulls(),
-            whole: fleet.watch_whole(),
-            heard: HashMap::new(),
-            asked_with: None,
-            open: BTreeMap::new(),
+            update_position: fleet.tables().records.head(),
+            leaving_position: 0,
+            updates: fleet.watch_updates(),
+            record_requests: fleet.watch_record_requests(),
+            known_topics: fleet.watch_known_topics(),
+            received: HashMap::new(),
+            requested_with: None,
+            open_requests: BTreeMap::new(),
             replies: VecDeque::new(),
-            answered: BTreeSet::new(),
-            last_beat: None,
+            answered_topics: BTreeSet::new(),
+            last_heartbeat: None,
         }
     }
 
-    /// The next message that the other side should have. Safe to drop while it waits.
+    /// Waits for the next message to the peer. Cancel-safe.
     pub async fn next(&mut self) -> VmMessage {
         loop {
-            self.answer_open();
-            if let Some(message) = self.next_reply().or_else(|| self.next_question()) {
+            self.answer_open_requests();
+            if let Some(message) = self.next_reply().or_else(|| self.repeated_request()) {
                 return message;
             }
-            if let Some(runs) = self.take_leaving() {
+            if let Some(runs) = self.next_leaving() {
                 return VmMessage::Leaving(runs);
             }
-            if let Some(records) = self.take_news() {
+            if let Some(records) = self.next_updates() {
                 self.fleet
                     .figures
                     .count_passed(PassReason::News, records.len());
                 return VmMessage::Records(records);
             }
-            // The senders live as long as the books.
+            // `FleetState` keeps the senders alive.
             tokio::select! {
-                _ = self.news.changed() => {}
-                _ = self.whole.changed() => {}
-                _ = self.pulls.changed() => return VmMessage::Wanted {
-                    from: self.fleet.wanted(),
+                _ = self.updates.changed() => {}
+                _ = self.known_topics.changed() => {}
+                _ = self.record_requests.changed() => return VmMessage::Wanted {
+                    from: self.fleet.missing_ranges(),
                     is_turned_away: true,
                 },
             }
         }
     }
 
-    /// The next part of an answer to the other side's questions.
+    /// Next part of an answer to the peer's requests.
     pub fn next_reply(&mut self) -> Option<VmMessage> {
         let reply = self.replies.pop_front()?;
         if let VmMessage::Answer { spans, .. } = &reply {
-            self.answered.extend(spans.iter().map(|span| span.topic));
+            self.answered_topics
+                .extend(spans.iter().map(|span| span.topic));
         }
         Some(reply)
     }
 
-    /// Another question of the side that asks, once it knows more topics whole.
-    fn next_question(&mut self) -> Option<VmMessage> {
-        let whole = self.fleet.whole_topics();
-        if self.asked_with? >= whole {
+    /// Repeats the request of the requesting side once more topics are complete.
+    fn repeated_request(&mut self) -> Option<VmMessage> {
+        let known_topics = self.fleet.known_topic_count();
+        if self.requested_with? >= known_topics {
             return None;
         }
         self.initial_request()
     }
 
-    /// The news since this link's place that is worth passing on, as much as goes into one message.
-    fn take_news(&mut self) -> Option<Vec<ForwardedRecord>> {
-        while !self.is_drained() {
-            let (mut records, place) = self.fleet.tables().records.news_from(self.place);
-            self.place = place;
-            records.retain(|record| self.is_worth(record) && !self.is_heard(record));
+    /// Updates to forward since the last ones, as many as fit into one message.
+    fn next_updates(&mut self) -> Option<Vec<ForwardedRecord>> {
+        while !self.is_up_to_date() {
+            let (mut records, position) =
+                self.fleet.tables().records.news_from(self.update_position);
+            self.update_position = position;
+            records.retain(|record| self.is_forwarded(record) && !self.is_received(record));
             if !records.is_empty() {
                 return Some(records);
             }
@@ -130,88 +139,88 @@
         None
     }
 
-    /// Targets that leave, as many as go into one message, of which the other side has not been told.
-    fn take_leaving(&mut self) -> Option<Vec<TargetRun>> {
-        let (runs, place) = self.fleet.tables().leaving.after(self.leaving_place);
-        self.leaving_place = place;
+    /// Leaving targets to forward, as many as fit into one message.
+    fn next_leaving(&mut self) -> Option<Vec<TargetRun>> {
+        let (runs, position) = self.fleet.tables().leaving.after(self.leaving_position);
+        self.leaving_position = position;
         (!runs.is_empty()).then_some(runs)
     }
 
-    fn is_drained(&self) -> bool {
-        self.place >= self.fleet.tables().records.head()
+    fn is_up_to_date(&self) -> bool {
+        self.update_position >= self.fleet.tables().records.head()
     }
 
-    /// A sign of life, with how this VM's contact with the log stands. In the same zone it says up to where the other
-    /// side knows everything, once all news is passed on.
+    /// Heartbeat with the state of this VM's contact with the log. Within a zone it also carries
+    /// the positions up to which the peer knows everything, once all updates are forwarded.
     pub fn heartbeat(&self) -> VmMessage {
-        let is_whole = self.is_same_zone && self.is_drained() && self.replies.is_empty();
+        let is_complete = self.is_same_zone && self.is_up_to_date() && self.replies.is_empty();
         let now = clock::now();
-        let proof = self.fleet.tables().passed_proof(now);
+        let proof = self.fleet.tables().freshness_proof(now);
         VmMessage::Beat {
-            contact: self.fleet.log_report(),
-            ends: if is_whole {
+            contact: self.fleet.contact_report(),
+            ends: if is_complete {
                 self.answered_ends()
             } else {
                 Vec::new()
             },
             sent: now.0,
-            echo: self.last_beat.map(|(sent, came)| BeatEcho {
+            echo: self.last_heartbeat.map(|(sent, arrived)| BeatEcho {
                 sent,
-                held_ms: millis(now.since(came)),
+                held_ms: millis(now.since(arrived)),
             }),
             proof,
         }
     }
 
-    /// Up to where the other side knows everything of the topics that it was answered.
+    /// Positions up to which the peer knows everything, for the topics of earlier answers.
     fn answered_ends(&self) -> Vec<TopicEnd> {
-        let ends = self.fleet.tellable_ends().into_iter();
-        ends.filter(|(topic, _)| self.answered.contains(topic))
+        let ends = self.fleet.forwardable_ends().into_iter();
+        ends.filter(|(topic, _)| self.answered_topics.contains(topic))
             .collect()
     }
 
-    /// The question of the side that dialled: what was recorded since this VM last read, and before the other side began to
-    /// pass its news on here.
+    /// Request of the dialling side for the records since its last read. It covers those that the
+    /// peer received before it began to forward updates over this link.
     pub fn initial_request(&mut self) -> Option<VmMessage> {
         if !self.is_same_zone {
             return None;
         }
-        self.asked_with = Some(self.fleet.whole_topics());
+        self.requested_with = Some(self.fleet.known_topic_count());
         Some(VmMessage::Wanted {
-            from: self.fleet.wanted(),
+            from: self.fleet.missing_ranges(),
             is_turned_away: false,
         })
     }
 
-    /// Within a zone everything is passed on; between zones bytes have a price, so only what is small and urgent.
-    fn is_worth(&self, record: &ForwardedRecord) -> bool {
+    /// Within a zone every record is forwarded. Traffic between zones has a price, so only small
+    /// and urgent records are.
+    fn is_forwarded(&self, record: &ForwardedRecord) -> bool {
         self.is_same_zone
             || match record.topic {
                 FeedTopic::Targets => self.fleet.is_leaving(&record.key),
                 FeedTopic::Operators | FeedTopic::Fleet => record
                     .value
                     .as_ref()
-                    .is_none_or(|value| value.len() <= SMALL_RECORD),
+                    .is_none_or(|value| value.len() <= MAX_CROSS_ZONE_RECORD_BYTES),
             }
     }
 
-    /// Whether the other side told of a record itself.
-    fn is_heard(&self, record: &ForwardedRecord) -> bool {
+    /// Whether the peer itself forwarded a record.
+    fn is_received(&self, record: &ForwardedRecord) -> bool {
         let key = (record.topic, record.key.clone());
-        self.heard.get(&key) == Some(&record.position)
+        self.received.get(&key) == Some(&record.position)
     }
 
-    /// Notes records that the other side tells of.
-    fn note_heard(&mut self, records: &[ForwardedRecord]) {
-        if self.is_drained() {
-            self.heard.clear();
+    fn note_received(&mut self, records: &[ForwardedRecord]) {
+        if self.is_up_to_date() {
+            self.received.clear();
         }
-        let heard = records.iter();
-        self.heard
-            .extend(heard.map(|record| ((record.topic, record.key.clone()), record.position)));
+        let received = records.iter();
+        self.received
+            .extend(received.map(|record| ((record.topic, record.key.clone()), record.position)));
     }
 
-    /// Answers a question for records; what can't be answered yet is answered once it can.
+    /// Answers a request for records. Topics that are not complete here are answered later.
     pub fn answer(&mut self, message: &VmMessage) {
         let VmMessage::Wanted {
             from,
@@ -221,32 +230,35 @@
             return;
         };
         if *is_turned_away {
-            self.fleet.note_asked();
+            self.fleet.note_read_request();
         }
         for (topic, position) in from {
             if self.fleet.is_topic_known(*topic) {
-                self.open.remove(topic);
+                self.open_requests.remove(topic);
             } else {
-                self.open.insert(*topic, *position);
+                self.open_requests.insert(*topic, *position);
             }
         }
-        self.reply(from, *is_turned_away);
+        self.queue_answer(from, *is_turned_away);
     }
 
-    /// Answers what was asked of topics that this VM knows whole by now.
-    fn answer_open(&mut self) {
-        let open = self.open.iter().map(|(topic, from)| (*topic, *from));
-        let due: Vec<TopicEnd> = open
+    /// Answers open requests for topics that are complete by now.
+    fn answer_open_requests(&mut self) {
+        let requests = self
+            .open_requests
+            .iter()
+            .map(|(topic, from)| (*topic, *from));
+        let answerable: Vec<TopicEnd> = requests
             .filter(|(topic, _)| self.fleet.is_topic_known(*topic))
             .collect();
-        self.open
-            .retain(|topic, _| due.iter().all(|(answered, _)| answered != topic));
-        if !due.is_empty() {
-            self.reply(&due, false);
+        self.open_requests
+            .retain(|topic, _| answerable.iter().all(|(answered, _)| answered != topic));
+        if !answerable.is_empty() {
+            self.queue_answer(&answerable, false);
         }
     }
 
-    fn reply(&mut self, from: &[TopicEnd], is_turned_away: bool) {
+    fn queue_answer(&mut self, from: &[TopicEnd], is_turned_away: bool) {
         let (records, spans) = self.fleet.records_since(from, is_turned_away);
         let figures = &self.fleet.figures;
         figures.count_passed(PassReason::Answer, records.len());
@@ -257,17 +269,17 @@
         self.replies.push_back(VmMessage::Answer { records, spans });
     }
 
-    /// Takes in what a VM tells of the log; gives other messages back.
+    /// Applies a message about the log; returns any other message.
     pub fn take(&mut self, vm: &VmName, message: VmMessage) -> Option<VmMessage> {
         match message {
             VmMessage::Records(records) => {
-                self.note_heard(&records);
+                self.note_received(&records);
                 self.fleet.apply_forwarded(records);
             }
-            VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "by another VM's word"),
+            VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "reported by another VM"),
             VmMessage::Answer { records, spans } => {
-                self.note_heard(&records);
-                self.fleet.take_answer(records, &spans);
+                self.note_received(&records);
+                self.fleet.apply_answer(records, &spans);
             }
             VmMessage::Beat {
                 contact,
@@ -276,12 +288,12 @@
                 echo,
                 proof,
             } => {
-                self.last_beat = Some((sent, clock::now()));
+                self.last_heartbeat = Some((sent, clock::now()));
                 if let (Some(proof), Some(echo)) = (proof, echo) {
-                    self.fleet.take_proof(&proof, &echo);
+                    self.fleet.apply_proof(&proof, &echo);
                 }
-                self.fleet.take_log_report(vm, contact);
-                self.fleet.take_ends(&ends);
+                self.fleet.apply_contact_report(vm, contact);
+                self.fleet.apply_ends(&ends);
             }
             other => return Some(other),
         }
