--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -1,7 +1,9 @@
-//! One worker a topic of the platform's log.
+//! Readers of the platform log, one worker for each topic.
 //!
-//! A worker lists the newest record of each key once, or is told them by its zone's holder, then reads on from there.
-//! When the log is out of reach one worker of a VM tries again after pauses, and tells the others when it is back.
+//! A worker starts from a listing of the newest record of each key, or from the records that its
+//! zone's holder sends, and reads on from there. It pauses while other VMs read on its behalf. When
+//! the log can't be reached, one worker of a VM retries with backoff and wakes the others when the
+//! log is back.
 
 use crate::{
     clock,
@@ -27,63 +29,65 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Longest time that a read waits for a record.
-const READ_WAIT: Duration = Duration::from_secs(20);
-/// The same for the fleet's records at a zone's holder. The log does not wake a read that comes in the milliseconds in
-/// which a record is appended, so what a holder has to know in time it asks for again and again. What it knows of
-/// leases has to be renewed well within a turn, as it names no source of memory otherwise. With 1 s between two reads
-/// it is 2.5 s old at most; longer waits save calls to the log.
-const HOLDER_WAIT: Duration = Duration::from_millis(1_500);
-/// The same for the target list, whose reads also show whether the log is in reach.
-const LIST_WAIT: Duration = Duration::from_millis(600);
-/// The same for the operators' records where keys are taken away within a bound also on VMs that are out of touch: each answer
-/// is the proof that nothing was, and counts from when its read was sent. With the pause between two reads a holder's is
-/// 1 s old at most, and 1.8 s when others have it; the users' bound is 5 s.
-const PROOF_WAIT: Duration = Duration::from_millis(400);
-/// Pause between two reads of the fleet's records: after a common start they come by the dozen.
-const FLEET_EVERY: Duration = Duration::from_secs(1);
-/// Silence of the holder from which a VM reads itself. Signs of life come every 400 ms, and a leaving target has to be
-/// known within the users' `drain_ms`, 2 s at the least.
-const READ_SILENCE: Duration = Duration::from_millis(900);
-/// Time that a VM gives its zone's holder to tell what a listing would, once it knows who that is.
-const HOLDER_TELLS: Duration = Duration::from_millis(400);
-/// Pause between two looks at whether it has.
-const TELL_LOOK: Duration = Duration::from_millis(20);
-/// Rank of a VM up to which it lists the targets at once where nobody holds its zone.
-const LIST_AT_ONCE: u32 = 1;
-/// Pause between the turns of the others, longer than a list takes.
-const LIST_TURN: Duration = Duration::from_millis(60);
-/// Longest time until a VM's turn to list.
-const LIST_LATEST: Duration = Duration::from_secs(8);
-/// Pause between two looks at whether this VM has to read.
-const DUTY_LOOK: Duration = Duration::from_millis(300);
-/// Pause after a call that brought nothing; varied by a quarter. Doubles once: every call has a price, but a holder that
-/// the log turns away asks others after each one, and its zone has to know of a leaving target within 2 s.
-const RETRY_PAUSE: Duration = Duration::from_millis(400);
-const RETRY_LONGEST: Duration = Duration::from_millis(800);
-/// Time after which a worker tries for itself though another one is at it.
-const PROBE_WAIT: Duration = Duration::from_secs(2);
+/// Maximum time that a read waits for a record.
+const MAX_READ_WAIT: Duration = Duration::from_secs(20);
+/// Maximum wait for fleet records at a zone's holder. The log does not wake a read that arrives in
+/// the milliseconds in which a record is appended, so a holder repeats its reads. Its knowledge of
+/// leases has to be fresher than a turn, or it names no source for the fetch of engine memory. With
+/// 1 s between two reads that knowledge is at most 2.5 s old; longer waits save calls to the log.
+const HOLDER_FLEET_READ_WAIT: Duration = Duration::from_millis(1_500);
+/// Maximum wait for target list records. These reads also show whether the log can be reached.
+const TARGET_READ_WAIT: Duration = Duration::from_millis(600);
+/// Maximum wait for operator records where revoked API keys have to be refused within a bound, also
+/// on VMs without contact. Each answer proves that no key was revoked before its read was sent.
+/// With the pause between two reads the proof is at most 1 s old at a holder and 1.8 s at other
+/// VMs; the bound is 5 s.
+const KEY_PROOF_READ_WAIT: Duration = Duration::from_millis(400);
+/// Pause between two reads of fleet records, which arrive by the dozen when many VMs start at once.
+const FLEET_READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Silence of the holder after which a VM reads the log itself. Heartbeats are 400 ms apart, and a
+/// leaving target has to be known within `drain_ms`, which is at least 2 s.
+const HOLDER_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Time for the zone's holder to send all records, from when the holder is known.
+const HOLDER_SEND_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval of checks whether the holder has sent all records.
+const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Rank up to which a VM of a zone without a holder lists the targets at once.
+const MAX_IMMEDIATE_RANK: u32 = 1;
+/// Time between the listings of two successive ranks, longer than a listing takes.
+const LISTING_STAGGER: Duration = Duration::from_millis(60);
+/// Maximum delay of a VM's first listing of the targets.
+const MAX_LISTING_DELAY: Duration = Duration::from_secs(8);
+/// Interval of checks whether this VM has to read.
+const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause after a failed call, with 25 % jitter. It doubles only once: calls to the log have a
+/// price, but a holder that the log does not serve requests records from other VMs after each
+/// failure, and its zone has to know of a leaving target within 2 s.
+const RETRY_BACKOFF: Duration = Duration::from_millis(400);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(800);
+/// Time after which a worker retries even though another worker probes the log.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads one topic into the books.
+/// Worker that reads one topic into the fleet's tables.
 #[derive(Debug)]
 pub struct FeedWorker {
     /// The topic.
     pub topic: FeedTopic,
-    /// The platform's log.
+    /// Address of the platform log.
     pub address: SocketAddr,
-    /// Pauses and bounds.
+    /// Read intervals and timeouts.
     pub pace: PaceSettings,
-    /// The books.
+    /// Tables that the records are applied to.
     pub fleet: Arc<FleetState>,
-    /// Links to holders.
+    /// Links to the zone holders.
     pub access: Arc<ZoneAccess>,
-    /// Shared by all feeds.
+    /// Reachability of the log, shared by the workers of all topics.
     pub reachability: StoreReachability,
-    /// Pause before the first listing.
+    /// Delay of the first listing.
     pub first_pause: Duration,
     /// When the process started.
     pub started: Instant,
-    /// Calls in a row that brought nothing.
+    /// Number of failed calls since the last success.
     pub failures: u32,
 }
 
@@ -93,65 +97,66 @@
         let mut client = StoreClient::new(self.address);
         if self.topic == FeedTopic::Fleet {
             sleep(self.first_pause).await;
-        } else if self.is_told().await || self.is_told_before_turn().await {
+        } else if self.wait_for_holder().await || self.wait_for_listing_turn().await {
             let end = self.fleet.known_end(self.topic);
-            self.read_on(&mut client, end).await;
+            self.read_from(&mut client, end).await;
         }
         loop {
             let topic = topic_name(self.topic);
-            let began = clock::now();
+            let sent_at = clock::now();
             let listing = list_topic(&mut client, topic, self.pace.platform_timeout).await;
             let listing = match listing {
                 Ok(listing) if self.fleet.meet_era(listing.end.era()) => listing,
                 Ok(listing) => {
-                    self.note_out(&StoreError::OtherEra(listing.end.era()));
+                    self.note_failure(&StoreError::OtherEra(listing.end.era()));
                     self.wait_to_retry().await;
                     continue;
                 }
                 Err(error) => {
-                    self.note_out(&error);
+                    self.note_failure(&error);
                     self.wait_to_retry().await;
                     continue;
                 }
             };
-            self.note_back();
+            self.note_success();
             let end = listing.end;
             self.fleet.apply_listing(self.topic, &listing);
-            self.note_config_read(began);
-            self.note_fleet_read(began);
+            self.note_config_read(sent_at);
+            self.note_fleet_read(sent_at);
             self.wait_for_link().await;
             let listed_at = Instant::now();
-            self.read_on(&mut client, end).await;
-            // Whatever ends reads at once may do so again.
-            let pause = RETRY_PAUSE.mul_f64(rand::rng().random_range(0.75..1.25));
+            self.read_from(&mut client, end).await;
+            // The condition that ended the reads may hold again at once.
+            let pause = RETRY_BACKOFF.mul_f64(rand::rng().random_range(0.75..1.25));
             sleep_until(listed_at + pause).await;
         }
     }
 
-    /// Waits for this VM's turn to list the targets; says whether it has been told of all of them by then. Where all VMs of a zone
-    /// start together the log would answer all of them late: those that hold the zone next list first, and the others send
-    /// calls by their word.
-    async fn is_told_before_turn(&self) -> bool {
+    /// Waits for this VM's turn to list the targets. Returns whether the topic is complete by then.
+    /// If all VMs of a zone listed at once after a common start, the log would answer all of them
+    /// late. So the VMs that can claim the zone's lease list first, and the others place calls
+    /// through the holder.
+    async fn wait_for_listing_turn(&self) -> bool {
         if self.topic != FeedTopic::Targets {
             return false;
         }
         let first = self.fleet.lease(&self.fleet.zone);
-        let turn = self.fleet.rank().saturating_sub(LIST_AT_ONCE);
-        let until = Instant::now() + (LIST_TURN * turn).min(LIST_LATEST);
+        let turn = self.fleet.rank().saturating_sub(MAX_IMMEDIATE_RANK);
+        let until = Instant::now() + (LISTING_STAGGER * turn).min(MAX_LISTING_DELAY);
         while Instant::now() < until && !self.fleet.is_topic_known(self.topic) {
             let lease = self.fleet.lease(&self.fleet.zone);
-            let lives_on = lease.is_some() && lease == first && self.hears_holder();
-            if lives_on || self.is_holder() {
+            let is_same_holder = lease.is_some() && lease == first && self.has_holder_contact();
+            if is_same_holder || self.is_holder() {
                 return false;
             }
-            sleep(TELL_LOOK).await;
+            sleep(HOLDER_CHECK_INTERVAL).await;
         }
         self.fleet.is_topic_known(self.topic)
     }
 
-    /// Waits until the zone's holder has told all of the topic; says whether it did. Where there is no holder, or it
-    /// can't be reached, there is nothing to wait for.
-    async fn is_told(&self) -> bool {
+    /// Waits for the zone's holder to send the whole topic. Returns whether the topic is complete.
+    /// Without a holder that can be reached it does not wait.
+    async fn wait_for_holder(&self) -> bool {
         sleep(self.first_pause).await;
         let mut until = None;
         loop {
@@ -159,47 +164,49 @@
                 return true;
             }
             let knows_fleet = self.fleet.is_topic_known(FeedTopic::Fleet);
-            if knows_fleet && !(self.fleet.may_learn_from_holder() && self.may_be_told()) {
+            if knows_fleet && !(self.fleet.may_learn_from_holder() && self.can_receive_from_holder()) {
                 return false;
             }
-            let until = *until.get_or_insert_with(|| Instant::now() + HOLDER_TELLS);
+            let until = *until.get_or_insert_with(|| Instant::now() + HOLDER_SEND_TIMEOUT);
             if Instant::now() >= until {
                 return false;
             }
-            sleep(TELL_LOOK).await;
+            sleep(HOLDER_CHECK_INTERVAL).await;
         }
     }
 
-    /// Gives the link to the zone's holder time to come up, so that nothing is read that it passes on.
+    /// Gives the link to the zone's holder time to connect, so that nothing is read that the holder
+    /// forwards.
     async fn wait_for_link(&self) {
-        let until = Instant::now() + HOLDER_TELLS;
-        while Instant::now() < until && self.may_be_told() && !self.hears_holder() {
-            sleep(TELL_LOOK).await;
+        let until = Instant::now() + HOLDER_SEND_TIMEOUT;
+        while Instant::now() < until && self.can_receive_from_holder() && !self.has_holder_contact() {
+            sleep(HOLDER_CHECK_INTERVAL).await;
         }
     }
 
-    /// The newest leases are known as of then: an answer may have waited for a VM that stood still.
+    /// Notes the time as of which the newest leases are known. It is not the arrival of the answer,
+    /// which may have waited while this VM was suspended.
     fn note_fleet_read(&self, known_at: hoplanding_core::ids::Instant) {
         if self.topic == FeedTopic::Fleet {
             self.fleet.note_fleet_read(known_at);
         }
     }
 
-    /// What operators wrote before a read was sent is known. How long it waited says nothing, as a read is not woken by a
-    /// record that comes with it.
+    /// Notes that operator records written before a read was sent are known. The wait of the read
+    /// proves nothing, as a record that is appended when the read arrives does not wake it.
     fn note_config_read(&self, sent: hoplanding_core::ids::Instant) {
         if self.topic == FeedTopic::Operators {
             self.fleet.note_config_read(sent);
         }
     }
 
-    fn hears_holder(&self) -> bool {
+    fn has_holder_contact(&self) -> bool {
         let lease = self.fleet.lease(&self.fleet.zone);
-        lease.is_some_and(|lease| self.access.is_heard(&lease, READ_SILENCE))
+        lease.is_some_and(|lease| self.access.is_heard(&lease, HOLDER_SILENCE_TIMEOUT))
     }
 
-    /// Whether the zone has a holder that is being dialled, or heard.
-    fn may_be_told(&self) -> bool {
+    /// Whether the zone has a holder that is being dialled or is connected.
+    fn can_receive_from_holder(&self) -> bool {
         let lease = self.fleet.lease(&self.fleet.zone);
         lease.is_some_and(|lease| {
             lease.vm.as_ref().is_some_and(|vm| *vm != self.fleet.vm)
@@ -207,46 +214,47 @@
         })
     }
 
-    /// Reads records until those from the wanted position on are gone, or the log is of another history.
-    async fn read_on(&mut self, client: &mut StoreClient, from: LogPosition) {
+    /// Reads records until the position has expired or the log is in another era.
+    async fn read_from(&mut self, client: &mut StoreClient, from: LogPosition) {
         let mut from = from;
         let listed_era = from.era();
         let topic = topic_name(self.topic);
         loop {
             self.wait_for_duty().await;
-            // What was passed on meanwhile need not be read again.
+            // Records that were forwarded in the meantime need not be read again.
             from = from.max(self.fleet.known_end(self.topic));
             let mut eras = self.fleet.watch_eras();
             if !self.fleet.is_current(from) || from.era() != listed_era {
                 return;
             }
             let mut returns = self.reachability.watch();
-            let began = clock::now();
-            let wait = self.wait();
+            let sent_at = clock::now();
+            let wait = self.read_wait();
             let reading = client.read(topic, from, wait, self.pace.platform_timeout);
             let read = tokio::select! {
                 read = reading => read,
-                // Another feed lost the log and has it back: this connection may be dead.
+                // Another worker found that the log was out of reach and is back, so this
+                // connection may be dead.
                 _ = returns.changed() => continue,
-                // What it waits for is of a history that is over.
+                // The awaited position belongs to an earlier era.
                 _ = eras.changed() => return,
             };
             match read {
                 Ok(batch) => {
-                    self.note_back();
+                    self.note_success();
                     self.fleet.apply_records(self.topic, from, &batch);
                     if batch.next == batch.end {
-                        self.note_config_read(began);
-                        // Without a record the log has waited all the time that it was to.
+                        self.note_config_read(sent_at);
+                        // An empty answer means that the log waited for the whole requested time.
                         let waited = if batch.records.is_empty() {
                             wait
                         } else {
                             Duration::ZERO
                         };
-                        self.note_fleet_read(began.after(waited));
+                        self.note_fleet_read(sent_at.after(waited));
                     }
                     from = batch.next;
-                    sleep(self.pause_between()).await;
+                    sleep(self.read_interval()).await;
                 }
                 Err(StoreError::Expired(_)) => return,
                 Err(StoreError::OtherEra(era)) => {
@@ -254,26 +262,27 @@
                     return;
                 }
                 Err(error) => {
-                    self.note_out(&error);
+                    self.note_failure(&error);
                     self.wait_to_retry().await;
                 }
             }
         }
     }
 
-    /// Waits while the holder of the zone passes on what it reads, and others stand in for it.
+    /// Waits while other VMs, such as the zone's holder, read the topic for this VM.
     async fn wait_for_duty(&self) {
         let mut read_requests = self.fleet.watch_read_requests();
         while !self.has_duty() {
             self.reachability.stop_probing(self.topic);
-            // The sender lives as long as the books.
-            let _ = timeout(DUTY_LOOK, read_requests.changed()).await;
+            // `FleetState` keeps the sender alive.
+            let _ = timeout(DUTY_CHECK_INTERVAL, read_requests.changed()).await;
         }
     }
 
-    /// Whether this VM reads the topic itself. While the log turns a VM away a few others read on in its place: a holder that
-    /// is heard and can't read left its zone blind for 3.5 s between two of its tries. The fleet's records are read from
-    /// the start, as they name the holder.
+    /// Whether this VM has to read the topic itself. Some VMs also read while the log does not
+    /// serve another one: a holder that sends heartbeats but can't read would leave its zone
+    /// without updates for 3.5 s between two of its retries. Fleet records are read from the start,
+    /// because they name the holder.
     fn has_duty(&self) -> bool {
         if self.fleet.has_gap(self.topic) {
             return true;
@@ -299,7 +308,7 @@
         };
         if *holder == self.fleet.vm {
             HolderSight::Oneself
-        } else if self.hears_holder() {
+        } else if self.has_holder_contact() {
             HolderSight::Heard
         } else {
             HolderSight::Silent
@@ -311,31 +320,32 @@
         lease.is_some_and(|lease| lease.vm.as_ref() == Some(&self.fleet.vm))
     }
 
-    /// How long a read waits for a record. After a failure it does not, as its answer shows that the log is back: a read
-    /// that waited hid that for 2 to 14 s, in a play with the log out for 0.6 s.
-    fn wait(&self) -> Duration {
+    /// How long a read waits for a record. After a failure it does not wait, because its answer
+    /// shows that the log is back. Otherwise an outage of 0.6 s would hide for 2 to 14 s behind the
+    /// wait.
+    fn read_wait(&self) -> Duration {
         if self.failures > 0 {
             return Duration::ZERO;
         }
         match self.topic {
-            FeedTopic::Targets => LIST_WAIT,
-            FeedTopic::Operators if self.fleet.revocation.is_some() => PROOF_WAIT,
-            // What a holder reads it passes on, so its zone need not ask as often.
+            FeedTopic::Targets => TARGET_READ_WAIT,
+            FeedTopic::Operators if self.fleet.revocation.is_some() => KEY_PROOF_READ_WAIT,
+            // The holder forwards what it reads, so the other VMs of its zone can read less often.
             FeedTopic::Operators if self.is_holder() => self.pace.config_wait,
-            FeedTopic::Fleet if self.is_holder() => HOLDER_WAIT,
-            FeedTopic::Operators | FeedTopic::Fleet => READ_WAIT,
+            FeedTopic::Fleet if self.is_holder() => HOLDER_FLEET_READ_WAIT,
+            FeedTopic::Operators | FeedTopic::Fleet => MAX_READ_WAIT,
         }
     }
 
-    fn pause_between(&self) -> Duration {
+    fn read_interval(&self) -> Duration {
         match self.topic {
             FeedTopic::Targets => self.pace.list_every,
             FeedTopic::Operators => self.pace.config_every,
-            FeedTopic::Fleet => FLEET_EVERY.min(self.pace.list_every),
+            FeedTopic::Fleet => FLEET_READ_INTERVAL.min(self.pace.list_every),
         }
     }
 
-    fn note_out(&mut self, error: &StoreError) {
+    fn note_failure(&mut self, error: &StoreError) {
         let figures = &self.fleet.figures;
         figures.count_log_call(topic_name(self.topic), LogOutcome::Failed);
         if self.topic == FeedTopic::Targets {
@@ -348,7 +358,7 @@
         self.failures += 1;
     }
 
-    fn note_back(&mut self) {
+    fn note_success(&mut self) {
         let figures = &self.fleet.figures;
         figures.count_log_call(topic_name(self.topic), LogOutcome::Answered);
         if self.topic == FeedTopic::Targets {
@@ -357,25 +367,25 @@
         if self.failures > 0 {
             self.failures = 0;
             event!(Event::LogBack, "{:?}", self.topic);
-            self.reachability.note_back();
+            self.reachability.note_return();
         }
     }
 
-    /// Waits after a failed call: the worker that probes for a pause that grows, the others until it has the log back. The
-    /// target list is probed in any case, as nothing else has to be known as soon.
+    /// Waits after a failed call: the probing worker with backoff, the others until the log is
+    /// back. The worker of the target list probes in any case, as its records are the most urgent.
     async fn wait_to_retry(&self) {
-        if self.reachability.probes(self.topic) || self.topic == FeedTopic::Targets {
+        if self.reachability.is_prober(self.topic) || self.topic == FeedTopic::Targets {
             let pause = if self.failures > 1 {
-                RETRY_LONGEST
+                MAX_RETRY_BACKOFF
             } else {
-                RETRY_PAUSE
+                RETRY_BACKOFF
             };
-            let part = rand::rng().random_range(0.75..1.25);
-            sleep(pause.mul_f64(part)).await;
+            let jitter = rand::rng().random_range(0.75..1.25);
+            sleep(pause.mul_f64(jitter)).await;
         } else {
             let mut returns = self.reachability.watch();
-            // Whether it is back or this worker has waited long enough: it tries.
-            let _ = timeout(PROBE_WAIT, returns.changed()).await;
+            // Retries after either the log's return or the timeout.
+            let _ = timeout(PROBE_TIMEOUT, returns.changed()).await;
         }
     }
 }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -1,7 +1,7 @@
-//! Folding of the log's records into the books.
+//! Application of platform log records to the fleet's tables.
 //!
-//! What can't be decoded is kept out. Of operators' records the last good one stays in force; a target whose newest entry
-//! can't be used is not sent to, whoever wrote that entry.
+//! A record that can't be decoded is skipped. The last valid operator records stay in force. A
+//! target whose newest entry is unusable gets no calls, whoever wrote that entry.
 
 use crate::{
     direct::{
@@ -32,27 +32,28 @@
 };
 use std::sync::Arc;
 
-/// Characters of a key that a line shows.
-const SHOWN_CHARS: usize = 80;
+/// Maximum number of characters of a key in a log line.
+const MAX_LOGGED_KEY_CHARS: usize = 80;
 
-/// What a folded record is to others.
+/// Effect of a record, as far as it concerns other VMs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FoldedRecord {
-    /// It changes what others do.
-    News,
-    /// It is of no concern to others.
-    Kept,
-    /// It removes a target that may come back; nothing is changed yet.
-    Doubted,
-    /// It is older than what is known, by the life of its target or by a version, and changes nothing.
-    Outlived,
-    /// It names no target that can be used, and that changes what others do.
+pub enum FoldOutcome {
+    /// Changes what other VMs do, so it is forwarded.
+    Update,
+    /// Stored, but not forwarded.
+    Stored,
+    /// Removes a target that may come back. Nothing changes until the removal is confirmed.
+    Unconfirmed,
+    /// Outdated by a newer target incarnation or version, and ignored.
+    Outdated,
+    /// Entry that can't be used, so that its target gets no calls any more.
     Unusable,
 }
 
-/// Whether a record is newer than what is known by an order that does not come from the log: the life of a target, or a version.
-/// Each record comes from several VMs, so one that is kept already is not decoded again.
-pub fn is_newer_by_itself(tables: &FleetTables, topic: FeedTopic, record: &KeyedRecord) -> bool {
+/// Whether a record is newer by its own order, which is the target's incarnation or a version, than
+/// the known one. Several VMs forward each record, so one that is stored already is not decoded
+/// again.
+pub fn is_newer_by_own_order(tables: &FleetTables, topic: FeedTopic, record: &KeyedRecord) -> bool {
     let Some(value) = &record.value else {
         return false;
     };
@@ -83,16 +84,16 @@
     }
 }
 
-/// Folds a target's entry.
+/// Applies a target's entry.
 pub fn fold_target_record(
     tables: &mut FleetTables,
     record: &KeyedRecord,
     source: RecordSource,
     now: Instant,
-) -> FoldedRecord {
+) -> FoldOutcome {
     let name = TargetName::new(&record.key);
     let was_ready = is_ready(&tables.catalog, &name);
-    let is_news = match &record.value {
+    let is_update = match &record.value {
         None if source == RecordSource::Forwarded => tables.catalog.settle(&name, record.position),
         None => tables.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
@@ -103,17 +104,17 @@
                 };
                 return fold_unusable(tables, record, &error, now);
             }
-            Ok(entry) if is_gone_since(tables, record, &entry, source) => {
+            Ok(entry) if is_removed_since(tables, record, &entry, source) => {
                 event!(
                     Event::EntryOutlived,
                     "{name} at position {}, removed in an earlier era",
                     record.position
                 );
-                return FoldedRecord::Outlived;
+                return FoldOutcome::Outdated;
             }
             Ok(entry) => match fold_entry(tables, record, entry, now) {
-                Some(is_news) => is_news,
-                None => return FoldedRecord::Outlived,
+                Some(is_update) => is_update,
+                None => return FoldOutcome::Outdated,
             },
             Err(error) => return fold_unusable(tables, record, &error, now),
         },
@@ -124,7 +125,7 @@
             "{name} at position {}, {source:?}",
             record.position
         );
-        return FoldedRecord::Doubted;
+        return FoldOutcome::Unconfirmed;
     }
     if was_ready && !is_ready(&tables.catalog, &name) {
         event!(
@@ -133,16 +134,16 @@
             record.position
         );
     }
-    if is_news {
-        FoldedRecord::News
+    if is_update {
+        FoldOutcome::Update
     } else {
-        FoldedRecord::Kept
+        FoldOutcome::Stored
     }
 }
 
-/// Whether an entry came with a copy of the log that lacks the target's removal: its target is gone since. One that is written
-/// after the log's return counts.
-fn is_gone_since(
+/// Whether an entry from a restored log is older than the target's removal, which that log lacks.
+/// An entry written after the restore counts.
+fn is_removed_since(
     tables: &FleetTables,
     record: &KeyedRecord,
     entry: &TargetEntry,
@@ -159,7 +160,8 @@
     was_removed && is_copied && entry.life <= tables.catalog.life(&entry.name)
 }
 
-/// Folds an entry; says whether it changes where calls may go, or nothing if its life is over.
+/// Applies an entry. Returns whether it changes the placement of calls, or `None` if it describes
+/// an earlier incarnation of the target.
 fn fold_entry(
     tables: &mut FleetTables,
     record: &KeyedRecord,
@@ -191,20 +193,20 @@
     )
 }
 
-/// Folds an entry that can't be used: its target is taken for gone.
+/// Applies an entry that can't be used: its target counts as gone.
 fn fold_unusable(
     tables: &mut FleetTables,
     record: &KeyedRecord,
     error: &DecodeError,
     now: Instant,
-) -> FoldedRecord {
+) -> FoldOutcome {
     let name = TargetName::new(&record.key);
     let is_change = tables.catalog.settle(&name, record.position);
-    if let Some(untold) = tables.skipped_entries.note(now) {
-        let key: String = record.key.escape_debug().take(SHOWN_CHARS).collect();
+    if let Some(unlogged) = tables.skipped_entries.note(now) {
+        let key: String = record.key.escape_debug().take(MAX_LOGGED_KEY_CHARS).collect();
         event!(
             Event::EntryUnusable,
-            "{key} at position {}: {error}; {untold} more before it",
+            "{key} at position {}: {error}; {unlogged} earlier entries not logged",
             record.position
         );
     }
@@ -214,9 +216,9 @@
             "{name} at position {}, as its entry can't be used",
             record.position
         );
-        return FoldedRecord::Unusable;
+        return FoldOutcome::Unusable;
     }
-    FoldedRecord::Kept
+    FoldOutcome::Stored
 }
 
 fn is_ready(catalog: &TargetCatalog, name: &TargetName) -> bool {
@@ -225,44 +227,45 @@
         .is_some_and(|entry| entry.stage == TargetStage::Ready)
 }
 
-/// Folds a configuration or a named version.
-pub fn fold_operator_record(tables: &mut FleetTables, record: &KeyedRecord) -> FoldedRecord {
-    // A dropped key takes nothing back: what was in force stays until something newer comes.
+/// Applies a configuration or a named version.
+pub fn fold_operator_record(tables: &mut FleetTables, record: &KeyedRecord) -> FoldOutcome {
+    // Removing a key does not revoke its record, which stays in force until a newer one is written.
     let Some(value) = &record.value else {
-        return FoldedRecord::News;
+        return FoldOutcome::Update;
     };
     if record.key == CONFIG_KEY {
         return fold_config(tables, record, value);
     }
     if !record.key.starts_with(VERSION_KEY) {
-        return FoldedRecord::News;
+        return FoldOutcome::Update;
     }
     match decode_version(value) {
         Ok((subject, version)) => {
             let known = tables.versions.entry(subject).or_default();
             if *known > version {
-                return FoldedRecord::Outlived;
+                return FoldOutcome::Outdated;
             }
             *known = version;
         }
         Err(error) => {
-            event!(Event::RecordSkipped, "version {}: {error}", record.key);
+            event!(Event::RecordSkipped, "version record {}: {error}", record.key);
         }
     }
-    FoldedRecord::News
+    FoldOutcome::Update
 }
 
-/// Folds a configuration. Its version orders it, as a copy of the log may hold one that is no longer in force.
-fn fold_config(tables: &mut FleetTables, record: &KeyedRecord, value: &[u8]) -> FoldedRecord {
+/// Applies a configuration. Its version decides, as a restored log may hold one that is no longer
+/// in force.
+fn fold_config(tables: &mut FleetTables, record: &KeyedRecord, value: &[u8]) -> FoldOutcome {
     let config = match decode_config(value) {
         Ok(config) => config,
         Err(error) => {
             event!(
                 Event::RecordSkipped,
-                "configuration at {}: {error}",
+                "configuration at position {}: {error}",
                 record.position
             );
-            return FoldedRecord::News;
+            return FoldOutcome::Update;
         }
     };
     if Some(record.position.era()) == tables.store_era {
@@ -272,36 +275,36 @@
     if known > Some(config.version) {
         event!(
             Event::ConfigOutdated,
-            "version {} at {}, in force {known:?}",
+            "version {} at position {}, version in force: {known:?}",
             config.version,
             record.position
         );
-        return FoldedRecord::Outlived;
+        return FoldOutcome::Outdated;
     }
     if known == Some(config.version)
         && tables.records.value(FeedTopic::Operators, CONFIG_KEY) == Some(value)
     {
-        return FoldedRecord::Kept;
+        return FoldOutcome::Stored;
     }
     event!(
         Event::ConfigInForce,
-        "version {} at {}, {} routes",
+        "version {} at position {}, {} routes",
         config.version,
         record.position,
         config.routes.len()
     );
     let routes = RouteTable::new(&config);
     tables.active = Some(Arc::new(ActiveConfig { config, routes }));
-    FoldedRecord::News
+    FoldOutcome::Update
 }
 
-/// Folds a VM's record, a suspect's or a zone's lease.
+/// Applies a VM record, the era record, a suspect record or a zone lease.
 pub fn fold_fleet_record(
     tables: &mut FleetTables,
     record: &KeyedRecord,
     rewrites: RewriteRule,
     now: Instant,
-) -> FoldedRecord {
+) -> FoldOutcome {
     let known = tables.records.value(FeedTopic::Fleet, &record.key);
     let is_change = record.value.is_none() || known != record.value.as_deref();
     if let Some(vm) = record.key.strip_prefix(VM_KEY_PREFIX) {
@@ -313,14 +316,14 @@
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
     } else if record.key.starts_with(SUSPECT_KEY_PREFIX) {
-        event!(Event::RecordSkipped, "{}: no fingerprint", record.key);
+        event!(Event::RecordSkipped, "{}: no valid fingerprint in the key", record.key);
     } else if let Some(zone) = record.key.strip_prefix(ZONE_KEY_PREFIX) {
         return fold_lease(tables, zone, record);
     }
     if is_change {
-        FoldedRecord::News
+        FoldOutcome::Update
     } else {
-        FoldedRecord::Kept
+        FoldOutcome::Stored
     }
 }
 
@@ -333,7 +336,7 @@
             tables.vms.insert(VmName::new(vm), recorded);
             tables.update_budget_shares();
         }
-        Err(error) => event!(Event::RecordSkipped, "VM {vm}: {error}"),
+        Err(error) => event!(Event::RecordSkipped, "record of VM {vm}: {error}"),
     }
 }
 
@@ -343,11 +346,11 @@
     };
     match serde_json::from_slice(value) {
         Ok(recorded) => tables.note_era_record(recorded, rewrites),
-        Err(error) => event!(Event::RecordSkipped, "era: {error}"),
+        Err(error) => event!(Event::RecordSkipped, "era record: {error}"),
     }
 }
 
-fn fold_lease(tables: &mut FleetTables, zone: &str, record: &KeyedRecord) -> FoldedRecord {
+fn fold_lease(tables: &mut FleetTables, zone: &str, record: &KeyedRecord) -> FoldOutcome {
     let lease = record
         .value
         .as_ref()
@@ -363,13 +366,13 @@
         .entry(AvailabilityZone::new(zone))
         .or_default();
     if !state.apply(record.position, lease) {
-        return FoldedRecord::Outlived;
+        return FoldOutcome::Outdated;
     }
     event!(
         Event::LeaseSeen,
-        "{zone}: {} at {}",
+        "{zone}: {} at position {}",
         state.holder().map_or("nobody", VmName::as_str),
         state.position
     );
-    FoldedRecord::News
+    FoldOutcome::Update
 }
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -1,12 +1,15 @@
-//! What comes into the books from the log and from other VMs, and what of it is news for others.
+//! Intake of records from the log and from other VMs.
+//!
+//! Each record is applied to the fleet's tables by [`folding`](super::folding). Records that change
+//! what other VMs do are marked as updates, which the links forward.
 
 use crate::{
     clock,
     direct::{
         fleet::{FleetState, FleetTables},
         folding::{
-            FoldedRecord, fold_fleet_record, fold_operator_record, fold_target_record,
-            is_newer_by_itself,
+            FoldOutcome, fold_fleet_record, fold_operator_record, fold_target_record,
+            is_newer_by_own_order,
         },
         message::{FeedTopic, TopicSpan},
     },
@@ -22,21 +25,21 @@
     store::{KeyedRecord, ReadBatch},
 };
 
-/// How a record came to this VM.
+/// Way by which a record reached this VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordSource {
-    /// In a listing of its own.
+    /// From a listing by this VM.
     Listed,
-    /// In a read of its own.
+    /// From a read by this VM.
     Read,
-    /// From another VM.
+    /// Forwarded by another VM.
     Forwarded,
-    /// From another VM that was asked for it.
+    /// Requested from another VM.
     Requested,
 }
 
 impl FleetState {
-    /// A read or listing of the target list was answered, or failed.
+    /// Notes whether a read or listing of the target list was answered.
     pub fn note_list_call(&self, is_answered: bool) {
         let now = clock::now();
         let mut tables = self.tables();
@@ -48,11 +51,11 @@
         tables.note_log_return();
     }
 
-    /// Folds a listing of the newest record of each key.
+    /// Applies a listing of the newest record of each key.
     pub fn apply_listing(&self, topic: FeedTopic, listing: &ReadBatch) {
         let now = clock::now();
         if self.is_topic_known(topic) && listing.end < self.known_end(topic) {
-            // It may hold what was removed since, and whose removal is not kept.
+            // The listing may hold a key that was removed later, and removals are not stored.
             return;
         }
         self.fold(topic, &listing.records, RecordSource::Listed, now);
@@ -62,7 +65,7 @@
             let gone = tables
                 .catalog
                 .remove_unlisted(&listed.collect(), listing.end, now);
-            self.pass_removals(&mut tables, gone, "not listed any more");
+            self.forward_removals(&mut tables, gone, "no longer listed");
         }
         let span = TopicSpan {
             topic,
@@ -77,7 +80,8 @@
         self.signal();
     }
 
-    /// Every key of a topic is known, and no record before a position is missing.
+    /// Notes that every key of a topic is known and that no record before the span's end is
+    /// missing.
     pub(super) fn note_topic_known(&self, span: TopicSpan, source: RecordSource) {
         let TopicSpan { topic, since, end } = span;
         let known_topics = {
@@ -109,19 +113,19 @@
         });
     }
 
-    /// Folds the records of a read that began at `from`, in the order of their positions.
+    /// Applies the records of a read from `from`, in the order of their positions.
     pub fn apply_records(&self, topic: FeedTopic, from: LogPosition, batch: &ReadBatch) {
-        let has_news = self.fold(topic, &batch.records, RecordSource::Read, clock::now());
+        let has_updates = self.fold(topic, &batch.records, RecordSource::Read, clock::now());
         self.note_end(topic, batch.end);
         if from <= self.known_end(topic) {
             self.tables().advance(topic, batch.next);
         }
-        if has_news {
+        if has_updates {
             self.signal();
         }
     }
 
-    /// The fleet's topic was read up to a position.
+    /// Notes that the fleet topic was read up to a position.
     pub(super) fn note_end(&self, topic: FeedTopic, end: LogPosition) {
         if topic == FeedTopic::Fleet {
             let mut tables = self.tables();
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Folds records; says whether any of them is news for others.
+    /// Applies records. Returns whether any of them has to be forwarded.
     pub(super) fn fold(
         &self,
         topic: FeedTopic,
@@ -137,18 +141,19 @@
         source: RecordSource,
         now: Instant,
     ) -> bool {
-        let mut has_news = false;
+        let mut has_updates = false;
         let mut tables = self.tables();
-        // What a VM takes in before it knows a topic, every VM lists or is told as well.
-        let is_own = matches!(source, RecordSource::Listed | RecordSource::Requested);
-        let is_first = is_own && !tables.known_ends.contains_key(&topic);
+        // Records that a VM obtains before the topic is complete are listed by or sent to every
+        // other VM too.
+        let is_initial_source = matches!(source, RecordSource::Listed | RecordSource::Requested);
+        let is_initial = is_initial_source && !tables.known_ends.contains_key(&topic);
         for record in records {
             let is_newer = tables.records.is_newer(topic, &record.key, record.position);
-            // It may be newer by an order of its own than what came behind it.
-            if !is_newer && !is_newer_by_itself(&tables, topic, record) {
+            // A record behind the known position may still be newer by its own order.
+            if !is_newer && !is_newer_by_own_order(&tables, topic, record) {
                 continue;
             }
-            let folded = match topic {
+            let outcome = match topic {
                 FeedTopic::Operators => {
                     let is_written = source == RecordSource::Read && record.key == CONFIG_KEY;
                     if is_written && Some(record.position.era()) == tables.store_era {
@@ -159,29 +164,30 @@
                 FeedTopic::Targets => fold_target_record(&mut tables, record, source, now),
                 FeedTopic::Fleet => fold_fleet_record(&mut tables, record, self.rewrites, now),
             };
-            // A removal in doubt is kept, and passed on, when it counts; what is older by an order of its own is not kept at
-            // all, so that whoever is told everything is told of the newer one.
-            if matches!(folded, FoldedRecord::Doubted | FoldedRecord::Outlived) {
+            // An unconfirmed removal is stored and forwarded once it is confirmed. A record that is
+            // outdated by its own order is not stored, so that answers to other VMs contain the
+            // newer one.
+            if matches!(outcome, FoldOutcome::Unconfirmed | FoldOutcome::Outdated) {
                 continue;
             }
-            let is_news =
-                !is_first && matches!(folded, FoldedRecord::News | FoldedRecord::Unusable);
-            // To others, what can't be used is the same as nothing.
+            let is_update =
+                !is_initial && matches!(outcome, FoldOutcome::Update | FoldOutcome::Unusable);
+            // For other VMs an unusable entry equals a removal.
             let value = record
                 .value
                 .as_ref()
-                .filter(|_| folded != FoldedRecord::Unusable);
+                .filter(|_| outcome != FoldOutcome::Unusable);
             let key = &record.key;
             tables
                 .records
-                .keep(topic, key, record.position, value, is_news);
-            has_news |= is_news;
+                .keep(topic, key, record.position, value, is_update);
+            has_updates |= is_update;
         }
         self.announce(&tables);
-        has_news
+        has_updates
     }
 
-    /// Tells the links how far the news goes.
+    /// Wakes the links if there are updates to forward.
     pub(super) fn announce(&self, tables: &FleetTables) {
         let head = tables.records.head() + tables.leaving.head();
         self.updates.send_if_modified(|known| {
@@ -191,8 +197,8 @@
         });
     }
 
-    /// Keeps removals that count now as news for others.
-    fn pass_removals(&self, tables: &mut FleetTables, gone: Vec<CountedRemoval>, why: &str) {
+    /// Stores confirmed removals as updates for other VMs.
+    fn forward_removals(&self, tables: &mut FleetTables, gone: Vec<CountedRemoval>, why: &str) {
         for (name, position) in gone {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
@@ -203,7 +209,7 @@
         self.announce(tables);
     }
 
-    /// Removes targets whose removal is no longer in doubt.
+    /// Removes targets whose removal is confirmed by now.
     pub fn expire(&self) {
         let mut tables = self.tables();
         let FleetTables {
@@ -220,7 +226,7 @@
         if gone.is_empty() {
             return;
         }
-        self.pass_removals(&mut tables, gone, "doubt over");
+        self.forward_removals(&mut tables, gone, "removal confirmed");
         drop(tables);
         self.signal();
     }
--- a/crates/daemon/src/direct/reachability.rs
+++ b/crates/daemon/src/direct/reachability.rs
@@ -28,7 +28,7 @@
     /// # Panics
     /// If a holder of the lock panicked.
     #[must_use]
-    pub fn probes(&self, topic: FeedTopic) -> bool {
+    pub fn is_prober(&self, topic: FeedTopic) -> bool {
         let mut prober = self.prober.lock().expect("no holder of the lock panics");
         *prober.get_or_insert(topic) == topic
     }
@@ -48,7 +48,7 @@
     ///
     /// # Panics
     /// If a holder of the lock panicked.
-    pub fn note_back(&self) {
+    pub fn note_return(&self) {
         *self.prober.lock().expect("no holder of the lock panics") = None;
         self.returns.send_modify(|returns| *returns += 1);
     }
