--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -164,7 +164,9 @@
                 return true;
             }
             let knows_fleet = self.fleet.is_topic_known(FeedTopic::Fleet);
-            if knows_fleet && !(self.fleet.may_learn_from_holder() && self.can_receive_from_holder()) {
+            if knows_fleet
+                && !(self.fleet.may_learn_from_holder() && self.can_receive_from_holder())
+            {
                 return false;
             }
             let until = *until.get_or_insert_with(|| Instant::now() + HOLDER_SEND_TIMEOUT);
@@ -179,7 +181,8 @@
     /// forwards.
     async fn wait_for_link(&self) {
         let until = Instant::now() + HOLDER_SEND_TIMEOUT;
-        while Instant::now() < until && self.can_receive_from_holder() && !self.has_holder_contact() {
+        while Instant::now() < until && self.can_receive_from_holder() && !self.has_holder_contact()
+        {
             sleep(HOLDER_CHECK_INTERVAL).await;
         }
     }
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -427,8 +427,8 @@
     }
 
     /// Notes whether a VM could take over the lease.
-    pub fn note_successor(&self, vm: &VmName, is_one: bool) {
-        if is_one {
+    pub fn note_successor(&self, vm: &VmName, can_take_over: bool) {
+        if can_take_over {
             self.successors().insert(vm.clone());
         } else {
             self.successors().remove(vm);
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -203,7 +203,11 @@
     let name = TargetName::new(&record.key);
     let is_change = tables.catalog.settle(&name, record.position);
     if let Some(unlogged) = tables.skipped_entries.note(now) {
-        let key: String = record.key.escape_debug().take(MAX_LOGGED_KEY_CHARS).collect();
+        let key: String = record
+            .key
+            .escape_debug()
+            .take(MAX_LOGGED_KEY_CHARS)
+            .collect();
         event!(
             Event::EntryUnusable,
             "{key} at position {}: {error}; {unlogged} earlier entries not logged",
@@ -248,7 +252,11 @@
             *known = version;
         }
         Err(error) => {
-            event!(Event::RecordSkipped, "version record {}: {error}", record.key);
+            event!(
+                Event::RecordSkipped,
+                "version record {}: {error}",
+                record.key
+            );
         }
     }
     FoldOutcome::Update
@@ -316,7 +324,11 @@
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
     } else if record.key.starts_with(SUSPECT_KEY_PREFIX) {
-        event!(Event::RecordSkipped, "{}: no valid fingerprint in the key", record.key);
+        event!(
+            Event::RecordSkipped,
+            "{}: no valid fingerprint in the key",
+            record.key
+        );
     } else if let Some(zone) = record.key.strip_prefix(ZONE_KEY_PREFIX) {
         return fold_lease(tables, zone, record);
     }
--- a/crates/daemon/src/direct/holder_requests.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -1,4 +1,7 @@
-//! What the holder of a zone is asked and told, on this VM or over a link.
+//! Requests and notices to the holder of a zone.
+//!
+//! They are handled as an event if the holder is this VM, and otherwise sent as a message over a
+//! link.
 
 use crate::direct::{
     message::VmMessage,
@@ -15,17 +18,17 @@
     ids::{TargetName, VmName},
 };
 
-/// What a holder is asked.
+/// Request to a zone's holder, which sends a reply.
 pub(super) enum HolderRequest {
-    /// Where a call goes.
+    /// Placement of a call.
     Place(Box<PlacementAsk>),
-    /// Where a call of a plain service goes.
+    /// Placement of a call of a plain service.
     Plain(Box<PlainAsk>),
-    /// Whether a charge is paid.
+    /// Charge against an organisation's quota.
     Pay(QuotaCharge),
-    /// Whether a trial of a suspect is granted.
+    /// Permit for a trial of a suspect.
     Trial(RequestFingerprint),
-    /// The record of a target.
+    /// Record of a target.
     Target(TargetName),
 }
 
@@ -51,19 +54,20 @@
     }
 }
 
-/// What a holder is told.
+/// Notice to a zone's holder, without a reply.
 pub(super) enum HolderNotice {
-    /// The first event of a call came from this target, made by this version of the base model.
+    /// The first event of a call came from this target, with the version of the base model if
+    /// known.
     Begun(u64, TargetName, Option<u64>),
-    /// A placement is no longer wanted.
+    /// The gateway no longer needs a placement.
     Withdrawn(u64),
-    /// A call that was paid for did not run.
+    /// Returns the charge of a call that was not run.
     GiveBack(QuotaCharge),
-    /// A target ended while a request ran there.
+    /// A target ended while a request ran on it.
     EndedUnder(EndedUnder),
-    /// An answer told of a target's limit.
+    /// A target reported its limit in an answer.
     LimitNamed(NamedLimit),
-    /// A trial ended, answered well or not.
+    /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
 }
 
@@ -77,8 +81,8 @@
             Self::Begun(number, target, version) => ZoneEvent::Begun(key(number), target, version),
             Self::Withdrawn(number) => ZoneEvent::Withdrawn(key(number)),
             Self::GiveBack(charge) => ZoneEvent::GiveBack(charge),
-            Self::EndedUnder(ended) => ZoneEvent::EndedUnder(ended),
-            Self::LimitNamed(named) => ZoneEvent::LimitNamed(named),
+            Self::EndedUnder(end) => ZoneEvent::EndedUnder(end),
+            Self::LimitNamed(limit) => ZoneEvent::LimitNamed(limit),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 ZoneEvent::TrialEnded(key(number), fingerprint, is_good)
             }
@@ -90,8 +94,8 @@
             Self::Begun(number, target, version) => VmMessage::Begun(number, target, version),
             Self::Withdrawn(number) => VmMessage::Withdrawn(number),
             Self::GiveBack(charge) => VmMessage::GiveBack(charge),
-            Self::EndedUnder(ended) => VmMessage::EndedUnder(ended),
-            Self::LimitNamed(named) => VmMessage::LimitNamed(named),
+            Self::EndedUnder(end) => VmMessage::EndedUnder(end),
+            Self::LimitNamed(limit) => VmMessage::LimitNamed(limit),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 VmMessage::TrialEnded(number, fingerprint, is_good)
             }
--- a/crates/daemon/src/direct/listing.rs
+++ b/crates/daemon/src/direct/listing.rs
@@ -1,25 +1,26 @@
-//! A listing of the newest record of each key, page by page.
+//! Paged listing of the newest record of each key of a topic.
 //!
-//! After a loss of all VMs of a large fleet all of them list at once, and the log takes longer for a page than usual. A
-//! page whose answer is late is then asked for again with more patience, rather than the whole listing.
+//! When all VMs of a large fleet restart, all of them list at once and the log answers more slowly
+//! than usual. A late page is requested again with a longer timeout, so that the listing does not
+//! start over.
 
 use hoplanding_platform::store::{ListingPage, ReadBatch, StoreClient, StoreError};
 use std::time::Duration;
 
-/// Times that a page behind the first is asked for; patience doubles each time.
-const PAGE_TRIES: u32 = 4;
+/// Attempts for each page after the first one. The timeout doubles after each attempt.
+const MAX_PAGE_ATTEMPTS: u32 = 4;
 
-/// Lists a topic.
+/// Lists a topic. `within` is the time limit for one page.
 ///
 /// # Errors
-/// Says why the first page, or a later one after several tries, did not come.
+/// The error of the first page, or of the last attempt for a later one.
 pub async fn list_topic(
     client: &mut StoreClient,
     topic: &str,
     within: Duration,
 ) -> Result<ReadBatch, StoreError> {
     let first = client.newest_page(topic, None, within).await?;
-    // Pages are no snapshot: what changed since the first one is read again from its end.
+    // Pages are not a snapshot. Changes since the first page are read later, from its end.
     let mut batch = ReadBatch {
         records: first.records,
         next: first.end,
@@ -43,12 +44,12 @@
     after: &str,
     within: Duration,
 ) -> Result<ListingPage, StoreError> {
-    let mut patience = within;
-    for _ in 1..PAGE_TRIES {
-        match client.newest_page(topic, Some(after), patience).await {
-            Err(StoreError::Unanswered(_)) => patience *= 2,
+    let mut page_timeout = within;
+    for _ in 1..MAX_PAGE_ATTEMPTS {
+        match client.newest_page(topic, Some(after), page_timeout).await {
+            Err(StoreError::Unanswered(_)) => page_timeout *= 2,
             result => return result,
         }
     }
-    client.newest_page(topic, Some(after), patience).await
+    client.newest_page(topic, Some(after), page_timeout).await
 }
--- a/crates/daemon/src/direct/probes.rs
+++ b/crates/daemon/src/direct/probes.rs
@@ -1,4 +1,4 @@
-//! Short questions over HTTP that are answered at once: the balancer's, and the metrics collector's.
+//! HTTP endpoints for the load balancer's readiness probe and for metrics collectors.
 
 use crate::direct::call::{AnswerBody, full, own_answer};
 use bytes::Bytes;
@@ -11,14 +11,13 @@
 
 /// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least buffer that the library allows for a head.
-const HEAD_LEAST: usize = 8 * 1024;
-/// Where the metrics stand.
+/// Smallest header buffer that hyper allows, in bytes.
+const MIN_HEADER_BUFFER_BYTES: usize = 8 * 1024;
+/// Path of the metrics page.
 pub const METRICS_PATH: &str = "/metrics";
-/// Content type of the metrics page.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers questions by their path until the process ends.
+/// Answers requests by their path until the process ends.
 pub async fn serve_probes(
     listener: TcpListener,
     answer: impl Fn(&str) -> Response<AnswerBody> + Clone + Send + Sync + 'static,
@@ -34,36 +33,36 @@
                 let answer = answer(request.uri().path());
                 async move { Ok::<_, Infallible>(answer) }
             });
-            // Whoever asks does so again after a broken connection.
+            // The client connects again after a broken connection.
             let _ = Builder::new()
-                .max_buf_size(HEAD_LEAST)
+                .max_buf_size(MIN_HEADER_BUFFER_BYTES)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
     }
 }
 
-/// The answer to the balancer.
+/// Response to a readiness probe.
 #[must_use]
-pub fn readiness_response(path: &str, is_up: bool) -> Response<AnswerBody> {
-    match (path, is_up) {
+pub fn readiness_response(path: &str, is_ready: bool) -> Response<AnswerBody> {
+    match (path, is_ready) {
         (READY_PATH, true) => Response::new(full(Bytes::from_static(b"ready"))),
         (READY_PATH, false) => own_answer("", StatusCode::SERVICE_UNAVAILABLE, None),
         _ => own_answer("", StatusCode::NOT_FOUND, None),
     }
 }
 
-/// The answer to a collector.
+/// Response to a metrics collector. `page` renders the metrics.
 ///
 /// # Panics
-/// Never: the content type is a header value.
+/// Never: the content type is a valid header value.
 #[must_use]
 pub fn metrics_response(path: &str, page: impl FnOnce() -> String) -> Response<AnswerBody> {
     if path != METRICS_PATH {
         return own_answer("", StatusCode::NOT_FOUND, None);
     }
     Response::builder()
-        .header(http::header::CONTENT_TYPE, METRICS_TYPE)
+        .header(http::header::CONTENT_TYPE, METRICS_CONTENT_TYPE)
         .body(full(Bytes::from(page())))
-        .expect("the content type is a header value")
+        .expect("the content type is a valid header value")
 }
--- a/crates/daemon/src/direct/reachability.rs
+++ b/crates/daemon/src/direct/reachability.rs
@@ -1,20 +1,22 @@
-//! What the workers of one VM tell each other about the platform's log.
+//! Reachability of the platform log, shared by the readers of all topics.
+//!
+//! While the log is out of reach, one reader probes it and wakes the others when it is back.
 
 use crate::direct::message::FeedTopic;
 use std::sync::{Arc, Mutex};
 use tokio::sync::watch;
 
-/// Whether the log is in reach.
+/// Shared state of the log's reachability.
 #[derive(Clone, Debug)]
 pub struct StoreReachability {
-    /// Counted up at each return.
+    /// Counts how often the log came back.
     returns: watch::Sender<u64>,
-    /// The topic whose worker tries while the log is out of reach.
+    /// Topic whose reader probes the log while it is out of reach.
     prober: Arc<Mutex<Option<FeedTopic>>>,
 }
 
 impl StoreReachability {
-    /// A log that was never out of reach.
+    /// State of a log that is in reach.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -23,37 +25,47 @@
         }
     }
 
-    /// Whether the worker of a topic is the one to try; the first that asks is.
+    /// Whether the reader of a topic is the one that probes. The first reader that asks becomes the
+    /// prober.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     #[must_use]
     pub fn is_prober(&self, topic: FeedTopic) -> bool {
-        let mut prober = self.prober.lock().expect("no holder of the lock panics");
+        let mut prober = self
+            .prober
+            .lock()
+            .expect("no thread panics while it holds the lock");
         *prober.get_or_insert(topic) == topic
     }
 
-    /// The worker of a topic does not read any more: another one may try.
+    /// Lets the reader of another topic probe, as this one has stopped reading.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     pub fn stop_probing(&self, topic: FeedTopic) {
-        let mut prober = self.prober.lock().expect("no holder of the lock panics");
+        let mut prober = self
+            .prober
+            .lock()
+            .expect("no thread panics while it holds the lock");
         if *prober == Some(topic) {
             *prober = None;
         }
     }
 
-    /// The log is in reach again.
+    /// Notes that the log is back.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If a thread panicked while it held the lock.
     pub fn note_return(&self) {
-        *self.prober.lock().expect("no holder of the lock panics") = None;
+        *self
+            .prober
+            .lock()
+            .expect("no thread panics while it holds the lock") = None;
         self.returns.send_modify(|returns| *returns += 1);
     }
 
-    /// A signal of returns.
+    /// Watches for returns of the log.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.returns.subscribe()
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -1,8 +1,10 @@
-//! Keeps in the log what the VMs' own records have to say, also after it came back from a copy.
+//! Writes the fleet's records to the platform log, also after a restore of the log lost some of
+//! them.
 //!
-//! Each VM writes its own record, and the holder of a zone those of the suspects whose trials it grants. Leases are claimed again by their
-//! holders. A VM that lists the fleet's topic sees what a copy lacks; one that does not writes its record again to be sure, at a
-//! moment of its own, as all VMs learn of the copy at once.
+//! Each VM writes its own record, and the holder of a zone writes the records of the suspects whose
+//! trials it grants. The holders claim their leases again elsewhere. A VM that has listed the fleet
+//! topic sees which records a restored log lacks. Any other VM writes its record again in any case,
+//! at a random time, as all VMs learn of the restore at once.
 
 use crate::{
     direct::{
@@ -23,34 +25,34 @@
 use std::{sync::Arc, time::Duration};
 use tokio::time::{Instant, sleep, timeout};
 
-/// Pause after a record that was not written, or has to be written once more.
-const RECORD_AGAIN: Duration = Duration::from_millis(500);
-/// Longest time between two looks at what has to be written.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Pause between two looks, as the books change with every target that comes or goes.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
-/// Time within which the VMs that have not listed the topic write their records again, each at a moment of its own.
-const SPREAD_OVER: Duration = Duration::from_secs(5);
+/// Pause before a record is written again, after a failure or because it is still missing.
+const REWRITE_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum time between two checks for missing records.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum time between two checks, as the tables change with every target that comes or goes.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Time over which VMs that have not listed the topic spread the rewrites of their records.
+const REWRITE_SPREAD: Duration = Duration::from_secs(5);
 
-/// Writes the fleet's records that the log lacks.
+/// Worker that writes the fleet's records that the log lacks.
 pub struct FleetRecorder {
     fleet: Arc<FleetState>,
     settings: Arc<DirectSettings>,
-    /// When this VM's record is written again though it may be there, and in which era.
-    again_at: Option<(StoreEra, Instant)>,
-    /// When the suspects are looked at next.
-    suspects_at: Instant,
+    /// Era in which this VM's record may be missing, and when it is written again for that reason.
+    rewrite_at: Option<(StoreEra, Instant)>,
+    /// Time of the next check of the suspects.
+    suspect_check_at: Instant,
 }
 
 impl FleetRecorder {
-    /// A recorder of this VM.
+    /// Recorder of this VM.
     #[must_use]
     pub fn new(fleet: Arc<FleetState>, settings: Arc<DirectSettings>) -> Self {
         Self {
             fleet,
             settings,
-            again_at: None,
-            suspects_at: Instant::now(),
+            rewrite_at: None,
+            suspect_check_at: Instant::now(),
         }
     }
 
@@ -58,22 +60,22 @@
     pub async fn run(mut self) {
         let mut client = StoreClient::new(self.settings.platform_address);
         let mut changes = self.fleet.watch();
-        let mut written = None;
+        let mut last_key = None;
         loop {
-            while let Some((key, value)) = self.next_missing() {
-                if written.as_ref() == Some(&key) {
-                    sleep(RECORD_AGAIN).await;
+            while let Some((key, value)) = self.next_missing_record() {
+                if last_key.as_ref() == Some(&key) {
+                    sleep(REWRITE_PAUSE).await;
                 }
                 if let Err(error) = self.append(&mut client, &key, &value).await {
                     event!(Event::RecordFailed, "{key}: {error}");
-                    sleep(RECORD_AGAIN).await;
+                    sleep(REWRITE_PAUSE).await;
                 }
-                written = Some(key);
+                last_key = Some(key);
             }
-            written = None;
-            // The sender lives as long as the books.
-            let _ = timeout(LOOK_EVERY, changes.changed()).await;
-            sleep(LOOK_PAUSE).await;
+            last_key = None;
+            // `FleetState` keeps the sender alive.
+            let _ = timeout(MAX_CHECK_INTERVAL, changes.changed()).await;
+            sleep(MIN_CHECK_INTERVAL).await;
         }
     }
 
@@ -93,15 +95,16 @@
         Ok(())
     }
 
-    /// A record that the log lacks and this VM has to write, and its value.
-    fn next_missing(&mut self) -> Option<(String, Bytes)> {
+    /// Key and value of a record that the log lacks and this VM has to write.
+    fn next_missing_record(&mut self) -> Option<(String, Bytes)> {
         let fleet = Arc::clone(&self.fleet);
         let tables = fleet.tables();
         if !tables.known_ends.contains_key(&FeedTopic::Fleet) {
             return None;
         }
-        if self.lacks_own(&tables) {
-            let value = serde_json::to_vec(&self.own_record()).expect("a record has a JSON form");
+        if self.is_own_record_missing(&tables) {
+            let value =
+                serde_json::to_vec(&self.own_record()).expect("a record can be written as JSON");
             return Some((vm_key(&fleet.vm), value.into()));
         }
         let state = tables.leases.get(&fleet.zone);
@@ -109,42 +112,43 @@
         if let Some(record) = tables.missing_era_record()
             && (is_holder || tables.rank(&fleet) == 0)
         {
-            let value = serde_json::to_vec(&record).expect("a record has a JSON form");
+            let value = serde_json::to_vec(&record).expect("a record can be written as JSON");
             return Some((ERA_KEY.to_owned(), value.into()));
         }
         if !is_holder {
             return None;
         }
         self.due_suspect(&tables)
-            .or_else(|| self.lost_suspect(&tables))
+            .or_else(|| self.missing_suspect(&tables))
     }
 
-    /// A record of a suspect that differs from what is known, and its value. All of them are looked at, so that is done
-    /// now and then.
+    /// Key and value of a suspect's record that differs from the known state. The check visits all
+    /// suspects, so it has an interval of its own.
     fn due_suspect(&mut self, tables: &FleetTables) -> Option<(String, Bytes)> {
         let now = Instant::now();
-        if now < self.suspects_at {
+        if now < self.suspect_check_at {
             return None;
         }
         let due = tables.due_suspect(&self.fleet.zone, &self.settings.zones);
         if due.is_none() {
-            self.suspects_at = now + LOOK_EVERY;
+            self.suspect_check_at = now + MAX_CHECK_INTERVAL;
         }
         due
     }
 
-    /// A record of a suspect that a copy of the log lacks, and its value.
-    fn lost_suspect(&self, tables: &FleetTables) -> Option<(String, Bytes)> {
+    /// Key and value of a suspect's record that a restored log lacks.
+    fn missing_suspect(&self, tables: &FleetTables) -> Option<(String, Bytes)> {
         let era = tables
             .listed_era
             .filter(|era| Some(*era) == tables.store_era)?;
-        let mut lost = tables.records.before_era(FeedTopic::Fleet, era);
-        lost.find(|(key, _)| self.is_ours(key))
+        let mut missing = tables.records.before_era(FeedTopic::Fleet, era);
+        missing
+            .find(|(key, _)| self.is_kept_by_zone(key))
             .map(|(key, value)| (key.to_owned(), value.clone()))
     }
 
-    /// Whether the log lacks this VM's record, or may lack it for so long that it is written once more.
-    fn lacks_own(&mut self, tables: &FleetTables) -> bool {
+    /// Whether the log lacks this VM's record, or may have lacked it until the time of its rewrite.
+    fn is_own_record_missing(&mut self, tables: &FleetTables) -> bool {
         if tables.vms.get(&self.fleet.vm) != Some(&self.own_record()) {
             return true;
         }
@@ -160,15 +164,15 @@
             return true;
         }
         let now = Instant::now();
-        let known = self.again_at.filter(|(known, _)| *known == era);
-        let pause = SPREAD_OVER.mul_f64(rand::random());
-        let (_, at) = known.unwrap_or((era, now + pause));
-        self.again_at = Some((era, at));
-        now >= at
+        let known = self.rewrite_at.filter(|(known, _)| *known == era);
+        let pause = REWRITE_SPREAD.mul_f64(rand::random());
+        let (_, due_at) = known.unwrap_or((era, now + pause));
+        self.rewrite_at = Some((era, due_at));
+        now >= due_at
     }
 
-    /// Whether a record is one of a suspect that this zone's holder has to keep.
-    fn is_ours(&self, key: &str) -> bool {
+    /// Whether this zone's holder has to keep a suspect's record.
+    fn is_kept_by_zone(&self, key: &str) -> bool {
         let fingerprint = suspect_of(key);
         fingerprint.is_some_and(|fingerprint| {
             keeps_record(&self.fleet.zone, &self.settings.zones, fingerprint)
--- a/crates/daemon/src/direct/skipped.rs
+++ b/crates/daemon/src/direct/skipped.rs
@@ -1,41 +1,42 @@
-//! How often entries that can't be used are told of.
+//! Rate limit for log lines about entries that can't be used.
 //!
-//! Anybody may write to the target list, and at any rate, so what is written there must not become a flood of lines.
+//! Any target may write to the target list at any rate, and unusable entries must not flood this
+//! VM's log.
 
 use hoplanding_core::ids::Instant;
 use std::time::Duration;
 
-/// Lines told within a span; the rest is counted in the next line.
-const TOLD_MOST: u32 = 8;
-/// The span.
-const TOLD_WITHIN: Duration = Duration::from_secs(1);
+/// Maximum number of lines in an interval. Further entries are counted in the next line.
+const MAX_LINES: u32 = 8;
+const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Entries that could not be used.
+/// Counter of unusable entries that limits the rate of their log lines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EntryLogLimiter {
     total: u64,
-    began: Instant,
-    told: u32,
-    untold: u64,
+    interval_start: Instant,
+    logged: u32,
+    unlogged: u64,
 }
 
 impl EntryLogLimiter {
-    /// Counts an entry; gives how many were passed over in silence since the last line if this one may be told.
+    /// Counts an entry. Returns `None` if its line exceeds the rate, and otherwise the number of
+    /// entries without a line since the last one.
     pub fn note(&mut self, now: Instant) -> Option<u64> {
         self.total += 1;
-        if now.since(self.began) >= TOLD_WITHIN {
-            self.began = now;
-            self.told = 0;
+        if now.since(self.interval_start) >= LINE_INTERVAL {
+            self.interval_start = now;
+            self.logged = 0;
         }
-        if self.told >= TOLD_MOST {
-            self.untold += 1;
+        if self.logged >= MAX_LINES {
+            self.unlogged += 1;
             return None;
         }
-        self.told += 1;
-        Some(std::mem::take(&mut self.untold))
+        self.logged += 1;
+        Some(std::mem::take(&mut self.unlogged))
     }
 
-    /// All of them since the start.
+    /// Number of entries since the start.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.total
