--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -1,4 +1,4 @@
-//! What VMs know and do together: records, leases, orders, starts and stops.
+//! Fleet state and cooperation of VMs: records, leases, orders, starts and planned stops.
 
 use crate::support::{
     ask, config, entry, event, good, is_ready, model, post, process, second_vm, settings, site,
@@ -21,8 +21,9 @@
     time::{Instant, sleep},
 };
 
+/// Guards against calls to a target that is draining.
 #[tokio::test]
-async fn a_leaving_target_gets_nothing_new() {
+async fn draining_target_gets_no_new_calls() {
     let log = KeyedLog::start().await.expect("a log");
     let leaving = RawTarget::start(good).await.expect("a target");
     let staying = RawTarget::start(good).await.expect("a target");
@@ -36,7 +37,10 @@
         "i-1",
         Some(&entry("ledger", leaving.address, "draining", &[])),
     );
-    wait_for("the news", async || daemon.fleet().is_leaving("i-1")).await;
+    wait_for("the draining entry", async || {
+        daemon.fleet().is_leaving("i-1")
+    })
+    .await;
     let before = leaving.requests().len();
     for number in 0..10 {
         let answer = ask(
@@ -49,8 +53,10 @@
     assert_eq!(leaving.requests().len(), before);
 }
 
+/// Guards against records that can't be decoded, and malformed answers of the log, that replace
+/// valid state.
 #[tokio::test]
-async fn records_that_cannot_be_decoded_and_a_store_that_talks_nonsense_change_nothing() {
+async fn undecodable_records_and_malformed_log_answers_are_ignored() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -73,17 +79,19 @@
     .await;
 }
 
+/// Guards against a configuration that is in force late because the log does not wake a read that
+/// arrives while the record is appended.
 #[tokio::test]
-async fn a_configuration_is_in_force_though_the_log_does_not_wake_the_read_that_waits_for_it() {
+async fn configuration_takes_effect_though_log_does_not_wake_waiting_read() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
-    wait_for("its lease", async || {
+    wait_for("the lease", async || {
         let zone = AvailabilityZone::new("hall");
         daemon.fleet().lease(&zone).is_some()
     })
     .await;
-    // The read that began before the lease waits longer: it ends with this version.
+    // The read that began before the lease waits longer, and ends with this version.
     log.put("keyed.op", "config", Some(&config(2)));
     let is_in_force = |version| {
         let active = daemon.fleet().active();
@@ -96,8 +104,10 @@
     wait_for("version 3", async || is_in_force(3)).await;
 }
 
+/// Guards against a VM that stays outdated when the records after its position have been compacted:
+/// it has to list the topic again.
 #[tokio::test]
-async fn a_history_that_is_gone_is_made_up_for_by_a_listing() {
+async fn compacted_records_are_recovered_by_listing() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -115,8 +125,10 @@
     .await;
 }
 
+/// Guards against a VM that stays outdated while the log rejects its reads: it gets the records
+/// from another VM.
 #[tokio::test]
-async fn a_vm_that_the_store_turns_away_learns_from_another() {
+async fn vm_rejected_by_log_gets_records_from_another_vm() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let first = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -128,7 +140,7 @@
         Some(&entry("ledger", target.address, "draining", &[])),
     );
     log.put("keyed.op", "config", Some(&config(5)));
-    wait_for("the news over the link", async || {
+    wait_for("the records over the link", async || {
         second.fleet().is_leaving("i-1")
             && second
                 .fleet()
@@ -139,8 +151,10 @@
     drop(first);
 }
 
+/// Guards against a starting VM that needs listings of its own although its zone's holder can send
+/// it all records.
 #[tokio::test]
-async fn a_vm_that_starts_learns_from_its_zones_holder_what_it_need_not_list() {
+async fn starting_vm_gets_records_from_zone_holder_without_listing() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let first = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -162,8 +176,9 @@
     assert_eq!(answer.status, 200);
 }
 
+/// Guards against a late page that makes a VM list the whole topic again.
 #[tokio::test]
-async fn a_page_that_is_late_does_not_begin_its_listing_anew() {
+async fn late_page_does_not_restart_listing() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     log.set_faults(|faults| {
@@ -180,8 +195,9 @@
     assert_eq!(daemon.fleet().tables().catalog.iter().count(), 18);
 }
 
+/// Guards against a restart at the same address that writes the VM's record again.
 #[tokio::test]
-async fn a_restart_at_the_same_address_leaves_the_vms_record_alone() {
+async fn restart_at_same_address_keeps_vm_record() {
     let log = KeyedLog::start().await.expect("a log");
     let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = free.local_addr().expect("an address");
@@ -194,7 +210,7 @@
     let daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
-    wait_for("its lease", async || {
+    wait_for("the lease", async || {
         daemon
             .fleet()
             .lease(&AvailabilityZone::new("hall"))
@@ -204,8 +220,10 @@
     assert_eq!(log.values("keyed.fleet", "vm/vm-1").len(), 1);
 }
 
+/// Guards against a load order for each call that waits for the same absent adapter, and against
+/// calls that fail instead of waiting.
 #[tokio::test]
-async fn an_absent_adapter_is_ordered_once_and_its_calls_wait_for_it() {
+async fn absent_adapter_is_ordered_once_while_its_calls_wait() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
@@ -229,7 +247,7 @@
         .filter(|request| request.line().contains("order"))
         .collect();
     assert_eq!(orders.len(), 1);
-    let order: serde_json::Value = serde_json::from_slice(&orders[0].body).expect("JSON");
+    let order: serde_json::Value = serde_json::from_slice(&orders[0].body).expect("valid JSON");
     assert_eq!(order["operation"], "load");
     assert_eq!(
         (order["model"].as_str(), order["adapter"].as_str()),
@@ -239,8 +257,9 @@
     assert!(order["fencing_token"].is_u64() && order["holder"] == "vm-1");
 }
 
+/// Guards against a holder that goes on giving orders after an engine rejected its fencing token.
 #[tokio::test]
-async fn a_holder_whose_orders_are_fenced_gives_no_more() {
+async fn fenced_holder_gives_no_more_orders() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
@@ -264,8 +283,10 @@
     assert_eq!(orders, 1);
 }
 
+/// Guards against a planned stop that breaks off running streams, or accepts calls that can't end
+/// in time.
 #[tokio::test]
-async fn a_planned_stop_finishes_what_runs_and_takes_nothing_late() {
+async fn planned_stop_finishes_streams_and_refuses_late_calls() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = slow_engine(Duration::from_millis(120)).await;
     let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
@@ -273,7 +294,7 @@
     let running = start_stream(address, &engine).await;
     let stopping = tokio::spawn(daemon.stop());
     sleep(Duration::from_millis(350)).await;
-    // A stream of up to 600 tokens could not end in time: its caller is told when to come back.
+    // A stream of up to 600 tokens could not end in time, so its caller gets a time to come back.
     let late = post("/plan/1", "r2", &model("a1").replace("100,20", "100,600"));
     for _ in 0..12 {
         let late = ask(address, &late).await;
@@ -286,13 +307,13 @@
         unchunk(&answer.body),
         (1..=6).map(event).collect::<String>()
     );
-    assert_eq!(stopping.await.expect("it ends"), 0);
+    assert_eq!(stopping.await.expect("the stop succeeds"), 0);
     assert!(
         !engine
             .requests()
             .iter()
             .any(|request| request.header("hoplanding-request-id") == Some("r2")),
-        "what was promised not to run did not"
+        "the refused call was not run"
     );
     let leases = log.values("keyed.fleet", "zone/hall");
     assert!(
@@ -302,10 +323,12 @@
     );
 }
 
+/// Guards against a stopping VM that accepts a stream although earlier streams took longer than the
+/// time left.
 #[tokio::test]
-async fn a_stopping_vm_takes_no_stream_that_would_end_too_late_by_those_before() {
+async fn stopping_vm_refuses_stream_expected_to_end_too_late() {
     let log = KeyedLog::start().await.expect("a log");
-    // Six events, 400 ms apart: longer than 1 s and 15 ms a token.
+    // Six events, 400 ms apart, take longer than 1 s and 15 ms for each token.
     let engine = slow_engine(Duration::from_millis(400)).await;
     let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
     let address = daemon.caller_address;
@@ -318,13 +341,15 @@
     assert_eq!(late.status, 503);
     assert!(late.has("retry-after"));
     assert!(running.await.expect("an answer").is_whole);
-    assert_eq!(stopping.await.expect("it ends"), 0);
+    assert_eq!(stopping.await.expect("the stop succeeds"), 0);
     let is_late = |request: &RawRequest| request.header("hoplanding-request-id") == Some("r2");
     assert!(!engine.requests().iter().any(is_late));
 }
 
+/// Guards against a zone without a holder, when its last VM gives up the lease in a planned stop
+/// before another VM can claim it.
 #[tokio::test]
-async fn the_last_vm_of_a_zone_keeps_its_lease_in_a_stop_until_another_one_can_take_it() {
+async fn last_vm_of_zone_keeps_lease_during_stop_until_successor_is_ready() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = slow_engine(Duration::from_millis(400)).await;
     let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
@@ -333,7 +358,11 @@
     let held = leases(&log).len();
     let stopping = tokio::spawn(daemon.stop());
     sleep(Duration::from_millis(400)).await;
-    assert_eq!(leases(&log).len(), held, "nobody could take it over");
+    assert_eq!(
+        leases(&log).len(),
+        held,
+        "no other VM could take over the lease"
+    );
     let _second = DirectDaemon::start(settings("vm-2", &log))
         .await
         .expect("the daemon starts");
@@ -343,23 +372,28 @@
             .is_some_and(|lease| lease.contains("vm-2"))
     })
     .await;
-    assert!(!stopping.is_finished(), "the first still serves its stream");
+    assert!(
+        !stopping.is_finished(),
+        "the first VM still serves a stream"
+    );
     assert!(leases(&log)[held].contains("\"vm\":null"));
     assert!(running.await.expect("an answer").is_whole);
-    assert_eq!(stopping.await.expect("it ends"), 0);
+    assert_eq!(stopping.await.expect("the stop succeeds"), 0);
 }
 
+/// Guards against a silent holder that keeps its lease because each new dial restarts the silence
+/// timeout.
 #[tokio::test]
-async fn a_holder_that_has_fallen_silent_is_replaced_though_it_is_dialled_again_and_again() {
+async fn silent_holder_is_replaced_despite_repeated_dials() {
     let log = KeyedLog::start().await.expect("a log");
-    // Accepts connections, and says nothing on them.
-    let ghost = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = ghost.local_addr().expect("an address").to_string();
+    // Accepts connections, but sends nothing on them.
+    let silent_holder = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = silent_holder.local_addr().expect("an address").to_string();
     let lease = json!({ "vm": "ghost", "incarnation": 1, "address": address });
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     log.put("keyed.op", "config", Some(&config(1)));
     let mut settings = settings("vm-1", &log);
-    // Longer than one dial takes, so that the silence has to be counted over several.
+    // Longer than one dial, so that the silence spans several dials.
     settings.leases.silence = Duration::from_millis(1_500);
     let _daemon = DirectDaemon::start(settings)
         .await
@@ -371,8 +405,10 @@
     .await;
 }
 
+/// Guards against a zone that stays with a weak holder, and against two VMs that hold it at once
+/// during the handover.
 #[tokio::test]
-async fn a_weak_holder_gives_its_zone_up_for_a_stronger_vm() {
+async fn weak_holder_hands_zone_over_to_stronger_vm() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
@@ -406,12 +442,12 @@
         .await
         .expect("the daemon starts");
     wait_for("the strong VM's claim", holds("vm-2")).await;
-    // Given up by a record in between: at no moment did both hold it.
+    // A record in between gives up the lease, so that at no time both VMs hold it.
     let leases = log.values("keyed.fleet", "zone/hall");
     let vms: Vec<_> = leases
         .iter()
         .map(|lease| {
-            let lease: serde_json::Value = serde_json::from_str(lease).expect("JSON");
+            let lease: serde_json::Value = serde_json::from_str(lease).expect("valid JSON");
             lease["vm"].as_str().map(str::to_owned)
         })
         .collect();
@@ -425,16 +461,17 @@
         .requests()
         .iter()
         .filter(|request| request.line().contains("order"))
-        .map(|request| serde_json::from_slice(&request.body).expect("JSON"))
+        .map(|request| serde_json::from_slice(&request.body).expect("valid JSON"))
         .collect();
     assert!(orders.iter().all(|order| order["holder"] == "vm-2"));
 }
 
+/// Guards against calls that each wait for the unreachable holder of another zone.
 #[tokio::test]
-async fn no_call_waits_for_a_holder_that_is_out_of_reach() {
+async fn calls_do_not_wait_for_unreachable_holder() {
     let log = KeyedLog::start().await.expect("a log");
-    let ghost = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = ghost.local_addr().expect("an address").to_string();
+    let silent_holder = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = silent_holder.local_addr().expect("an address").to_string();
     let lease = json!({ "vm": "ghost", "incarnation": 1, "address": address });
     log.put("keyed.fleet", "zone/attic", Some(&lease.to_string()));
     let target = RawTarget::start(good).await.expect("a target");
@@ -450,14 +487,15 @@
         .await
         .expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
-    wait_for("a holder here", async || {
+    wait_for("a holder of this zone", async || {
         ask(daemon.caller_address, &post("/plan/1", "r0", &model("a1")))
             .await
             .status
             == 200
     })
     .await;
-    // Some of these adapters are at home in the zone whose holder is silent; the first of them may find that out.
+    // Some of these adapters are at home in the zone of the silent holder. The first calls may
+    // discover that it is silent.
     let mut slow = 0;
     for number in 0..30 {
         let request = post(
@@ -472,8 +510,10 @@
     assert!(slow <= 6, "{slow} of 30 calls waited for a silent holder");
 }
 
+/// Guards against a record that is in neither a VM's listing nor the updates of a link that is made
+/// later.
 #[tokio::test]
-async fn a_new_link_makes_up_for_what_was_recorded_before_it() {
+async fn new_link_delivers_records_written_before_it() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let first = site(&log, &[("i-1", "ledger", target.address)]).await;
@@ -481,23 +521,27 @@
     relay.set_target(log.address());
     let mut settings = settings("vm-2", &log);
     settings.platform_address = relay.address;
-    // It reads its listings, and nothing after them; its first look at the holder comes later than the change.
+    // The VM reads its listings but nothing after them, and first looks at the holder after the
+    // change.
     settings.pace.list_every = Duration::from_secs(60);
     settings.pace.config_every = Duration::from_secs(60);
     let second = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
-    wait_for("its listings", async || second.fleet().is_ready()).await;
+    wait_for("the listings of the second VM", async || {
+        second.fleet().is_ready()
+    })
+    .await;
     relay.set(LinkState::Frozen);
     log.put("keyed.op", "config", Some(&config(4)));
-    wait_for("the news at the holder", async || {
+    wait_for("the configuration at the holder", async || {
         first
             .fleet()
             .active()
             .is_some_and(|active| active.config.version == 4)
     })
     .await;
-    wait_for("the news over the new link", async || {
+    wait_for("the configuration over the new link", async || {
         second
             .fleet()
             .active()
@@ -506,15 +550,19 @@
     .await;
 }
 
+/// Guards against orders of a new holder while a suspended one may still give some. The claimant in
+/// between ended before its turn was over, and its successor has to wait out that turn too.
 #[tokio::test]
-async fn no_order_is_given_while_the_holder_before_a_claimant_that_ended_may_go_on() {
+async fn no_order_while_holder_before_ended_claimant_may_be_active() {
     const TURN: Duration = Duration::from_secs(3);
     let log = KeyedLog::start().await.expect("a log");
     let first_order = Arc::new(Mutex::new(None));
     let seen = Arc::clone(&first_order);
     let engine = RawTarget::start(move |request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
-            let mut first = seen.lock().expect("no holder panics");
+            let mut first = seen
+                .lock()
+                .expect("no thread panics while it holds the lock");
             first.get_or_insert_with(Instant::now);
             return RawAnswer::whole("202 Accepted", "", "");
         }
@@ -524,9 +572,12 @@
     let listed = entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put("keyed.servers", "e-1", Some(&listed));
     log.put("keyed.op", "config", Some(&config(1)));
-    // A holder that stands still: its address takes connections, and says nothing.
-    let frozen = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = frozen.local_addr().expect("an address").to_string();
+    // A suspended holder: its address accepts connections, but sends nothing.
+    let suspended_holder = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = suspended_holder
+        .local_addr()
+        .expect("an address")
+        .to_string();
     let lease = json!({ "vm": "vm-0", "incarnation": 9, "address": address });
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     let later = |vm: &str| {
@@ -542,12 +593,12 @@
         let lease = daemon.fleet().lease(&AvailabilityZone::new("hall"));
         lease.is_some_and(|lease| lease.vm == Some(VmName::new(vm)))
     };
-    wait_for("its claim", async || held_by(&first, "vm-1").await).await;
+    wait_for("the claim", async || held_by(&first, "vm-1").await).await;
     let claimed = Instant::now();
     claimant.shutdown_background();
     let successor = DirectDaemon::start(later("vm-2")).await;
     let successor = successor.expect("the daemon starts");
-    wait_for("its claim", async || held_by(&successor, "vm-2").await).await;
+    wait_for("the claim", async || held_by(&successor, "vm-2").await).await;
     let address = successor.caller_address;
     let mut number = 0;
     wait_for("an order", async || {
@@ -557,12 +608,17 @@
             &format!("n{number}"),
             &model(&format!("b{number}")),
         );
-        // Whether it is served is not the question.
+        // The test does not depend on whether the call is served.
         drop(tokio::spawn(async move { ask(address, &request).await }));
-        first_order.lock().expect("no holder panics").is_some()
+        first_order
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .is_some()
     })
     .await;
-    let first = first_order.lock().expect("no holder panics");
+    let first = first_order
+        .lock()
+        .expect("no thread panics while it holds the lock");
     let waited = first.map(|first| first.duration_since(claimed));
     assert!(waited >= Some(TURN), "{waited:?}");
 }
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -1,7 +1,8 @@
-//! Targets that start again under the name that they had.
+//! Targets that restart under the same name.
 //!
-//! A target tells when it started. What it knew, held and promised before is gone with its earlier life, and what comes
-//! late from there says nothing about it: neither an entry that was written late, nor a connection that stayed open.
+//! An entry tells when its target started. Nothing that belongs to an earlier incarnation may
+//! affect the current one: neither an entry that was written late, nor a connection that is still
+//! open, nor failures.
 
 use crate::support::{HOST, ask, entry, good, post, second_vm, site, wait_for};
 use hoplanding_core::{
@@ -15,7 +16,7 @@
 };
 use std::net::SocketAddr;
 
-/// An entry of a target that says when it started.
+/// Entry of a target with its start time.
 fn born_entry(address: SocketAddr, state: &str, born: u64) -> String {
     let text = entry("ledger", address, state, &[]);
     let mut fields: serde_json::Value = serde_json::from_str(&text).expect("an entry");
@@ -29,15 +30,17 @@
     Some(entry.stage)
 }
 
-/// Writes an entry that comes after all others so far, and waits until it is known.
-async fn pass_by(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
+/// Writes another target's entry behind all earlier records, and waits until it is known.
+async fn write_later_entry(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
     let text = entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
-    wait_for("the entry after", async || stage(daemon, name).is_some()).await;
+    wait_for("the later entry", async || stage(daemon, name).is_some()).await;
 }
 
+/// Guards against a late entry of an earlier incarnation that overwrites the state of the current
+/// one.
 #[tokio::test]
-async fn a_late_entry_of_an_earlier_life_changes_nothing() {
+async fn late_entry_of_earlier_incarnation_is_ignored() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
@@ -45,26 +48,28 @@
     let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
     put(&born_entry(address, "ready", 1_000));
     put(&born_entry(address, "ready", 2_000));
-    // The life before had begun to leave when it ended, and its last words are written now.
+    // The earlier incarnation began to drain before it ended, and its entry is written only now.
     put(&born_entry(address, "draining", 1_000));
-    pass_by(&log, &daemon, "i-2", address).await;
+    write_later_entry(&log, &daemon, "i-2", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
-    // One that does not say when it started is older than any that does.
+    // An entry without a start time is older than any entry with one.
     put(&entry("ledger", address, "draining", &[]));
-    pass_by(&log, &daemon, "i-3", address).await;
+    write_later_entry(&log, &daemon, "i-3", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
-    // The life itself may leave.
+    // The current incarnation may drain.
     put(&born_entry(address, "draining", 2_000));
-    pass_by(&log, &daemon, "i-4", address).await;
+    write_later_entry(&log, &daemon, "i-4", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Draining));
-    // And a new one takes work again.
+    // A new incarnation is ready again.
     put(&born_entry(address, "ready", 3_000));
-    pass_by(&log, &daemon, "i-5", address).await;
+    write_later_entry(&log, &daemon, "i-5", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
 }
 
+/// Guards against records that are applied by log position when VMs forward them in another order
+/// than that of the incarnations.
 #[tokio::test]
-async fn the_newest_life_is_known_in_whatever_order_its_records_come() {
+async fn newest_incarnation_wins_in_any_record_order() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
@@ -75,7 +80,7 @@
         value: Some(text.into_bytes().into()),
         position: LogPosition(position),
     };
-    // Passed on by others: what was written last is of the life before.
+    // Forwarded by other VMs: the record with the higher position is of the earlier incarnation.
     let late = record(1_012, born_entry(address, "draining", 1_000));
     let new = record(1_010, born_entry(address, "ready", 2_000));
     daemon
@@ -84,17 +89,18 @@
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
     daemon.fleet().apply_forwarded(vec![late]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
-    // Whoever is told everything is told of the newer life.
-    let told = daemon
+    // Answers to other VMs contain the entry of the newer incarnation.
+    let answer = daemon
         .fleet()
         .records_since(&[(FeedTopic::Targets, LogPosition(0))], false);
-    let told = format!("{told:?}");
-    assert!(told.contains("\\\"born\\\":2000"), "{told}");
-    assert!(!told.contains("\\\"born\\\":1000"), "{told}");
+    let answer = format!("{answer:?}");
+    assert!(answer.contains("\\\"born\\\":2000"), "{answer}");
+    assert!(!answer.contains("\\\"born\\\":1000"), "{answer}");
 }
 
+/// Guards against calls over a pooled connection that was made to the target's earlier incarnation.
 #[tokio::test]
-async fn a_call_goes_out_over_no_connection_of_an_earlier_life() {
+async fn calls_do_not_reuse_connections_of_earlier_incarnation() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good).await.expect("a target");
     let address = target.address;
@@ -104,23 +110,29 @@
         log.put("keyed.servers", "i-1", Some(&text));
     };
     put(1_000);
-    pass_by(&log, &daemon, "i-2", address).await;
+    write_later_entry(&log, &daemon, "i-2", address).await;
     for number in 0..3 {
         let request = post("/lookup/1", &format!("r{number}"), "");
         assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
     }
-    assert_eq!(target.connections(), 1, "the connection is kept");
+    assert_eq!(target.connections(), 1, "the connection is reused");
     put(2_000);
-    pass_by(&log, &daemon, "i-3", address).await;
+    write_later_entry(&log, &daemon, "i-3", address).await;
     let request = post("/lookup/1", "r9", "");
     assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
-    assert_eq!(target.connections(), 2, "it was the life's before");
+    assert_eq!(
+        target.connections(),
+        2,
+        "the connection belongs to the earlier incarnation"
+    );
 }
 
+/// Guards against failures of an earlier incarnation that keep calls away from the restarted
+/// target.
 #[tokio::test]
-async fn failures_of_an_earlier_life_are_forgotten() {
+async fn failures_of_earlier_incarnation_are_forgotten() {
     let log = KeyedLog::start().await.expect("a log");
-    // Nobody listens there.
+    // Nothing listens at this address.
     let gone = RawTarget::start(good).await.expect("a target").address;
     let daemon = site(&log, &[("i-1", "ledger", gone)]).await;
     let (second, _relay) = second_vm(&log).await;
@@ -137,7 +149,7 @@
     let text = born_entry(target.address, "ready", 2_000);
     log.put("keyed.servers", "i-1", Some(&text));
     for daemon in [&daemon, &second] {
-        pass_by(&log, daemon, "i-2", target.address).await;
+        write_later_entry(&log, daemon, "i-2", target.address).await;
         let answer = ask(daemon.caller_address, &post("/scan/1", "r8", "")).await;
         assert_eq!(answer.status, 200, "{HOST}: {}", answer.head);
     }
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -1,8 +1,10 @@
-//! Whatever happens to links and readers, in the end every VM knows of every target what the log says.
+//! Every VM ends up with the target list of the log, whatever happens to links and readers.
 //!
-//! Worlds are drawn from seeds: a hub that the others are linked to reads the target list, now and then another VM reads
-//! too, the log turns VMs away, links lag, deliver in pieces, break in the middle and come up again. Nothing reads at the
-//! end but the hub, so what a link dropped, or a VM was told that it knew, stays missing.
+//! Guards against records that get lost between VMs. Each world is drawn from a seed. A hub that
+//! the other VMs are linked to reads the target list, and sometimes another VM reads it too. The
+//! log rejects reads, and links delay messages, deliver them one by one, break and reconnect. At
+//! the end only the hub reads, so a record that a link dropped, or that a VM was wrongly said to
+//! know, stays missing.
 
 use crate::support::{entry, settings};
 use futures_util::FutureExt;
@@ -23,7 +25,7 @@
 const OTHERS: usize = 4;
 const TARGETS: usize = 25;
 
-/// One side of a link: what it passes on, and what is on its way from it.
+/// One side of a link, with the messages on their way from it.
 struct LinkSide {
     sharing: RecordSharing,
     vm: VmName,
@@ -39,8 +41,8 @@
         }
     }
 
-    /// Puts what is due on its way.
-    fn push(&mut self) {
+    /// Sends all messages that are due.
+    fn send_due(&mut self) {
         while let Some(message) = self.sharing.next().now_or_never() {
             self.sent.push_back(message);
         }
@@ -51,8 +53,8 @@
         self.sent.push_back(heartbeat);
     }
 
-    /// Takes the oldest message of the other side; says whether there was one.
-    fn take_from(&mut self, other: &mut Self) -> bool {
+    /// Receives the oldest message of the other side. Returns whether there was one.
+    fn receive_from(&mut self, other: &mut Self) -> bool {
         let Some(message) = other.sent.pop_front() else {
             return false;
         };
@@ -70,7 +72,7 @@
     log: Vec<(usize, Option<&'static str>)>,
     hub: Arc<FleetState>,
     others: Vec<Arc<FleetState>>,
-    /// The hub's side and the other VM's side of each link.
+    /// Hub side and other side of each link.
     links: Vec<(LinkSide, LinkSide)>,
     address: SocketAddr,
 }
@@ -93,7 +95,7 @@
         for target in 0..TARGETS {
             world.log.push((target, Some("ready")));
         }
-        // Everybody begins with the list as it is.
+        // All VMs start with the same list.
         let listing = world.batch(0);
         let hub = Arc::clone(&world.hub);
         for fleet in world.others.iter().chain([&hub]) {
@@ -102,7 +104,7 @@
         world.links = world
             .others
             .iter()
-            .map(|other| linked(&hub, other))
+            .map(|other| new_link(&hub, other))
             .collect();
         world
     }
@@ -161,40 +163,40 @@
             44..46 => self.list(&self.hub),
             46..50 => self.hub.note_list_call(false),
             50..52 => self.others[at].note_list_call(false),
-            52..55 => self.links[at] = linked(&self.hub, &self.others[at]),
+            52..55 => self.links[at] = new_link(&self.hub, &self.others[at]),
             55..60 => self.links[at].0.heartbeat(),
             60..63 => self.links[at].1.heartbeat(),
-            63..75 => self.links[at].0.push(),
-            75..80 => self.links[at].1.push(),
+            63..75 => self.links[at].0.send_due(),
+            75..80 => self.links[at].1.send_due(),
             80..92 => {
                 let (hub, other) = &mut self.links[at];
-                other.take_from(hub);
+                other.receive_from(hub);
             }
             _ => {
                 let (hub, other) = &mut self.links[at];
-                hub.take_from(other);
+                hub.receive_from(other);
             }
         }
     }
 
-    /// The hub reads on, its doubts are over, and all links pass on what they have.
+    /// Lets the hub read on, confirms all pending removals, and delivers all messages.
     fn settle(&mut self) {
         self.read(&self.hub);
         self.hub.expire();
         self.others.iter().for_each(|other| other.expire());
         for (hub, other) in &mut self.links {
             loop {
-                hub.push();
-                other.push();
-                if !hub.take_from(other) & !other.take_from(hub) {
+                hub.send_due();
+                other.send_due();
+                if !hub.receive_from(other) & !other.receive_from(hub) {
                     break;
                 }
             }
         }
     }
 
-    /// Targets of which a VM knows something else than the log says.
-    fn wrong(&self, fleet: &FleetState) -> Vec<String> {
+    /// Targets whose state at a VM differs from the log.
+    fn differing_targets(&self, fleet: &FleetState) -> Vec<String> {
         let newest = |target| {
             let records = self.log.iter().rev();
             records
@@ -214,31 +216,37 @@
     }
 }
 
-/// A new link that the other VM dials: what was on its way over the one before is lost.
-fn linked(hub: &Arc<FleetState>, other: &Arc<FleetState>) -> (LinkSide, LinkSide) {
+/// New link dialled by the other VM. Messages in flight on the previous link are lost.
+fn new_link(hub: &Arc<FleetState>, other: &Arc<FleetState>) -> (LinkSide, LinkSide) {
     let (hub, mut other) = (LinkSide::new(hub), LinkSide::new(other));
     other.sent.extend(other.sharing.initial_request());
     (hub, other)
 }
 
+/// Guards against records that are lost or wrongly counted as known when links break, lag or
+/// reconnect and when the log rejects reads.
 #[tokio::test]
-async fn in_the_end_every_vm_knows_what_the_log_says() {
+async fn every_vm_converges_to_the_target_list_of_the_log() {
     let log = KeyedLog::start().await.expect("a log");
     let mut worlds: Vec<_> = (0..SEEDS).map(|seed| World::new(seed, &log)).collect();
     for world in &mut worlds {
         for _ in 0..STEPS {
             world.step();
         }
-        // The log serves the hub again from here on.
+        // From here on the log serves the hub.
         world.read(&world.hub);
     }
-    // Until the last removal is in doubt no more.
+    // Until the last pending removal is confirmed.
     sleep(Duration::from_millis(2_300)).await;
     for (seed, world) in worlds.iter_mut().enumerate() {
         world.settle();
         for fleet in world.others.iter().chain([&world.hub]) {
-            let wrong = world.wrong(fleet);
-            assert!(wrong.is_empty(), "seed {seed}, {}: {wrong:?}", fleet.vm);
+            let differing = world.differing_targets(fleet);
+            assert!(
+                differing.is_empty(),
+                "seed {seed}, {}: {differing:?}",
+                fleet.vm
+            );
         }
     }
 }
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -1,4 +1,5 @@
-//! A log that comes back from a copy some seconds old: its offsets go back and are given out again.
+//! A platform log that is restored from a backup some seconds old, so that its offsets are given
+//! out again.
 
 use crate::support::{
     BOUND, ask, config, entry, good, is_ready, model, post, process, second_vm, settings, site,
@@ -23,10 +24,11 @@
 const OPERATORS: &str = "keyed.op";
 const TARGETS: &str = "keyed.servers";
 const FLEET: &str = "keyed.fleet";
-/// Time within which everything that is written has to be known; the users' `config_apply_ms` and `drain_ms`.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// Calls of one VM to the log in a second that are no flood: three feeds that try again after 0.4 s, and their listings.
-const CALLS_PER_S: u64 = 30;
+/// Time within which every record has to be known, by `config_apply_ms` and `drain_ms`.
+const MAX_APPLY_TIME: Duration = Duration::from_secs(2);
+/// Permitted log calls of one VM per second: three readers that retry after 0.4 s, and their
+/// listings.
+const MAX_CALLS_PER_S: u64 = 30;
 
 fn version(daemon: &DirectDaemon) -> u64 {
     daemon
@@ -35,7 +37,7 @@
         .map_or(0, |active| active.config.version)
 }
 
-/// Three VMs before a plain target and an engine, after a history of some records in each topic.
+/// Starts three VMs with a plain target and an engine, and writes some records to each topic.
 async fn three_vms(log: &KeyedLog, plain: &RawTarget, engine: &RawTarget) -> [DirectDaemon; 3] {
     let listed = [
         ("i-1", "ledger", plain.address),
@@ -49,7 +51,7 @@
     for vm in [&second, &third] {
         wait_for("readiness", async || is_ready(vm).await).await;
     }
-    wait_for("three known", async || {
+    wait_for("records of three VMs", async || {
         [&first, &second, &third]
             .iter()
             .all(|vm| vm.fleet().tables().vms.len() == 3)
@@ -62,7 +64,7 @@
     }
     let vms = [first, second, third];
     for vm in &vms {
-        wait_for("the history", async || {
+        wait_for("the records before the restore", async || {
             version(vm) == 6 && !vm.fleet().is_leaving("i-6")
         })
         .await;
@@ -76,19 +78,21 @@
     [plain, engine.expect("an engine")]
 }
 
-async fn all_within(vms: &[DirectDaemon], what: &str, is_so: impl Fn(&DirectDaemon) -> bool) {
+async fn wait_for_all(vms: &[DirectDaemon], what: &str, is_met: impl Fn(&DirectDaemon) -> bool) {
     let since = Instant::now();
-    while !vms.iter().all(&is_so) {
+    while !vms.iter().all(&is_met) {
         assert!(
-            since.elapsed() < IN_FORCE,
+            since.elapsed() < MAX_APPLY_TIME,
             "{what} is not known to all VMs in time"
         );
         sleep(Duration::from_millis(10)).await;
     }
 }
 
+/// Guards against VMs that go on waiting at their old positions after a restore, and miss later
+/// records.
 #[tokio::test]
-async fn what_is_written_after_the_log_came_back_is_in_force_in_time() {
+async fn records_after_restore_take_effect_in_time() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -97,15 +101,14 @@
     log.put(OPERATORS, "config", Some(&config(7)));
     let text = entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
-    all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
-    all_within(&vms, "a target that leaves", |vm| {
-        vm.fleet().is_leaving("i-1")
-    })
-    .await;
+    wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
+    wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
 }
 
+/// Guards against a VM that stays in the earlier era while the log rejects its reads: it learns of
+/// the restore and of later records from another VM.
 #[tokio::test]
-async fn a_vm_that_the_log_turns_away_learns_of_its_new_history_from_another() {
+async fn vm_rejected_by_restored_log_learns_new_era_from_another_vm() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let listed = [
@@ -118,22 +121,24 @@
         log.put(OPERATORS, "config", Some(&config(number)));
     }
     let vms = [first, second];
-    all_within(&vms, "the history", |vm| version(vm) == 6).await;
+    wait_for_all(&vms, "the records before the restore", |vm| {
+        version(vm) == 6
+    })
+    .await;
     relay.set(LinkState::Cut);
     log.restore(&[(OPERATORS, 3), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
     log.put(OPERATORS, "config", Some(&config(7)));
     let text = entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
-    all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
-    all_within(&vms, "a target that leaves", |vm| {
-        vm.fleet().is_leaving("i-1")
-    })
-    .await;
+    wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
+    wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
 }
 
+/// Guards against a flood of calls to a restored log, such as reads that fail at once and are
+/// repeated.
 #[tokio::test]
-async fn calls_to_a_log_that_came_back_keep_their_pauses() {
+async fn calls_to_restored_log_keep_their_pauses() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -141,27 +146,31 @@
     let before = log.calls();
     sleep(Duration::from_secs(3)).await;
     let calls = log.calls() - before;
-    let most = 3 * CALLS_PER_S * vms.len() as u64;
+    let most = 3 * MAX_CALLS_PER_S * vms.len() as u64;
     assert!(calls <= most, "{calls} calls in 3 s, {most} allowed");
 }
 
+/// Guards against reads without a pause when the offsets went back but the log still tells the
+/// earlier era, so that no record can answer a read.
 #[tokio::test]
-async fn a_read_that_no_record_can_answer_is_not_repeated_without_a_pause() {
+async fn unanswerable_read_is_repeated_with_pauses() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
-    // The era says nothing of it: offsets went back all the same.
+    // The era does not show that the offsets went back.
     log.set_faults(|faults| faults.tells_era = Some("1".to_owned()));
     log.restore(&[(OPERATORS, 3), (TARGETS, 3)]);
     let before = log.calls();
     sleep(Duration::from_secs(3)).await;
     let calls = log.calls() - before;
-    let most = 3 * CALLS_PER_S * vms.len() as u64;
+    let most = 3 * MAX_CALLS_PER_S * vms.len() as u64;
     assert!(calls <= most, "{calls} calls in 3 s, {most} allowed");
 }
 
+/// Guards against a configuration of the backup that replaces a newer one, also on a VM that starts
+/// after the restore.
 #[tokio::test]
-async fn an_older_configuration_of_the_copy_is_not_in_force_again_at_old_vms_or_new_ones() {
+async fn older_configuration_of_backup_stays_out_of_force() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -169,7 +178,10 @@
     let started = DirectDaemon::start(settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&started).await).await;
-    wait_for("the newest at a new VM", async || version(&started) == 6).await;
+    wait_for("the newest configuration at a new VM", async || {
+        version(&started) == 6
+    })
+    .await;
     for _ in 0..40 {
         for vm in vms.iter().chain([&started]) {
             assert_eq!(version(vm), 6);
@@ -178,21 +190,20 @@
     }
 }
 
+/// Guards against a draining target that gets calls again because the backup holds its earlier
+/// entry.
 #[tokio::test]
-async fn a_target_that_was_leaving_goes_on_leaving_though_the_copy_says_ready() {
+async fn draining_target_stays_draining_though_backup_says_ready() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     let text = entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-2", Some(&text));
-    all_within(&vms, "a target that leaves", |vm| {
-        vm.fleet().is_leaving("i-2")
-    })
-    .await;
+    wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-2")).await;
     log.restore(&[(TARGETS, 1)]);
     let started = DirectDaemon::start(settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
-    wait_for("word of it at a new VM", async || {
+    wait_for("the draining target at a new VM", async || {
         !started.fleet().is_leaving("i-3") && started.fleet().is_leaving("i-2")
     })
     .await;
@@ -202,8 +213,10 @@
     }
 }
 
+/// Guards against the loss of a target whose entry the restored log lacks: it stays until it can
+/// have written its entry again.
 #[tokio::test]
-async fn a_target_whose_entry_the_copy_lacks_is_served_until_it_is_written_again() {
+async fn target_missing_in_backup_is_served_until_rewritten() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -218,27 +231,31 @@
     assert!(vms.iter().all(|vm| !vm.fleet().is_leaving("i-6")));
 }
 
+/// Guards against a target that stays known for good when it does not write its entry after a
+/// restore.
 #[tokio::test]
-async fn a_target_that_does_not_come_back_after_the_copy_is_gone() {
+async fn target_that_does_not_return_after_restore_is_removed() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(TARGETS, 1)]);
     for vm in &vms {
-        wait_for("its end", async || vm.fleet().is_leaving("i-6")).await;
+        wait_for("the removal", async || vm.fleet().is_leaving("i-6")).await;
     }
 }
 
+/// Guards against a removed target that gets calls again because the backup still holds its entry.
+/// Only an entry written after the restore counts.
 #[tokio::test]
-async fn a_target_that_was_gone_before_the_copy_is_gone_until_it_writes_itself() {
+async fn target_removed_before_restore_stays_removed_until_rewritten() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     log.put(TARGETS, "i-6", None);
-    all_within(&vms, "a removal", |vm| vm.fleet().is_leaving("i-6")).await;
+    wait_for_all(&vms, "a removal", |vm| vm.fleet().is_leaving("i-6")).await;
     log.restore(&[(TARGETS, 1)]);
     for vm in &vms {
-        wait_for("the copy", async || {
+        wait_for("the restored log", async || {
             let tables = vm.fleet().tables();
             let since = tables.known_since.get(&FeedTopic::Targets);
             since.is_some_and(|since| since.era() == StoreEra(2))
@@ -248,25 +265,28 @@
     }
     let text = entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-6", Some(&text));
-    all_within(&vms, "a target that is back", |vm| {
+    wait_for_all(&vms, "a rewritten target", |vm| {
         !vm.fleet().is_leaving("i-6")
     })
     .await;
 }
 
-/// Fencing tokens of the orders that an engine was given.
+/// Fencing tokens of the orders that an engine accepted.
 #[derive(Clone, Default)]
-struct OrderLog(Arc<Mutex<Vec<u64>>>);
+struct AcceptedOrders(Arc<Mutex<Vec<u64>>>);
 
-impl OrderLog {
-    /// The answer of an engine that refuses tokens below the highest one that it has seen.
+impl AcceptedOrders {
+    /// Answer of an engine that rejects tokens below the highest one it has seen.
     fn answer(&self, request: &RawRequest) -> Option<RawAnswer> {
         if !request.line().contains("/hoplanding/order") {
             return None;
         }
         let order: serde_json::Value = serde_json::from_slice(&request.body).ok()?;
         let token = order["fencing_token"].as_u64()?;
-        let mut tokens = self.0.lock().expect("no holder panics");
+        let mut tokens = self
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock");
         if tokens.iter().any(|seen| *seen > token) {
             return Some(RawAnswer::whole("412 Precondition Failed", "", ""));
         }
@@ -275,35 +295,46 @@
     }
 }
 
-/// Makes the log's tokens high: claims are appended behind these records.
+/// Writes records to the fleet topic, so that later claims get high fencing tokens.
 fn fill_fleet_topic(log: &KeyedLog, records: usize) {
     for number in 0..records {
         log.put(FLEET, &format!("other/{number}"), Some("{}"));
     }
 }
 
-/// Calls with adapters that no engine has, until orders are taken that were not before.
-async fn orders_are_taken(daemon: &DirectDaemon, orders: &OrderLog, adapters: &str) {
-    let before = orders.0.lock().expect("no holder panics").len();
+/// Sends calls for adapters that no engine has, until a new order is accepted.
+async fn wait_for_accepted_order(daemon: &DirectDaemon, orders: &AcceptedOrders, adapters: &str) {
+    let before = orders
+        .0
+        .lock()
+        .expect("no thread panics while it holds the lock")
+        .len();
     let mut number = 0;
-    wait_for("orders that are taken", async || {
+    wait_for("an accepted order", async || {
         number += 1;
         let request = post(
             "/plan/1",
             &format!("n{number}"),
             &model(&format!("{adapters}{number}")),
         );
-        // Whether it is served is no matter here.
+        // The test does not depend on whether the call is served.
         let _ = timeout(BOUND, ask(daemon.caller_address, &request)).await;
-        orders.0.lock().expect("no holder panics").len() > before
+        orders
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .len()
+            > before
     })
     .await;
 }
 
+/// Guards against fencing tokens that start low again after a restore: engines would reject all
+/// orders of VMs that know nothing of the earlier era.
 #[tokio::test]
-async fn engines_take_orders_of_vms_that_all_started_after_the_log_came_back() {
+async fn engines_accept_orders_of_vms_started_after_restore() {
     let log = KeyedLog::start().await.expect("a log");
-    let orders = OrderLog::default();
+    let orders = AcceptedOrders::default();
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
@@ -316,20 +347,22 @@
     let text = entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
     let daemon = start_in(&life, settings("vm-1", &log)).await;
-    orders_are_taken(&daemon, &orders, "b").await;
+    wait_for_accepted_order(&daemon, &orders, "b").await;
     life.shutdown_background();
     log.restore(&[(FLEET, 40)]);
     let mut later = settings("vm-1", &log);
     later.is_first_start = false;
     let daemon = DirectDaemon::start(later).await.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
-    orders_are_taken(&daemon, &orders, "c").await;
+    wait_for_accepted_order(&daemon, &orders, "c").await;
 }
 
+/// Guards against a holder that keeps a token of the earlier era: it has to claim its zone again
+/// with a higher one.
 #[tokio::test]
-async fn the_holder_claims_its_zone_again_with_a_higher_token() {
+async fn holder_reclaims_zone_with_higher_token() {
     let log = KeyedLog::start().await.expect("a log");
-    let orders = OrderLog::default();
+    let orders = AcceptedOrders::default();
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
@@ -339,23 +372,36 @@
     fill_fleet_topic(&log, 20);
     let listed = [("e-1", "scribe", engine.address)];
     let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
-    orders_are_taken(&daemon, &orders, "b").await;
-    let last = orders.0.lock().expect("no holder panics").last().copied();
+    wait_for_accepted_order(&daemon, &orders, "b").await;
+    let last = orders
+        .0
+        .lock()
+        .expect("no thread panics while it holds the lock")
+        .last()
+        .copied();
     log.restore(&[(FLEET, 20)]);
-    wait_for("a claim in the new history", async || {
+    wait_for("a claim in the new era", async || {
         log.newest(FLEET, "zone/hall")
             .is_some_and(|lease| lease.contains("vm-1"))
     })
     .await;
     wait_for("orders with a higher token", async || {
-        orders_are_taken(&daemon, &orders, "c").await;
-        orders.0.lock().expect("no holder panics").last().copied() > last
+        wait_for_accepted_order(&daemon, &orders, "c").await;
+        orders
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .last()
+            .copied()
+            > last
     })
     .await;
 }
 
+/// Guards against the loss of VM records, leases and suspect records that the restored log lacks,
+/// and against rewriting them more than once each.
 #[tokio::test]
-async fn what_the_vms_wrote_is_written_again() {
+async fn records_of_vms_are_rewritten_after_restore() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -370,7 +416,7 @@
             .note_ended_under(&EndedUnder { fingerprint, run });
     }
     let key = "suspect/0000000000000007";
-    // A quarantine that the log had, whoever recorded it.
+    // A quarantine that was in the log before the restore.
     let quarantine =
         r#"[{"name":"gone-0","life":0},{"name":"gone-1","life":0},{"name":"gone-2","life":0}]"#;
     log.put(FLEET, key, Some(quarantine));
@@ -402,21 +448,23 @@
     );
 }
 
+/// Guards against a flood of calls or the loss of state when the log's era is empty, not a number,
+/// or lower than before.
 #[tokio::test]
-async fn an_era_that_is_missing_wrong_or_goes_back_loses_nothing() {
+async fn missing_invalid_or_decreasing_era_loses_nothing() {
     for told in ["", "soon", "0", "-1"] {
         let log = KeyedLog::start().await.expect("a log");
         let [plain, engine] = targets().await;
         let vms = three_vms(&log, &plain, &engine).await;
         log.restore(&[]);
         log.put(OPERATORS, "config", Some(&config(7)));
-        all_within(&vms, "a configuration", |vm| version(vm) == 7).await;
+        wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
         log.set_faults(|faults| faults.tells_era = Some(told.to_owned()));
         let before = log.calls();
         sleep(Duration::from_secs(1)).await;
         let calls = log.calls() - before;
         assert!(
-            calls <= CALLS_PER_S * vms.len() as u64,
+            calls <= MAX_CALLS_PER_S * vms.len() as u64,
             "{told:?}: {calls} calls"
         );
         for vm in &vms {
@@ -431,8 +479,10 @@
     }
 }
 
+/// Guards against records of the first restore that stay in force when a second one follows at
+/// once.
 #[tokio::test]
-async fn a_log_that_comes_back_twice_within_a_moment_is_read_as_it_is_then() {
+async fn two_restores_in_quick_succession_are_followed() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
@@ -445,21 +495,20 @@
     log.put(OPERATORS, "config", Some(&config(8)));
     let text = entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
-    all_within(&vms, "a configuration", |vm| version(vm) == 8).await;
-    all_within(&vms, "a target that leaves", |vm| {
-        vm.fleet().is_leaving("i-1")
-    })
-    .await;
+    wait_for_all(&vms, "a configuration", |vm| version(vm) == 8).await;
+    wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
 }
 
+/// Guards against a claim that is sent in one era and appended in the next: it must not hold the
+/// zone.
 #[tokio::test]
-async fn a_claim_that_was_sent_in_another_history_holds_nothing() {
+async fn claim_sent_in_earlier_era_is_void() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, _] = targets().await;
     log.put(OPERATORS, "config", Some(&config(1)));
     let text = entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-1", Some(&text));
-    // A claim is done after the log has come back, at the same end.
+    // The claim is appended after the restore, at the same position.
     let late = ("zone/hall".to_owned(), Duration::from_millis(400));
     log.set_faults(|faults| faults.delayed_key = Some(late));
     let daemon = DirectDaemon::start(settings("vm-1", &log)).await;
@@ -467,7 +516,7 @@
     wait_for("a claim", async || log.appends("zone/hall") > 0).await;
     log.restore(&[]);
     log.set_faults(|faults| faults.delayed_key = None);
-    wait_for("a claim of the new history", async || {
+    wait_for("a claim in the new era", async || {
         let tables = daemon.fleet().tables();
         let state = tables.leases.get(&daemon.fleet().zone);
         state.is_some_and(|state| state.position.era() == StoreEra(2))
@@ -478,11 +527,12 @@
     assert!(claimed[1].contains("\"era\":2"), "{claimed:?}");
 }
 
-/// The claim of a VM that waits its turn is lost with the copy, and another VM holds the zone since: the first one has not read that.
+/// Guards against orders of a claimant that waits for its turn while its claim is lost in a
+/// restore, and another VM holds the zone. The claimant has not read the log since its claim.
 #[tokio::test]
-async fn a_claimant_that_has_not_read_the_log_since_its_claim_gives_no_order_after_its_turn() {
+async fn claimant_without_read_since_its_claim_gives_no_orders() {
     let log = KeyedLog::start().await.expect("a log");
-    let orders = OrderLog::default();
+    let orders = AcceptedOrders::default();
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
@@ -503,7 +553,7 @@
     settings.are_orders_fenced = true;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
-    wait_for("its claim", async || {
+    wait_for("the claim", async || {
         let lease = daemon.fleet().lease(&daemon.fleet().zone);
         lease.is_some_and(|lease| lease.vm == Some(VmName::new("vm-1")))
     })
@@ -524,9 +574,13 @@
         .await;
         sleep(Duration::from_millis(50)).await;
     }
-    let given = orders.0.lock().expect("no holder panics").clone();
+    let given = orders
+        .0
+        .lock()
+        .expect("no thread panics while it holds the lock")
+        .clone();
     assert!(
         given.is_empty(),
-        "orders of a VM whose claim is lost: {given:?}"
+        "orders of a VM whose claim was lost: {given:?}"
     );
 }
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -1,11 +1,11 @@
-//! A fleet that starts at once before thousands of targets.
+//! Common start of all VMs of a fleet with thousands of targets.
 //!
-//! What callers saw: after all VMs had been killed, calls were refused for seconds, all of them for 4 s at 300 VMs before 3,000
-//! targets. What happens: every VM lists the targets for itself, and passed on what it listed as news, all of it over each of
-//! its links: VMs times targets, twice, through the holder of each zone.
-//!
-//! Evidence: the users' sweeps show the busiest VM at 820 kB/s over 41 s with 100 VMs and at 6,000 kB/s with 300, which is
-//! 33 (100) links x 1,000 (3,000) entries of some 400 bytes, there and back. VMs have 1,250 kB/s where they are weak.
+//! Guards against links that are overloaded after a loss of all VMs. When each VM forwards the
+//! targets of its own listing as updates over each of its links, the holder of each zone receives
+//! and sends the number of VMs times the number of targets. With 100 VMs and 33 links of 1,000
+//! entries of about 400 bytes, the busiest VM carried 820 kB/s for 41 s. With 300 VMs and 100 links
+//! of 3,000 entries it carried 6,000 kB/s, and all calls were refused for 4 s. A weak VM has 1,250
+//! kB/s.
 
 use crate::support::{
     ask, config, entry, good, is_ready, model, post, settings, site, slow_engine, wait_for,
@@ -25,12 +25,12 @@
 
 const TARGETS: u64 = 1_000;
 
-/// A link between the holder of a zone and a VM that has dialled it.
+/// Link between the holder of a zone and a VM that dialled it.
 struct StartLink {
     holder: RecordSharing,
     dialler: RecordSharing,
     names: [VmName; 2],
-    /// Records that went over it.
+    /// Number of records sent over the link.
     passed: usize,
 }
 
@@ -45,21 +45,21 @@
         if let Some(question) = link.dialler.initial_request() {
             link.holder.answer(&question);
         }
-        link.settle();
+        link.deliver_all();
         link
     }
 
-    /// Passes all that is due, and a sign of life of each side behind it.
-    fn settle(&mut self) {
+    /// Delivers all messages that are due, and then a heartbeat of each side.
+    fn deliver_all(&mut self) {
         for _ in 0..4 {
             let [holder, dialler] = &self.names;
-            self.passed += pass(&mut self.holder, &mut self.dialler, holder);
-            self.passed += pass(&mut self.dialler, &mut self.holder, dialler);
+            self.passed += deliver(&mut self.holder, &mut self.dialler, holder);
+            self.passed += deliver(&mut self.dialler, &mut self.holder, dialler);
         }
     }
 }
 
-fn pass(from: &mut RecordSharing, to: &mut RecordSharing, vm: &VmName) -> usize {
+fn deliver(from: &mut RecordSharing, to: &mut RecordSharing, vm: &VmName) -> usize {
     let mut passed = 0;
     while let Some(message) = from.next().now_or_never() {
         if let VmMessage::Records(records) | VmMessage::Answer { records, .. } = &message {
@@ -72,17 +72,17 @@
     passed
 }
 
-/// The list as a VM reads it: all targets ready, then those that began to leave, each by a record of its own.
+/// List as a VM reads it: all targets ready, followed by one record for each that began to drain.
 fn listing(address: SocketAddr, targets: u64, leaving: &[u64]) -> ReadBatch {
     let end = targets + leaving.len() as u64;
     let mut records = Vec::new();
     for number in 0..targets {
-        let left = leaving.iter().position(|left| *left == number);
-        let state = if left.is_some() { "draining" } else { "ready" };
+        let index = leaving.iter().position(|draining| *draining == number);
+        let state = if index.is_some() { "draining" } else { "ready" };
         records.push(KeyedRecord {
             key: format!("i-{number}"),
             value: Some(entry("ledger", address, state, &[]).into()),
-            position: LogPosition(left.map_or(number, |at| targets + at as u64)),
+            position: LogPosition(index.map_or(number, |at| targets + at as u64)),
         });
     }
     ReadBatch {
@@ -92,14 +92,14 @@
     }
 }
 
-/// A read of one more target.
-fn listing_of_one(address: SocketAddr, number: u64) -> ReadBatch {
+/// Read that contains one more target.
+fn read_of_one(address: SocketAddr, number: u64) -> ReadBatch {
     let mut batch = listing(address, number + 1, &[]);
     batch.records.retain(|record| record.position.0 == number);
     batch
 }
 
-/// A listing of 50 targets after one of them, `i-5`, was removed.
+/// Listing of 50 targets after the removal of `i-5`.
 fn listing_without_one(address: SocketAddr) -> ReadBatch {
     let mut later = listing(address, 50, &[]);
     later.records.retain(|record| record.key != "i-5");
@@ -121,23 +121,25 @@
     fleet
 }
 
+/// Guards against VMs that forward what every other VM has listed too.
 #[tokio::test]
-async fn vms_that_start_at_once_pass_on_nothing_of_what_all_have_listed() {
+async fn vms_that_start_together_do_not_forward_their_listings() {
     let log = KeyedLog::start().await.expect("a log");
     for zone_vms in [33, 100] {
         let holder = fleet("vm-0", &log, zone_vms);
         let dialler = fleet("vm-1", &log, zone_vms);
-        // The link is up before either list is there.
+        // The link is up before both listings.
         let mut link = StartLink::new(&holder, &dialler);
         holder.apply_listing(
             FeedTopic::Targets,
             &listing(log.address(), TARGETS, &[3, 5, 7]),
         );
         dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[3]));
-        link.settle();
+        link.deliver_all();
         assert!(dialler.is_leaving("i-5") && dialler.is_leaving("i-7"));
         assert_eq!(dialler.known_end(FeedTopic::Targets).0, TARGETS + 3);
-        // The two changes that one of the lists lacks, and as news of the VM that was told of them.
+        // The two changes that one listing lacks, and their echo as updates of the VM that received
+        // them.
         assert!(
             link.passed <= 4,
             "{} records at {zone_vms} VMs",
@@ -146,9 +148,9 @@
     }
 }
 
-/// Guards against news that a VM passes back to whom it has it from.
+/// Guards against updates that are sent back to the VM that they came from.
 #[tokio::test]
-async fn news_does_not_go_back_to_whom_it_came_from() {
+async fn updates_are_not_sent_back_to_their_sender() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 100);
     let dialler = fleet("vm-1", &log, 100);
@@ -156,25 +158,25 @@
     for vm in [&holder, &dialler] {
         vm.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     }
-    link.settle();
+    link.deliver_all();
     let before = link.passed;
     let mut added = listing(log.address(), 250, &[]);
     added.records.retain(|record| record.position.0 >= 50);
     holder.apply_records(FeedTopic::Targets, LogPosition(50), &added);
-    link.settle();
+    link.deliver_all();
     assert_eq!(link.passed - before, 200);
-    let later = listing_of_one(log.address(), 251);
+    let later = read_of_one(log.address(), 251);
     dialler.apply_records(FeedTopic::Targets, LogPosition(251), &later);
-    link.settle();
+    link.deliver_all();
     assert!(!holder.is_leaving("i-251"));
     assert_eq!(link.passed - before, 201);
 }
 
-/// The holder reads on while another VM lists: what it read before the link came up is in neither the other's list nor the
-/// link's news. The other VM believed to know it by the holder's sign of life, read on behind it, and kept sending to a target
-/// that had left.
+/// Guards against records that the holder reads between another VM's listing and the link. They are
+/// in neither the listing nor the link's updates. A VM that takes them for known after the holder's
+/// heartbeat skips them, and keeps sending calls to a target that has left.
 #[tokio::test]
-async fn what_is_recorded_between_a_list_and_the_link_is_known_to_both() {
+async fn records_between_listing_and_link_reach_both_vms() {
     let log = KeyedLog::start().await.expect("a log");
     for zone_vms in [10, 100] {
         let holder = fleet("vm-0", &log, zone_vms);
@@ -186,29 +188,30 @@
         holder.apply_records(FeedTopic::Targets, LogPosition(50), &read);
         let mut link = StartLink::new(&holder, &dialler);
         dialler.apply_listing(FeedTopic::Targets, &begun);
-        link.settle();
+        link.deliver_all();
         assert!(dialler.is_leaving("i-5"), "{zone_vms} VMs");
     }
 }
 
-/// A VM that asked before the holder knew the list has its answer once it does, though the log never serves that VM.
+/// Guards against a request that is lost because the holder did not know the list yet. The log
+/// never serves the requesting VM.
 #[tokio::test]
-async fn a_vm_that_asks_early_is_answered_once_the_holder_knows() {
+async fn early_request_is_answered_once_holder_knows_the_list() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
     assert!(!dialler.is_topic_known(FeedTopic::Targets));
     holder.apply_listing(FeedTopic::Targets, &listing(log.address(), 100, &[5]));
-    link.settle();
+    link.deliver_all();
     assert!(dialler.is_topic_known(FeedTopic::Targets));
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
-/// A list of any length goes out in parts that a weak link carries in a tenth of a second each, so that signs of life go
-/// between them.
+/// Guards against an answer so long that it delays heartbeats. It is sent in parts that take a weak
+/// link 0.1 s each.
 #[tokio::test]
-async fn a_long_answer_goes_out_in_parts() {
+async fn long_answer_is_sent_in_parts() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
     holder.apply_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[]));
@@ -220,7 +223,7 @@
     let mut records = 0;
     while let Some(message) = sharing.next_reply() {
         let (VmMessage::Records(part) | VmMessage::Answer { records: part, .. }) = message else {
-            panic!("no part of an answer");
+            panic!("unexpected message");
         };
         assert!(part.len() <= 64);
         records += part.len() as u64;
@@ -228,34 +231,36 @@
     assert_eq!(records, TARGETS);
 }
 
-/// A listing names no removals: what went between the lists of two VMs is in neither, and the later one must not be taken for
-/// all that there is to know.
+/// Guards against a removal that is lost because a listing contains no removals. A removal between
+/// the listings of two VMs is in neither, so the later listing does not make the earlier one
+/// complete.
 #[tokio::test]
-async fn a_removal_between_the_lists_of_two_vms_is_known_to_both() {
+async fn removal_between_two_listings_reaches_both_vms() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
     dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
-    link.settle();
+    link.deliver_all();
     let reads_on_from = dialler.known_end(FeedTopic::Targets);
     assert!(
         dialler.is_leaving("i-5") || reads_on_from <= LogPosition(50),
-        "it is kept, and its removal will not be read"
+        "the target is still known, and its removal will not be read"
     );
 }
 
-/// The VM that listed first reads on from its own list, though it hears a holder that knows more.
+/// Guards against a VM that skips removals which its holder has not stored. It has to read on from
+/// its own listing, although a holder that knows more is connected.
 #[tokio::test]
-async fn a_vm_reads_the_removals_that_its_holder_has_not_kept() {
+async fn vm_reads_removals_that_its_holder_lacks() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
     dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
-    link.settle();
+    link.deliver_all();
     assert!(dialler.has_gap(FeedTopic::Targets));
     let removal = ReadBatch {
         records: vec![KeyedRecord {
@@ -271,20 +276,23 @@
     assert!(!dialler.has_gap(FeedTopic::Targets));
 }
 
+/// Guards against a listing older than the records from the holder, which would restore a removed
+/// target.
 #[tokio::test]
-async fn a_list_older_than_what_a_vm_was_told_brings_no_removed_target_back() {
+async fn listing_older_than_received_records_restores_no_removed_target() {
     let log = KeyedLog::start().await.expect("a log");
     let holder = fleet("vm-0", &log, 10);
     let dialler = fleet("vm-1", &log, 10);
     let mut link = StartLink::new(&holder, &dialler);
     holder.apply_listing(FeedTopic::Targets, &listing_without_one(log.address()));
-    link.settle();
+    link.deliver_all();
     assert!(dialler.is_topic_known(FeedTopic::Targets));
     dialler.apply_listing(FeedTopic::Targets, &listing(log.address(), 50, &[]));
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
-/// Records of so many strong VMs that have ended, so that a weaker one's turn to list comes after them.
+/// Writes records of strong VMs that have ended, so that a weaker VM's turn to list comes after
+/// theirs.
 fn record_strong_vms(log: &KeyedLog, count: usize) {
     for number in 0..count {
         let record = json!({ "zone": "hall", "address": "127.0.0.1:9", "strength": 4_000 });
@@ -293,11 +301,13 @@
     }
 }
 
-/// VMs of a zone that is too large for its holder to tell all of them everything.
+/// Size of a zone that is too large for its holder to send all records to each VM.
 const LARGE_ZONE: usize = 60;
 
+/// Guards against calls that fail at a VM without a target list. The holder answers its requests
+/// instead.
 #[tokio::test]
-async fn a_vm_that_has_no_target_list_serves_by_its_holders_word() {
+async fn vm_without_target_list_serves_through_its_holder() {
     let log = KeyedLog::start().await.expect("a log");
     let plain = RawTarget::start(good).await.expect("a target");
     let engine = slow_engine(Duration::from_millis(1)).await;
@@ -309,20 +319,21 @@
     let _holder = site(&log, &listed).await;
     let unlisted = vec!["keyed.servers".to_owned()];
     log.set_faults(|faults| faults.unlisted = unlisted);
-    let blind = DirectDaemon::start(settings("vm-2", &log)).await;
-    let blind = blind.expect("the daemon starts");
+    let without_list = DirectDaemon::start(settings("vm-2", &log)).await;
+    let without_list = without_list.expect("the daemon starts");
     for (path, headers) in [("/lookup/1", String::new()), ("/plan/1", model("a1"))] {
         wait_for(path, async || {
             let request = post(path, "r1", &headers);
-            ask(blind.caller_address, &request).await.status == 200
+            ask(without_list.caller_address, &request).await.status == 200
         })
         .await;
     }
-    assert!(!blind.fleet().is_topic_known(FeedTopic::Targets));
+    assert!(!without_list.fleet().is_topic_known(FeedTopic::Targets));
 }
 
+/// Guards against a log that is overloaded because all VMs of a zone list the targets at once.
 #[tokio::test]
-async fn vms_that_start_together_do_not_all_list_the_targets_at_once() {
+async fn vms_that_start_together_stagger_their_listings() {
     let log = KeyedLog::start().await.expect("a log");
     log.put("keyed.op", "config", Some(&config(1)));
     record_strong_vms(&log, LARGE_ZONE);
@@ -333,11 +344,16 @@
     })
     .await;
     assert_eq!(log.listings("keyed.servers"), 0);
-    wait_for("its turn", async || log.listings("keyed.servers") > 0).await;
+    wait_for("the turn to list", async || {
+        log.listings("keyed.servers") > 0
+    })
+    .await;
 }
 
+/// Guards against a VM that waits for its turn to list although the zone has a holder from before
+/// its start.
 #[tokio::test]
-async fn a_vm_that_starts_beside_a_holder_of_before_lists_at_once() {
+async fn vm_that_joins_an_existing_holder_lists_at_once() {
     let log = KeyedLog::start().await.expect("a log");
     let _holder = site(&log, &[]).await;
     record_strong_vms(&log, 10_000);
