--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -171,12 +171,12 @@
     #[must_use]
     pub fn forwardable_ends(&self) -> Vec<TopicEnd> {
         let tables = self.tables();
-        let doubted = tables.catalog.first_doubted();
+        let unconfirmed = tables.catalog.first_doubted();
         let ends = tables
             .known_ends
             .iter()
-            .map(|(topic, end)| match (topic, doubted) {
-                (FeedTopic::Targets, Some(doubted)) => (*topic, doubted.min(*end)),
+            .map(|(topic, end)| match (topic, unconfirmed) {
+                (FeedTopic::Targets, Some(unconfirmed)) => (*topic, unconfirmed.min(*end)),
                 _ => (*topic, *end),
             });
         ends.collect()
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -140,12 +140,13 @@
         if self.topic != FeedTopic::Targets {
             return false;
         }
-        let first = self.fleet.lease(&self.fleet.zone);
+        let initial_lease = self.fleet.lease(&self.fleet.zone);
         let turn = self.fleet.rank().saturating_sub(MAX_IMMEDIATE_RANK);
         let until = Instant::now() + (LISTING_STAGGER * turn).min(MAX_LISTING_DELAY);
         while Instant::now() < until && !self.fleet.is_topic_known(self.topic) {
             let lease = self.fleet.lease(&self.fleet.zone);
-            let is_same_holder = lease.is_some() && lease == first && self.has_holder_contact();
+            let is_same_holder =
+                lease.is_some() && lease == initial_lease && self.has_holder_contact();
             if is_same_holder || self.is_holder() {
                 return false;
             }
--- a/crates/daemon/src/direct/holder_requests.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -35,8 +35,8 @@
 impl HolderRequest {
     pub(super) fn into_event(self, key: CallKey, reply: ReplyTo) -> ZoneEvent {
         match self {
-            Self::Place(ask) => ZoneEvent::Place(key, ask, reply),
-            Self::Plain(ask) => ZoneEvent::PlacePlain(key, ask, reply),
+            Self::Place(request) => ZoneEvent::Place(key, request, reply),
+            Self::Plain(request) => ZoneEvent::PlacePlain(key, request, reply),
             Self::Pay(charge) => ZoneEvent::Pay(key, charge, reply),
             Self::Trial(fingerprint) => ZoneEvent::Trial(key, fingerprint, reply),
             Self::Target(target) => ZoneEvent::Target(key, target, reply),
@@ -45,8 +45,8 @@
 
     pub(super) fn into_message(self, number: u64) -> VmMessage {
         match self {
-            Self::Place(ask) => VmMessage::Place(number, ask),
-            Self::Plain(ask) => VmMessage::PlacePlain(number, ask),
+            Self::Place(request) => VmMessage::Place(number, request),
+            Self::Plain(request) => VmMessage::PlacePlain(number, request),
             Self::Pay(charge) => VmMessage::Pay(number, charge),
             Self::Trial(fingerprint) => VmMessage::Trial(number, fingerprint),
             Self::Target(target) => VmMessage::TargetWanted(number, target),
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -62,10 +62,10 @@
         if topic == FeedTopic::Targets {
             let listed = listing.records.iter().map(|record| record.key.as_str());
             let mut tables = self.tables();
-            let gone = tables
+            let removed = tables
                 .catalog
                 .remove_unlisted(&listed.collect(), listing.end, now);
-            self.forward_removals(&mut tables, gone, "no longer listed");
+            self.forward_removals(&mut tables, removed, "no longer listed");
         }
         let span = TopicSpan {
             topic,
@@ -198,8 +198,8 @@
     }
 
     /// Stores confirmed removals as updates for other VMs.
-    fn forward_removals(&self, tables: &mut FleetTables, gone: Vec<CountedRemoval>, why: &str) {
-        for (name, position) in gone {
+    fn forward_removals(&self, tables: &mut FleetTables, removed: Vec<CountedRemoval>, why: &str) {
+        for (name, position) in removed {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
             tables
@@ -222,11 +222,11 @@
         limits.retain(|run| catalog.get(&run.name).is_some());
         leaving.retain(|run| catalog.get(&run.name).is_some());
         rests.retain(|run| catalog.get(&run.name).is_some());
-        let gone = catalog.expire(clock::now());
-        if gone.is_empty() {
+        let removed = catalog.expire(clock::now());
+        if removed.is_empty() {
             return;
         }
-        self.forward_removals(&mut tables, gone, "removal confirmed");
+        self.forward_removals(&mut tables, removed, "removal confirmed");
         drop(tables);
         self.signal();
     }
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -467,14 +467,14 @@
         number,
     };
     match message {
-        VmMessage::Place(number, ask) => Some(ZoneEvent::Place(
+        VmMessage::Place(number, request) => Some(ZoneEvent::Place(
             key(number),
-            ask,
+            request,
             ReplyTo::Link(outbound.clone()),
         )),
-        VmMessage::PlacePlain(number, ask) => Some(ZoneEvent::PlacePlain(
+        VmMessage::PlacePlain(number, request) => Some(ZoneEvent::PlacePlain(
             key(number),
-            ask,
+            request,
             ReplyTo::Link(outbound.clone()),
         )),
         VmMessage::Pay(number, charge) => Some(ZoneEvent::Pay(
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -2,9 +2,9 @@
 //! them.
 //!
 //! Each VM writes its own record, and the holder of a zone writes the records of the suspects whose
-//! trials it grants. The holders claim their leases again elsewhere. A VM that has listed the fleet
-//! topic sees which records a restored log lacks. Any other VM writes its record again in any case,
-//! at a random time, as all VMs learn of the restore at once.
+//! trials it grants. Leases are not written here: their holders claim them again. A VM that has
+//! listed the fleet topic sees which records a restored log lacks. Any other VM writes its record
+//! again in any case, at a random time, as all VMs learn of the restore at once.
 
 use crate::{
     direct::{
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -123,7 +123,7 @@
     assert_eq!(
         target.connections(),
         2,
-        "the connection belongs to the earlier incarnation"
+        "the new incarnation gets a new connection"
     );
 }
 
@@ -133,8 +133,8 @@
 async fn failures_of_earlier_incarnation_are_forgotten() {
     let log = KeyedLog::start().await.expect("a log");
     // Nothing listens at this address.
-    let gone = RawTarget::start(good).await.expect("a target").address;
-    let daemon = site(&log, &[("i-1", "ledger", gone)]).await;
+    let closed_address = RawTarget::start(good).await.expect("a target").address;
+    let daemon = site(&log, &[("i-1", "ledger", closed_address)]).await;
     let (second, _relay) = second_vm(&log).await;
     for daemon in [&daemon, &second] {
         for number in 0..2 {
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -138,13 +138,13 @@
                     .clone()
                     .any(|other| other.key == record.key && other.position > record.position)
         };
-        let kept: Vec<_> = listing
+        let newest_records: Vec<_> = listing
             .records
             .iter()
             .filter(|record| newest(record))
             .cloned()
             .collect();
-        listing.records = kept;
+        listing.records = newest_records;
         fleet.note_list_call(true);
         fleet.apply_listing(FeedTopic::Targets, &listing);
     }
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -342,13 +342,13 @@
     });
     let engine = engine.await.expect("an engine");
     fill_fleet_topic(&log, 40);
-    let life = process();
+    let first_process = process();
     log.put(OPERATORS, "config", Some(&config(1)));
     let text = entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
-    let daemon = start_in(&life, settings("vm-1", &log)).await;
+    let daemon = start_in(&first_process, settings("vm-1", &log)).await;
     wait_for_accepted_order(&daemon, &orders, "b").await;
-    life.shutdown_background();
+    first_process.shutdown_background();
     log.restore(&[(FLEET, 40)]);
     let mut later = settings("vm-1", &log);
     later.is_first_start = false;
@@ -452,24 +452,24 @@
 /// or lower than before.
 #[tokio::test]
 async fn missing_invalid_or_decreasing_era_loses_nothing() {
-    for told in ["", "soon", "0", "-1"] {
+    for era in ["", "soon", "0", "-1"] {
         let log = KeyedLog::start().await.expect("a log");
         let [plain, engine] = targets().await;
         let vms = three_vms(&log, &plain, &engine).await;
         log.restore(&[]);
         log.put(OPERATORS, "config", Some(&config(7)));
         wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
-        log.set_faults(|faults| faults.tells_era = Some(told.to_owned()));
+        log.set_faults(|faults| faults.tells_era = Some(era.to_owned()));
         let before = log.calls();
         sleep(Duration::from_secs(1)).await;
         let calls = log.calls() - before;
         assert!(
             calls <= MAX_CALLS_PER_S * vms.len() as u64,
-            "{told:?}: {calls} calls"
+            "{era:?}: {calls} calls"
         );
         for vm in &vms {
             let answer = ask(vm.caller_address, &post("/lookup/1", "l1", "")).await;
-            assert_eq!((answer.status, version(vm)), (200, 7), "{told:?}");
+            assert_eq!((answer.status, version(vm)), (200, 7), "{era:?}");
         }
         log.set_faults(|faults| faults.tells_era = None);
         log.put(OPERATORS, "config", Some(&config(8)));
