--- a/crates/daemon/src/direct/call/ends.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -6,14 +6,14 @@
 use crate::{
     direct::{
         call::CallState,
-        sender::{ReuseRule, SendError, exchange},
+        target_connections::{ReuseRule, SendError, exchange},
     },
     event,
     events::Event,
 };
 use hoplanding_core::direct::{
     catalog::TargetEntry,
-    suspects::{EndedUnder, RequestFingerprint},
+    suspects::{RequestFingerprint, TargetCrash},
 };
 use hoplanding_platform::{front::CallHead, orders::encode_report_request};
 use http::{Method, StatusCode, Uri};
@@ -67,7 +67,7 @@
     /// Looks whether a target that broke this call off has ended, and tells all holders and the log if so, before the call is
     /// placed again or its caller answered.
     /// A trial whose target says nothing counts as one that ended it.
-    pub async fn look_at_break(&self, entry: &TargetEntry, is_trial: bool) {
+    pub async fn probe_after_failure(&self, entry: &TargetEntry, is_trial: bool) {
         let mut verdict = self.look(entry).await;
         if verdict == LookVerdict::Unknown {
             // Its connections may end a moment before its address does.
@@ -82,14 +82,14 @@
                 return;
             }
         }
-        let ended = EndedUnder {
+        let ended = TargetCrash {
             fingerprint: self.fingerprint,
             run: entry.run(),
         };
         event!(Event::TargetEndedUnder, request = self.head.id; "at {}, request {:016x}", entry.name, self.fingerprint.0
         );
         if self.context.fleet.note_ended_under(&ended) {
-            self.context.access.tell_ended_under(&ended);
+            self.context.holder_client.tell_ended_under(&ended);
         }
         self.context.records.record(self.fingerprint).await;
     }
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -3,9 +3,9 @@
 use crate::{
     clock::{self, CLOCK_ERROR},
     direct::{
-        access::ZoneAccess,
+        caller_connections::StopPhase,
         fleet::{FleetState, FleetTables, zone_key},
-        front::StopPhase,
+        holder_client::HolderClient,
         message::FeedTopic,
         settings::DirectSettings,
     },
@@ -13,7 +13,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::lease::{HolderContact, HolderView, LeaseState, LeaseStep, ZoneLease},
+    direct::lease::{HolderContact, HolderView, LeaseAction, LeaseState, ZoneLease},
     ids::LogPosition,
 };
 use hoplanding_platform::{
@@ -39,7 +39,7 @@
     /// The books.
     pub fleet: Arc<FleetState>,
     /// Links to holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Settings.
     pub settings: Arc<DirectSettings>,
     /// How far a planned stop is.
@@ -91,9 +91,9 @@
         let lease = self.fleet.lease(&self.fleet.zone);
         let contact = match &lease {
             Some(lease) if lease.vm.is_some() => {
-                let contact = self.access.contact(&self.fleet.zone, lease);
+                let contact = self.holder_client.contact(&self.fleet.zone, lease);
                 if contact != HolderContact::Heard {
-                    self.access.redial(&self.fleet.zone, lease);
+                    self.holder_client.redial(&self.fleet.zone, lease);
                 }
                 contact
             }
@@ -111,31 +111,32 @@
         let holder = lease.as_ref().and_then(|lease| lease.vm.as_ref());
         let view = HolderView {
             contact,
-            is_weaker: holder
+            is_holder_weaker: holder
                 .and_then(|vm| tables.vms.get(vm))
                 .is_some_and(|record| record.strength < self.fleet.strength),
             rank,
-            waited: lease.as_ref().and_then(waited),
-            is_outdated: tables.is_outdated(&self.fleet.zone),
-            is_oneself: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
-            was_led: self.is_confirmed(&tables)
-                && tables
-                    .fleet_read_at
-                    .is_some_and(|read_at| now < read_at.after(self.settings.leases.turn)),
+            waiting_claim_age: lease.as_ref().and_then(waited),
+            is_log_restored: tables.is_outdated(&self.fleet.zone),
+            is_holder: lease.as_ref().is_some_and(|lease| self.is_own(lease)),
+            is_sole_holder: self.is_confirmed(&tables)
+                && tables.fleet_read_at.is_some_and(|read_at| {
+                    now < read_at.after(self.settings.leases.handover_delay)
+                }),
         };
         let state = tables.leases.entry(self.fleet.zone.clone()).or_default();
         let position = state.position;
-        let step = state.step(&self.settings.leases, view, now);
-        if let LeaseStep::Claim { quiet } = step {
+        let step = state.next_action(&self.settings.leases, view, now);
+        if let LeaseAction::Claim { order_delay: quiet } = step {
             tables.claim_delay = quiet;
             tables.orders_from = now.after(quiet);
         }
         drop(tables);
-        if let (LeaseStep::AskFor, Some(lease)) = (step, &lease) {
+        if let (LeaseAction::RequestTransfer, Some(lease)) = (step, &lease) {
             event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
-            self.access.ask_for_lease(&self.fleet.zone, lease, position);
+            self.holder_client
+                .request_lease(&self.fleet.zone, lease, position);
         }
-        matches!(step, LeaseStep::Claim { .. })
+        matches!(step, LeaseAction::Claim { .. })
     }
 
     /// Whether this VM may give orders by the newest record of its zone's lease.
@@ -160,7 +161,7 @@
             (end, tables.orders_from)
         };
         let is_read = self.read_on(client, end).await;
-        if !is_read && now < orders_from.after(self.settings.leases.turn) {
+        if !is_read && now < orders_from.after(self.settings.leases.handover_delay) {
             return;
         }
         let lease = self.fleet.lease(&self.fleet.zone);
@@ -196,7 +197,7 @@
         };
         let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
         let key = zone_key(&self.fleet.zone);
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         let began = clock::now();
         let appended = client
             .append(FLEET_TOPIC, &key, &value, Some(end), within)
@@ -219,7 +220,7 @@
             Err(StoreError::EndMoved(_)) => ClaimResult::Unanswered,
             Err(error) => {
                 if let StoreError::OtherEra(era) = error {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
                 ClaimResult::Unanswered
@@ -229,7 +230,7 @@
 
     /// Reads the fleet's records from a position on; says whether that went well.
     async fn read_on(&self, client: &mut StoreClient, from: LogPosition) -> bool {
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         match client.read(FLEET_TOPIC, from, Duration::ZERO, within).await {
             Ok(batch) => {
                 self.fleet.apply_records(FeedTopic::Fleet, from, &batch);
@@ -237,7 +238,7 @@
             }
             Err(error) => {
                 if let StoreError::OtherEra(era) = error {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
                 false
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -2,20 +2,20 @@
 
 use crate::{
     direct::{
-        access::ZoneAccess,
         call::{GatewayContext, StopPlan},
+        caller_connections::{OpenConnections, StopPhase, accept_callers},
         claims::{ClaimWorker, release_lease},
         feeds::FeedWorker,
         fleet::FleetState,
-        front::{OpenConnections, StopPhase, accept_callers},
+        holder_client::HolderClient,
         links::accept_links,
         message::FeedTopic,
         probes::{metrics_response, readiness_response, serve_probes},
         reachability::StoreReachability,
         recorder::FleetRecorder,
-        sender::ConnectionPool,
         settings::DirectSettings,
-        suspect_records::EndRecords,
+        suspect_records::SuspectRecorder,
+        target_connections::ConnectionPool,
         zone::{ZoneEvent, ZoneWorker},
     },
     event,
@@ -91,7 +91,7 @@
         let pool = Arc::new(ConnectionPool::default());
         let (zone, zone_receiver) = mpsc::channel(ZONE_EVENTS);
         let (stop, stop_watch) = watch::channel(StopPhase::Serving);
-        let access = Arc::new(ZoneAccess::new(Arc::clone(&fleet), zone.clone()));
+        let holder_client = Arc::new(HolderClient::new(Arc::clone(&fleet), zone.clone()));
         let connections = Arc::new(OpenConnections::default());
         event!(
             Event::Started,
@@ -100,7 +100,7 @@
             settings.zone,
             settings.peer_address
         );
-        start_feeds(&settings, &fleet, &access);
+        start_feeds(&settings, &fleet, &holder_client);
         let worker = ZoneWorker::new(
             Arc::clone(&fleet),
             Arc::clone(&pool),
@@ -111,7 +111,7 @@
         tokio::spawn(accept_links(peers, Arc::clone(&fleet), zone.clone()));
         let claims = ClaimWorker {
             fleet: Arc::clone(&fleet),
-            access: Arc::clone(&access),
+            holder_client: Arc::clone(&holder_client),
             settings: Arc::clone(&settings),
             stop: stop_watch.clone(),
         };
@@ -124,9 +124,9 @@
         let context = Arc::new(GatewayContext {
             stop: Arc::clone(&plan),
             fleet: Arc::clone(&fleet),
-            access,
+            holder_client,
             pool,
-            records: EndRecords::start(&fleet, &settings),
+            records: SuspectRecorder::start(&fleet, &settings),
             settings: Arc::clone(&settings),
         });
         tokio::spawn(accept_callers(
@@ -164,10 +164,10 @@
     pub async fn stop(self) -> usize {
         event!(Event::Stopping, "{} connections", self.connections.count());
         let begun = Instant::now();
-        let bound = begun + self.settings.pace.stop_bound;
-        let choosy_from = begun + self.settings.pace.stop_notice;
+        let bound = begun + self.settings.timing.stop_timeout;
+        let restricted_from = begun + self.settings.timing.drain_delay;
         let plan = StopPlan {
-            choosy_from,
+            restricted_from,
             exit: bound,
         };
         // Only one stop begins.
@@ -181,8 +181,9 @@
                 is_released = true;
             }
             let now = Instant::now();
-            self.stop.send_replace(phase_at(now, choosy_from, bound));
-            if now >= bound || (now >= choosy_from && self.connections.count() == 0) {
+            self.stop
+                .send_replace(phase_at(now, restricted_from, bound));
+            if now >= bound || (now >= restricted_from && self.connections.count() == 0) {
                 break;
             }
             sleep(STOP_LOOK).await;
@@ -198,10 +199,10 @@
     /// Gives the zone up, so that another VM gives the orders from here on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
-        if self.zone.send(ZoneEvent::Release(done)).await.is_err() {
+        if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
             return;
         }
-        let within = self.settings.pace.platform_timeout;
+        let within = self.settings.timing.platform_timeout;
         if let Ok(Ok(true)) = timeout(within, released).await {
             // Where it fails, the others find this process ended and claim the zone.
             let _ = release_lease(&self.fleet, self.settings.platform_address, within).await;
@@ -209,10 +210,10 @@
     }
 }
 
-fn phase_at(now: Instant, choosy_from: Instant, bound: Instant) -> StopPhase {
+fn phase_at(now: Instant, restricted_from: Instant, bound: Instant) -> StopPhase {
     if now + ENDING >= bound {
         StopPhase::Ending
-    } else if now >= choosy_from {
+    } else if now >= restricted_from {
         StopPhase::Closing
     } else {
         StopPhase::Leaving
@@ -234,21 +235,25 @@
     if let Some(collectors) = collectors {
         let asked = Arc::clone(fleet);
         tokio::spawn(serve_probes(collectors, move |path| {
-            metrics_response(path, || asked.figures.page(&asked))
+            metrics_response(path, || asked.metrics.page(&asked))
         }));
     }
 }
 
-fn start_feeds(settings: &Arc<DirectSettings>, fleet: &Arc<FleetState>, access: &Arc<ZoneAccess>) {
+fn start_feeds(
+    settings: &Arc<DirectSettings>,
+    fleet: &Arc<FleetState>,
+    holder_client: &Arc<HolderClient>,
+) {
     let reachability = StoreReachability::new();
     let first_pause = first_pause(settings);
     for topic in [FeedTopic::Operators, FeedTopic::Targets, FeedTopic::Fleet] {
         let worker = FeedWorker {
             topic,
             address: settings.platform_address,
-            pace: settings.pace,
+            pace: settings.timing,
             fleet: Arc::clone(fleet),
-            access: Arc::clone(access),
+            holder_client: Arc::clone(holder_client),
             reachability: reachability.clone(),
             first_pause,
             started: Instant::now(),
@@ -261,7 +266,7 @@
 /// Pause before the first listing. At the first start of a whole fleet nobody is served yet, so weak VMs let the strong
 /// ones claim their zones, and learn from them what they would each have to list.
 fn first_pause(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.strength < WEAK_BELOW {
+    if settings.is_first_start && settings.cpu_millicores < WEAK_BELOW {
         WEAK_PAUSE.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
@@ -272,7 +277,7 @@
     let mut dropped = 0;
     loop {
         sleep(SWEEP_EVERY).await;
-        pool.sweep();
+        pool.close_expired();
         fleet.expire();
         dropped = report_dropped(dropped);
     }
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -18,8 +18,8 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        contact::AnswerRun,
-        freshness::{BeatEcho, PassedProof},
+        freshness::{HeartbeatEcho, RelayedProof},
+        log_contact::AnswerSpan,
         millis,
     },
     ids::{Instant, LogPosition, TargetName, VmName},
@@ -52,7 +52,7 @@
     }
 
     fn apply_from_vm(&self, records: Vec<ForwardedRecord>, source: RecordSource) {
-        self.learn_eras(records.iter().map(|record| record.position));
+        self.observe_positions(records.iter().map(|record| record.position));
         let now = clock::now();
         let mut has_updates = false;
         for record in records {
@@ -119,13 +119,13 @@
         let is_forwarded = |(topic, from): &&TopicEnd| {
             is_turned_away
                 || from.0 > 0
-                || tables.records.bytes(*topic) <= MAX_FORWARDED_TOPIC_BYTES
+                || tables.records.size_bytes(*topic) <= MAX_FORWARDED_TOPIC_BYTES
         };
         let requested: BTreeMap<FeedTopic, LogPosition> =
             requested.iter().filter(is_forwarded).copied().collect();
         let records = requested
             .iter()
-            .flat_map(|(topic, from)| tables.records.since(*topic, *from));
+            .flat_map(|(topic, from)| tables.records.records_since(*topic, *from));
         let spans = forwardable
             .into_iter()
             .filter(|(topic, _)| requested.contains_key(topic))
@@ -139,7 +139,7 @@
 
     /// Applies the answer of another VM, including the spans of topics that it knows completely.
     pub fn apply_answer(&self, records: Vec<ForwardedRecord>, spans: &[TopicSpan]) {
-        self.learn_eras(spans.iter().map(|span| span.end));
+        self.observe_positions(spans.iter().map(|span| span.end));
         self.apply_forwarded(records);
         let was_ready = self.is_ready();
         for span in spans {
@@ -157,7 +157,7 @@
     /// Applies the positions up to which another VM, whose updates this one has received, knows all
     /// records.
     pub fn apply_ends(&self, ends: &[TopicEnd]) {
-        self.learn_eras(ends.iter().map(|(_, end)| *end));
+        self.observe_positions(ends.iter().map(|(_, end)| *end));
         let mut tables = self.tables();
         for (topic, end) in ends {
             if !tables.gaps.contains_key(topic) {
@@ -171,7 +171,7 @@
     #[must_use]
     pub fn forwardable_ends(&self) -> Vec<TopicEnd> {
         let tables = self.tables();
-        let unconfirmed = tables.catalog.first_doubted();
+        let unconfirmed = tables.catalog.first_unconfirmed();
         let ends = tables
             .known_ends
             .iter()
@@ -185,7 +185,7 @@
     /// State of this VM's contact with the log, for other VMs.
     #[must_use]
     pub fn contact_report(&self) -> Option<ContactReport> {
-        let run = self.tables().contact.run()?;
+        let run = self.tables().contact.answer_span()?;
         let now = clock::now();
         Some(ContactReport {
             since_ms: age_ms(run.since, now),
@@ -197,25 +197,25 @@
     /// only this VM, and not the log.
     pub fn apply_contact_report(&self, vm: &VmName, report: Option<ContactReport>) {
         let now = clock::now();
-        let run = report.map(|report| AnswerRun {
+        let run = report.map(|report| AnswerSpan {
             since: before(now, report.since_ms),
             last: before(now, report.last_ms),
         });
         {
             let mut tables = self.tables();
-            tables.contact.take_report(vm, run);
+            tables.contact.record_peer(vm, run);
             tables.note_log_return();
         }
         self.expire();
     }
 
     /// Applies another VM's proof that the configuration is the newest.
-    pub fn apply_proof(&self, proof: &PassedProof, echo: &BeatEcho) {
+    pub fn apply_proof(&self, proof: &RelayedProof, echo: &HeartbeatEcho) {
         let mut tables = self.tables();
         let Some(known) = tables.active.as_ref().map(|active| active.config.version) else {
             return;
         };
-        tables.proof.take_passed(proof, echo, known);
+        tables.proof.accept_relayed(proof, echo, known);
     }
 
     /// Positions from which this VM lacks records, for its requests to other VMs. A topic that was
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -8,16 +8,16 @@
 use crate::{
     clock,
     direct::{
-        access::ZoneAccess, figures::LogOutcome, fleet::FleetState, listing::list_topic,
-        message::FeedTopic, reachability::StoreReachability, settings::PaceSettings,
+        fleet::FleetState, holder_client::HolderClient, listing::list_topic, message::FeedTopic,
+        metrics::LogOutcome, reachability::StoreReachability, settings::TimingSettings,
     },
     event,
     events::Event,
 };
 use hoplanding_core::{
     direct::{
-        duty::{DutyView, HolderSight},
         lease::HolderContact,
+        log_readers::{HolderPresence, ReaderView},
     },
     ids::LogPosition,
 };
@@ -76,11 +76,11 @@
     /// Address of the platform log.
     pub address: SocketAddr,
     /// Read intervals and timeouts.
-    pub pace: PaceSettings,
+    pub pace: TimingSettings,
     /// Tables that the records are applied to.
     pub fleet: Arc<FleetState>,
     /// Links to the zone holders.
-    pub access: Arc<ZoneAccess>,
+    pub holder_client: Arc<HolderClient>,
     /// Reachability of the log, shared by the workers of all topics.
     pub reachability: StoreReachability,
     /// Delay of the first listing.
@@ -106,7 +106,7 @@
             let sent_at = clock::now();
             let listing = list_topic(&mut client, topic, self.pace.platform_timeout).await;
             let listing = match listing {
-                Ok(listing) if self.fleet.meet_era(listing.end.era()) => listing,
+                Ok(listing) if self.fleet.observe_era(listing.end.era()) => listing,
                 Ok(listing) => {
                     self.note_failure(&StoreError::OtherEra(listing.end.era()));
                     self.wait_to_retry().await;
@@ -206,7 +206,7 @@
 
     fn has_holder_contact(&self) -> bool {
         let lease = self.fleet.lease(&self.fleet.zone);
-        lease.is_some_and(|lease| self.access.is_heard(&lease, HOLDER_SILENCE_TIMEOUT))
+        lease.is_some_and(|lease| self.holder_client.is_heard(&lease, HOLDER_SILENCE_TIMEOUT))
     }
 
     /// Whether the zone has a holder that is being dialled or is connected.
@@ -214,7 +214,7 @@
         let lease = self.fleet.lease(&self.fleet.zone);
         lease.is_some_and(|lease| {
             lease.vm.as_ref().is_some_and(|vm| *vm != self.fleet.vm)
-                && self.access.contact(&self.fleet.zone, &lease) != HolderContact::Ended
+                && self.holder_client.contact(&self.fleet.zone, &lease) != HolderContact::Ended
         })
     }
 
@@ -228,7 +228,7 @@
             // Records that were forwarded in the meantime need not be read again.
             from = from.max(self.fleet.known_end(self.topic));
             let mut eras = self.fleet.watch_eras();
-            if !self.fleet.is_current(from) || from.era() != listed_era {
+            if !self.fleet.is_current_era(from) || from.era() != listed_era {
                 return;
             }
             let mut returns = self.reachability.watch();
@@ -262,7 +262,7 @@
                 }
                 Err(StoreError::Expired(_)) => return,
                 Err(StoreError::OtherEra(era)) => {
-                    self.fleet.meet_era(era);
+                    self.fleet.observe_era(era);
                     return;
                 }
                 Err(error) => {
@@ -295,27 +295,27 @@
             FeedTopic::Fleet => Duration::MAX,
             FeedTopic::Operators | FeedTopic::Targets => self.started.elapsed(),
         };
-        let view = DutyView {
+        let view = ReaderView {
             age,
             holder: self.holder_sight(),
             rank: self.fleet.rank(),
             zone_vms: self.fleet.zone_vms(),
-            is_asked: self.fleet.has_read_request(),
+            is_backup_requested: self.fleet.has_read_request(),
         };
         view.must_read()
     }
 
-    fn holder_sight(&self) -> HolderSight {
+    fn holder_sight(&self) -> HolderPresence {
         let lease = self.fleet.lease(&self.fleet.zone);
         let Some(holder) = lease.as_ref().and_then(|lease| lease.vm.as_ref()) else {
-            return HolderSight::Nobody;
+            return HolderPresence::Vacant;
         };
         if *holder == self.fleet.vm {
-            HolderSight::Oneself
+            HolderPresence::Myself
         } else if self.has_holder_contact() {
-            HolderSight::Heard
+            HolderPresence::Heard
         } else {
-            HolderSight::Silent
+            HolderPresence::Silent
         }
     }
 
@@ -335,7 +335,7 @@
             FeedTopic::Targets => TARGET_READ_WAIT,
             FeedTopic::Operators if self.fleet.revocation.is_some() => KEY_PROOF_READ_WAIT,
             // The holder forwards what it reads, so the other VMs of its zone can read less often.
-            FeedTopic::Operators if self.is_holder() => self.pace.config_wait,
+            FeedTopic::Operators if self.is_holder() => self.pace.max_config_wait,
             FeedTopic::Fleet if self.is_holder() => HOLDER_FLEET_READ_WAIT,
             FeedTopic::Operators | FeedTopic::Fleet => MAX_READ_WAIT,
         }
@@ -343,15 +343,15 @@
 
     fn read_interval(&self) -> Duration {
         match self.topic {
-            FeedTopic::Targets => self.pace.list_every,
-            FeedTopic::Operators => self.pace.config_every,
-            FeedTopic::Fleet => FLEET_READ_INTERVAL.min(self.pace.list_every),
+            FeedTopic::Targets => self.pace.list_interval,
+            FeedTopic::Operators => self.pace.min_config_interval,
+            FeedTopic::Fleet => FLEET_READ_INTERVAL.min(self.pace.list_interval),
         }
     }
 
     fn note_failure(&mut self, error: &StoreError) {
-        let figures = &self.fleet.figures;
-        figures.count_log_call(topic_name(self.topic), LogOutcome::Failed);
+        let metrics = &self.fleet.metrics;
+        metrics.count_log_call(topic_name(self.topic), LogOutcome::Failed);
         if self.topic == FeedTopic::Targets {
             self.fleet.note_list_call(false);
         }
@@ -363,8 +363,8 @@
     }
 
     fn note_success(&mut self) {
-        let figures = &self.fleet.figures;
-        figures.count_log_call(topic_name(self.topic), LogOutcome::Answered);
+        let metrics = &self.fleet.metrics;
+        metrics.count_log_call(topic_name(self.topic), LogOutcome::Answered);
         if self.topic == FeedTopic::Targets {
             self.fleet.note_list_call(true);
         }
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -10,30 +10,30 @@
     clock,
     direct::{
         eras::EraRecord,
-        figures::DirectFigures,
         message::{FeedTopic, TopicSpan},
-        notices::LeavingNews,
-        records::RecordBook,
+        metrics::DirectMetrics,
+        notices::LeavingTargets,
+        record_cache::RecordCache,
         settings::DirectSettings,
         skipped::EntryLogLimiter,
     },
 };
 use hoplanding_core::{
     direct::{
-        budget::RetryShare,
+        backoffs::BackoffTable,
         catalog::{TargetCatalog, TargetEntry, TargetStage},
         config::FleetConfig,
-        contact::LogContact,
-        copy_doubt::{CopyDoubt, RewriteRule},
         demand::DemandTable,
-        freshness::{ConfigProof, PassedProof, RevocationRule},
+        freshness::{FreshnessProof, RelayedProof, RevocationRule},
         health::HealthTable,
         lease::{LeaseState, ZoneLease},
-        limits::LimitTable,
+        limits::RateLimitTable,
+        log_contact::LogContact,
         policy::PlacementPolicy,
-        rests::RestTable,
+        restore_guard::{RestoreGuard, RewriteRule},
+        retry_budget::RetryShare,
         routes::RouteTable,
-        streams::StreamPace,
+        stream_estimate::StreamEstimate,
         suspects::{RequestFingerprint, SuspectTable},
     },
     ids::{
@@ -132,7 +132,7 @@
     /// This VM's share of the retry budget.
     pub retries: RetryShare,
     /// Recent duration of this VM's streams.
-    pub streams: StreamPace,
+    pub streams: StreamEstimate,
     /// Weights of placement decisions.
     pub policy: PlacementPolicy,
     /// Request rate of this VM's callers by adapter.
@@ -140,19 +140,19 @@
     /// Adapters in high demand in their home zone, and when that expires.
     pub sought: HashMap<AdapterName, Instant>,
     /// Proof that the configuration is the newest, with its age.
-    pub proof: ConfigProof,
+    pub proof: FreshnessProof,
     /// Whether the log may lack the newest operator records after a restore.
-    pub copy_doubt: CopyDoubt,
+    pub copy_doubt: RestoreGuard,
     /// Record of the log's current era.
     pub era_record: Option<EraRecord>,
     /// Requests during which targets ended, from this VM's calls, other VMs and the log.
     pub suspects: SuspectTable,
     /// Limits that targets reported to this VM or to other VMs.
-    pub limits: LimitTable,
+    pub limits: RateLimitTable,
     /// Backoffs that targets requested from this VM.
-    pub rests: RestTable,
+    pub rests: BackoffTable,
     /// Newest record of each key, to be forwarded to other VMs.
-    pub records: RecordBook,
+    pub records: RecordCache,
     /// Pause between the claim in progress and the first order.
     pub claim_delay: Duration,
     /// Earliest time of an order after this VM's last claim.
@@ -164,7 +164,7 @@
     /// Counts unreadable headers in which targets describe themselves.
     pub unreadable_headers: EntryLogLimiter,
     /// Targets that announced in an answer that they are leaving, to be forwarded to other VMs.
-    pub leaving: LeavingNews,
+    pub leaving: LeavingTargets,
     /// Addresses of this VM itself.
     pub(super) own_addresses: Vec<SocketAddr>,
 }
@@ -205,7 +205,7 @@
     pub(super) fn note_forwarded_span(&mut self, span: TopicSpan) -> bool {
         let known = self.known_ends.get(&span.topic);
         let is_missing =
-            |known: &LogPosition| !self.records.has_all(span.topic, *known, span.since);
+            |known: &LogPosition| !self.records.has_all_between(span.topic, *known, span.since);
         if known.is_some_and(is_missing) {
             let gap = self.gaps.entry(span.topic).or_insert(span.since);
             *gap = span.since.max(*gap);
@@ -218,15 +218,15 @@
     #[must_use]
     pub fn may_trust_keys(&self, rule: Option<RevocationRule>, now: Instant) -> bool {
         let is_keyed = |active: &Arc<ActiveConfig>| active.config.organisations.is_some();
-        rule.is_none_or(|rule| self.proof.holds(rule, now))
+        rule.is_none_or(|rule| self.proof.is_fresh(rule, now))
             || !self.active.as_ref().is_some_and(is_keyed)
     }
 
     /// Proof for other VMs that this VM's configuration is the newest.
     #[must_use]
-    pub fn freshness_proof(&self, now: Instant) -> Option<PassedProof> {
+    pub fn freshness_proof(&self, now: Instant) -> Option<RelayedProof> {
         let version = self.active.as_ref()?.config.version;
-        self.proof.pass_on(version, now)
+        self.proof.relay(version, now)
     }
 
     /// Rank of this VM among the VMs of its zone that could take on its duties, without the lease
@@ -260,7 +260,7 @@
     /// Targets that currently ask this VM to back off.
     #[must_use]
     pub fn resting(&self, now: Instant) -> Vec<TargetName> {
-        let resting = self.rests.resting(now);
+        let resting = self.rests.active(now);
         resting.map(|run| run.name.clone()).collect()
     }
 
@@ -287,7 +287,7 @@
 
     /// Passes the time at which the log came back, as known now, to the catalog.
     pub(super) fn note_log_return(&mut self) {
-        self.catalog.log_returned(self.contact.returned());
+        self.catalog.note_log_recovered(self.contact.recovered_at());
     }
 }
 
@@ -310,7 +310,7 @@
     /// CPU capacity of this VM in thousandths of a core.
     pub strength: u32,
     /// Counters of the metrics page.
-    pub figures: DirectFigures,
+    pub metrics: DirectMetrics,
     /// Linked VMs of this zone that could take over its lease.
     successors: Mutex<HashSet<VmName>>,
     stopping: watch::Sender<bool>,
@@ -336,9 +336,9 @@
             is_first_start: settings.is_first_start,
             zone: settings.zone.clone(),
             revocation: settings.revocation,
-            rewrites: settings.rewrites,
-            strength: settings.strength,
-            figures: DirectFigures::default(),
+            rewrites: settings.recovery,
+            strength: settings.cpu_millicores,
+            metrics: DirectMetrics::default(),
             successors: Mutex::default(),
             stopping: watch::channel(false).0,
             tables: Mutex::new(FleetTables {
@@ -359,23 +359,23 @@
                 health: HealthTable::default(),
                 in_flight: HashMap::new(),
                 retries: RetryShare::starting(settings.retries, restarted),
-                streams: StreamPace::default(),
+                streams: StreamEstimate::default(),
                 policy: settings.policy,
                 demand: DemandTable::default(),
                 sought: HashMap::new(),
-                proof: ConfigProof::default(),
-                copy_doubt: CopyDoubt::default(),
+                proof: FreshnessProof::default(),
+                copy_doubt: RestoreGuard::default(),
                 era_record: None,
                 suspects: SuspectTable::default(),
-                limits: LimitTable::with_share(1.0 / f64::from(MIN_BUDGET_SHARES)),
-                rests: RestTable::default(),
-                records: RecordBook::default(),
+                limits: RateLimitTable::with_share(1.0 / f64::from(MIN_BUDGET_SHARES)),
+                rests: BackoffTable::default(),
+                records: RecordCache::default(),
                 claim_delay: Duration::ZERO,
                 orders_from: Instant::default(),
                 confirmed_token: None,
                 skipped_entries: EntryLogLimiter::default(),
                 unreadable_headers: EntryLogLimiter::default(),
-                leaving: LeavingNews::default(),
+                leaving: LeavingTargets::default(),
                 own_addresses: Vec::new(),
             }),
             changes: watch::channel(0).0,
@@ -389,7 +389,7 @@
 
     /// Recent duration of this VM's streams.
     #[must_use]
-    pub fn streams(&self) -> StreamPace {
+    pub fn streams(&self) -> StreamEstimate {
         self.tables().streams
     }
 
@@ -543,7 +543,7 @@
         let version = tables.active.as_ref().map(|active| active.config.version);
         let is_doubted = tables.copy_doubt.remaining(sent).is_some();
         if !is_doubted && version.is_none_or(|version| tables.stored_version >= version) {
-            tables.proof.note_read(sent);
+            tables.proof.record_read(sent);
         }
     }
 
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -10,7 +10,7 @@
         },
         ingest::RecordSource,
         message::FeedTopic,
-        suspect_records::{fold_suspect, suspect_of},
+        suspect_records::{apply_suspect_record, suspect_fingerprint},
     },
     event,
     events::Event,
@@ -18,7 +18,7 @@
 use hoplanding_core::{
     direct::{
         catalog::{TargetCatalog, TargetEntry, TargetStage},
-        copy_doubt::RewriteRule,
+        restore_guard::RewriteRule,
         routes::RouteTable,
     },
     ids::{AvailabilityZone, Instant, TargetName, VmName},
@@ -58,7 +58,7 @@
         return false;
     };
     let key = &record.key;
-    if tables.records.is_kept(topic, key, record.position)
+    if tables.records.contains(topic, key, record.position)
         && tables.records.value(topic, key) == Some(&**value)
     {
         return false;
@@ -94,7 +94,9 @@
     let name = TargetName::new(&record.key);
     let was_ready = is_ready(&tables.catalog, &name);
     let is_update = match &record.value {
-        None if source == RecordSource::Forwarded => tables.catalog.settle(&name, record.position),
+        None if source == RecordSource::Forwarded => {
+            tables.catalog.confirm_removal(&name, record.position)
+        }
         None => tables.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
             Ok(entry) if tables.is_own_address(entry.address) => {
@@ -119,7 +121,7 @@
             Err(error) => return fold_unusable(tables, record, &error, now),
         },
     };
-    if tables.catalog.is_doubted(&name) {
+    if tables.catalog.is_removal_pending(&name) {
         event!(
             Event::RemovalDoubted,
             "{name} at position {}, {source:?}",
@@ -201,7 +203,7 @@
     now: Instant,
 ) -> FoldOutcome {
     let name = TargetName::new(&record.key);
-    let is_change = tables.catalog.settle(&name, record.position);
+    let is_change = tables.catalog.confirm_removal(&name, record.position);
     if let Some(unlogged) = tables.skipped_entries.note(now) {
         let key: String = record
             .key
@@ -319,8 +321,9 @@
         fold_vm(tables, vm, record);
     } else if record.key == ERA_KEY {
         fold_era(tables, record, rewrites);
-    } else if let Some(fingerprint) = suspect_of(&record.key) {
-        if let Err(error) = fold_suspect(tables, fingerprint, record.value.as_deref(), now) {
+    } else if let Some(fingerprint) = suspect_fingerprint(&record.key) {
+        if let Err(error) = apply_suspect_record(tables, fingerprint, record.value.as_deref(), now)
+        {
             event!(Event::RecordSkipped, "{}: {error}", record.key);
         }
     } else if record.key.starts_with(SUSPECT_KEY_PREFIX) {
@@ -357,7 +360,7 @@
         return;
     };
     match serde_json::from_slice(value) {
-        Ok(recorded) => tables.note_era_record(recorded, rewrites),
+        Ok(recorded) => tables.apply_era_record(recorded, rewrites),
         Err(error) => event!(Event::RecordSkipped, "era record: {error}"),
     }
 }
--- a/crates/daemon/src/direct/holder_requests.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -5,15 +5,15 @@
 
 use crate::direct::{
     message::VmMessage,
-    zone::{ReplyTo, ZoneEvent},
+    zone::{ReplySender, ZoneEvent},
 };
 use hoplanding_core::{
     direct::{
-        limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{CallKey, PlacementAsk},
+        limits::AdvertisedLimit,
+        plain::PlainRequest,
+        planner::{CallKey, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
     },
     ids::{TargetName, VmName},
 };
@@ -21,9 +21,9 @@
 /// Request to a zone's holder, which sends a reply.
 pub(super) enum HolderRequest {
     /// Placement of a call.
-    Place(Box<PlacementAsk>),
+    Place(Box<PlacementRequest>),
     /// Placement of a call of a plain service.
-    Plain(Box<PlainAsk>),
+    Plain(Box<PlainRequest>),
     /// Charge against an organisation's quota.
     Pay(QuotaCharge),
     /// Permit for a trial of a suspect.
@@ -33,13 +33,13 @@
 }
 
 impl HolderRequest {
-    pub(super) fn into_event(self, key: CallKey, reply: ReplyTo) -> ZoneEvent {
+    pub(super) fn into_event(self, key: CallKey, reply: ReplySender) -> ZoneEvent {
         match self {
             Self::Place(request) => ZoneEvent::Place(key, request, reply),
             Self::Plain(request) => ZoneEvent::PlacePlain(key, request, reply),
-            Self::Pay(charge) => ZoneEvent::Pay(key, charge, reply),
-            Self::Trial(fingerprint) => ZoneEvent::Trial(key, fingerprint, reply),
-            Self::Target(target) => ZoneEvent::Target(key, target, reply),
+            Self::Pay(charge) => ZoneEvent::ChargeQuota(key, charge, reply),
+            Self::Trial(fingerprint) => ZoneEvent::RequestTrial(key, fingerprint, reply),
+            Self::Target(target) => ZoneEvent::LookUpTarget(key, target, reply),
         }
     }
 
@@ -64,9 +64,9 @@
     /// Returns the charge of a call that was not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran on it.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// A target reported its limit in an answer.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
 }
@@ -78,11 +78,13 @@
             number,
         };
         match self {
-            Self::Begun(number, target, version) => ZoneEvent::Begun(key(number), target, version),
-            Self::Withdrawn(number) => ZoneEvent::Withdrawn(key(number)),
-            Self::GiveBack(charge) => ZoneEvent::GiveBack(charge),
-            Self::EndedUnder(end) => ZoneEvent::EndedUnder(end),
-            Self::LimitNamed(limit) => ZoneEvent::LimitNamed(limit),
+            Self::Begun(number, target, version) => {
+                ZoneEvent::FirstEvent(key(number), target, version)
+            }
+            Self::Withdrawn(number) => ZoneEvent::PlacementWithdrawn(key(number)),
+            Self::GiveBack(charge) => ZoneEvent::RefundQuota(charge),
+            Self::EndedUnder(end) => ZoneEvent::TargetEnded(end),
+            Self::LimitNamed(limit) => ZoneEvent::TargetLimit(limit),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 ZoneEvent::TrialEnded(key(number), fingerprint, is_good)
             }
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -17,7 +17,7 @@
     events::Event,
 };
 use hoplanding_core::{
-    direct::catalog::CountedRemoval,
+    direct::catalog::ConfirmedRemoval,
     ids::{Instant, LogPosition},
 };
 use hoplanding_platform::{
@@ -44,9 +44,9 @@
         let now = clock::now();
         let mut tables = self.tables();
         if is_answered {
-            tables.contact.answered(now);
+            tables.contact.record_answer(now);
         } else {
-            tables.contact.failed(now);
+            tables.contact.record_failure(now);
         }
         tables.note_log_return();
     }
@@ -64,7 +64,7 @@
             let mut tables = self.tables();
             let removed = tables
                 .catalog
-                .remove_unlisted(&listed.collect(), listing.end, now);
+                .remove_missing(&listed.collect(), listing.end, now);
             self.forward_removals(&mut tables, removed, "no longer listed");
         }
         let span = TopicSpan {
@@ -90,7 +90,7 @@
                 event!(
                     Event::TopicKnown,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
-                    tables.records.bytes(topic),
+                    tables.records.size_bytes(topic),
                     self.age()
                 );
             }
@@ -157,7 +157,7 @@
                 FeedTopic::Operators => {
                     let is_written = source == RecordSource::Read && record.key == CONFIG_KEY;
                     if is_written && Some(record.position.era()) == tables.store_era {
-                        tables.copy_doubt.note_written(now);
+                        tables.copy_doubt.record_write(now);
                     }
                     fold_operator_record(&mut tables, record)
                 }
@@ -180,7 +180,7 @@
             let key = &record.key;
             tables
                 .records
-                .keep(topic, key, record.position, value, is_update);
+                .insert(topic, key, record.position, value, is_update);
             has_updates |= is_update;
         }
         self.announce(&tables);
@@ -189,7 +189,7 @@
 
     /// Wakes the links if there are updates to forward.
     pub(super) fn announce(&self, tables: &FleetTables) {
-        let head = tables.records.head() + tables.leaving.head();
+        let head = tables.records.next_sequence() + tables.leaving.head();
         self.updates.send_if_modified(|known| {
             let is_more = *known != head;
             *known = head;
@@ -198,13 +198,13 @@
     }
 
     /// Stores confirmed removals as updates for other VMs.
-    fn forward_removals(&self, tables: &mut FleetTables, removed: Vec<CountedRemoval>, why: &str) {
+    fn forward_removals(&self, tables: &mut FleetTables, removed: Vec<ConfirmedRemoval>, why: &str) {
         for (name, position) in removed {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
             tables
                 .records
-                .keep(topic, name.as_str(), position, None, true);
+                .insert(topic, name.as_str(), position, None, true);
         }
         self.announce(tables);
     }
@@ -222,7 +222,7 @@
         limits.retain(|run| catalog.get(&run.name).is_some());
         leaving.retain(|run| catalog.get(&run.name).is_some());
         rests.retain(|run| catalog.get(&run.name).is_some());
-        let removed = catalog.expire(clock::now());
+        let removed = catalog.expire_removals(clock::now());
         if removed.is_empty() {
             return;
         }
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -10,7 +10,7 @@
         fleet::FleetState,
         message::{MESSAGE_VERSION, VmMessage},
         sharing::RecordSharing,
-        zone::{PlaceReply, ReplyTo, ZoneEvent},
+        zone::{HolderReply, ReplySender, ZoneEvent},
     },
     event,
     events::Event,
@@ -70,7 +70,7 @@
 struct LinkState {
     status: LinkStatus,
     heard: Instant,
-    pending_replies: HashMap<u64, oneshot::Sender<PlaceReply>>,
+    pending_replies: HashMap<u64, oneshot::Sender<HolderReply>>,
 }
 
 /// Dialling side of a link to one incarnation of a VM.
@@ -158,7 +158,7 @@
     ///
     /// # Panics
     /// If a thread panicked while it held the lock.
-    pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<PlaceReply>> {
+    pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<HolderReply>> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self
@@ -325,11 +325,11 @@
 
     fn deliver_reply(&self, message: VmMessage) {
         let (number, reply) = match message {
-            VmMessage::Placed(number, answer) => (number, PlaceReply::Answer(answer)),
-            VmMessage::Paid(number, after_ms) => (number, PlaceReply::Paid(after_ms)),
-            VmMessage::TrialAnswered(number, answer) => (number, PlaceReply::Trial(answer)),
-            VmMessage::TargetTold(number, record) => (number, PlaceReply::Target(record)),
-            VmMessage::NotHolder(number) => (number, PlaceReply::NotHolder),
+            VmMessage::Placed(number, answer) => (number, HolderReply::Placement(answer)),
+            VmMessage::Paid(number, after_ms) => (number, HolderReply::Charged(after_ms)),
+            VmMessage::TrialAnswered(number, answer) => (number, HolderReply::Trial(answer)),
+            VmMessage::TargetTold(number, record) => (number, HolderReply::Target(record)),
+            VmMessage::NotHolder(number) => (number, HolderReply::NotHolder),
             _ => return,
         };
         let pending_replies = self
@@ -453,7 +453,7 @@
     };
     fleet.note_successor(&vm, false);
     // The zone worker ends only with the process.
-    let _ = zone.send(ZoneEvent::GatewayGone(vm)).await;
+    let _ = zone.send(ZoneEvent::GatewayLost(vm)).await;
     ended
 }
 
@@ -470,43 +470,45 @@
         VmMessage::Place(number, request) => Some(ZoneEvent::Place(
             key(number),
             request,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::PlacePlain(number, request) => Some(ZoneEvent::PlacePlain(
             key(number),
             request,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::Pay(number, charge) => Some(ZoneEvent::Pay(
+        VmMessage::Pay(number, charge) => Some(ZoneEvent::ChargeQuota(
             key(number),
             charge,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::GiveBack(charge) => Some(ZoneEvent::GiveBack(charge)),
-        VmMessage::LimitNamed(limit) => Some(ZoneEvent::LimitNamed(limit)),
-        VmMessage::EndedUnder(ended) => Some(ZoneEvent::EndedUnder(ended)),
-        VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::Trial(
+        VmMessage::GiveBack(charge) => Some(ZoneEvent::RefundQuota(charge)),
+        VmMessage::LimitNamed(limit) => Some(ZoneEvent::TargetLimit(limit)),
+        VmMessage::EndedUnder(ended) => Some(ZoneEvent::TargetEnded(ended)),
+        VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::RequestTrial(
             key(number),
             fingerprint,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::TrialEnded(number, fingerprint, is_good) => {
             Some(ZoneEvent::TrialEnded(key(number), fingerprint, is_good))
         }
-        VmMessage::TargetWanted(number, target) => Some(ZoneEvent::Target(
+        VmMessage::TargetWanted(number, target) => Some(ZoneEvent::LookUpTarget(
             key(number),
             target,
-            ReplyTo::Link(outbound.clone()),
+            ReplySender::Peer(outbound.clone()),
         )),
         VmMessage::Begun(number, target, version) => {
-            Some(ZoneEvent::Begun(key(number), target, version))
+            Some(ZoneEvent::FirstEvent(key(number), target, version))
         }
-        VmMessage::Ended(ending) => Some(ZoneEvent::Ended(vm.clone(), ending)),
-        VmMessage::Withdrawn(number) => Some(ZoneEvent::Withdrawn(key(number))),
+        VmMessage::Ended(ending) => Some(ZoneEvent::CallEnded(vm.clone(), ending)),
+        VmMessage::Withdrawn(number) => Some(ZoneEvent::PlacementWithdrawn(key(number))),
         VmMessage::Open(number, target, life, subject) => {
-            Some(ZoneEvent::Open(key(number), target, life, subject))
+            Some(ZoneEvent::OpenCall(key(number), target, life, subject))
+        }
+        VmMessage::LeaseWanted(position) => {
+            Some(ZoneEvent::LeaseWanted(vm.clone(), position.token()))
         }
-        VmMessage::LeaseWanted(position) => Some(ZoneEvent::Wanted(vm.clone(), position.token())),
         _ => None,
     }
 }
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -6,13 +6,13 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        freshness::{BeatEcho, PassedProof},
+        freshness::{HeartbeatEcho, RelayedProof},
         health::CallOutcome,
-        limits::NamedLimit,
-        plain::PlainAsk,
-        planner::{PlacementAnswer, PlacementAsk},
+        limits::AdvertisedLimit,
+        plain::PlainRequest,
+        planner::{PlacementAnswer, PlacementRequest},
         quotas::QuotaCharge,
-        suspects::{EndedUnder, RequestFingerprint},
+        suspects::{RequestFingerprint, TargetCrash},
         trials::TrialAnswer,
     },
     ids::{AdapterName, AvailabilityZone, LogPosition, TargetLife, TargetName, TargetRun, VmName},
@@ -59,12 +59,12 @@
     #[must_use]
     pub fn health(self) -> Option<CallOutcome> {
         match self {
-            Self::Good => Some(CallOutcome::Good),
+            Self::Good => Some(CallOutcome::Success),
             Self::Failed => Some(CallOutcome::Failed),
-            Self::Unreached => Some(CallOutcome::Unreached),
+            Self::Unreached => Some(CallOutcome::ConnectFailed),
             Self::Shed { rest_ms } => {
                 let rest = Duration::from_millis(u64::from(rest_ms));
-                Some(CallOutcome::Shed(rest))
+                Some(CallOutcome::Overloaded(rest))
             }
             Self::Absent => None,
         }
@@ -155,14 +155,14 @@
         /// The sender's clock in microseconds, to be echoed.
         sent: u64,
         /// Echo of the receiver's last heartbeat on this link.
-        echo: Option<BeatEcho>,
+        echo: Option<HeartbeatEcho>,
         /// Proof that the sender's configuration is the newest.
-        proof: Option<PassedProof>,
+        proof: Option<RelayedProof>,
     },
     /// Requests the placement of a call.
-    Place(u64, Box<PlacementAsk>),
+    Place(u64, Box<PlacementRequest>),
     /// Requests the placement of a call of a plain service.
-    PlacePlain(u64, Box<PlainAsk>),
+    PlacePlain(u64, Box<PlainRequest>),
     /// Placement of a call.
     Placed(u64, PlacementAnswer),
     /// The receiver of the request does not hold the zone.
@@ -181,7 +181,7 @@
     /// Returns the charge of a call that was not run.
     GiveBack(QuotaCharge),
     /// A target ended while a request ran on it.
-    EndedUnder(EndedUnder),
+    EndedUnder(TargetCrash),
     /// Requests a permit for a trial of a suspect.
     Trial(u64, RequestFingerprint),
     /// Answer to `Trial`.
@@ -189,7 +189,7 @@
     /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
     /// A target reported its limit in an answer.
-    LimitNamed(NamedLimit),
+    LimitNamed(AdvertisedLimit),
     /// A call that was open before this link existed.
     Open(u64, TargetName, TargetLife, AdapterName),
     /// The sender, a stronger VM of the zone, asks the receiver to give up its lease at this
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -3,8 +3,9 @@
 use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
 use hoplanding_core::{
     direct::{
-        budget::RetryRule, copy_doubt::RewriteRule, freshness::RevocationRule, lease::LeaseTimes,
-        policy::PlacementPolicy, quotas::QuotaBounds, trials::TrialRule,
+        freshness::RevocationRule, lease::LeaseTimeouts, policy::PlacementPolicy,
+        quotas::QuotaBounds, restore_guard::RewriteRule, retry_budget::RetryBudgetRule,
+        trials::TrialRule,
     },
     ids::{AvailabilityZone, VmName},
 };
@@ -25,7 +26,7 @@
     /// Its availability zone.
     pub zone: AvailabilityZone,
     /// Thousandths of a core that this VM has.
-    pub strength: u32,
+    pub cpu_millicores: u32,
     /// Where callers connect.
     pub caller_address: SocketAddr,
     /// Where the balancer asks whether the VM takes callers.
@@ -41,48 +42,48 @@
     /// Whether the whole fleet starts for the first time, before there are callers.
     pub is_first_start: bool,
     /// The fleet's rule for repeats.
-    pub retries: RetryRule,
+    pub retries: RetryBudgetRule,
     /// How long a key that was taken away may still be served; none where a VM that is out of touch need not know.
     pub revocation: Option<RevocationRule>,
     /// How long operators take to write again what a copy of the log lacks.
-    pub rewrites: RewriteRule,
+    pub recovery: RewriteRule,
     /// How exactly quotas are kept.
     pub quotas: QuotaBounds,
     /// Pauses before trials of requests under which targets ended.
     pub trials: TrialRule,
     /// Spans that decide about claims.
-    pub leases: LeaseTimes,
+    pub leases: LeaseTimeouts,
     /// Whether engines refuse orders with an older fencing token than one that they have seen.
-    pub are_orders_fenced: bool,
+    pub has_order_fencing: bool,
     /// What decisions weigh.
     pub policy: PlacementPolicy,
     /// Pauses and bounds.
-    pub pace: PaceSettings,
+    pub timing: TimingSettings,
     /// Logs.
     pub log: LogSettings,
 }
 
 /// Pauses and bounds of the direct mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PaceSettings {
+pub struct TimingSettings {
     /// Pause between two reads of the target list.
-    pub list_every: Duration,
+    pub list_interval: Duration,
     /// Shortest pause between two reads of the configuration.
-    pub config_every: Duration,
+    pub min_config_interval: Duration,
     /// Longest time that a holder's read of the configuration waits for a change.
-    pub config_wait: Duration,
+    pub max_config_wait: Duration,
     /// Time after which a call to the log counts as unanswered.
     pub platform_timeout: Duration,
     /// Time from the stop signal until open connections are told to end.
-    pub stop_notice: Duration,
+    pub drain_delay: Duration,
     /// Time from the stop signal to the exit.
-    pub stop_bound: Duration,
+    pub stop_timeout: Duration,
 }
 
 impl DirectSettings {
     /// Whether a settings file asks for the direct mode.
     #[must_use]
-    pub fn is_asked_for(text: &str) -> bool {
+    pub fn is_direct_mode(text: &str) -> bool {
         serde_json::from_str::<Value>(text)
             .is_ok_and(|value| value.get("mode").and_then(Value::as_str) == Some("direct"))
     }
@@ -101,7 +102,7 @@
     DirectSettings {
         vm: VmName::new(&root.text("vm", "write the name of this VM")),
         zone: AvailabilityZone::new(&root.text("zone", "write the name of its availability zone")),
-        strength: (root.fraction("cores", 1.0, 0.001, 1024.0) * 1000.0) as u32,
+        cpu_millicores: (root.fraction("cores", 1.0, 0.001, 1024.0) * 1000.0) as u32,
         caller_address: root.address("caller_address"),
         ready_address: root.address("ready_address"),
         peer_address: root.address("peer_address"),
@@ -115,21 +116,21 @@
         is_first_start: root.flag("first_start"),
         retries: root.section("retries", read_retries),
         revocation: root.section("revocation", read_revocation),
-        rewrites: root.section("recovery", read_rewrites),
+        recovery: root.section("recovery", read_recovery),
         quotas: root.section("quotas", read_quotas),
         trials: root.section("trials", read_trials),
         leases: root.section("leases", read_leases),
-        are_orders_fenced: root.flag("orders_fenced"),
+        has_order_fencing: root.flag("orders_fenced"),
         policy: root.section("policy", read_policy),
-        pace: root.section("pace", read_pace),
+        timing: root.section("pace", read_timing),
         log: root.section("log", read_log),
     }
 }
 
-fn read_retries(section: &SectionReader<'_>) -> RetryRule {
-    RetryRule {
+fn read_retries(section: &SectionReader<'_>) -> RetryBudgetRule {
+    RetryBudgetRule {
         ratio: section.fraction("ratio", 0.2, 0.0, 1e6),
-        slack: section.fraction("slack", 50.0, 0.0, 1e9),
+        extra_retries: section.fraction("slack", 50.0, 0.0, 1e9),
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
     }
 }
@@ -139,18 +140,18 @@
     section.flag("strict").then_some(RevocationRule { bound })
 }
 
-fn read_rewrites(section: &SectionReader<'_>) -> RewriteRule {
+fn read_recovery(section: &SectionReader<'_>) -> RewriteRule {
     let recovered = Duration::from_secs_f64(section.fraction("bound_s", 15.0, 0.0, 86_400.0));
     RewriteRule {
-        rewrite: recovered.saturating_sub(START_TIME),
+        rewrite_time: recovered.saturating_sub(START_TIME),
     }
 }
 
 fn read_quotas(section: &SectionReader<'_>) -> QuotaBounds {
     QuotaBounds {
         window: Duration::from_secs_f64(section.fraction("window_s", 10.0, 0.1, 86_400.0)),
-        over: section.fraction("over", 0.1, 0.0, 10.0),
-        slack: section.fraction("slack", 0.0, 0.0, 1e15),
+        tolerance_ratio: section.fraction("over", 0.1, 0.0, 10.0),
+        tolerance_units: section.fraction("slack", 0.0, 0.0, 1e15),
     }
 }
 
@@ -161,11 +162,11 @@
     }
 }
 
-fn read_leases(section: &SectionReader<'_>) -> LeaseTimes {
-    LeaseTimes {
-        silence: section.span("silence_ms", 1500, 100, 60_000),
+fn read_leases(section: &SectionReader<'_>) -> LeaseTimeouts {
+    LeaseTimeouts {
+        holder_timeout: section.span("silence_ms", 1500, 100, 60_000),
         stagger: section.span("stagger_ms", 120, 0, 10_000),
-        turn: section.span("turn_ms", 3000, 0, 600_000),
+        handover_delay: section.span("turn_ms", 3000, 0, 600_000),
     }
 }
 
@@ -178,42 +179,42 @@
         section.span(name, known, 0, 600_000)
     };
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
-    let [urgent, normal, batch] = known.bearable_parts;
+    let [urgent, normal, batch] = known.max_wait_factors;
     PlacementPolicy {
-        swift_part: part("swift_part", known.swift_part),
-        bearable_parts: [
+        home_wait_fraction: part("swift_part", known.home_wait_fraction),
+        max_wait_factors: [
             part("bearable_urgent", urgent),
             part("bearable_normal", normal),
             part("bearable_batch", batch),
         ],
-        popular_per_s: part("popular_per_s", known.popular_per_s),
-        away_price: span("away_price_ms", known.away_price),
-        load_price: span("load_price_ms", known.load_price),
-        reload_price: span("reload_price_ms", known.reload_price),
-        fetch_time: span("fetch_time_ms", known.fetch_time),
-        fetch_gain: span("fetch_gain_ms", known.fetch_gain),
-        lately_kept: count("lately_kept", known.lately_kept),
-        crowded_places: part("crowded_places", known.crowded_places),
+        popular_rate_per_s: part("popular_per_s", known.popular_rate_per_s),
+        remote_zone_penalty: span("away_price_ms", known.remote_zone_penalty),
+        load_penalty: span("load_price_ms", known.load_penalty),
+        reload_penalty: span("reload_price_ms", known.reload_penalty),
+        cache_fetch_time: span("fetch_time_ms", known.cache_fetch_time),
+        min_fetch_saving: span("fetch_gain_ms", known.min_fetch_saving),
+        max_recent_adapters: count("lately_kept", known.max_recent_adapters),
+        crowded_slot_fraction: part("crowded_places", known.crowded_slot_fraction),
         crowded_backlog: span("crowded_backlog_ms", known.crowded_backlog),
-        crowding_part: part("crowding_part", known.crowding_part),
-        sought_part: part("sought_part", known.sought_part),
-        spare_part: part("spare_part", known.spare_part),
-        busy_part: part("busy_part", known.busy_part),
-        doubt_price: span("doubt_price_ms", known.doubt_price),
-        failing_price: span("failing_price_ms", known.failing_price),
-        shed_price: span("shed_price_ms", known.shed_price),
+        crowding_call_fraction: part("crowding_part", known.crowding_call_fraction),
+        hot_adapter_fraction: part("sought_part", known.hot_adapter_fraction),
+        speculative_load_fraction: part("spare_part", known.speculative_load_fraction),
+        busy_fraction: part("busy_part", known.busy_fraction),
+        doubt_penalty: span("doubt_price_ms", known.doubt_penalty),
+        failure_penalty: span("failing_price_ms", known.failure_penalty),
+        shed_penalty: span("shed_price_ms", known.shed_penalty),
     }
 }
 
-fn read_pace(section: &SectionReader<'_>) -> PaceSettings {
-    PaceSettings {
-        list_every: section.span("list_every_ms", 1000, 10, 60_000),
-        config_every: section.span("config_every_ms", 200, 0, 60_000),
-        config_wait: section
+fn read_timing(section: &SectionReader<'_>) -> TimingSettings {
+    TimingSettings {
+        list_interval: section.span("list_every_ms", 1000, 10, 60_000),
+        min_config_interval: section.span("config_every_ms", 200, 0, 60_000),
+        max_config_wait: section
             .span("config_bound_ms", 2000, 0, 86_400_000)
             .saturating_sub(CONFIG_MARGIN),
         platform_timeout: section.span("platform_timeout_ms", 900, 10, 60_000),
-        stop_notice: section.span("stop_notice_ms", 2500, 0, 60_000),
-        stop_bound: section.span("stop_bound_ms", 7700, 100, 3_600_000),
+        drain_delay: section.span("stop_notice_ms", 2500, 0, 60_000),
+        stop_timeout: section.span("stop_bound_ms", 7700, 100, 3_600_000),
     }
 }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -12,14 +12,14 @@
 use crate::{
     clock,
     direct::{
-        figures::PassReason,
         fleet::FleetState,
         message::{FeedTopic, ForwardedRecord, TopicEnd, VmMessage},
-        records::in_messages,
+        metrics::ForwardReason,
+        record_cache::split_into_messages,
     },
 };
 use hoplanding_core::{
-    direct::{freshness::BeatEcho, millis},
+    direct::{freshness::HeartbeatEcho, millis},
     ids::{Instant, LogPosition, TargetRun, VmName},
 };
 use std::{
@@ -64,7 +64,7 @@
         Self {
             fleet: Arc::clone(fleet),
             is_same_zone,
-            update_position: fleet.tables().records.head(),
+            update_position: fleet.tables().records.next_sequence(),
             leaving_position: 0,
             updates: fleet.watch_updates(),
             record_requests: fleet.watch_record_requests(),
@@ -90,8 +90,8 @@
             }
             if let Some(records) = self.next_updates() {
                 self.fleet
-                    .figures
-                    .count_passed(PassReason::News, records.len());
+                    .metrics
+                    .count_forwarded_records(ForwardReason::News, records.len());
                 return VmMessage::Records(records);
             }
             // `FleetState` keeps the senders alive.
@@ -129,7 +129,7 @@
     fn next_updates(&mut self) -> Option<Vec<ForwardedRecord>> {
         while !self.is_up_to_date() {
             let (mut records, position) =
-                self.fleet.tables().records.news_from(self.update_position);
+                self.fleet.tables().records.updates_from(self.update_position);
             self.update_position = position;
             records.retain(|record| self.is_forwarded(record) && !self.is_received(record));
             if !records.is_empty() {
@@ -147,7 +147,7 @@
     }
 
     fn is_up_to_date(&self) -> bool {
-        self.update_position >= self.fleet.tables().records.head()
+        self.update_position >= self.fleet.tables().records.next_sequence()
     }
 
     /// Heartbeat with the state of this VM's contact with the log. Within a zone it also carries
@@ -164,7 +164,7 @@
                 Vec::new()
             },
             sent: now.0,
-            echo: self.last_heartbeat.map(|(sent, arrived)| BeatEcho {
+            echo: self.last_heartbeat.map(|(sent, arrived)| HeartbeatEcho {
                 sent,
                 held_ms: millis(now.since(arrived)),
             }),
@@ -260,9 +260,9 @@
 
     fn queue_answer(&mut self, from: &[TopicEnd], is_turned_away: bool) {
         let (records, spans) = self.fleet.records_since(from, is_turned_away);
-        let figures = &self.fleet.figures;
-        figures.count_passed(PassReason::Answer, records.len());
-        let mut parts = in_messages(records);
+        let metrics = &self.fleet.metrics;
+        metrics.count_forwarded_records(ForwardReason::Answer, records.len());
+        let mut parts = split_into_messages(records);
         let records = parts.pop().unwrap_or_default();
         self.replies
             .extend(parts.into_iter().map(VmMessage::Records));
@@ -276,7 +276,7 @@
                 self.note_received(&records);
                 self.fleet.apply_forwarded(records);
             }
-            VmMessage::Leaving(runs) => self.fleet.take_leaving(&runs, "reported by another VM"),
+            VmMessage::Leaving(runs) => self.fleet.mark_leaving(&runs, "reported by another VM"),
             VmMessage::Answer { records, spans } => {
                 self.note_received(&records);
                 self.fleet.apply_answer(records, &spans);
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -1,8 +1,9 @@
 //! Fleet state and cooperation of VMs: records, leases, orders, starts and planned stops.
 
 use crate::support::{
-    ask, config, entry, event, good, is_ready, model, post, process, second_vm, settings, site,
-    slow_engine, start_stream, stream, unchunk, wait_for,
+    config_json, decode_chunked, good_answer, is_ready, model_headers, post_request,
+    process_runtime, send_request, slow_engine, start_daemon, start_second_vm, start_stream,
+    stream_answer, stream_event, target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::ids::{AvailabilityZone, VmName};
 use hoplanding_standins::{
@@ -25,17 +26,17 @@
 #[tokio::test]
 async fn draining_target_gets_no_new_calls() {
     let log = KeyedLog::start().await.expect("a log");
-    let leaving = RawTarget::start(good).await.expect("a target");
-    let staying = RawTarget::start(good).await.expect("a target");
+    let leaving = RawTarget::start(good_answer).await.expect("a target");
+    let staying = RawTarget::start(good_answer).await.expect("a target");
     let targets = [
         ("i-1", "ledger", leaving.address),
         ("i-2", "ledger", staying.address),
     ];
-    let daemon = site(&log, &targets).await;
+    let daemon = start_daemon(&log, &targets).await;
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("ledger", leaving.address, "draining", &[])),
+        Some(&target_entry("ledger", leaving.address, "draining", &[])),
     );
     wait_for("the draining entry", async || {
         daemon.fleet().is_leaving("i-1")
@@ -43,9 +44,9 @@
     .await;
     let before = leaving.requests().len();
     for number in 0..10 {
-        let answer = ask(
+        let answer = send_request(
             daemon.caller_address,
-            &post("/lookup/1", &format!("r{number}"), ""),
+            &post_request("/lookup/1", &format!("r{number}"), ""),
         )
         .await;
         assert_eq!(answer.status, 200);
@@ -58,18 +59,18 @@
 #[tokio::test]
 async fn undecodable_records_and_malformed_log_answers_are_ignored() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     log.put("keyed.op", "config", Some("{\"version\": \"no number\"}"));
     log.put("keyed.servers", "i-1", Some("not JSON"));
     log.put("keyed.servers", "i-9", Some("{\"address\": 7}"));
     log.set_faults(|faults| faults.talks_nonsense = true);
     sleep(Duration::from_millis(300)).await;
-    let answer = ask(daemon.caller_address, &post("/lookup/1", "r1", "")).await;
+    let answer = send_request(daemon.caller_address, &post_request("/lookup/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
     assert!(is_ready(&daemon).await);
     log.set_faults(|faults| faults.talks_nonsense = false);
-    log.put("keyed.op", "config", Some(&config(7)));
+    log.put("keyed.op", "config", Some(&config_json(7)));
     wait_for("the next configuration", async || {
         daemon
             .fleet()
@@ -84,15 +85,15 @@
 #[tokio::test]
 async fn configuration_takes_effect_though_log_does_not_wake_waiting_read() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     wait_for("the lease", async || {
         let zone = AvailabilityZone::new("hall");
         daemon.fleet().lease(&zone).is_some()
     })
     .await;
     // The read that began before the lease waits longer, and ends with this version.
-    log.put("keyed.op", "config", Some(&config(2)));
+    log.put("keyed.op", "config", Some(&config_json(2)));
     let is_in_force = |version| {
         let active = daemon.fleet().active();
         active.is_some_and(|active| active.config.version == version)
@@ -100,7 +101,7 @@
     wait_for("version 2", async || is_in_force(2)).await;
     sleep(Duration::from_millis(100)).await;
     log.set_faults(|faults| faults.is_deaf = true);
-    log.put("keyed.op", "config", Some(&config(3)));
+    log.put("keyed.op", "config", Some(&config_json(3)));
     wait_for("version 3", async || is_in_force(3)).await;
 }
 
@@ -109,11 +110,11 @@
 #[tokio::test]
 async fn compacted_records_are_recovered_by_listing() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let daemon = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     log.set_faults(|faults| faults.is_out = true);
     sleep(Duration::from_millis(100)).await;
-    log.put("keyed.op", "config", Some(&config(3)));
+    log.put("keyed.op", "config", Some(&config_json(3)));
     log.compact("keyed.op");
     log.set_faults(|faults| faults.is_out = false);
     wait_for("the newer configuration", async || {
@@ -130,16 +131,16 @@
 #[tokio::test]
 async fn vm_rejected_by_log_gets_records_from_another_vm() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let first = site(&log, &[("i-1", "ledger", target.address)]).await;
-    let (second, relay) = second_vm(&log).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
+    let (second, relay) = start_second_vm(&log).await;
     relay.set(LinkState::Cut);
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("ledger", target.address, "draining", &[])),
+        Some(&target_entry("ledger", target.address, "draining", &[])),
     );
-    log.put("keyed.op", "config", Some(&config(5)));
+    log.put("keyed.op", "config", Some(&config_json(5)));
     wait_for("the records over the link", async || {
         second.fleet().is_leaving("i-1")
             && second
@@ -156,8 +157,8 @@
 #[tokio::test]
 async fn starting_vm_gets_records_from_zone_holder_without_listing() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let first = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     wait_for("a holder", async || {
         first
             .fleet()
@@ -168,11 +169,11 @@
     log.set_faults(|faults| {
         faults.unlisted = vec!["keyed.op".into(), "keyed.servers".into()];
     });
-    let second = DirectDaemon::start(settings("vm-2", &log))
+    let second = DirectDaemon::start(vm_settings("vm-2", &log))
         .await
         .expect("the daemon starts");
     wait_for("readiness", async || is_ready(&second).await).await;
-    let answer = ask(second.caller_address, &post("/scan/1", "r1", "")).await;
+    let answer = send_request(second.caller_address, &post_request("/scan/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
 }
 
@@ -180,7 +181,7 @@
 #[tokio::test]
 async fn late_page_does_not_restart_listing() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     log.set_faults(|faults| {
         faults.page_keys = Some(4);
         faults.silent_pages = 2;
@@ -190,7 +191,7 @@
         .iter()
         .map(|name| (name.as_str(), "ledger", target.address))
         .collect();
-    let daemon = site(&log, &targets).await;
+    let daemon = start_daemon(&log, &targets).await;
     assert_eq!(log.listings("keyed.servers"), 1);
     assert_eq!(daemon.fleet().tables().catalog.iter().count(), 18);
 }
@@ -204,8 +205,8 @@
     drop(free);
     let record = json!({ "zone": "hall", "address": address.to_string(), "strength": 1000 });
     log.put("keyed.fleet", "vm/vm-1", Some(&record.to_string()));
-    log.put("keyed.op", "config", Some(&config(1)));
-    let mut settings = settings("vm-1", &log);
+    log.put("keyed.op", "config", Some(&config_json(1)));
+    let mut settings = vm_settings("vm-1", &log);
     settings.peer_address = address;
     let daemon = DirectDaemon::start(settings)
         .await
@@ -229,16 +230,16 @@
         if request.line().contains("/hoplanding/order") {
             RawAnswer::whole("202 Accepted", "", "")
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await
     .expect("an engine");
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
-    let [one, two] = ["r1", "r2"].map(|id| post("/plan/1", id, &model("a2")));
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
+    let [one, two] = ["r1", "r2"].map(|id| post_request("/plan/1", id, &model_headers("a2")));
     let (one, two) = tokio::join!(
-        ask(daemon.caller_address, &one),
-        ask(daemon.caller_address, &two)
+        send_request(daemon.caller_address, &one),
+        send_request(daemon.caller_address, &two)
     );
     assert_eq!((one.status, two.status), (200, 200));
     let seen = engine.requests();
@@ -265,15 +266,18 @@
         if request.line().contains("/hoplanding/order") {
             RawAnswer::whole("412 Precondition Failed", "", "")
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await
     .expect("an engine");
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
     for number in 0..5 {
-        let request = post("/plan/1", &format!("r{number}"), &model("a2"));
-        assert_eq!(ask(daemon.caller_address, &request).await.status, 503);
+        let request = post_request("/plan/1", &format!("r{number}"), &model_headers("a2"));
+        assert_eq!(
+            send_request(daemon.caller_address, &request).await.status,
+            503
+        );
     }
     let orders = engine
         .requests()
@@ -289,23 +293,27 @@
 async fn planned_stop_finishes_streams_and_refuses_late_calls() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = slow_engine(Duration::from_millis(120)).await;
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
     let address = daemon.caller_address;
     let running = start_stream(address, &engine).await;
     let stopping = tokio::spawn(daemon.stop());
     sleep(Duration::from_millis(350)).await;
     // A stream of up to 600 tokens could not end in time, so its caller gets a time to come back.
-    let late = post("/plan/1", "r2", &model("a1").replace("100,20", "100,600"));
+    let late = post_request(
+        "/plan/1",
+        "r2",
+        &model_headers("a1").replace("100,20", "100,600"),
+    );
     for _ in 0..12 {
-        let late = ask(address, &late).await;
+        let late = send_request(address, &late).await;
         assert_eq!(late.status, 503);
-        assert!(late.has("retry-after"));
+        assert!(late.has_header("retry-after"));
     }
     let answer = running.await.expect("an answer");
     assert!(answer.is_whole);
     assert_eq!(
-        unchunk(&answer.body),
-        (1..=6).map(event).collect::<String>()
+        decode_chunked(&answer.body),
+        (1..=6).map(stream_event).collect::<String>()
     );
     assert_eq!(stopping.await.expect("the stop succeeds"), 0);
     assert!(
@@ -330,16 +338,24 @@
     let log = KeyedLog::start().await.expect("a log");
     // Six events, 400 ms apart, take longer than 1 s and 15 ms for each token.
     let engine = slow_engine(Duration::from_millis(400)).await;
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
     let address = daemon.caller_address;
-    let first = ask(address, &post("/plan/1", "r0", &model("a1"))).await;
+    let first = send_request(
+        address,
+        &post_request("/plan/1", "r0", &model_headers("a1")),
+    )
+    .await;
     assert!(first.is_whole);
     let running = start_stream(address, &engine).await;
     let stopping = tokio::spawn(daemon.stop());
     sleep(Duration::from_millis(600)).await;
-    let late = ask(address, &post("/plan/1", "r2", &model("a1"))).await;
+    let late = send_request(
+        address,
+        &post_request("/plan/1", "r2", &model_headers("a1")),
+    )
+    .await;
     assert_eq!(late.status, 503);
-    assert!(late.has("retry-after"));
+    assert!(late.has_header("retry-after"));
     assert!(running.await.expect("an answer").is_whole);
     assert_eq!(stopping.await.expect("the stop succeeds"), 0);
     let is_late = |request: &RawRequest| request.header("hoplanding-request-id") == Some("r2");
@@ -352,7 +368,7 @@
 async fn last_vm_of_zone_keeps_lease_during_stop_until_successor_is_ready() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = slow_engine(Duration::from_millis(400)).await;
-    let daemon = site(&log, &[("i-1", "scribe", engine.address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "scribe", engine.address)]).await;
     let running = start_stream(daemon.caller_address, &engine).await;
     let leases = |log: &KeyedLog| log.values("keyed.fleet", "zone/hall");
     let held = leases(&log).len();
@@ -363,7 +379,7 @@
         held,
         "no other VM could take over the lease"
     );
-    let _second = DirectDaemon::start(settings("vm-2", &log))
+    let _second = DirectDaemon::start(vm_settings("vm-2", &log))
         .await
         .expect("the daemon starts");
     wait_for("the second VM's claim", async || {
@@ -391,10 +407,10 @@
     let address = silent_holder.local_addr().expect("an address").to_string();
     let lease = json!({ "vm": "ghost", "incarnation": 1, "address": address });
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
-    log.put("keyed.op", "config", Some(&config(1)));
-    let mut settings = settings("vm-1", &log);
+    log.put("keyed.op", "config", Some(&config_json(1)));
+    let mut settings = vm_settings("vm-1", &log);
     // Longer than one dial, so that the silence spans several dials.
-    settings.leases.silence = Duration::from_millis(1_500);
+    settings.leases.holder_timeout = Duration::from_millis(1_500);
     let _daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
@@ -414,7 +430,7 @@
         if request.line().contains("/hoplanding/order") {
             RawAnswer::whole("202 Accepted", "", "")
         } else {
-            good(request)
+            good_answer(request)
         }
     })
     .await
@@ -422,11 +438,11 @@
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("scribe", engine.address, "ready", &["a1@1"])),
+        Some(&target_entry("scribe", engine.address, "ready", &["a1@1"])),
     );
-    log.put("keyed.op", "config", Some(&config(1)));
-    let mut weak = settings("vm-1", &log);
-    weak.strength = 120;
+    log.put("keyed.op", "config", Some(&config_json(1)));
+    let mut weak = vm_settings("vm-1", &log);
+    weak.cpu_millicores = 120;
     let weak = DirectDaemon::start(weak).await.expect("the daemon starts");
     let holds = |vm: &'static str| {
         let log = &log;
@@ -436,8 +452,8 @@
         }
     };
     wait_for("the weak VM's claim", holds("vm-1")).await;
-    let mut strong = settings("vm-2", &log);
-    strong.strength = 500;
+    let mut strong = vm_settings("vm-2", &log);
+    strong.cpu_millicores = 500;
     let _strong = DirectDaemon::start(strong)
         .await
         .expect("the daemon starts");
@@ -453,8 +469,8 @@
         .collect();
     assert_eq!(vms, [Some("vm-1".into()), None, Some("vm-2".into())]);
     wait_for("a load by the new holder", async || {
-        let request = post("/plan/1", "r1", &model("a2"));
-        ask(weak.caller_address, &request).await.status == 200
+        let request = post_request("/plan/1", "r1", &model_headers("a2"));
+        send_request(weak.caller_address, &request).await.status == 200
     })
     .await;
     let orders: Vec<serde_json::Value> = engine
@@ -474,23 +490,26 @@
     let address = silent_holder.local_addr().expect("an address").to_string();
     let lease = json!({ "vm": "ghost", "incarnation": 1, "address": address });
     log.put("keyed.fleet", "zone/attic", Some(&lease.to_string()));
-    let target = RawTarget::start(good).await.expect("a target");
-    let mut settings = settings("vm-1", &log);
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let mut settings = vm_settings("vm-1", &log);
     settings.zones.push(AvailabilityZone::new("attic"));
     log.put(
         "keyed.servers",
         "i-1",
-        Some(&entry("scribe", target.address, "ready", &["a1@1"])),
+        Some(&target_entry("scribe", target.address, "ready", &["a1@1"])),
     );
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     let daemon = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
     wait_for("a holder of this zone", async || {
-        ask(daemon.caller_address, &post("/plan/1", "r0", &model("a1")))
-            .await
-            .status
+        send_request(
+            daemon.caller_address,
+            &post_request("/plan/1", "r0", &model_headers("a1")),
+        )
+        .await
+        .status
             == 200
     })
     .await;
@@ -498,13 +517,13 @@
     // discover that it is silent.
     let mut slow = 0;
     for number in 0..30 {
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("r{number}"),
-            &model(&format!("b{number}")),
+            &model_headers(&format!("b{number}")),
         );
         let started = Instant::now();
-        ask(daemon.caller_address, &request).await;
+        send_request(daemon.caller_address, &request).await;
         slow += usize::from(started.elapsed() > Duration::from_millis(500));
     }
     assert!(slow <= 6, "{slow} of 30 calls waited for a silent holder");
@@ -515,16 +534,16 @@
 #[tokio::test]
 async fn new_link_delivers_records_written_before_it() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
-    let first = site(&log, &[("i-1", "ledger", target.address)]).await;
+    let target = RawTarget::start(good_answer).await.expect("a target");
+    let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
-    let mut settings = settings("vm-2", &log);
+    let mut settings = vm_settings("vm-2", &log);
     settings.platform_address = relay.address;
     // The VM reads its listings but nothing after them, and first looks at the holder after the
     // change.
-    settings.pace.list_every = Duration::from_secs(60);
-    settings.pace.config_every = Duration::from_secs(60);
+    settings.timing.list_interval = Duration::from_secs(60);
+    settings.timing.min_config_interval = Duration::from_secs(60);
     let second = DirectDaemon::start(settings)
         .await
         .expect("the daemon starts");
@@ -533,7 +552,7 @@
     })
     .await;
     relay.set(LinkState::Frozen);
-    log.put("keyed.op", "config", Some(&config(4)));
+    log.put("keyed.op", "config", Some(&config_json(4)));
     wait_for("the configuration at the holder", async || {
         first
             .fleet()
@@ -566,12 +585,12 @@
             first.get_or_insert_with(Instant::now);
             return RawAnswer::whole("202 Accepted", "", "");
         }
-        stream(request, None)
+        stream_answer(request, None)
     });
     let engine = engine.await.expect("an engine");
-    let listed = entry("scribe", engine.address, "ready", &["a1@1"]);
+    let listed = target_entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put("keyed.servers", "e-1", Some(&listed));
-    log.put("keyed.op", "config", Some(&config(1)));
+    log.put("keyed.op", "config", Some(&config_json(1)));
     // A suspended holder: its address accepts connections, but sends nothing.
     let suspended_holder = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = suspended_holder
@@ -581,12 +600,12 @@
     let lease = json!({ "vm": "vm-0", "incarnation": 9, "address": address });
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     let later = |vm: &str| {
-        let mut settings = settings(vm, &log);
-        settings.leases.turn = TURN;
-        settings.are_orders_fenced = true;
+        let mut settings = vm_settings(vm, &log);
+        settings.leases.handover_delay = TURN;
+        settings.has_order_fencing = true;
         settings
     };
-    let claimant = process();
+    let claimant = process_runtime();
     let started = claimant.spawn(DirectDaemon::start(later("vm-1")));
     let first = started.await.expect("a task").expect("the daemon starts");
     let held_by = async |daemon: &DirectDaemon, vm: &str| {
@@ -603,13 +622,15 @@
     let mut number = 0;
     wait_for("an order", async || {
         number += 1;
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("n{number}"),
-            &model(&format!("b{number}")),
+            &model_headers(&format!("b{number}")),
         );
         // The test does not depend on whether the call is served.
-        drop(tokio::spawn(async move { ask(address, &request).await }));
+        drop(tokio::spawn(async move {
+            send_request(address, &request).await
+        }));
         first_order
             .lock()
             .expect("no thread panics while it holds the lock")
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -4,7 +4,10 @@
 //! affect the current one: neither an entry that was written late, nor a connection that is still
 //! open, nor failures.
 
-use crate::support::{HOST, ask, entry, good, post, second_vm, site, wait_for};
+use crate::support::{
+    HOST, good_answer, post_request, send_request, start_daemon, start_second_vm, target_entry,
+    wait_for,
+};
 use hoplanding_core::{
     direct::catalog::TargetStage,
     ids::{LogPosition, TargetName},
@@ -18,7 +21,7 @@
 
 /// Entry of a target with its start time.
 fn born_entry(address: SocketAddr, state: &str, born: u64) -> String {
-    let text = entry("ledger", address, state, &[]);
+    let text = target_entry("ledger", address, state, &[]);
     let mut fields: serde_json::Value = serde_json::from_str(&text).expect("an entry");
     fields["born"] = born.into();
     fields.to_string()
@@ -32,7 +35,7 @@
 
 /// Writes another target's entry behind all earlier records, and waits until it is known.
 async fn write_later_entry(log: &KeyedLog, daemon: &DirectDaemon, name: &str, address: SocketAddr) {
-    let text = entry("other", address, "ready", &[]);
+    let text = target_entry("other", address, "ready", &[]);
     log.put("keyed.servers", name, Some(&text));
     wait_for("the later entry", async || stage(daemon, name).is_some()).await;
 }
@@ -42,9 +45,9 @@
 #[tokio::test]
 async fn late_entry_of_earlier_incarnation_is_ignored() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
     put(&born_entry(address, "ready", 1_000));
     put(&born_entry(address, "ready", 2_000));
@@ -53,7 +56,7 @@
     write_later_entry(&log, &daemon, "i-2", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
     // An entry without a start time is older than any entry with one.
-    put(&entry("ledger", address, "draining", &[]));
+    put(&target_entry("ledger", address, "draining", &[]));
     write_later_entry(&log, &daemon, "i-3", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
     // The current incarnation may drain.
@@ -71,9 +74,9 @@
 #[tokio::test]
 async fn newest_incarnation_wins_in_any_record_order() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let record = |position: u64, text: String| ForwardedRecord {
         topic: FeedTopic::Targets,
         key: "i-9".to_owned(),
@@ -102,9 +105,9 @@
 #[tokio::test]
 async fn calls_do_not_reuse_connections_of_earlier_incarnation() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let address = target.address;
-    let daemon = site(&log, &[("i-1", "ledger", address)]).await;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", address)]).await;
     let put = |born| {
         let text = born_entry(address, "ready", born);
         log.put("keyed.servers", "i-1", Some(&text));
@@ -112,14 +115,20 @@
     put(1_000);
     write_later_entry(&log, &daemon, "i-2", address).await;
     for number in 0..3 {
-        let request = post("/lookup/1", &format!("r{number}"), "");
-        assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
+        let request = post_request("/lookup/1", &format!("r{number}"), "");
+        assert_eq!(
+            send_request(daemon.caller_address, &request).await.status,
+            200
+        );
     }
     assert_eq!(target.connections(), 1, "the connection is reused");
     put(2_000);
     write_later_entry(&log, &daemon, "i-3", address).await;
-    let request = post("/lookup/1", "r9", "");
-    assert_eq!(ask(daemon.caller_address, &request).await.status, 200);
+    let request = post_request("/lookup/1", "r9", "");
+    assert_eq!(
+        send_request(daemon.caller_address, &request).await.status,
+        200
+    );
     assert_eq!(
         target.connections(),
         2,
@@ -133,24 +142,27 @@
 async fn failures_of_earlier_incarnation_are_forgotten() {
     let log = KeyedLog::start().await.expect("a log");
     // Nothing listens at this address.
-    let closed_address = RawTarget::start(good).await.expect("a target").address;
-    let daemon = site(&log, &[("i-1", "ledger", closed_address)]).await;
-    let (second, _relay) = second_vm(&log).await;
+    let closed_address = RawTarget::start(good_answer)
+        .await
+        .expect("a target")
+        .address;
+    let daemon = start_daemon(&log, &[("i-1", "ledger", closed_address)]).await;
+    let (second, _relay) = start_second_vm(&log).await;
     for daemon in [&daemon, &second] {
         for number in 0..2 {
-            ask(
+            send_request(
                 daemon.caller_address,
-                &post("/scan/1", &format!("r{number}"), ""),
+                &post_request("/scan/1", &format!("r{number}"), ""),
             )
             .await;
         }
     }
-    let target = RawTarget::start(good).await.expect("a target");
+    let target = RawTarget::start(good_answer).await.expect("a target");
     let text = born_entry(target.address, "ready", 2_000);
     log.put("keyed.servers", "i-1", Some(&text));
     for daemon in [&daemon, &second] {
         write_later_entry(&log, daemon, "i-2", target.address).await;
-        let answer = ask(daemon.caller_address, &post("/scan/1", "r8", "")).await;
+        let answer = send_request(daemon.caller_address, &post_request("/scan/1", "r8", "")).await;
         assert_eq!(answer.status, 200, "{HOST}: {}", answer.head);
     }
 }
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -6,7 +6,7 @@
 //! the end only the hub reads, so a record that a link dropped, or that a VM was wrongly said to
 //! know, stays missing.
 
-use crate::support::{entry, settings};
+use crate::support::{target_entry, vm_settings};
 use futures_util::FutureExt;
 use hoplanding_core::ids::{LogPosition, TargetName, VmName};
 use hoplanding_platform::store::{KeyedRecord, ReadBatch};
@@ -79,7 +79,7 @@
 
 impl World {
     fn new(seed: u64, log: &KeyedLog) -> Self {
-        let fleet = |name: String| Arc::new(FleetState::new(&settings(&name, log), seed));
+        let fleet = |name: String| Arc::new(FleetState::new(&vm_settings(&name, log), seed));
         let hub = fleet("hub".to_owned());
         let others: Vec<_> = (0..OTHERS)
             .map(|number| fleet(format!("vm-{number}")))
@@ -113,7 +113,7 @@
         let records = self.log.iter().enumerate().skip(from);
         let record = |(position, (target, state)): (usize, &(usize, Option<&str>))| KeyedRecord {
             key: format!("i-{target}"),
-            value: state.map(|state| entry("ledger", self.address, state, &[]).into()),
+            value: state.map(|state| target_entry("ledger", self.address, state, &[]).into()),
             position: LogPosition(position as u64),
         };
         ReadBatch {
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -2,11 +2,12 @@
 //! out again.
 
 use crate::support::{
-    BOUND, ask, config, entry, good, is_ready, model, post, process, second_vm, settings, site,
-    site_of, start_in, stream, wait_for,
+    TEST_TIMEOUT, config_json, good_answer, is_ready, model_headers, post_request, process_runtime,
+    send_request, start_daemon, start_daemon_in, start_daemon_with, start_second_vm, stream_answer,
+    target_entry, vm_settings, wait_for,
 };
 use hoplanding_core::{
-    direct::suspects::{EndedUnder, RequestFingerprint},
+    direct::suspects::{RequestFingerprint, TargetCrash},
     ids::{StoreEra, TargetLife, TargetName, TargetRun, VmName},
 };
 use hoplanding_standins::{
@@ -43,10 +44,10 @@
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
     ];
-    let first = site(log, &listed).await;
-    let second = DirectDaemon::start(settings("vm-2", log)).await;
+    let first = start_daemon(log, &listed).await;
+    let second = DirectDaemon::start(vm_settings("vm-2", log)).await;
     let second = second.expect("the daemon starts");
-    let third = DirectDaemon::start(settings("vm-3", log)).await;
+    let third = DirectDaemon::start(vm_settings("vm-3", log)).await;
     let third = third.expect("the daemon starts");
     for vm in [&second, &third] {
         wait_for("readiness", async || is_ready(vm).await).await;
@@ -58,8 +59,8 @@
     })
     .await;
     for number in 2..=6 {
-        log.put(OPERATORS, "config", Some(&config(number)));
-        let text = entry("ledger", plain.address, "ready", &[]);
+        log.put(OPERATORS, "config", Some(&config_json(number)));
+        let text = target_entry("ledger", plain.address, "ready", &[]);
         log.put(TARGETS, &format!("i-{number}"), Some(&text));
     }
     let vms = [first, second, third];
@@ -73,8 +74,8 @@
 }
 
 async fn targets() -> [RawTarget; 2] {
-    let plain = RawTarget::start(good).await.expect("a target");
-    let engine = RawTarget::start(|request: &RawRequest| stream(request, None)).await;
+    let plain = RawTarget::start(good_answer).await.expect("a target");
+    let engine = RawTarget::start(|request: &RawRequest| stream_answer(request, None)).await;
     [plain, engine.expect("an engine")]
 }
 
@@ -98,8 +99,8 @@
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 3), (TARGETS, 3)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(7)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
     wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
@@ -115,10 +116,10 @@
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
     ];
-    let first = site(&log, &listed).await;
-    let (second, relay) = second_vm(&log).await;
+    let first = start_daemon(&log, &listed).await;
+    let (second, relay) = start_second_vm(&log).await;
     for number in 2..=6 {
-        log.put(OPERATORS, "config", Some(&config(number)));
+        log.put(OPERATORS, "config", Some(&config_json(number)));
     }
     let vms = [first, second];
     wait_for_all(&vms, "the records before the restore", |vm| {
@@ -128,8 +129,8 @@
     relay.set(LinkState::Cut);
     log.restore(&[(OPERATORS, 3), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(7)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
     wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
@@ -175,7 +176,7 @@
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 3)]);
-    let started = DirectDaemon::start(settings("vm-4", &log)).await;
+    let started = DirectDaemon::start(vm_settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&started).await).await;
     wait_for("the newest configuration at a new VM", async || {
@@ -197,11 +198,11 @@
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
-    let text = entry("ledger", plain.address, "draining", &[]);
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-2", Some(&text));
     wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-2")).await;
     log.restore(&[(TARGETS, 1)]);
-    let started = DirectDaemon::start(settings("vm-4", &log)).await;
+    let started = DirectDaemon::start(vm_settings("vm-4", &log)).await;
     let started = started.expect("the daemon starts");
     wait_for("the draining target at a new VM", async || {
         !started.fleet().is_leaving("i-3") && started.fleet().is_leaving("i-2")
@@ -225,7 +226,7 @@
         assert!(vms.iter().all(|vm| !vm.fleet().is_leaving("i-6")));
         sleep(Duration::from_millis(50)).await;
     }
-    let text = entry("ledger", plain.address, "ready", &[]);
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-6", Some(&text));
     sleep(Duration::from_secs(2)).await;
     assert!(vms.iter().all(|vm| !vm.fleet().is_leaving("i-6")));
@@ -263,7 +264,7 @@
         .await;
         assert!(vm.fleet().is_leaving("i-6"));
     }
-    let text = entry("ledger", plain.address, "ready", &[]);
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-6", Some(&text));
     wait_for_all(&vms, "a rewritten target", |vm| {
         !vm.fleet().is_leaving("i-6")
@@ -312,13 +313,13 @@
     let mut number = 0;
     wait_for("an accepted order", async || {
         number += 1;
-        let request = post(
+        let request = post_request(
             "/plan/1",
             &format!("n{number}"),
-            &model(&format!("{adapters}{number}")),
+            &model_headers(&format!("{adapters}{number}")),
         );
         // The test does not depend on whether the call is served.
-        let _ = timeout(BOUND, ask(daemon.caller_address, &request)).await;
+        let _ = timeout(TEST_TIMEOUT, send_request(daemon.caller_address, &request)).await;
         orders
             .0
             .lock()
@@ -338,19 +339,19 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
     fill_fleet_topic(&log, 40);
-    let first_process = process();
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("scribe", engine.address, "ready", &["a1@1"]);
+    let first_process = process_runtime();
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
-    let daemon = start_in(&first_process, settings("vm-1", &log)).await;
+    let daemon = start_daemon_in(&first_process, vm_settings("vm-1", &log)).await;
     wait_for_accepted_order(&daemon, &orders, "b").await;
     first_process.shutdown_background();
     log.restore(&[(FLEET, 40)]);
-    let mut later = settings("vm-1", &log);
+    let mut later = vm_settings("vm-1", &log);
     later.is_first_start = false;
     let daemon = DirectDaemon::start(later).await.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&daemon).await).await;
@@ -366,12 +367,12 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
     fill_fleet_topic(&log, 20);
     let listed = [("e-1", "scribe", engine.address)];
-    let daemon = site_of(settings("vm-1", &log), &log, &listed).await;
+    let daemon = start_daemon_with(vm_settings("vm-1", &log), &log, &listed).await;
     wait_for_accepted_order(&daemon, &orders, "b").await;
     let last = orders
         .0
@@ -413,7 +414,7 @@
         };
         vms[0]
             .fleet()
-            .note_ended_under(&EndedUnder { fingerprint, run });
+            .note_ended_under(&TargetCrash { fingerprint, run });
     }
     let key = "suspect/0000000000000007";
     // A quarantine that was in the log before the restore.
@@ -457,7 +458,7 @@
         let [plain, engine] = targets().await;
         let vms = three_vms(&log, &plain, &engine).await;
         log.restore(&[]);
-        log.put(OPERATORS, "config", Some(&config(7)));
+        log.put(OPERATORS, "config", Some(&config_json(7)));
         wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
         log.set_faults(|faults| faults.tells_era = Some(era.to_owned()));
         let before = log.calls();
@@ -468,11 +469,12 @@
             "{era:?}: {calls} calls"
         );
         for vm in &vms {
-            let answer = ask(vm.caller_address, &post("/lookup/1", "l1", "")).await;
+            let answer =
+                send_request(vm.caller_address, &post_request("/lookup/1", "l1", "")).await;
             assert_eq!((answer.status, version(vm)), (200, 7), "{era:?}");
         }
         log.set_faults(|faults| faults.tells_era = None);
-        log.put(OPERATORS, "config", Some(&config(8)));
+        log.put(OPERATORS, "config", Some(&config_json(8)));
         for vm in &vms {
             wait_for("the next configuration", async || version(vm) == 8).await;
         }
@@ -488,12 +490,12 @@
     let vms = three_vms(&log, &plain, &engine).await;
     log.restore(&[(OPERATORS, 2), (TARGETS, 2)]);
     sleep(Duration::from_millis(150)).await;
-    log.put(OPERATORS, "config", Some(&config(7)));
+    log.put(OPERATORS, "config", Some(&config_json(7)));
     sleep(Duration::from_millis(50)).await;
     log.restore(&[(OPERATORS, 2), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
-    log.put(OPERATORS, "config", Some(&config(8)));
-    let text = entry("ledger", plain.address, "draining", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(8)));
+    let text = target_entry("ledger", plain.address, "draining", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     wait_for_all(&vms, "a configuration", |vm| version(vm) == 8).await;
     wait_for_all(&vms, "a draining target", |vm| vm.fleet().is_leaving("i-1")).await;
@@ -505,13 +507,13 @@
 async fn claim_sent_in_earlier_era_is_void() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, _] = targets().await;
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("ledger", plain.address, "ready", &[]);
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("ledger", plain.address, "ready", &[]);
     log.put(TARGETS, "i-1", Some(&text));
     // The claim is appended after the restore, at the same position.
     let late = ("zone/hall".to_owned(), Duration::from_millis(400));
     log.set_faults(|faults| faults.delayed_key = Some(late));
-    let daemon = DirectDaemon::start(settings("vm-1", &log)).await;
+    let daemon = DirectDaemon::start(vm_settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("a claim", async || log.appends("zone/hall") > 0).await;
     log.restore(&[]);
@@ -536,21 +538,21 @@
     let seen = orders.clone();
     let engine = RawTarget::start(move |request: &RawRequest| {
         seen.answer(request)
-            .unwrap_or_else(|| stream(request, None))
+            .unwrap_or_else(|| stream_answer(request, None))
     });
     let engine = engine.await.expect("an engine");
-    log.put(OPERATORS, "config", Some(&config(1)));
-    let text = entry("scribe", engine.address, "ready", &["a1@1"]);
+    log.put(OPERATORS, "config", Some(&config_json(1)));
+    let text = target_entry("scribe", engine.address, "ready", &["a1@1"]);
     log.put(TARGETS, "e-1", Some(&text));
     let lease = |vm: &str, era: u64| serde_json::json!({ "vm": vm, "incarnation": 9, "address": "127.0.0.1:9", "era": era });
     log.put(FLEET, "zone/hall", Some(&lease("vm-8", 1).to_string()));
     log.restore(&[]);
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
-    let mut settings = settings("vm-1", &log);
+    let mut settings = vm_settings("vm-1", &log);
     settings.platform_address = relay.address;
-    settings.leases.turn = Duration::from_secs(2);
-    settings.are_orders_fenced = true;
+    settings.leases.handover_delay = Duration::from_secs(2);
+    settings.has_order_fencing = true;
     let daemon = DirectDaemon::start(settings).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("the claim", async || {
@@ -566,10 +568,10 @@
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
-        let request = post("/plan/1", &format!("n{number}"), &model("b1"));
+        let request = post_request("/plan/1", &format!("n{number}"), &model_headers("b1"));
         let _ = timeout(
             Duration::from_millis(200),
-            ask(daemon.caller_address, &request),
+            send_request(daemon.caller_address, &request),
         )
         .await;
         sleep(Duration::from_millis(50)).await;
