--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -260,8 +260,8 @@
     /// Targets that currently ask this VM to back off.
     #[must_use]
     pub fn resting(&self, now: Instant) -> Vec<TargetName> {
-        let resting = self.rests.active(now);
-        resting.map(|run| run.name.clone()).collect()
+        let active = self.rests.active(now);
+        active.map(|run| run.name.clone()).collect()
     }
 
     /// Time until the first target of a service accepts calls again. `None` unless all of them
@@ -272,10 +272,10 @@
             return None;
         }
         let ready = self.catalog.ready(service);
-        let rests: Option<Vec<_>> = ready
+        let remaining: Option<Vec<_>> = ready
             .map(|entry| self.rests.remaining(&entry.run(), now))
             .collect();
-        rests?.into_iter().min()
+        remaining?.into_iter().min()
     }
 
     /// Whether the log was restored from a backup after the newest known record of a zone's lease.
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -198,7 +198,12 @@
     }
 
     /// Stores confirmed removals as updates for other VMs.
-    fn forward_removals(&self, tables: &mut FleetTables, removed: Vec<ConfirmedRemoval>, why: &str) {
+    fn forward_removals(
+        &self,
+        tables: &mut FleetTables,
+        removed: Vec<ConfirmedRemoval>,
+        why: &str,
+    ) {
         for (name, position) in removed {
             event!(Event::TargetLeft, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -63,8 +63,8 @@
             Self::Failed => Some(CallOutcome::Failed),
             Self::Unreached => Some(CallOutcome::ConnectFailed),
             Self::Shed { rest_ms } => {
-                let rest = Duration::from_millis(u64::from(rest_ms));
-                Some(CallOutcome::Overloaded(rest))
+                let backoff = Duration::from_millis(u64::from(rest_ms));
+                Some(CallOutcome::Overloaded(backoff))
             }
             Self::Absent => None,
         }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -35,10 +35,10 @@
 pub struct RecordSharing {
     fleet: Arc<FleetState>,
     is_same_zone: bool,
-    /// Position in the updates up to which they have been forwarded over this link.
-    update_position: u64,
-    /// Position in the announcements of leaving targets.
-    leaving_position: u64,
+    /// Sequence number of the updates up to which they have been forwarded over this link.
+    update_sequence: u64,
+    /// Sequence number of the next announcement of a leaving target.
+    leaving_sequence: u64,
     updates: watch::Receiver<u64>,
     record_requests: watch::Receiver<u64>,
     known_topics: watch::Receiver<usize>,
@@ -64,8 +64,8 @@
         Self {
             fleet: Arc::clone(fleet),
             is_same_zone,
-            update_position: fleet.tables().records.next_sequence(),
-            leaving_position: 0,
+            update_sequence: fleet.tables().records.next_sequence(),
+            leaving_sequence: 0,
             updates: fleet.watch_updates(),
             record_requests: fleet.watch_record_requests(),
             known_topics: fleet.watch_known_topics(),
@@ -128,9 +128,12 @@
     /// Updates to forward since the last ones, as many as fit into one message.
     fn next_updates(&mut self) -> Option<Vec<ForwardedRecord>> {
         while !self.is_up_to_date() {
-            let (mut records, position) =
-                self.fleet.tables().records.updates_from(self.update_position);
-            self.update_position = position;
+            let (mut records, sequence) = self
+                .fleet
+                .tables()
+                .records
+                .updates_from(self.update_sequence);
+            self.update_sequence = sequence;
             records.retain(|record| self.is_forwarded(record) && !self.is_received(record));
             if !records.is_empty() {
                 return Some(records);
@@ -141,13 +144,13 @@
 
     /// Leaving targets to forward, as many as fit into one message.
     fn next_leaving(&mut self) -> Option<Vec<TargetRun>> {
-        let (runs, position) = self.fleet.tables().leaving.after(self.leaving_position);
-        self.leaving_position = position;
+        let (runs, sequence) = self.fleet.tables().leaving.after(self.leaving_sequence);
+        self.leaving_sequence = sequence;
         (!runs.is_empty()).then_some(runs)
     }
 
     fn is_up_to_date(&self) -> bool {
-        self.update_position >= self.fleet.tables().records.next_sequence()
+        self.update_sequence >= self.fleet.tables().records.next_sequence()
     }
 
     /// Heartbeat with the state of this VM's contact with the log. Within a zone it also carries
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -570,10 +570,11 @@
 }
 
 /// Guards against orders of a new holder while a suspended one may still give some. The claimant in
-/// between ended before its turn was over, and its successor has to wait out that turn too.
+/// between ended before its handover delay was over, and its successor has to wait for that delay
+/// too.
 #[tokio::test]
 async fn no_order_while_holder_before_ended_claimant_may_be_active() {
-    const TURN: Duration = Duration::from_secs(3);
+    const HANDOVER_DELAY: Duration = Duration::from_secs(3);
     let log = KeyedLog::start().await.expect("a log");
     let first_order = Arc::new(Mutex::new(None));
     let seen = Arc::clone(&first_order);
@@ -601,7 +602,7 @@
     log.put("keyed.fleet", "zone/hall", Some(&lease.to_string()));
     let later = |vm: &str| {
         let mut settings = vm_settings(vm, &log);
-        settings.leases.handover_delay = TURN;
+        settings.leases.handover_delay = HANDOVER_DELAY;
         settings.has_order_fencing = true;
         settings
     };
@@ -641,5 +642,5 @@
         .lock()
         .expect("no thread panics while it holds the lock");
     let waited = first.map(|first| first.duration_since(claimed));
-    assert!(waited >= Some(TURN), "{waited:?}");
+    assert!(waited >= Some(HANDOVER_DELAY), "{waited:?}");
 }
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -529,7 +529,7 @@
     assert!(claimed[1].contains("\"era\":2"), "{claimed:?}");
 }
 
-/// Guards against orders of a claimant that waits for its turn while its claim is lost in a
+/// Guards against orders of a claimant that waits for its handover delay while its claim is lost in a
 /// restore, and another VM holds the zone. The claimant has not read the log since its claim.
 #[tokio::test]
 async fn claimant_without_read_since_its_claim_gives_no_orders() {
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -328,7 +328,10 @@
     ] {
         wait_for(path, async || {
             let request = post_request(path, "r1", &headers);
-            send_request(without_list.caller_address, &request).await.status == 200
+            send_request(without_list.caller_address, &request)
+                .await
+                .status
+                == 200
         })
         .await;
     }
