--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -33,9 +33,9 @@
 const MAX_READ_WAIT: Duration = Duration::from_secs(20);
 /// Maximum wait for fleet records at a zone's holder. The log does not wake a read that arrives in
 /// the milliseconds in which a record is appended, so a holder repeats its reads. Its knowledge of
-/// leases has to be fresher than the handover delay, or it names no source for fetches of prompt
-/// memory. With 1 s between two reads that knowledge is at most 2.5 s old; longer waits save calls
-/// to the log.
+/// leases has to be fresher than the handover delay, or it names no source for prompt cache
+/// transfers. With 1 s between two reads that knowledge is at most 2.5 s old; longer waits save
+/// calls to the log.
 const HOLDER_FLEET_READ_WAIT: Duration = Duration::from_millis(1_500);
 /// Maximum wait for target list records. These reads also show whether the log can be reached.
 const TARGET_READ_WAIT: Duration = Duration::from_millis(600);
--- a/crates/daemon/src/direct/holder_requests.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -1,6 +1,6 @@
 //! Requests and notices to the holder of a zone.
 //!
-//! They are handled as an event if the holder is this VM, and otherwise sent as a message over a
+//! A request is handled as an event if the holder is this VM, and otherwise sent as a message over a
 //! link.
 
 use crate::direct::{
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -1,6 +1,6 @@
 //! Messages between VMs in direct mode.
 //!
-//! They are sent as CBOR over the links of [`links`](super::links), also between VMs of different
+//! Messages are sent as CBOR over the links of [`links`](super::links), also between VMs of different
 //! builds. The names of fields and variants are part of the encoding.
 
 use bytes::Bytes;
@@ -209,7 +209,7 @@
     Answer {
         /// Every record of the topics from the requested positions on.
         records: Vec<ForwardedRecord>,
-        /// Those of the requested topics that the sender, and so from now on the receiver, knows
+        /// Spans of the requested topics that the sender, and so from now on the receiver, knows
         /// completely.
         spans: Vec<TopicSpan>,
     },
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -248,7 +248,7 @@
         .filter(|request| request.line().contains("order"))
         .collect();
     assert_eq!(orders.len(), 1);
-    let order: serde_json::Value = serde_json::from_slice(&orders[0].body).expect("valid JSON");
+    let order: serde_json::Value = serde_json::from_slice(&orders[0].body).expect("JSON");
     assert_eq!(order["operation"], "load");
     assert_eq!(
         (order["model"].as_str(), order["adapter"].as_str()),
@@ -298,7 +298,7 @@
     let running = start_stream(address, &engine).await;
     let stopping = tokio::spawn(daemon.stop());
     sleep(Duration::from_millis(350)).await;
-    // A stream of up to 600 tokens could not end in time, so its caller gets a time to come back.
+    // A stream of up to 600 tokens could not end in time, so its caller gets a Retry-After.
     let late = post_request(
         "/plan/1",
         "r2",
@@ -463,7 +463,7 @@
     let vms: Vec<_> = leases
         .iter()
         .map(|lease| {
-            let lease: serde_json::Value = serde_json::from_str(lease).expect("valid JSON");
+            let lease: serde_json::Value = serde_json::from_str(lease).expect("JSON");
             lease["vm"].as_str().map(str::to_owned)
         })
         .collect();
@@ -477,7 +477,7 @@
         .requests()
         .iter()
         .filter(|request| request.line().contains("order"))
-        .map(|request| serde_json::from_slice(&request.body).expect("valid JSON"))
+        .map(|request| serde_json::from_slice(&request.body).expect("JSON"))
         .collect();
     assert!(orders.iter().all(|order| order["holder"] == "vm-2"));
 }
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -171,7 +171,7 @@
 /// Guards against a configuration of the backup that replaces a newer one, also on a VM that starts
 /// after the restore.
 #[tokio::test]
-async fn older_configuration_of_backup_stays_out_of_force() {
+async fn older_configuration_of_backup_does_not_take_effect() {
     let log = KeyedLog::start().await.expect("a log");
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -4,8 +4,8 @@
 //! targets of its own listing as updates over each of its links, the holder of each zone receives
 //! and sends the number of VMs times the number of targets. With 100 VMs and 33 links of 1,000
 //! entries of about 400 bytes, the busiest VM carried 820 kB/s for 41 s. With 300 VMs and 100 links
-//! of 3,000 entries it carried 6,000 kB/s, and all calls were refused for 4 s. A weak VM has 1,250
-//! kB/s.
+//! of 3,000 entries it carried 6,000 kB/s, and all calls were refused for 4 s. The link of a
+//! weak VM carries 1,250 kB/s.
 
 use crate::support::{
     config_json, good_answer, is_ready, model_headers, post_request, send_request, slow_engine,
