--- a/crates/core/tests/direct_limits.rs
+++ b/crates/core/tests/direct_limits.rs
@@ -19,7 +19,7 @@
 }
 
 fn advertised(life: u64, rate: Option<f64>) -> AdvertisedLimit {
-    let life = TargetLife::begun_at(life);
+    let life = TargetLife::started_at_ms(life);
     AdvertisedLimit {
         run: TargetRun {
             name: target_name(),
--- a/crates/core/tests/direct_memory/engine.rs
+++ b/crates/core/tests/direct_memory/engine.rs
@@ -411,7 +411,7 @@
     }
 
     fn reported_life(&self) -> TargetLife {
-        TargetLife::begun_at(self.life)
+        TargetLife::started_at_ms(self.life)
     }
 
     /// Current report.
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -960,7 +960,7 @@
 /// Entry of an engine in the life that started at a Unix time, in ms.
 fn entry_with_life(name: &str, started_ms: u64) -> Arc<TargetEntry> {
     let mut listed = (*entry(name)).clone();
-    listed.life = TargetLife::begun_at(started_ms);
+    listed.life = TargetLife::started_at_ms(started_ms);
     Arc::new(listed)
 }
 
@@ -970,7 +970,7 @@
     planner.set_targets(vec![entry_with_life("e1", 1_000)], now);
     planner.tick(now);
     let first = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&[], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&first), now);
@@ -993,14 +993,14 @@
     let engine = &planner.engines()[&name];
     assert!(engine.copies.is_empty() && engine.calls.is_empty());
     assert_eq!((engine.sequence, engine.is_inventory_known), (0, false));
-    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
-    assert!(!planner.is_current_life(&name, TargetLife::begun_at(1_000)));
+    assert!(planner.is_current_life(&name, TargetLife::started_at_ms(2_000)));
+    assert!(!planner.is_current_life(&name, TargetLife::started_at_ms(1_000)));
     // The end of a call of the earlier life has no effect.
     planner.call_ended(&key(1), Some(&name), None, after(now, 20));
     assert!(planner.engines()[&name].calls.is_empty());
     // An entry of the earlier life has no effect.
     planner.set_targets(vec![entry_with_life("e1", 1_000)], after(now, 30));
-    assert!(planner.is_current_life(&name, TargetLife::begun_at(2_000)));
+    assert!(planner.is_current_life(&name, TargetLife::started_at_ms(2_000)));
 }
 
 #[test]
@@ -1010,7 +1010,7 @@
     let name = TargetName::new("e1");
     planner.set_targets(vec![entry_with_life("e1", 2_000)], now);
     let late = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&["base/a1"], 1)
     };
     planner.report_received(&name, Some(&late), after(now, 10));
@@ -1020,7 +1020,7 @@
     planner.report_received(&name, Some(&report(&["base/a1"], 1)), after(now, 20));
     assert!(!planner.engines()[&name].is_inventory_known);
     let own = EngineReport {
-        life: TargetLife::begun_at(2_000),
+        life: TargetLife::started_at_ms(2_000),
         ..report(&["base/a7"], 3)
     };
     planner.report_received(&name, Some(&own), after(now, 30));
@@ -1028,7 +1028,7 @@
     assert_eq!((engine.sequence, engine.copies.len()), (3, 1));
     // A report may show the next life before the list does.
     let next = EngineReport {
-        life: TargetLife::begun_at(3_000),
+        life: TargetLife::started_at_ms(3_000),
         ..report(&[], 0)
     };
     planner.report_received(&name, Some(&next), after(now, 40));
@@ -1065,7 +1065,7 @@
     let held: Vec<_> = (0..slots - 1).map(|at| format!("base/b{at}")).collect();
     let held: Vec<_> = held.iter().map(String::as_str).collect();
     let own = EngineReport {
-        life: TargetLife::begun_at(2_000),
+        life: TargetLife::started_at_ms(2_000),
         requests: 0,
         ..report(&held, 1)
     };
@@ -1113,7 +1113,7 @@
     planner.set_targets(vec![entry("e1")], now);
     planner.tick(now);
     let own = EngineReport {
-        life: TargetLife::begun_at(1_000),
+        life: TargetLife::started_at_ms(1_000),
         ..report(&["base/a1"], 0)
     };
     planner.report_received(&TargetName::new("e1"), Some(&own), now);
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -42,7 +42,7 @@
     let mut planner = lending_planner();
     let now = SETTLED.after(PREFILL_TIME);
     let restarted = EngineReport {
-        life: TargetLife::begun_at(7),
+        life: TargetLife::started_at_ms(7),
         ..engine_report(1, 1)
     };
     planner.report_received(&target_name(2), Some(&restarted), now);
