--- a/crates/core/benches/policy/adaptive.rs
+++ b/crates/core/benches/policy/adaptive.rs
@@ -11,7 +11,7 @@
         AdapterVersion, AvailabilityZone, CallerName, Incarnation, Instant, RequestId, TargetName,
     },
     policy::{
-        DemandEstimate, LoadBid, PolicyWeights, PopularityTracker, QueuedRequest, RouteQuery,
+        DemandEstimator, LoadBid, PolicyWeights, PopularityTracker, QueuedRequest, RouteQuery,
         SchedulerLimits, TargetRouter, TargetScheduler,
     },
 };
@@ -50,7 +50,7 @@
     }
 }
 
-impl DemandEstimate for Oracle {
+impl DemandEstimator for Oracle {
     fn rate(&self, model: &AdapterVersion, now: Instant) -> f64 {
         self.next(model, now)
             .map_or(0.0, |left| 1.0 / left.max(1e-3))
@@ -123,7 +123,7 @@
         for engine in 0..engines {
             // A daemon measures this within seconds of full batches.
             for _ in 0..100 {
-                policy.schedulers[engine].observe_speed(model.full_speed());
+                policy.schedulers[engine].record_throughput(model.full_speed());
             }
             policy.publish(engine, Instant::default());
         }
@@ -134,16 +134,16 @@
         match &self.demand {
             Demand::Learned(trackers) => {
                 let holder = Self::holder(engine, trackers.len());
-                self.schedulers[engine].refresh_victim(&trackers[holder], now);
+                self.schedulers[engine].update_victim_rate(&trackers[holder], now);
             }
-            Demand::Known(oracle) => self.schedulers[engine].refresh_victim(oracle, now),
+            Demand::Known(oracle) => self.schedulers[engine].update_victim_rate(oracle, now),
         }
         let zone = self.zones[engine % self.zones.len()].clone();
         let known = self
             .router
-            .known_revision(self.schedulers[engine].target().as_str());
+            .known_residents_revision(self.schedulers[engine].target().as_str());
         let digest = self.schedulers[engine].digest(Some(known));
-        self.router.observe(&zone, &digest);
+        self.router.update_digest(&zone, &digest);
     }
 
     fn holder(engine: EngineNumber, holders: usize) -> usize {
@@ -164,7 +164,7 @@
             class: arrival.class,
             output_tokens: arrival.output_tokens,
             zone: &zone,
-            avoid: &[],
+            excluded: &[],
         };
         let Some(choice) = self.router.choose(&query, &self.weights) else {
             commands.push(Command::Refuse(request));
@@ -227,14 +227,14 @@
         match &self.demand {
             Demand::Learned(trackers) => {
                 let tracker = &trackers[Self::holder(engine, trackers.len())];
-                let demanded = scheduler.bid(&self.weights, tracker, now);
+                let demanded = scheduler.demand_bid(&self.weights, tracker, now);
                 demanded.or_else(|| {
                     preload
                         .then(|| scheduler.preload_bid(&self.weights, tracker, now, is_candidate))?
                 })
             }
             Demand::Known(oracle) => {
-                let demanded = scheduler.bid(&self.weights, oracle, now);
+                let demanded = scheduler.demand_bid(&self.weights, oracle, now);
                 let anywhere = |model: &AdapterVersion| !self.router.is_resident(model);
                 demanded.or_else(|| {
                     preload.then(|| scheduler.preload_bid(&self.weights, oracle, now, anywhere))?
@@ -295,7 +295,7 @@
     fn restarted(&mut self, engine: EngineNumber, now: Instant) {
         let running: Vec<_> = self.schedulers[engine].running_ids().collect();
         for id in running {
-            self.schedulers[engine].finished(id, now);
+            self.schedulers[engine].finish_request(id, now);
         }
         self.schedulers[engine].replace_residents(&[], now);
         if self.loading == Some(engine) {
@@ -316,9 +316,11 @@
                 match &self.demand {
                     Demand::Learned(trackers) => {
                         let holder = Self::holder(engine, trackers.len());
-                        self.schedulers[engine].force_room(&trackers[holder], now);
+                        self.schedulers[engine].drain_for_starved_load(&trackers[holder], now);
+                    }
+                    Demand::Known(oracle) => {
+                        self.schedulers[engine].drain_for_starved_load(oracle, now)
                     }
-                    Demand::Known(oracle) => self.schedulers[engine].force_room(oracle, now),
                 }
             }
             self.pump(engine, now, commands);
@@ -341,10 +343,10 @@
         match notice {
             Notice::Arrived(request) => self.arrive(*request, arrivals, now, commands),
             Notice::FirstToken(engine, request) => {
-                self.schedulers[*engine].first_token(request_id(*request))
+                self.schedulers[*engine].finish_prefill(request_id(*request))
             }
             Notice::Ended(engine, request) => {
-                self.schedulers[*engine].finished(request_id(*request), now);
+                self.schedulers[*engine].finish_request(request_id(*request), now);
                 self.pump(*engine, now, commands);
                 self.load(now, commands);
             }
--- a/crates/core/src/language/parse.rs
+++ b/crates/core/src/language/parse.rs
@@ -310,7 +310,7 @@
     let preset = WeightPreset::parse(&name).ok_or(ParseError::UnknownPreset(name))?;
     changes.extend(
         preset
-            .values()
+            .overrides()
             .iter()
             .map(|(weight, value)| ConfigChange::SetWeight {
                 weight: (*weight).to_owned(),
--- a/crates/core/src/policy/limits.rs
+++ b/crates/core/src/policy/limits.rs
@@ -65,7 +65,7 @@
 
     /// Requests of a caller that are open at this daemon.
     #[must_use]
-    pub fn open(&self, caller: &str) -> u32 {
+    pub fn open_requests(&self, caller: &str) -> u32 {
         self.buckets.get(caller).map_or(0, |bucket| bucket.waiting)
     }
 }
--- a/crates/core/src/policy/loads.rs
+++ b/crates/core/src/policy/loads.rs
@@ -42,13 +42,19 @@
 
 impl LoadArbiter {
     /// Takes a notice in.
-    pub fn observe(&mut self, vm: &VmName, notice: LoadNotice, now: Instant) {
+    pub fn record_notice(&mut self, vm: &VmName, notice: LoadNotice, now: Instant) {
         self.notices.insert(vm.clone(), (notice, now));
     }
 
     /// Whether this daemon may start a load with its best bid.
     #[must_use]
-    pub fn may_start(&self, me: &VmName, mine: &LoadNotice, at_once: u32, now: Instant) -> bool {
+    pub fn may_start_load(
+        &self,
+        me: &VmName,
+        mine: &LoadNotice,
+        at_once: u32,
+        now: Instant,
+    ) -> bool {
         let mut loading = mine.loading;
         for (vm, (notice, at)) in &self.notices {
             if vm == me || now.since(*at) > NOTICE_LIFE {
@@ -96,7 +102,7 @@
 
     /// Whether a load may be tried.
     #[must_use]
-    pub fn may_try(&self, model: &AdapterVersion, now: Instant) -> bool {
+    pub fn can_retry(&self, model: &AdapterVersion, now: Instant) -> bool {
         self.failures
             .get(model)
             .is_none_or(|(_, until)| now >= *until)
@@ -110,7 +116,7 @@
 
     /// When the next try may be made, if one is pending.
     #[must_use]
-    pub fn pause_left(&self, model: &AdapterVersion, now: Instant) -> Option<Duration> {
+    pub fn remaining_backoff(&self, model: &AdapterVersion, now: Instant) -> Option<Duration> {
         let (_, until) = self.failures.get(model)?;
         (*until > now).then(|| until.since(now))
     }
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -16,7 +16,7 @@
 pub use digest::{ResidentDigest, TargetDigest};
 pub use limits::{CallerLimits, QuotaBucket};
 pub use loads::{LoadArbiter, LoadBackoff, LoadBid, LoadNotice};
-pub use popularity::{DemandEstimate, PopularityTracker, RateEstimate};
+pub use popularity::{DemandEstimator, PopularityTracker, RateEstimate};
 pub use queue::{AdapterQueue, QueuedRequest, WaitingQueue};
 pub use router::{RouteChoice, RouteQuery, TargetRouter};
 pub use scheduler::{
--- a/crates/core/src/policy/popularity.rs
+++ b/crates/core/src/policy/popularity.rs
@@ -18,7 +18,7 @@
 const SWEEP_AT: usize = 1024;
 
 /// How much each adapter is wanted.
-pub trait DemandEstimate {
+pub trait DemandEstimator {
     /// Requests a second that are to be expected.
     fn rate(&self, model: &AdapterVersion, now: Instant) -> f64;
 
@@ -95,7 +95,7 @@
     }
 }
 
-impl DemandEstimate for PopularityTracker {
+impl DemandEstimator for PopularityTracker {
     fn rate(&self, model: &AdapterVersion, now: Instant) -> f64 {
         let Some(rate) = self.rates.get(model) else {
             return 0.0;
--- a/crates/core/src/policy/router.rs
+++ b/crates/core/src/policy/router.rs
@@ -76,7 +76,7 @@
     }
 
     fn usable_for(&self, query: &RouteQuery<'_>) -> bool {
-        self.usable() && !query.avoid.contains(&self.name)
+        self.usable() && !query.excluded.contains(&self.name)
     }
 }
 
@@ -92,7 +92,7 @@
     /// The gateway's zone.
     pub zone: &'a AvailabilityZone,
     /// Targets that were tried in vain.
-    pub avoid: &'a [TargetName],
+    pub excluded: &'a [TargetName],
 }
 
 /// The chosen target.
@@ -122,7 +122,7 @@
 
 impl TargetRouter {
     /// Adds a target, or takes its new digest in.
-    pub fn observe(&mut self, zone: &AvailabilityZone, digest: &TargetDigest) {
+    pub fn update_digest(&mut self, zone: &AvailabilityZone, digest: &TargetDigest) {
         let index = match self.by_name.get(&digest.target) {
             Some(index) => *index,
             None => self.add_target(zone, digest),
@@ -145,7 +145,7 @@
     }
 
     /// A target's digest has not changed since the last one.
-    pub fn confirm(&mut self, target: &str) {
+    pub fn mark_unchanged(&mut self, target: &str) {
         if let Some(index) = self.by_name.get(target) {
             let routed = &mut self.targets[*index];
             routed.sent_tokens = [0; 3];
@@ -214,7 +214,7 @@
 
     /// Revision of residents that is known of a target; zero if none.
     #[must_use]
-    pub fn known_revision(&self, target: &str) -> u64 {
+    pub fn known_residents_revision(&self, target: &str) -> u64 {
         self.by_name
             .get(target)
             .map_or(0, |index| self.targets[*index].digest.residents_revision)
--- a/crates/core/src/policy/scheduler.rs
+++ b/crates/core/src/policy/scheduler.rs
@@ -7,7 +7,7 @@
 use crate::{
     ids::{AdapterVersion, Instant, PriorityClass, RequestId, TargetName},
     policy::{
-        DemandEstimate, LoadBackoff, LoadBid, PolicyWeights, QueuedRequest, ResidentDigest,
+        DemandEstimator, LoadBackoff, LoadBid, PolicyWeights, QueuedRequest, ResidentDigest,
         TargetDigest, WaitingQueue,
     },
     request::NotRunReason,
@@ -390,7 +390,7 @@
     }
 
     /// The first token of a running request came: its prefill is over.
-    pub fn first_token(&mut self, id: RequestId) {
+    pub fn finish_prefill(&mut self, id: RequestId) {
         if let Some(running) = self.running.get_mut(&id)
             && std::mem::take(&mut running.in_prefill)
         {
@@ -399,8 +399,8 @@
     }
 
     /// A running request ended.
-    pub fn finished(&mut self, id: RequestId, now: Instant) {
-        self.first_token(id);
+    pub fn finish_request(&mut self, id: RequestId, now: Instant) {
+        self.finish_prefill(id);
         let Some(running) = self.running.remove(&id) else {
             return;
         };
@@ -463,10 +463,10 @@
 
     /// The load that would be worth most here.
     #[must_use]
-    pub fn bid(
+    pub fn demand_bid(
         &self,
         weights: &PolicyWeights,
-        popularity: &impl DemandEstimate,
+        popularity: &impl DemandEstimator,
         now: Instant,
     ) -> Option<LoadBid> {
         if !self.needs_loads
@@ -503,7 +503,7 @@
     pub fn preload_bid(
         &self,
         weights: &PolicyWeights,
-        popularity: &impl DemandEstimate,
+        popularity: &impl DemandEstimator,
         now: Instant,
         is_candidate: impl Fn(&AdapterVersion) -> bool,
     ) -> Option<LoadBid> {
@@ -548,11 +548,11 @@
         self.residents
             .iter()
             .all(|resident| resident.model != *model)
-            && self.backoff.may_try(model, now)
+            && self.backoff.can_retry(model, now)
     }
 
     /// The adapter whose loss costs least, among those with nothing in flight or waiting; none if a slot is free.
-    fn victim(&self, popularity: &impl DemandEstimate, now: Instant) -> Option<AdapterVersion> {
+    fn victim(&self, popularity: &impl DemandEstimator, now: Instant) -> Option<AdapterVersion> {
         if !self.may_evict || self.residents.len() < self.limits.slots {
             return None;
         }
@@ -569,16 +569,16 @@
 
     /// The adapter that could go for another one now.
     #[must_use]
-    pub fn idle_victim(
+    pub fn eviction_candidate(
         &self,
-        popularity: &impl DemandEstimate,
+        popularity: &impl DemandEstimator,
         now: Instant,
     ) -> Option<AdapterVersion> {
         self.victim(popularity, now)
     }
 
     /// Works out what the next load would cost here, for the digest.
-    pub fn refresh_victim(&mut self, popularity: &impl DemandEstimate, now: Instant) {
+    pub fn update_victim_rate(&mut self, popularity: &impl DemandEstimator, now: Instant) {
         let is_free = self.residents.len() < self.limits.slots;
         let victim = self
             .victim(popularity, now)
@@ -591,7 +591,7 @@
     }
 
     /// Stops new work on the least wanted adapter if a load has waited long and nothing ever falls idle.
-    pub fn force_room(&mut self, popularity: &impl DemandEstimate, now: Instant) {
+    pub fn drain_for_starved_load(&mut self, popularity: &impl DemandEstimator, now: Instant) {
         let starved = self.waiting.iter().any(|(model, queue)| {
             let waited = queue
                 .iter()
@@ -699,7 +699,7 @@
     }
 
     /// A full or nearly full batch made this many tokens a second.
-    pub fn observe_speed(&mut self, tokens_per_second: f64) {
+    pub fn record_throughput(&mut self, tokens_per_second: f64) {
         self.tokens_per_second += (tokens_per_second - self.tokens_per_second) * NEWEST_SHARE;
     }
 
--- a/crates/core/src/policy/weights.rs
+++ b/crates/core/src/policy/weights.rs
@@ -110,7 +110,7 @@
 
     /// The weights that it sets; the others stay as they are.
     #[must_use]
-    pub fn values(self) -> &'static [(&'static str, f64)] {
+    pub fn overrides(self) -> &'static [(&'static str, f64)] {
         match self {
             Self::LoadStallsFirst => &[
                 ("urgent_weight", 32.0),
@@ -133,7 +133,7 @@
     #[must_use]
     pub fn weights(self) -> PolicyWeights {
         let mut weights = PolicyWeights::default();
-        for (name, value) in self.values() {
+        for (name, value) in self.overrides() {
             weights.set(name, *value);
         }
         weights
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -267,7 +267,7 @@
     let mut router = TargetRouter::default();
     let zone = AvailabilityZone::new("zone-a");
     for number in 0..count {
-        router.observe(&zone, &scheduler(number).digest(None));
+        router.update_digest(&zone, &scheduler(number).digest(None));
     }
     router
 }
@@ -412,7 +412,7 @@
                 class: PriorityClass::Normal,
                 output_tokens: 100,
                 zone: &zone,
-                avoid: &[],
+                excluded: &[],
             };
             let choice = router.choose(&query, &weights).expect("a target");
             let engine = names
@@ -438,9 +438,9 @@
             if scheduler.next_dispatch(&weights, now, |_| true).is_none() {
                 scheduler.cancel_waiting(model, id);
             }
-            scheduler.finished(id, now);
+            scheduler.finish_request(id, now);
             if counter % 16 == 0 {
-                router.observe(&zone, &scheduler.digest(Some(1)));
+                router.update_digest(&zone, &scheduler.digest(Some(1)));
             }
         },
         200_000,
@@ -514,7 +514,7 @@
                     heartbeat
                         .targets
                         .iter()
-                        .for_each(|digest| router.observe(&zone, digest));
+                        .for_each(|digest| router.update_digest(&zone, digest));
                 }
             },
             2_000,
--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -173,7 +173,7 @@
             class: request.class,
             output_tokens: request.output_tokens,
             zone: &self.zone,
-            avoid: &request.avoid,
+            excluded: &request.avoid,
         };
         let Some(service) = &request.service else {
             return self.engines.choose(&query, &self.weights);
--- a/crates/daemon/src/app/explain.rs
+++ b/crates/daemon/src/app/explain.rs
@@ -4,7 +4,7 @@
 use hoplanding_core::{
     ids::{AdapterName, AdapterVersion, Instant},
     language::{CellValue, DataTable},
-    policy::{AdapterState, DemandEstimate},
+    policy::{AdapterState, DemandEstimator},
 };
 
 impl AppState {
@@ -82,7 +82,7 @@
                     format!("{} requests", queue.len()),
                 );
             }
-            if let Some(pause) = held.scheduler.backoff().pause_left(&model, now) {
+            if let Some(pause) = held.scheduler.backoff().remaining_backoff(&model, now) {
                 say(
                     &format!("failed to load on {name}"),
                     format!("next try in {:.1} s", pause.as_secs_f64()),
--- a/crates/daemon/src/app/held.rs
+++ b/crates/daemon/src/app/held.rs
@@ -175,7 +175,7 @@
             .as_secs_f64();
         let nearly_full = self.scheduler.running_len() * 4 >= self.scheduler.limits().seats * 3;
         if nearly_full && tokens > 0 && seconds > 0.0 {
-            self.scheduler.observe_speed(tokens as f64 / seconds);
+            self.scheduler.record_throughput(tokens as f64 / seconds);
         }
     }
 
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -98,7 +98,7 @@
         held.scheduler.adopt_running(id, &work.model, request.class);
         for earlier in earlier {
             held.streams.remove(&earlier);
-            held.scheduler.finished(earlier, crate::clock::now());
+            held.scheduler.finish_request(earlier, crate::clock::now());
         }
         held.streams.insert(id, stream.clone());
         let job = StreamJob {
@@ -136,11 +136,11 @@
                 break;
             };
             let Some(pending) = held.waiting.remove(&order.request.id) else {
-                held.scheduler.finished(order.request.id, now);
+                held.scheduler.finish_request(order.request.id, now);
                 continue;
             };
             if pending.buffer.is_abandoned() {
-                held.scheduler.finished(order.request.id, now);
+                held.scheduler.finish_request(order.request.id, now);
                 continue;
             }
             self.workers
@@ -163,8 +163,8 @@
         };
         let digest = held
             .scheduler
-            .digest(Some(router.known_revision(target.as_str())));
-        router.observe(&self.zone, &digest);
+            .digest(Some(router.known_residents_revision(target.as_str())));
+        router.update_digest(&self.zone, &digest);
     }
 
     pub(super) fn call_abandoned(&mut self, call: CallId) {
@@ -181,7 +181,7 @@
 
     pub(super) fn first_token(&mut self, call: CallId, target: &TargetName) {
         if let Some(held) = self.held.get_mut(target) {
-            held.scheduler.first_token(AppEvent::scheduler_id(call));
+            held.scheduler.finish_prefill(AppEvent::scheduler_id(call));
         }
     }
 
@@ -201,18 +201,18 @@
         let stream = held.streams.remove(&id);
         match end {
             StreamEnd::Complete { boot } => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 held.is_reachable = true;
                 if boot != held.boot {
                     self.send_order(target, OrderKind::List);
                 }
             }
             StreamEnd::Refused => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 self.send_order(target, OrderKind::List);
             }
             StreamEnd::Unreachable => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 self.target_unreachable(target);
             }
             StreamEnd::WrongModel => {
@@ -224,7 +224,7 @@
                 keep_in_doubt(held, id, stream);
                 self.send_order(target, OrderKind::List);
             }
-            StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finished(id, now),
+            StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finish_request(id, now),
         }
         self.pump(target, now);
         self.run_bids(now);
@@ -276,7 +276,7 @@
                 continue;
             };
             held.measure_speed(now);
-            held.scheduler.force_room(&self.popularity, now);
+            held.scheduler.drain_for_starved_load(&self.popularity, now);
             // A former holder too has to learn which of its streams are over, or it would never be settled.
             let asks = match held.phase {
                 HeldPhase::Serving => true,
@@ -323,7 +323,7 @@
             // Without the log there is no unload on a target that does not check tokens.
             let announced = held.lease.fence == FenceState::Acknowledged || self.feed.is_up;
             held.scheduler.set_may_evict(planned && announced);
-            held.scheduler.refresh_victim(&self.popularity, now);
+            held.scheduler.update_victim_rate(&self.popularity, now);
         }
     }
 
@@ -391,7 +391,7 @@
         Some(stream) => {
             held.doubtful.insert(id, (stream, held.epoch));
         }
-        None => held.scheduler.finished(id, crate::clock::now()),
+        None => held.scheduler.finish_request(id, crate::clock::now()),
     }
 }
 
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -223,7 +223,7 @@
             self.note_silent(&heartbeat.daemon.vm, &heartbeat.silent);
         }
         self.arbiter
-            .observe(&heartbeat.daemon.vm, heartbeat.loads, now);
+            .record_notice(&heartbeat.daemon.vm, heartbeat.loads, now);
         let mut told = BTreeSet::new();
         for digest in &heartbeat.targets {
             let is_holder = self
@@ -241,8 +241,8 @@
             }
             told.insert(digest.target.clone());
             match self.is_engine(digest.target.as_str()) {
-                Some(true) => self.engines.observe(&heartbeat.zone, digest),
-                Some(false) => self.services.observe(&heartbeat.zone, digest),
+                Some(true) => self.engines.update_digest(&heartbeat.zone, digest),
+                Some(false) => self.services.update_digest(&heartbeat.zone, digest),
                 None => {}
             }
             if self.is_closed(&digest.target) {
@@ -262,8 +262,8 @@
             is_theirs && !told.contains(*target)
         });
         for (target, _) in held {
-            self.engines.confirm(target.as_str());
-            self.services.confirm(target.as_str());
+            self.engines.mark_unchanged(target.as_str());
+            self.services.mark_unchanged(target.as_str());
         }
     }
 
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -59,7 +59,9 @@
         if !held.is_serving() || held.order.is_some() || !held.is_engine() {
             return None;
         }
-        let demanded = held.scheduler.bid(&self.weights, &self.popularity, now);
+        let demanded = held
+            .scheduler
+            .demand_bid(&self.weights, &self.popularity, now);
         if demanded.is_some() || !with_preloads {
             return demanded;
         }
@@ -81,14 +83,14 @@
             !self.engines.is_resident(model)
                 && !has_loaded(&held.scheduler, model)
                 && self.engines.is_home(model, target.as_str())
-                && held.scheduler.backoff().may_try(model, now)
+                && held.scheduler.backoff().can_retry(model, now)
         });
         let model = missing.next()?.clone();
         let free = held.scheduler.residents().len() < held.scheduler.limits().slots;
         let evict = if free {
             None
         } else {
-            held.scheduler.idle_victim(&self.popularity, now)
+            held.scheduler.eviction_candidate(&self.popularity, now)
         };
         (free || evict.is_some()).then(|| LoadBid {
             target: target.clone(),
@@ -116,7 +118,7 @@
             loading: self.loads_under_way(),
             best_bid: bid.benefit,
         };
-        if self.arbiter.may_start(
+        if self.arbiter.may_start_load(
             &self.me.vm,
             &notice,
             self.settings.limits.loads_at_once,
@@ -601,7 +603,7 @@
     let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
     for id in ended {
         held.doubtful.remove(&id);
-        held.scheduler.finished(id, now);
+        held.scheduler.finish_request(id, now);
     }
 }
 
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -5,7 +5,7 @@
     config::{AuditOutcome, ReadyAdapter, RequestRule, TargetRole, VersionStatus},
     ids::{Instant, PriorityClass},
     language::{CellValue, DataTable, TableName},
-    policy::{AdapterState, DemandEstimate},
+    policy::{AdapterState, DemandEstimator},
 };
 
 impl AppState {
@@ -273,7 +273,7 @@
                 CellValue::text(name),
                 CellValue::Number(caller.quota.requests_per_second),
                 CellValue::Number(f64::from(caller.quota.waiting)),
-                CellValue::Number(f64::from(self.limits.open(name.as_str()))),
+                CellValue::Number(f64::from(self.limits.open_requests(name.as_str()))),
                 CellValue::text(caller.revision),
             ]);
         }
