--- a/crates/core/src/config/apply.rs
+++ b/crates/core/src/config/apply.rs
@@ -6,7 +6,7 @@
 use crate::{
     config::{
         AdapterConfig, AuditEntry, AuditOutcome, CallerConfig, CallerQuota, ChangeConflict,
-        ConfigChange, ConfigState, FoldOutcome, ObjectRef, OperatorConfig, RequestRule,
+        ChangeOutcome, ConfigChange, ConfigState, ObjectRef, OperatorConfig, RequestRepeatability,
         RightConfig, ServiceRule, TargetConfig, VersionConfig, VersionStatus,
         state::{AUDIT_ENTRIES, REMEMBERED_CHANGES, RememberedChange},
     },
@@ -30,14 +30,14 @@
 
 impl ConfigState {
     /// Folds a change; a second copy of one that was folded lately has no effect.
-    pub fn apply(&mut self, offset: LogOffset, record: &ChangeRecord) -> FoldOutcome {
+    pub fn apply(&mut self, offset: LogOffset, record: &ChangeRecord) -> ChangeOutcome {
         if let Some(outcome) = self.outcome(&record.id) {
             return outcome.clone();
         }
         let before = self.describe_objects(record);
         let outcome = match self.apply_parts(offset, record) {
-            Ok(()) => FoldOutcome::Accepted(offset),
-            Err(conflict) => FoldOutcome::Refused(offset, conflict),
+            Ok(()) => ChangeOutcome::Accepted(offset),
+            Err(conflict) => ChangeOutcome::Refused(offset, conflict),
         };
         self.remember(record, &outcome);
         self.record_audit(offset, record, before, &outcome);
@@ -123,13 +123,13 @@
             }
             ConfigChange::MarkAdapter { adapter, rule } => {
                 self.edit_adapter(offset, adapter, |config| {
-                    config.rule = *rule;
+                    config.repeatability = *rule;
                     Ok(())
                 })
             }
             ConfigChange::KeepReady { adapter, ready } => {
                 self.edit_adapter(offset, adapter, |config| {
-                    config.ready = *ready;
+                    config.load_policy = *ready;
                     Ok(())
                 })
             }
@@ -142,7 +142,7 @@
                 self.service_rules.retain(|old| {
                     !(old.service == *service && old.method == *method && old.path == *path)
                 });
-                if *rule == RequestRule::Repeatable {
+                if *rule == RequestRepeatability::Repeatable {
                     self.removed.insert(change.object().to_string(), offset);
                     return Ok(());
                 }
@@ -440,7 +440,7 @@
         }
     }
 
-    fn remember(&mut self, record: &ChangeRecord, outcome: &FoldOutcome) {
+    fn remember(&mut self, record: &ChangeRecord, outcome: &ChangeOutcome) {
         self.remembered.push_back(RememberedChange {
             id: record.id.clone(),
             outcome: outcome.clone(),
@@ -455,11 +455,11 @@
         offset: LogOffset,
         record: &ChangeRecord,
         before: String,
-        outcome: &FoldOutcome,
+        outcome: &ChangeOutcome,
     ) {
         let outcome = match outcome {
-            FoldOutcome::Accepted(_) => AuditOutcome::Accepted,
-            FoldOutcome::Refused(_, conflict) => AuditOutcome::Refused(conflict.clone()),
+            ChangeOutcome::Accepted(_) => AuditOutcome::Accepted,
+            ChangeOutcome::Refused(_, conflict) => AuditOutcome::Refused(conflict.clone()),
         };
         let after = self.describe_objects(record);
         self.audit.push_back(AuditEntry {
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,7 +1,9 @@
 //! The changes that operators make, and the objects that they touch.
 
 use crate::{
-    config::{AdapterPattern, CallerQuota, OperatorRole, ReadyAdapter, RequestRule, TargetRole},
+    config::{
+        CallerQuota, LoadPolicy, OperatorRole, RequestRepeatability, RightPattern, TargetRole,
+    },
     ids::{
         AdapterName, AvailabilityZone, CallerName, LogOffset, OperatorName, PriorityClass,
         ServiceName, TargetName, TokenHash, VersionName,
@@ -36,19 +38,19 @@
     /// Says whether requests to an adapter may be repeated.
     MarkAdapter {
         adapter: AdapterName,
-        rule: RequestRule,
+        rule: RequestRepeatability,
     },
     /// Says whether an adapter is kept loaded.
     KeepReady {
         adapter: AdapterName,
-        ready: ReadyAdapter,
+        ready: LoadPolicy,
     },
     /// Says whether calls of a service may be repeated.
     MarkService {
         service: ServiceName,
         method: String,
         path: String,
-        rule: RequestRule,
+        rule: RequestRepeatability,
     },
     /// Declares a caller, or gives it a new token.
     CreateCaller {
@@ -63,13 +65,13 @@
     /// Gives a caller a right.
     Allow {
         caller: CallerName,
-        pattern: AdapterPattern,
+        pattern: RightPattern,
         priority: PriorityClass,
     },
     /// Takes a right away.
     Revoke {
         caller: CallerName,
-        pattern: AdapterPattern,
+        pattern: RightPattern,
     },
     /// Declares a target.
     CreateTarget {
@@ -104,7 +106,7 @@
     /// A caller.
     Caller(CallerName),
     /// A right of a caller.
-    Right(CallerName, AdapterPattern),
+    Right(CallerName, RightPattern),
     /// A target.
     Target(TargetName),
     /// A weight of the policy.
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -13,8 +13,8 @@
 pub use audit::{AuditEntry, AuditOutcome};
 pub use change::{ChangeConflict, ConfigChange, ObjectRef};
 pub use objects::{
-    AdapterConfig, AdapterPattern, CallerConfig, CallerQuota, OperatorConfig, OperatorRole,
-    ReadyAdapter, RequestRule, RightConfig, ServiceRule, TargetConfig, TargetRole, VersionConfig,
-    VersionStatus,
+    AdapterConfig, CallerConfig, CallerQuota, LoadPolicy, OperatorConfig, OperatorRole,
+    RequestRepeatability, RightConfig, RightPattern, ServiceRule, TargetConfig, TargetRole,
+    VersionConfig, VersionStatus,
 };
-pub use state::{ConfigState, FoldOutcome, ResolveError, ResolvedModel};
+pub use state::{ChangeOutcome, ConfigState, ResolveError, ResolvedModel};
--- a/crates/core/src/config/objects.rs
+++ b/crates/core/src/config/objects.rs
@@ -21,10 +21,10 @@
     pub versions: Vec<VersionConfig>,
     /// Whether requests to it may be repeated.
     #[serde(rename = "q", default)]
-    pub rule: RequestRule,
+    pub repeatability: RequestRepeatability,
     /// Whether it is to be kept loaded.
     #[serde(rename = "k", default)]
-    pub ready: ReadyAdapter,
+    pub load_policy: LoadPolicy,
 }
 
 impl AdapterConfig {
@@ -62,7 +62,7 @@
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RequestRule {
+pub enum RequestRepeatability {
     /// Running it twice does no harm.
     #[default]
     Repeatable,
@@ -73,7 +73,7 @@
 /// Whether an adapter is kept loaded without demand.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ReadyAdapter {
+pub enum LoadPolicy {
     /// Loaded by demand.
     #[default]
     ByDemand,
@@ -152,7 +152,7 @@
 /// Which adapters or services a right covers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum AdapterPattern {
+pub enum RightPattern {
     /// Every adapter.
     All,
     /// Adapters whose name starts with this.
@@ -163,7 +163,7 @@
     Service(ServiceName),
 }
 
-impl AdapterPattern {
+impl RightPattern {
     /// Whether the pattern covers an adapter.
     #[must_use]
     pub fn covers(&self, adapter: &str) -> bool {
@@ -186,7 +186,7 @@
     }
 }
 
-impl fmt::Display for AdapterPattern {
+impl fmt::Display for RightPattern {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::All => f.write_str("all adapters"),
@@ -205,7 +205,7 @@
     /// The caller.
     pub caller: CallerName,
     /// What it covers.
-    pub pattern: AdapterPattern,
+    pub pattern: RightPattern,
     /// Priority of its requests; a request may ask for less but not for more.
     pub priority: PriorityClass,
 }
@@ -222,7 +222,7 @@
     /// Prefix of the path below the service.
     pub path: String,
     /// Whether the calls may be repeated.
-    pub rule: RequestRule,
+    pub rule: RequestRepeatability,
 }
 
 /// What an operator may do.
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     config::{
-        AdapterConfig, AdapterPattern, AuditEntry, CallerConfig, ObjectRef, OperatorConfig,
-        RequestRule, RightConfig, ServiceRule, TargetConfig, VersionStatus,
+        AdapterConfig, AuditEntry, CallerConfig, ObjectRef, OperatorConfig, RequestRepeatability,
+        RightConfig, RightPattern, ServiceRule, TargetConfig, VersionStatus,
     },
     ids::{
         AdapterName, AdapterVersion, CallerName, ChangeId, LogOffset, OperatorName, PriorityClass,
@@ -48,13 +48,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct RememberedChange {
     pub(super) id: ChangeId,
-    pub(super) outcome: FoldOutcome,
+    pub(super) outcome: ChangeOutcome,
 }
 
 /// What the fold made of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum FoldOutcome {
+pub enum ChangeOutcome {
     /// It is in force since this offset.
     Accepted(LogOffset),
     /// It is refused at this offset.
@@ -67,7 +67,7 @@
     /// Adapter and version.
     pub model: AdapterVersion,
     /// Whether requests may be repeated.
-    pub rule: RequestRule,
+    pub repeatability: RequestRepeatability,
     /// Highest priority that the caller has there.
     pub priority: PriorityClass,
 }
@@ -148,7 +148,7 @@
                 adapter: adapter.clone(),
                 version: version.name.clone(),
             },
-            rule: config.rule,
+            repeatability: config.repeatability,
             priority: right.priority,
         })
     }
@@ -166,12 +166,12 @@
         let rights = self.rights.get(caller)?;
         rights
             .iter()
-            .find(|right| matches!(&right.pattern, AdapterPattern::Service(name) if name.as_str() == service))
+            .find(|right| matches!(&right.pattern, RightPattern::Service(name) if name.as_str() == service))
     }
 
     /// Whether a call of a plain service may be repeated; the longest matching path decides.
     #[must_use]
-    pub fn service_rule(&self, service: &str, method: &str, path: &str) -> RequestRule {
+    pub fn service_rule(&self, service: &str, method: &str, path: &str) -> RequestRepeatability {
         let matching = self.service_rules.iter().filter(|rule| {
             rule.service.as_str() == service
                 && (rule.method == "*" || rule.method == method)
@@ -179,7 +179,7 @@
         });
         matching
             .max_by_key(|rule| (rule.path.len(), rule.method != "*"))
-            .map_or(RequestRule::Repeatable, |rule| rule.rule)
+            .map_or(RequestRepeatability::Repeatable, |rule| rule.rule)
     }
 
     /// The weights in force.
@@ -215,7 +215,7 @@
 
     /// Outcome of a change that was folded lately.
     #[must_use]
-    pub fn outcome(&self, id: &ChangeId) -> Option<&FoldOutcome> {
+    pub fn outcome(&self, id: &ChangeId) -> Option<&ChangeOutcome> {
         let mut latest = self.remembered.iter().rev();
         latest
             .find(|change| change.id == *id)
@@ -237,7 +237,7 @@
     pub(super) fn find_right(
         &self,
         caller: &CallerName,
-        pattern: &AdapterPattern,
+        pattern: &RightPattern,
     ) -> Option<&RightConfig> {
         self.rights
             .get(caller)?
--- a/crates/core/src/language/parse.rs
+++ b/crates/core/src/language/parse.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     config::{
-        AdapterPattern, CallerQuota, ConfigChange, OperatorRole, ReadyAdapter, RequestRule,
+        CallerQuota, ConfigChange, LoadPolicy, OperatorRole, RequestRepeatability, RightPattern,
         TargetRole,
     },
     ids::{AdapterName, PriorityClass, ServiceName, TokenHash},
@@ -182,7 +182,7 @@
             Rule::table => {
                 query.table = TableName::parse(part.as_str()).expect("the grammar lists the tables")
             }
-            Rule::scope => query.scope = QueryScope::Here,
+            Rule::scope => query.scope = QueryScope::Local,
             Rule::filter => query.filter = part.into_inner().map(condition).collect(),
             Rule::order => {
                 let mut parts = part.into_inner();
@@ -433,16 +433,16 @@
         },
         Rule::keep => ConfigChange::KeepReady {
             adapter: name.into(),
-            ready: ReadyAdapter::Kept,
+            ready: LoadPolicy::Kept,
         },
         _ => ConfigChange::KeepReady {
             adapter: name.into(),
-            ready: ReadyAdapter::ByDemand,
+            ready: LoadPolicy::ByDemand,
         },
     }
 }
 
-fn pattern(parts: &mut Pairs<'_, Rule>) -> AdapterPattern {
+fn pattern(parts: &mut Pairs<'_, Rule>) -> RightPattern {
     let pattern = parts
         .next()
         .and_then(|pattern| pattern.into_inner().next())
@@ -450,20 +450,20 @@
     let rule = pattern.as_rule();
     let mut inner = pattern.into_inner();
     match rule {
-        Rule::all_adapters => AdapterPattern::All,
-        Rule::on_service => AdapterPattern::Service(ServiceName::new(&text_of(&mut inner))),
+        Rule::all_adapters => RightPattern::All,
+        Rule::on_service => RightPattern::Service(ServiceName::new(&text_of(&mut inner))),
         Rule::on_prefix => {
-            AdapterPattern::Prefix(text_of(&mut inner).trim_end_matches('*').to_owned())
+            RightPattern::Prefix(text_of(&mut inner).trim_end_matches('*').to_owned())
         }
-        _ => AdapterPattern::Exact(AdapterName::new(&text_of(&mut inner))),
+        _ => RightPattern::Exact(AdapterName::new(&text_of(&mut inner))),
     }
 }
 
-fn request_rule(text: &str) -> RequestRule {
+fn request_rule(text: &str) -> RequestRepeatability {
     if text.to_ascii_lowercase().starts_with("not") {
-        RequestRule::NotRepeatable
+        RequestRepeatability::NotRepeatable
     } else {
-        RequestRule::Repeatable
+        RequestRepeatability::Repeatable
     }
 }
 
--- a/crates/core/src/language/statement.rs
+++ b/crates/core/src/language/statement.rs
@@ -78,7 +78,7 @@
 
     /// Whether each daemon knows only its part of the table.
     #[must_use]
-    pub fn is_spread(self) -> bool {
+    pub fn is_distributed(self) -> bool {
         matches!(
             self,
             Self::Loaded | Self::Waiting | Self::Requests | Self::Lag | Self::Targets
@@ -93,7 +93,7 @@
     #[default]
     Fleet,
     /// Those of the daemon asked.
-    Here,
+    Local,
 }
 
 /// How a column is compared.
@@ -162,7 +162,7 @@
 impl CommandList {
     /// The changes with the revisions that they are based on.
     #[must_use]
-    pub fn based_on(&self, config: &ConfigState) -> Vec<ChangePart> {
+    pub fn change_parts(&self, config: &ConfigState) -> Vec<ChangePart> {
         let parts = self.changes.iter().map(|change| ChangePart {
             based_on: config.revision(&change.object()),
             change: change.clone(),
--- a/crates/core/src/language/table.rs
+++ b/crates/core/src/language/table.rs
@@ -27,7 +27,7 @@
 
     /// A cell that may be empty.
     #[must_use]
-    pub fn maybe(value: Option<impl fmt::Display>) -> Self {
+    pub fn optional(value: Option<impl fmt::Display>) -> Self {
         value.map_or(Self::Empty, Self::text)
     }
 
--- a/crates/core/src/log/fold.rs
+++ b/crates/core/src/log/fold.rs
@@ -4,7 +4,7 @@
 //! goes back: a record at or below the applied offset is passed over.
 
 use crate::{
-    config::{ConfigState, FoldOutcome},
+    config::{ChangeOutcome, ConfigState},
     ids::{ChangeId, LogOffset},
     log::{LogRecord, SnapshotPart},
     ownership::{OwnershipEffect, OwnershipState},
@@ -36,7 +36,7 @@
     /// Nothing.
     None,
     /// A change was accepted or refused.
-    Change(ChangeId, FoldOutcome),
+    Change(ChangeId, ChangeOutcome),
     /// Something became of a target's holder.
     Ownership(OwnershipEffect),
     /// Keys were claimed.
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -2,7 +2,7 @@
 //!
 //! Retries are paid from a budget that grows with successful work, so that faults do not multiply load.
 
-use crate::{config::RequestRule, ids::Instant};
+use crate::{config::RequestRepeatability, ids::Instant};
 use std::time::Duration;
 
 /// How an attempt ended.
@@ -92,7 +92,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInput {
     /// Whether the request may be repeated.
-    pub rule: RequestRule,
+    pub rule: RequestRepeatability,
     /// How the attempt ended.
     pub end: AttemptEnd,
     /// Attempts so far.
@@ -149,7 +149,7 @@
     input: &RetryInput,
     pause: Duration,
 ) -> RetryDecision {
-    let allowed = input.rule == RequestRule::Repeatable
+    let allowed = input.rule == RequestRepeatability::Repeatable
         && !input.answer_started
         && input.attempts < limits.attempts
         && budget.spend();
--- a/crates/core/tests/fold.rs
+++ b/crates/core/tests/fold.rs
@@ -1,7 +1,7 @@
 //! The fold of the log under races, lost answers, duplicates, cut-offs and expiry.
 
 use hoplanding_core::{
-    config::{ChangeConflict, ConfigChange, FoldOutcome},
+    config::{ChangeConflict, ChangeOutcome, ConfigChange},
     ids::{ChangeId, DaemonRef, Incarnation, LogOffset, VmName},
     log::{
         ChangePart, ChangeRecord, FoldEffect, FoldedState, KeyClaimsRecord, LogRecord,
@@ -54,7 +54,7 @@
     }
 }
 
-fn apply(state: &mut FoldedState, record: ChangeRecord) -> FoldOutcome {
+fn apply(state: &mut FoldedState, record: ChangeRecord) -> ChangeOutcome {
     let offset = LogOffset(state.applied.0 + 1);
     match state.apply(offset, &LogRecord::Change(record)) {
         FoldEffect::Change(_, outcome) => outcome,
@@ -75,9 +75,9 @@
     let second = record("second", vec![part(&state, make_current("a", "v1"))]);
     assert_eq!(
         apply(&mut state, first),
-        FoldOutcome::Accepted(LogOffset(2))
+        ChangeOutcome::Accepted(LogOffset(2))
     );
-    let FoldOutcome::Refused(_, conflict) = apply(&mut state, second) else {
+    let ChangeOutcome::Refused(_, conflict) = apply(&mut state, second) else {
         panic!("the second change is based on an old revision");
     };
     insta::assert_snapshot!(conflict, @r#"adapter a was changed at offset 2 by ops (`first`) after you read it at 1: look at `show changes where object = "adapter a"` and repeat your command if it still applies"#);
@@ -104,7 +104,7 @@
     let outcome = apply(&mut state, record("mixed", mixed));
     assert!(matches!(
         outcome,
-        FoldOutcome::Refused(_, ChangeConflict::VersionExists { .. })
+        ChangeOutcome::Refused(_, ChangeConflict::VersionExists { .. })
     ));
     assert_eq!(state.config.adapters, before);
 }
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -1,7 +1,7 @@
 //! Tokens, retries and the life cycle.
 
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{DaemonRef, Incarnation, Instant, RequestId, VmName},
     request::{
         AttemptEnd, IdempotencyToken, NotRunReason, RepeatKey, RequestCall, RetryBudget,
@@ -118,7 +118,7 @@
     );
 }
 
-fn input(rule: RequestRule, end: AttemptEnd) -> RetryInput {
+fn input(rule: RequestRepeatability, end: AttemptEnd) -> RetryInput {
     RetryInput {
         rule,
         end,
@@ -139,19 +139,22 @@
     let mut budget = RetryBudget::new(4.0, 0.1);
     let mut decide = |rule, end| decide_retry(&limits, &mut budget, &input(rule, end));
     assert!(matches!(
-        decide(RequestRule::Repeatable, AttemptEnd::TargetFailed),
+        decide(RequestRepeatability::Repeatable, AttemptEnd::TargetFailed),
         RetryDecision::Retry(_)
     ));
     assert_eq!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::TargetFailed),
+        decide(
+            RequestRepeatability::NotRepeatable,
+            AttemptEnd::TargetFailed
+        ),
         RetryDecision::GiveUp
     );
     assert!(matches!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::GivenBack),
+        decide(RequestRepeatability::NotRepeatable, AttemptEnd::GivenBack),
         RetryDecision::Retry(_)
     ));
     assert!(matches!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::Broken),
+        decide(RequestRepeatability::NotRepeatable, AttemptEnd::Broken),
         RetryDecision::Resume(_)
     ));
 }
@@ -167,7 +170,7 @@
             decide_retry(
                 &limits,
                 &mut budget,
-                &input(RequestRule::Repeatable, AttemptEnd::TargetFailed)
+                &input(RequestRepeatability::Repeatable, AttemptEnd::TargetFailed)
             ),
             RetryDecision::Retry(_)
         ) {
@@ -184,7 +187,7 @@
 fn pauses_grow_and_the_deadline_ends_them() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(10.0, 0.1);
-    let mut late = input(RequestRule::Repeatable, AttemptEnd::GivenBack);
+    let mut late = input(RequestRepeatability::Repeatable, AttemptEnd::GivenBack);
     late.given_back = 4;
     let RetryDecision::Retry(pause) = decide_retry(&limits, &mut budget, &late) else {
         panic!("given back work is tried again");
--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -88,7 +88,7 @@
                     .ok_or_else(|| AdmitRefusal::NoService(caller.clone(), service.clone()))?;
                 Ok(ResolvedModel {
                     model: AdapterVersion::new(service.as_str(), "-"),
-                    rule: self.config().service_rule(service.as_str(), method, path),
+                    repeatability: self.config().service_rule(service.as_str(), method, path),
                     priority: right.priority,
                 })
             }
--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -6,7 +6,7 @@
     platform::AppendOutcome,
 };
 use hoplanding_core::{
-    config::FoldOutcome,
+    config::ChangeOutcome,
     ids::{ChangeId, Instant, OperatorName},
     language::CommandList,
     log::{ChangeRecord, LogRecord},
@@ -49,7 +49,7 @@
             via: self.me.vm.clone(),
             at_ms: clock::wall_ms(),
             text: commands.text.clone(),
-            parts: commands.based_on(self.config()),
+            parts: commands.change_parts(self.config()),
         };
         let pending = PendingChange {
             record,
@@ -104,13 +104,15 @@
     }
 
     /// The fold has decided about a change.
-    pub(super) fn settle_change(&mut self, id: &ChangeId, outcome: FoldOutcome) {
+    pub(super) fn settle_change(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
         let Some(pending) = self.pending_changes.remove(id) else {
             return;
         };
         let answer = match outcome {
-            FoldOutcome::Accepted(offset) => Ok(OperatorAnswer::Accepted(id.clone(), offset)),
-            FoldOutcome::Refused(_, conflict) => Err(OperatorError::Conflict(id.clone(), conflict)),
+            ChangeOutcome::Accepted(offset) => Ok(OperatorAnswer::Accepted(id.clone(), offset)),
+            ChangeOutcome::Refused(_, conflict) => {
+                Err(OperatorError::Conflict(id.clone(), conflict))
+            }
         };
         if let Some(reply) = pending.reply {
             let _ = reply.send(answer);
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -5,7 +5,7 @@
 
 use crate::{app::AppState, event, events::Event, peers::PeerMessage, platform::LogBatch};
 use hoplanding_core::{
-    config::{AuditOutcome, FoldOutcome},
+    config::{AuditOutcome, ChangeOutcome},
     ids::{ChangeId, Instant, LogOffset},
     log::{FoldEffect, FoldedState, LogRecord, SnapshotAssembler},
     ownership::OwnershipEffect,
@@ -107,7 +107,7 @@
         }
     }
 
-    fn change_folded(&mut self, id: &ChangeId, outcome: FoldOutcome) {
+    fn change_folded(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
         if let Some(entry) = self.config().audit.back().filter(|entry| entry.id == *id) {
             match &entry.outcome {
                 AuditOutcome::Accepted => {
@@ -132,7 +132,7 @@
                 }
             }
         }
-        if matches!(outcome, FoldOutcome::Accepted(_)) {
+        if matches!(outcome, ChangeOutcome::Accepted(_)) {
             self.apply_config();
         }
         self.settle_change(id, outcome);
--- a/crates/daemon/src/app/queries.rs
+++ b/crates/daemon/src/app/queries.rs
@@ -83,7 +83,7 @@
 
     fn show(&mut self, query: ShowQuery, text: &str, reply: QueryReply, now: Instant) {
         let table = self.table(query.table, now);
-        if query.scope == QueryScope::Here || !query.table.is_spread() {
+        if query.scope == QueryScope::Local || !query.table.is_distributed() {
             let _ = reply.send(
                 table
                     .apply(&query)
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -12,7 +12,7 @@
     platform::LogAppender,
 };
 use hoplanding_core::{
-    config::{ConfigState, ReadyAdapter, TargetRole},
+    config::{ConfigState, LoadPolicy, TargetRole},
     ids::{
         AdapterVersion, AvailabilityZone, CallerName, ChangeId, DaemonRef, Instant, LogOffset,
         TargetName, TokenHash, VmName,
@@ -185,7 +185,7 @@
             .config
             .adapters
             .iter()
-            .filter(|(_, config)| config.ready == ReadyAdapter::Kept);
+            .filter(|(_, config)| config.load_policy == LoadPolicy::Kept);
         let models = kept.filter_map(|(adapter, config)| {
             Some(AdapterVersion {
                 adapter: adapter.clone(),
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -2,7 +2,7 @@
 
 use crate::app::{AppState, held::HeldPhase};
 use hoplanding_core::{
-    config::{AuditOutcome, ReadyAdapter, RequestRule, TargetRole, VersionStatus},
+    config::{AuditOutcome, LoadPolicy, RequestRepeatability, TargetRole, VersionStatus},
     ids::{Instant, PriorityClass},
     language::{CellValue, DataTable, TableName},
     policy::{AdapterState, DemandEstimate},
@@ -70,8 +70,8 @@
                 CellValue::text(&config.zone),
                 CellValue::Text(role),
                 CellValue::text(self.target_state(name, held)),
-                CellValue::maybe(holder.map(|lease| &lease.daemon.vm)),
-                CellValue::maybe(holder.map(|lease| lease.token.0)),
+                CellValue::optional(holder.map(|lease| &lease.daemon.vm)),
+                CellValue::optional(holder.map(|lease| lease.token.0)),
                 CellValue::Bool(config.checks_fencing),
                 CellValue::count(ownership.map_or(0, |ownership| ownership.predecessors.len())),
                 CellValue::count(
@@ -247,7 +247,7 @@
                 peer.heard_at.map_or(CellValue::Empty, |heard| {
                     CellValue::Number(now.since(heard).as_secs_f64())
                 }),
-                CellValue::maybe(listed),
+                CellValue::optional(listed),
                 CellValue::Number(f64::from(peer.silent_to)),
                 CellValue::Bool(
                     self.links
@@ -321,11 +321,11 @@
                     });
             table.rows.push(vec![
                 CellValue::text(name),
-                CellValue::maybe(config.current.as_ref()),
+                CellValue::optional(config.current.as_ref()),
                 CellValue::count(config.versions.len()),
                 CellValue::count(retired),
-                CellValue::Bool(config.rule == RequestRule::Repeatable),
-                CellValue::Bool(config.ready == ReadyAdapter::Kept),
+                CellValue::Bool(config.repeatability == RequestRepeatability::Repeatable),
+                CellValue::Bool(config.load_policy == LoadPolicy::Kept),
                 CellValue::Number(
                     model
                         .as_ref()
@@ -424,7 +424,7 @@
                 CellValue::text(&rule.service),
                 CellValue::text(&rule.method),
                 CellValue::text(&rule.path),
-                CellValue::Bool(rule.rule == RequestRule::Repeatable),
+                CellValue::Bool(rule.rule == RequestRepeatability::Repeatable),
                 CellValue::text(rule.revision),
             ]);
         }
@@ -445,7 +445,7 @@
                 CellValue::Number(weight.low),
                 CellValue::Number(weight.high),
                 CellValue::text(weight.unit),
-                CellValue::maybe(revision),
+                CellValue::optional(revision),
             ]);
         }
         table
--- a/crates/daemon/src/calls/request.rs
+++ b/crates/daemon/src/calls/request.rs
@@ -1,7 +1,7 @@
 //! What is asked of a holder or of another gateway.
 
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{AdapterVersion, CallerName, PriorityClass, RequestId, ServiceName, TargetName},
 };
 use serde::{Deserialize, Serialize};
@@ -106,7 +106,7 @@
     /// Its class.
     pub class: PriorityClass,
     /// Whether it may be repeated.
-    pub rule: RequestRule,
+    pub rule: RequestRepeatability,
     /// The caller's idempotency token or key.
     pub idempotency: Option<String>,
     /// Milliseconds that are left for it.
--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -16,7 +16,7 @@
     config::RouteRule,
     organisations::{CallerIdentity, KeyError},
 };
-use hoplanding_platform::front::CallHead;
+use hoplanding_platform::message_heads::CallHead;
 use http::{Response, StatusCode};
 use std::time::Duration;
 
--- a/crates/daemon/src/direct/call/answers.rs
+++ b/crates/daemon/src/direct/call/answers.rs
@@ -1,7 +1,7 @@
 //! Answers as they go to callers.
 
 use bytes::Bytes;
-use hoplanding_platform::{front::own_answer_headers, headers::travelling};
+use hoplanding_platform::{headers::end_to_end_headers, message_heads::gateway_answer_headers};
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use std::time::Duration;
@@ -28,7 +28,7 @@
 pub(super) fn passed_answer(parts: &http::response::Parts, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = travelling(&parts.headers);
+    *response.headers_mut() = end_to_end_headers(&parts.headers);
     response
 }
 
@@ -41,7 +41,7 @@
 ) -> Response<AnswerBody> {
     let mut response = Response::new(full(Bytes::new()));
     *response.status_mut() = status;
-    *response.headers_mut() = own_answer_headers(id, retry_after);
+    *response.headers_mut() = gateway_answer_headers(id, retry_after);
     response
 }
 
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -62,7 +62,7 @@
     },
     ids::{self, AvailabilityZone, TargetName},
 };
-use hoplanding_platform::front::{CallHead, decode_call};
+use hoplanding_platform::message_heads::{CallHead, decode_call_head};
 use http::{HeaderMap, Method, Request, Response, StatusCode, Uri};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -159,7 +159,7 @@
 ) -> Result<Response<AnswerBody>, BrokenAnswer> {
     let arrived = Instant::now();
     let arrived_at = clock::now();
-    let head = decode_call(request.headers());
+    let head = decode_call_head(request.headers());
     let Some(active) = context.fleet.active() else {
         event!(Event::CallRefused, request = head.id; "no configuration yet");
         count(&context, RequestKind::Unrouted, RequestOutcome::Refused);
--- a/crates/daemon/src/direct/call/payment.rs
+++ b/crates/daemon/src/direct/call/payment.rs
@@ -16,7 +16,7 @@
     },
     ids::{AvailabilityZone, Instant},
 };
-use hoplanding_platform::front::CallHead;
+use hoplanding_platform::message_heads::CallHead;
 use http::{Response, StatusCode};
 use std::time::Duration;
 
@@ -47,12 +47,12 @@
         let Some(organisation) = identity.organisation() else {
             return Self::Free;
         };
-        let tokens = u64::from(head.prompt_tokens) + u64::from(head.most_output);
+        let tokens = u64::from(head.prompt_tokens) + u64::from(head.max_output_tokens);
         let rule = organisation.quota.as_ref();
         rule.map_or(Self::Free, |rule| {
             Self::Due(QuotaCharge {
                 organisation: organisation.name.clone(),
-                units: rule.cost(head.tells_tokens.then_some(tokens)),
+                units: rule.cost(head.has_token_count.then_some(tokens)),
             })
         })
     }
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -365,14 +365,14 @@
         };
         let output = self
             .head
-            .output_hint
-            .unwrap_or(self.head.most_output / 2)
-            .min(self.head.most_output.max(1));
+            .output_tokens_hint
+            .unwrap_or(self.head.max_output_tokens / 2)
+            .min(self.head.max_output_tokens.max(1));
         PlacementRequest {
             subject: self.subject(),
             prompt_tokens: self.head.prompt_tokens,
             output_tokens: output,
-            prefix: self.head.prefix.clone(),
+            prefix: self.head.prompt_prefix.clone(),
             priority: self.rank,
             bound_ms: millis(bound),
             exclude: self.tried.clone(),
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -23,7 +23,9 @@
     },
     ids::TargetRun,
 };
-use hoplanding_platform::front::{AnswerKind, SendHead, encode_send, judge_answer};
+use hoplanding_platform::message_heads::{
+    AnswerKind, SendHead, classify_answer, encode_send_headers,
+};
 use http::Request;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -183,10 +185,10 @@
                 return SendOutcome::Unknown;
             }
         };
-        let kind = judge_answer(&self.head.id, response.status(), response.headers());
+        let kind = classify_answer(&self.head.id, response.status(), response.headers());
         let notice = match kind {
             // Another target's, or an answer to another request.
-            AnswerKind::Foreign | AnswerKind::Misdirected => TargetNotice::default(),
+            AnswerKind::Invalid | AnswerKind::Misdirected => TargetNotice::default(),
             AnswerKind::Success | AnswerKind::Failure | AnswerKind::NotRun => {
                 let fleet = &self.context.fleet;
                 let notice =
@@ -246,7 +248,7 @@
                 }
                 SendOutcome::NotRun
             }
-            AnswerKind::Foreign => {
+            AnswerKind::Invalid => {
                 event!(Event::AnswerForeign, request = self.head.id; "at {}: status {}",
                     entry.name,
                     parts.status
@@ -272,14 +274,14 @@
             remaining,
             priority: self.service.engine.as_ref().map(|_| self.rank),
             version,
-            last_event,
+            last_event_id: last_event,
             fetch: self.fetch_source,
             identity: &self.identity,
         };
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = encode_send(&self.headers, &send);
+        *request.headers_mut() = encode_send_headers(&self.headers, &send);
         request
     }
 }
--- a/crates/daemon/src/direct/call/stop_plan.rs
+++ b/crates/daemon/src/direct/call/stop_plan.rs
@@ -5,7 +5,7 @@
     config::{ResponseShape, RouteRule},
     stream_estimate::StreamEstimate,
 };
-use hoplanding_platform::front::CallHead;
+use hoplanding_platform::message_heads::CallHead;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
         let longest = match route.response_shape {
             ResponseShape::Buffered => route.timeout,
             ResponseShape::EventStream { .. } => {
-                let longest = streams.max_duration(head.most_output, clock::now());
+                let longest = streams.max_duration(head.max_output_tokens, clock::now());
                 longest.min(route.timeout)
             }
         };
--- a/crates/daemon/src/direct/call/target_probe.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -15,7 +15,7 @@
     catalog::TargetEntry,
     suspects::{RequestFingerprint, TargetCrash},
 };
-use hoplanding_platform::{front::CallHead, orders::encode_report_request};
+use hoplanding_platform::{message_heads::CallHead, orders::encode_report_request};
 use http::{Method, StatusCode, Uri};
 use siphasher::sip::SipHasher13;
 use std::{
@@ -46,8 +46,8 @@
     uri.query().hash(&mut hasher);
     head.subject.hash(&mut hasher);
     head.prompt_tokens.hash(&mut hasher);
-    head.most_output.hash(&mut hasher);
-    head.prefix.hash(&mut hasher);
+    head.max_output_tokens.hash(&mut hasher);
+    head.prompt_prefix.hash(&mut hasher);
     body.hash(&mut hasher);
     RequestFingerprint(hasher.finish())
 }
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -219,7 +219,7 @@
             }
             Err(StoreError::EndMoved(_)) => ClaimResult::Unanswered,
             Err(error) => {
-                if let StoreError::OtherEra(era) = error {
+                if let StoreError::EraMismatch(era) = error {
                     self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
@@ -237,7 +237,7 @@
                 true
             }
             Err(error) => {
-                if let StoreError::OtherEra(era) = error {
+                if let StoreError::EraMismatch(era) = error {
                     self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -16,7 +16,7 @@
     events::Event,
 };
 use bytes::Bytes;
-use hoplanding_platform::headers::travelling;
+use hoplanding_platform::headers::end_to_end_headers;
 use http::{HeaderMap, Response, header};
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
@@ -38,7 +38,7 @@
 /// Starts to pass a stream on.
 pub fn relay_events(call: CallState, open: OpenAnswer, resumable: bool) -> Response<AnswerBody> {
     let status = open.parts.status;
-    let headers = travelling(&open.parts.headers);
+    let headers = end_to_end_headers(&open.parts.headers);
     let relay = EventRelay {
         call,
         open: Some(open),
@@ -131,7 +131,7 @@
         };
         let span = call.arrived.elapsed().saturating_sub(first);
         let mut tables = call.context.fleet.tables();
-        let most_output = call.head.most_output;
+        let most_output = call.head.max_output_tokens;
         tables
             .streams
             .record_end(events, span, most_output, clock::now());
@@ -205,7 +205,7 @@
 
     /// Goes on at another target from the last whole event.
     async fn resume(&mut self) -> bool {
-        let last = self.splitter.last_id().or(self.call.head.last_event);
+        let last = self.splitter.last_id().or(self.call.head.last_event_id);
         self.splitter.take_remainder();
         while self.call.may_repeat() {
             let placed = timeout_at(self.call.deadline, self.call.place()).await;
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -104,7 +104,7 @@
             let listing = match listing {
                 Ok(listing) if self.fleet.observe_era(listing.end.era()) => listing,
                 Ok(listing) => {
-                    self.note_out(&StoreError::OtherEra(listing.end.era()));
+                    self.note_out(&StoreError::EraMismatch(listing.end.era()));
                     self.wait_to_retry().await;
                     continue;
                 }
@@ -249,7 +249,7 @@
                     sleep(self.pause_between()).await;
                 }
                 Err(StoreError::Expired(_)) => return,
-                Err(StoreError::OtherEra(era)) => {
+                Err(StoreError::EraMismatch(era)) => {
                     self.fleet.observe_era(era);
                     return;
                 }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -99,7 +99,7 @@
         None => tables.catalog.apply(&name, record.position, None, now),
         Some(value) => match decode_target(&record.key, value) {
             Ok(entry) if tables.is_own_address(entry.address) => {
-                let error = DecodeError::Field {
+                let error = DecodeError::InvalidField {
                     field: "address",
                     value: entry.address.to_string(),
                 };
--- a/crates/daemon/src/direct/listing.rs
+++ b/crates/daemon/src/direct/listing.rs
@@ -29,7 +29,7 @@
     while let Some(after) = next {
         let page = later_page(client, topic, &after, within).await?;
         if page.end.era() != batch.end.era() {
-            return Err(StoreError::OtherEra(page.end.era()));
+            return Err(StoreError::EraMismatch(page.end.era()));
         }
         batch.records.extend(page.records);
         next = page.next;
@@ -46,7 +46,7 @@
     let mut patience = within;
     for _ in 1..PAGE_TRIES {
         match client.newest_page(topic, Some(after), patience).await {
-            Err(StoreError::Unanswered(_)) => patience *= 2,
+            Err(StoreError::NoAnswer(_)) => patience *= 2,
             result => return result,
         }
     }
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -61,7 +61,7 @@
     ) -> TargetNotice {
         let decoded = decode_notice(status, headers);
         let now = clock::now();
-        for fault in &decoded.faults {
+        for fault in &decoded.errors {
             if let Some(untold) = self.tables().unreadable_headers.note(now) {
                 event!(
                     Event::NoticeUnreadable,
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -86,7 +86,7 @@
         let within = self.settings.timing.platform_timeout;
         let position = client.append(FLEET_TOPIC, key, value, None, within).await?;
         if !self.fleet.observe_era(position.era()) {
-            return Err(StoreError::OtherEra(position.era()));
+            return Err(StoreError::EraMismatch(position.era()));
         }
         self.fleet
             .apply_own_record(key.to_owned(), value.to_vec(), position);
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -310,7 +310,7 @@
             .append_all(FLEET_TOPIC, &encoded, within)
             .await?;
         if !self.fleet.observe_era(first.era()) {
-            return Err(StoreError::OtherEra(first.era()));
+            return Err(StoreError::EraMismatch(first.era()));
         }
         for (place, (key, value)) in (0..).zip(records) {
             let position = first.plus(place);
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -18,7 +18,7 @@
     peers::{CallReader, PeerLink, PeerMessage, ReadEvent},
 };
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{Instant, RequestId, TargetName},
     request::{
         AttemptEnd, HandedOver, IdempotencyToken, KeyHash, NotRunReason, RepeatKey, RequestCall,
@@ -350,8 +350,8 @@
     fn give_up(&self, reason: &str) -> CallEnd {
         event!(Event::AnswerIncomplete, "{}: {reason}", self.id);
         match self.request.rule {
-            RequestRule::Repeatable => CallEnd::Failed(reason.to_owned()),
-            RequestRule::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
+            RequestRepeatability::Repeatable => CallEnd::Failed(reason.to_owned()),
+            RequestRepeatability::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
         }
     }
 
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -188,7 +188,7 @@
     let submit = SubmitRequest {
         caller: admission.caller,
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Engine(work),
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -66,7 +66,7 @@
     let submit = SubmitRequest {
         caller: admission.caller.clone(),
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Service(work),
