--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -226,7 +226,7 @@
             }
             Err(StoreError::EndMoved(_)) => ClaimResult::Unanswered,
             Err(error) => {
-                if let StoreError::OtherEra(era) = error {
+                if let StoreError::EraMismatch(era) = error {
                     self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
@@ -247,7 +247,7 @@
                 true
             }
             Err(error) => {
-                if let StoreError::OtherEra(era) = error {
+                if let StoreError::EraMismatch(era) = error {
                     self.fleet.observe_era(era);
                 }
                 event!(Event::ClaimFailed, "{}: {error}", self.fleet.zone);
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -109,7 +109,7 @@
             let listing = match listing {
                 Ok(listing) if self.fleet.observe_era(listing.end.era()) => listing,
                 Ok(listing) => {
-                    self.note_failure(&StoreError::OtherEra(listing.end.era()));
+                    self.note_failure(&StoreError::EraMismatch(listing.end.era()));
                     self.wait_to_retry().await;
                     continue;
                 }
@@ -262,7 +262,7 @@
                     sleep(self.read_interval()).await;
                 }
                 Err(StoreError::Expired(_)) => return,
-                Err(StoreError::OtherEra(era)) => {
+                Err(StoreError::EraMismatch(era)) => {
                     self.fleet.observe_era(era);
                     return;
                 }
--- a/crates/daemon/src/direct/listing.rs
+++ b/crates/daemon/src/direct/listing.rs
@@ -30,7 +30,7 @@
     while let Some(after) = next {
         let page = later_page(client, topic, &after, within).await?;
         if page.end.era() != batch.end.era() {
-            return Err(StoreError::OtherEra(page.end.era()));
+            return Err(StoreError::EraMismatch(page.end.era()));
         }
         batch.records.extend(page.records);
         next = page.next;
@@ -47,7 +47,7 @@
     let mut page_timeout = within;
     for _ in 1..MAX_PAGE_ATTEMPTS {
         match client.newest_page(topic, Some(after), page_timeout).await {
-            Err(StoreError::Unanswered(_)) => page_timeout *= 2,
+            Err(StoreError::NoAnswer(_)) => page_timeout *= 2,
             result => return result,
         }
     }
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -67,7 +67,7 @@
     ) -> TargetNotice {
         let decoded = decode_notice(status, headers);
         let now = clock::now();
-        for fault in &decoded.faults {
+        for fault in &decoded.errors {
             if let Some(suppressed) = self.tables().unreadable_headers.note(now) {
                 event!(
                     Event::NoticeUnreadable,
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -320,7 +320,7 @@
             .append_all(FLEET_TOPIC, &encoded, platform_timeout)
             .await?;
         if !self.fleet.observe_era(first.era()) {
-            return Err(StoreError::OtherEra(first.era()));
+            return Err(StoreError::EraMismatch(first.era()));
         }
         for (index, (key, value)) in (0..).zip(records) {
             let position = first.plus(index);
