--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     app::{
-        Admission, AdmitRefusal, AdmitRequest, AdmitSubject, AppState, RouteAnswer, RouteRequest,
-        RouteVia, held::HeldPhase,
+        Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppState, RouteRequest,
+        RouteVia, SelectedRoute, held::HeldPhase,
     },
     calls::{CallBuffer, CallEnd, SubmitRequest},
     gateway::{CallDriver, DriverContext},
@@ -24,16 +24,16 @@
 const OVERLOADED_MS: u64 = 1000;
 
 impl AppState {
-    pub(super) fn caller_of(&self, bearer: &str) -> Result<CallerName, AdmitRefusal> {
+    pub(super) fn caller_of(&self, bearer: &str) -> Result<CallerName, AdmissionError> {
         let caller = self.callers_by_token.get(&TokenHash::of(bearer));
-        caller.cloned().ok_or(AdmitRefusal::UnknownCaller)
+        caller.cloned().ok_or(AdmissionError::UnknownCaller)
     }
 
     pub(super) fn admit(
         &mut self,
-        request: &AdmitRequest,
+        request: &AdmissionRequest,
         now: Instant,
-    ) -> Result<Admission, AdmitRefusal> {
+    ) -> Result<Admission, AdmissionError> {
         let caller = self.caller_of(&request.bearer)?;
         let resolved = self.resolve(&caller, &request.subject)?;
         if self
@@ -68,24 +68,25 @@
     fn resolve(
         &self,
         caller: &CallerName,
-        subject: &AdmitSubject,
-    ) -> Result<ResolvedModel, AdmitRefusal> {
+        subject: &AdmissionSubject,
+    ) -> Result<ResolvedModel, AdmissionError> {
         match subject {
-            AdmitSubject::Model(model) => Ok(self.config().resolve(caller.as_str(), model)?),
-            AdmitSubject::Service(service, method, path) => {
+            AdmissionSubject::Model(model) => Ok(self.config().resolve(caller.as_str(), model)?),
+            AdmissionSubject::Service(service, method, path) => {
                 let exists = self
                     .config()
                     .targets
                     .values()
                     .any(|target| is_member(&target.role, service));
                 if !exists {
-                    return Err(AdmitRefusal::UnknownService(service.clone()));
+                    return Err(AdmissionError::UnknownService(service.clone()));
                 }
                 let right = self
                     .config()
                     .right_to_service(caller.as_str(), service.as_str());
-                let right = right
-                    .ok_or_else(|| AdmitRefusal::NoService(caller.clone(), service.clone()))?;
+                let right = right.ok_or_else(|| {
+                    AdmissionError::NoServiceRight(caller.clone(), service.clone())
+                })?;
                 Ok(ResolvedModel {
                     model: AdapterVersion::new(service.as_str(), "-"),
                     rule: self.config().service_rule(service.as_str(), method, path),
@@ -98,7 +99,7 @@
     pub(super) fn list_models(
         &self,
         bearer: &str,
-    ) -> Result<Vec<(AdapterVersion, bool)>, AdmitRefusal> {
+    ) -> Result<Vec<(AdapterVersion, bool)>, AdmissionError> {
         let caller = self.caller_of(bearer)?;
         let mut models = Vec::new();
         for (adapter, config) in &self.config().adapters {
@@ -145,7 +146,7 @@
         self.limits.finish(caller.as_str());
     }
 
-    pub(super) fn route(&mut self, request: &RouteRequest) -> Result<RouteAnswer, NotRunReason> {
+    pub(super) fn route(&mut self, request: &RouteRequest) -> Result<SelectedRoute, NotRunReason> {
         if let Some(target) = &request.target {
             return self.way_to(target).ok_or(NotRunReason::NoTarget {
                 retry_after_ms: NO_TARGET_MS,
@@ -188,7 +189,7 @@
             .choose_service(&query, &self.weights, is_service)
     }
 
-    fn way_to(&self, target: &TargetName) -> Option<RouteAnswer> {
+    fn way_to(&self, target: &TargetName) -> Option<SelectedRoute> {
         let lease = self.folded.ownership.holder(target.as_str())?;
         let via = if lease.is_of(&self.me) {
             RouteVia::Local
@@ -199,7 +200,7 @@
                 .filter(|link| link.is_connected())?;
             RouteVia::Link(link.clone())
         };
-        Some(RouteAnswer {
+        Some(SelectedRoute {
             target: target.clone(),
             via,
         })
--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -1,7 +1,7 @@
 //! Commands of operators: appended, read back, and only then called accepted.
 
 use crate::{
-    app::{AppState, OperatorAnswer, OperatorError},
+    app::{AppState, OperatorError, OperatorResponse},
     clock,
     platform::AppendOutcome,
 };
@@ -19,7 +19,7 @@
 /// Time for a record whose answer was lost to turn up, before it is appended again.
 const TURN_UP_WITHIN: Duration = Duration::from_secs(2);
 
-type ChangeReply = oneshot::Sender<Result<OperatorAnswer, OperatorError>>;
+type ChangeReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
 /// A change that was appended and not read back yet.
 pub struct PendingChange {
@@ -72,7 +72,7 @@
         if self.workers.appender.append(ticket, vec![record]) {
             self.tickets.insert(ticket, vec![id.clone()]);
         } else {
-            self.fail_change(id, |_| OperatorError::LogOut);
+            self.fail_change(id, |_| OperatorError::LogUnavailable);
         }
     }
 
@@ -95,7 +95,9 @@
                 AppendOutcome::NotAppended if pending.may_have_effect => {
                     pending.append_again_at = Some(now.after(TURN_UP_WITHIN));
                 }
-                AppendOutcome::NotAppended => self.fail_change(&id, |_| OperatorError::LogOut),
+                AppendOutcome::NotAppended => {
+                    self.fail_change(&id, |_| OperatorError::LogUnavailable)
+                }
             }
         }
         if outcome != AppendOutcome::Appended {
@@ -109,7 +111,7 @@
             return;
         };
         let answer = match outcome {
-            FoldOutcome::Accepted(offset) => Ok(OperatorAnswer::Accepted(id.clone(), offset)),
+            FoldOutcome::Accepted(offset) => Ok(OperatorResponse::Accepted(id.clone(), offset)),
             FoldOutcome::Refused(_, conflict) => Err(OperatorError::Conflict(id.clone(), conflict)),
         };
         if let Some(reply) = pending.reply {
@@ -143,7 +145,7 @@
             .filter(|(_, pending)| now.since(pending.began) > ANSWER_WITHIN);
         let late: Vec<_> = late.map(|(id, _)| id.clone()).collect();
         for id in late {
-            self.fail_change(&id, OperatorError::Unknown);
+            self.fail_change(&id, OperatorError::OutcomeUnknown);
         }
     }
 }
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -28,7 +28,7 @@
     /// Records expired before they were read; the earliest that is kept.
     LogExpired(LogOffset),
     /// The log is out of reach.
-    LogOut(String),
+    LogUnavailable(String),
     /// What became of appends.
     Appended(Vec<u64>, AppendOutcome),
     /// The platform's list of VMs.
@@ -43,32 +43,32 @@
     PeerRequest(VmName, Box<PeerMessage>, mpsc::Sender<PeerMessage>),
     /// Who sends a request, and what does its model mean?
     Admit(
-        AdmitRequest,
-        oneshot::Sender<Result<Admission, AdmitRefusal>>,
+        AdmissionRequest,
+        oneshot::Sender<Result<Admission, AdmissionError>>,
     ),
     /// The adapters that a caller may ask for.
     ListModels(
         String,
-        oneshot::Sender<Result<Vec<(AdapterVersion, bool)>, AdmitRefusal>>,
+        oneshot::Sender<Result<Vec<(AdapterVersion, bool)>, AdmissionError>>,
     ),
     /// Issue a token.
     IssueToken(
         String,
-        oneshot::Sender<Result<IdempotencyToken, AdmitRefusal>>,
+        oneshot::Sender<Result<IdempotencyToken, AdmissionError>>,
     ),
     /// Serve a request to its end.
     Submit(Box<SubmitRequest>, Arc<CallBuffer>),
     /// Where does a request go?
     Route(
         RouteRequest,
-        oneshot::Sender<Result<RouteAnswer, NotRunReason>>,
+        oneshot::Sender<Result<SelectedRoute, NotRunReason>>,
     ),
     /// May a request with a token or key run?
-    BeginRepeat(RepeatKey, u64, oneshot::Sender<RepeatAnswer>),
+    BeginIdempotent(RepeatKey, u64, oneshot::Sender<IdempotencyDecision>),
     /// A request with a token or key ended.
-    EndRepeat(RepeatKey, UseEnd),
+    EndIdempotent(RepeatKey, IdempotentOutcome),
     /// Claim a caller's own key.
-    ClaimKey(KeyHash, u64, oneshot::Sender<ClaimAnswer>),
+    ClaimKey(KeyHash, u64, oneshot::Sender<KeyClaimResult>),
     /// A request that this gateway admitted ended.
     RequestEnded(CallerName),
     /// Run a request on a target that this daemon holds.
@@ -84,7 +84,7 @@
     /// A query or command.
     Operator(
         OperatorRequest,
-        oneshot::Sender<Result<OperatorAnswer, OperatorError>>,
+        oneshot::Sender<Result<OperatorResponse, OperatorError>>,
     ),
     /// Whether the daemon is ready for work.
     IsReady(oneshot::Sender<bool>),
@@ -98,23 +98,23 @@
     /// Requests that were still open.
     pub open_requests: usize,
     /// Targets that were not handed over.
-    pub targets_kept: usize,
+    pub remaining_targets: usize,
 }
 
 /// A caller's request before it is understood.
 #[derive(Clone, Debug)]
-pub struct AdmitRequest {
+pub struct AdmissionRequest {
     /// The bearer token.
     pub bearer: String,
     /// What is asked for.
-    pub subject: AdmitSubject,
+    pub subject: AdmissionSubject,
     /// Class that the caller asks for.
     pub class: Option<PriorityClass>,
 }
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub enum AdmitSubject {
+pub enum AdmissionSubject {
     /// An adapter, with or without version.
     Model(String),
     /// A call of a plain service: service, method, path.
@@ -134,7 +134,7 @@
 
 /// Why a request is not admitted.
 #[derive(Clone, Debug, thiserror::Error)]
-pub enum AdmitRefusal {
+pub enum AdmissionError {
     /// Nobody knows the token.
     #[error(
         "the bearer token is missing or unknown: send `Authorization: Bearer TOKEN` with the token of your service"
@@ -147,7 +147,7 @@
     #[error(
         "caller `{0}` has no right to service `{1}`: ask an operator for `allow {0} on service {1}`"
     )]
-    NoService(CallerName, ServiceName),
+    NoServiceRight(CallerName, ServiceName),
     /// There is no such service.
     #[error("service `{0}` does not exist: ask an operator which services there are")]
     UnknownService(ServiceName),
@@ -175,7 +175,7 @@
 
 /// Where a request goes.
 #[derive(Clone, Debug)]
-pub struct RouteAnswer {
+pub struct SelectedRoute {
     /// The target.
     pub target: TargetName,
     /// The way to its holder.
@@ -193,7 +193,7 @@
 
 /// Whether a request with a token or key may run.
 #[derive(Debug)]
-pub enum RepeatAnswer {
+pub enum IdempotencyDecision {
     /// It may.
     Run,
     /// It ran; its answer.
@@ -205,31 +205,31 @@
     /// Another daemon has to be asked.
     Forward(PeerLink),
     /// The token is wrong.
-    Wrong(TokenError),
+    InvalidToken(TokenError),
 }
 
 /// How the use of a token or key ended.
 #[derive(Clone, Debug)]
-pub enum UseEnd {
+pub enum IdempotentOutcome {
     /// It was proved not run: the token may be used again.
     NotRun,
     /// It was answered, with frames to be kept.
     Answered(Arc<Vec<CallFrame>>),
     /// Nobody knows, or the answer is too large to be kept.
-    Spent,
+    AnswerLost,
 }
 
 /// What became of a claim.
 #[derive(Debug)]
-pub enum ClaimAnswer {
+pub enum KeyClaimResult {
     /// This daemon runs the request.
     Won,
     /// Another daemon has to be asked.
     Forward(PeerLink),
     /// The daemon that runs it, or ran it, is gone.
-    Unknown(DaemonRef),
+    HolderGone(DaemonRef),
     /// The key stands for another request.
-    OtherRequest,
+    KeyReused,
     /// The log is out.
     NotClaimed,
 }
@@ -297,7 +297,7 @@
 
 /// The answer to an operator.
 #[derive(Clone, Debug)]
-pub enum OperatorAnswer {
+pub enum OperatorResponse {
     /// Rows.
     Table(DataTable),
     /// A change is in force at this daemon since this offset.
@@ -312,7 +312,7 @@
     UnknownOperator,
     /// The role does not suffice.
     #[error("operator `{operator}` has the role {role}, and this needs {needed}: ask an admin")]
-    Role {
+    InsufficientRole {
         /// The operator.
         operator: String,
         /// Its role.
@@ -331,12 +331,12 @@
     Conflict(ChangeId, ChangeConflict),
     /// The log is out.
     #[error("the platform's log is out of reach, so nothing was changed: try again later")]
-    LogOut,
+    LogUnavailable,
     /// The answer was lost and the log does not show the change yet.
     #[error(
         "nobody can say yet whether change {0} took effect: ask `show changes where id = \"{0}\"` before repeating it"
     )]
-    Unknown(ChangeId),
+    OutcomeUnknown(ChangeId),
     /// There is no such thing.
     #[error("{0}")]
     NotFound(String),
--- a/crates/daemon/src/app/event_loop.rs
+++ b/crates/daemon/src/app/event_loop.rs
@@ -27,13 +27,16 @@
     }
 
     /// Tells the loop something.
-    pub async fn tell(&self, event: AppEvent) {
+    pub async fn notify(&self, event: AppEvent) {
         // After the loop's end nobody is left to care.
         let _ = self.events.send(event).await;
     }
 
     /// Asks the loop; none once it has ended.
-    pub async fn ask<T>(&self, question: impl FnOnce(oneshot::Sender<T>) -> AppEvent) -> Option<T> {
+    pub async fn request<T>(
+        &self,
+        question: impl FnOnce(oneshot::Sender<T>) -> AppEvent,
+    ) -> Option<T> {
         let (sender, receiver) = oneshot::channel();
         self.events.send(question(sender)).await.ok()?;
         receiver.await.ok()
@@ -71,7 +74,7 @@
             AppEvent::Tick => self.tick(now),
             AppEvent::LogRead(batch) => self.log_read(batch, now),
             AppEvent::LogExpired(earliest) => self.log_expired(earliest),
-            AppEvent::LogOut(cause) => self.log_out(&cause),
+            AppEvent::LogUnavailable(cause) => self.log_out(&cause),
             AppEvent::Appended(tickets, outcome) => self.appended(&tickets, outcome, now),
             AppEvent::VmsListed(list) => self.vms_listed(&list, now),
             AppEvent::LinkUp(vm) => self.link_up(&vm),
@@ -85,10 +88,10 @@
             AppEvent::IssueToken(bearer, reply) => answer(reply, self.issue_token(&bearer)),
             AppEvent::Submit(request, buffer) => self.submit(*request, buffer),
             AppEvent::Route(request, reply) => answer(reply, self.route(&request)),
-            AppEvent::BeginRepeat(key, fingerprint, reply) => {
+            AppEvent::BeginIdempotent(key, fingerprint, reply) => {
                 answer(reply, self.begin_repeat(&key, fingerprint))
             }
-            AppEvent::EndRepeat(key, end) => self.end_repeat(&key, end),
+            AppEvent::EndIdempotent(key, end) => self.end_repeat(&key, end),
             AppEvent::ClaimKey(key, fingerprint, reply) => {
                 self.claim_key(key, fingerprint, reply, now)
             }
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -1,7 +1,7 @@
 //! Tokens and keys: who may run a request that must not run twice.
 
 use crate::{
-    app::{AdmitRefusal, AppState, ClaimAnswer, RepeatAnswer, UseEnd},
+    app::{AdmissionError, AppState, IdempotencyDecision, IdempotentOutcome, KeyClaimResult},
     platform::AppendOutcome,
 };
 use hoplanding_core::{
@@ -20,75 +20,79 @@
 const CLAIM_WITHIN: Duration = Duration::from_secs(10);
 
 impl AppState {
-    pub(super) fn issue_token(&mut self, bearer: &str) -> Result<IdempotencyToken, AdmitRefusal> {
+    pub(super) fn issue_token(&mut self, bearer: &str) -> Result<IdempotencyToken, AdmissionError> {
         if !bearer.is_empty() {
             self.caller_of(bearer)?;
         }
         Ok(self.repeats.issue())
     }
 
-    pub(super) fn begin_repeat(&mut self, key: &RepeatKey, fingerprint: u64) -> RepeatAnswer {
+    pub(super) fn begin_repeat(
+        &mut self,
+        key: &RepeatKey,
+        fingerprint: u64,
+    ) -> IdempotencyDecision {
         match self.repeats.begin(key, fingerprint) {
-            Ok(TokenDecision::Run) => RepeatAnswer::Run,
-            Ok(TokenDecision::Replay(answer)) => RepeatAnswer::Replay(answer),
+            Ok(TokenDecision::Run) => IdempotencyDecision::Run,
+            Ok(TokenDecision::Replay(answer)) => IdempotencyDecision::Replay(answer),
             Ok(TokenDecision::Join) => {
                 let (sender, receiver) = oneshot::channel();
                 self.joins.entry(key.clone()).or_default().push(sender);
-                RepeatAnswer::Join(receiver)
+                IdempotencyDecision::Join(receiver)
             }
             Ok(TokenDecision::Unknown) => {
-                RepeatAnswer::Unknown("its answer is no longer kept".to_owned())
+                IdempotencyDecision::Unknown("its answer is no longer kept".to_owned())
             }
             Err(TokenError::Elsewhere(issuer)) => self.forward_token(&issuer),
             Err(TokenError::HandedOver(heir)) => self.forward_to(
                 &heir,
                 "the daemon that took the token over can't be reached",
             ),
-            Err(TokenError::IssuerEnded) => {
-                RepeatAnswer::Unknown("the daemon that issued the token has ended".to_owned())
-            }
-            Err(error) => RepeatAnswer::Wrong(error),
+            Err(TokenError::IssuerEnded) => IdempotencyDecision::Unknown(
+                "the daemon that issued the token has ended".to_owned(),
+            ),
+            Err(error) => IdempotencyDecision::InvalidToken(error),
         }
     }
 
-    fn forward_token(&self, issuer: &DaemonRef) -> RepeatAnswer {
+    fn forward_token(&self, issuer: &DaemonRef) -> IdempotencyDecision {
         // A planned stop told everyone who took the tokens over.
         if let Some(heir) = self.token_heirs.get(issuer)
             && let Some(link) = self.links.get(heir).filter(|link| link.is_connected())
         {
-            return RepeatAnswer::Forward(link.clone());
+            return IdempotencyDecision::Forward(link.clone());
         }
         let peer = self.members.peer(issuer.vm.as_str());
         if peer.and_then(|peer| peer.incarnation) == Some(issuer.incarnation) {
             return self.forward_to(issuer, "the daemon that issued the token can't be reached");
         }
-        RepeatAnswer::Unknown(
+        IdempotencyDecision::Unknown(
             "the daemon that issued the token has ended or can't be reached".to_owned(),
         )
     }
 
-    fn forward_to(&self, daemon: &DaemonRef, otherwise: &str) -> RepeatAnswer {
+    fn forward_to(&self, daemon: &DaemonRef, otherwise: &str) -> IdempotencyDecision {
         match self
             .links
             .get(&daemon.vm)
             .filter(|link| link.is_connected())
         {
-            Some(link) => RepeatAnswer::Forward(link.clone()),
-            None => RepeatAnswer::Unknown(otherwise.to_owned()),
+            Some(link) => IdempotencyDecision::Forward(link.clone()),
+            None => IdempotencyDecision::Unknown(otherwise.to_owned()),
         }
     }
 
-    pub(super) fn end_repeat(&mut self, key: &RepeatKey, end: UseEnd) {
+    pub(super) fn end_repeat(&mut self, key: &RepeatKey, end: IdempotentOutcome) {
         let answer = match end {
-            UseEnd::NotRun => {
+            IdempotentOutcome::NotRun => {
                 self.repeats.release(key);
                 None
             }
-            UseEnd::Answered(answer) => {
+            IdempotentOutcome::Answered(answer) => {
                 self.repeats.finish(key, Some(answer.clone()));
                 Some(answer)
             }
-            UseEnd::Spent => {
+            IdempotentOutcome::AnswerLost => {
                 self.repeats.finish(key, None);
                 None
             }
@@ -103,7 +107,7 @@
         &mut self,
         key: KeyHash,
         fingerprint: u64,
-        reply: oneshot::Sender<ClaimAnswer>,
+        reply: oneshot::Sender<KeyClaimResult>,
         now: Instant,
     ) {
         if let Some(answer) = self.claim_answer(&key, fingerprint) {
@@ -111,7 +115,7 @@
             return;
         }
         if !self.feed.is_up {
-            let _ = reply.send(ClaimAnswer::NotClaimed);
+            let _ = reply.send(KeyClaimResult::NotClaimed);
             return;
         }
         let waiting = self.claims.entry(key).or_default();
@@ -121,12 +125,12 @@
         }
     }
 
-    fn claim_answer(&self, key: &KeyHash, fingerprint: u64) -> Option<ClaimAnswer> {
+    fn claim_answer(&self, key: &KeyHash, fingerprint: u64) -> Option<KeyClaimResult> {
         let answer = match self.folded.keys.outcome(key, &self.me)? {
-            ClaimOutcome::Won => ClaimAnswer::Won,
+            ClaimOutcome::Won => KeyClaimResult::Won,
             ClaimOutcome::Lost {
                 fingerprint: first, ..
-            } if first != fingerprint => ClaimAnswer::OtherRequest,
+            } if first != fingerprint => KeyClaimResult::KeyReused,
             ClaimOutcome::Lost { holder, .. } => {
                 let same_run = self
                     .members
@@ -137,8 +141,8 @@
                     .links
                     .get(&holder.vm)
                     .filter(|link| same_run && link.is_connected());
-                link.map_or(ClaimAnswer::Unknown(holder), |link| {
-                    ClaimAnswer::Forward(link.clone())
+                link.map_or(KeyClaimResult::HolderGone(holder), |link| {
+                    KeyClaimResult::Forward(link.clone())
                 })
             }
         };
@@ -157,7 +161,7 @@
             for (fingerprint, _, reply) in self.claims.remove(&key).into_iter().flatten() {
                 let answer = self
                     .claim_answer(&key, fingerprint)
-                    .unwrap_or(ClaimAnswer::NotClaimed);
+                    .unwrap_or(KeyClaimResult::NotClaimed);
                 let _ = reply.send(answer);
             }
         }
@@ -205,7 +209,7 @@
             return;
         }
         for (_, _, reply) in self.claims.drain().flat_map(|(_, waiting)| waiting) {
-            let _ = reply.send(ClaimAnswer::NotClaimed);
+            let _ = reply.send(KeyClaimResult::NotClaimed);
         }
     }
 }
--- a/crates/daemon/src/app/mod.rs
+++ b/crates/daemon/src/app/mod.rs
@@ -21,9 +21,9 @@
 mod tables;
 
 pub use event::{
-    Admission, AdmitRefusal, AdmitRequest, AdmitSubject, AppEvent, ClaimAnswer, OperatorAnswer,
-    OperatorError, OperatorRequest, OrderKind, OrderReport, RepeatAnswer, RouteAnswer,
-    RouteRequest, RouteVia, StopReport, StreamEnd, UseEnd,
+    Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppEvent, IdempotencyDecision,
+    IdempotentOutcome, KeyClaimResult, OperatorError, OperatorRequest, OperatorResponse, OrderKind,
+    OrderReport, RouteRequest, RouteVia, SelectedRoute, StopReport, StreamEnd,
 };
 pub use event_loop::{AppHandle, run_app};
 pub use state::{AppState, AppWorkers};
--- a/crates/daemon/src/app/queries.rs
+++ b/crates/daemon/src/app/queries.rs
@@ -1,7 +1,7 @@
 //! Queries, over the fleet where each daemon knows only its part.
 
 use crate::{
-    app::{AppState, OperatorAnswer, OperatorError, OperatorRequest},
+    app::{AppState, OperatorError, OperatorRequest, OperatorResponse},
     peers::PeerMessage,
 };
 use hoplanding_core::{
@@ -15,7 +15,7 @@
 /// Time for the other daemons to answer.
 const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
 
-type QueryReply = oneshot::Sender<Result<OperatorAnswer, OperatorError>>;
+type QueryReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
 /// A query that waits for other daemons.
 pub struct FleetQuery {
@@ -36,11 +36,11 @@
             Ok((_, Statement::ExplainAdapter(adapter))) => {
                 let _ = reply.send(
                     self.explain_adapter(&adapter, now)
-                        .map(OperatorAnswer::Table),
+                        .map(OperatorResponse::Table),
                 );
             }
             Ok((_, Statement::ExplainRequest(id))) => {
-                let _ = reply.send(self.explain_request(&id, now).map(OperatorAnswer::Table));
+                let _ = reply.send(self.explain_request(&id, now).map(OperatorResponse::Table));
             }
             Ok((operator, Statement::Commands(commands))) => {
                 self.start_change(&operator, &commands, reply, now)
@@ -60,7 +60,7 @@
         if let Statement::Commands(commands) = &statement {
             let needed = commands.required_role();
             if !role.includes(needed) {
-                return Err(OperatorError::Role {
+                return Err(OperatorError::InsufficientRole {
                     operator: operator.to_string(),
                     role: role.to_string(),
                     needed: needed.to_string(),
@@ -87,7 +87,7 @@
             let _ = reply.send(
                 table
                     .apply(&query)
-                    .map(OperatorAnswer::Table)
+                    .map(OperatorResponse::Table)
                     .map_err(OperatorError::from),
             );
             return;
@@ -156,7 +156,7 @@
             let answer = fleet
                 .table
                 .apply(&fleet.query)
-                .map(OperatorAnswer::Table)
+                .map(OperatorResponse::Table)
                 .map_err(OperatorError::from);
             let _ = fleet.reply.send(answer);
         }
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     app::{
-        AppEvent, ClaimAnswer, changes::PendingChange, held::HeldRuntime, log_feed::LogFeed,
+        AppEvent, KeyClaimResult, changes::PendingChange, held::HeldRuntime, log_feed::LogFeed,
         queries::FleetQuery, stopping::StopState,
     },
     calls::{CallFrame, CallTable},
@@ -31,7 +31,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// An answer that is kept for a repeated call.
-pub type KeptAnswer = Arc<Vec<CallFrame>>;
+pub type StoredAnswer = Arc<Vec<CallFrame>>;
 
 /// What the event loop hands work to.
 #[derive(Clone)]
@@ -72,9 +72,9 @@
     /// Current versions of the adapters that operators want kept loaded.
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
-    pub(super) repeats: TokenRegistry<KeptAnswer>,
-    pub(super) joins: HashMap<RepeatKey, Vec<oneshot::Sender<Option<KeptAnswer>>>>,
-    pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<ClaimAnswer>)>>,
+    pub(super) repeats: TokenRegistry<StoredAnswer>,
+    pub(super) joins: HashMap<RepeatKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
+    pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
     pub(super) claim_batch: Vec<KeyClaim>,
     pub(super) pending_changes: HashMap<ChangeId, PendingChange>,
     pub(super) tickets: HashMap<u64, Vec<ChangeId>>,
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -87,23 +87,23 @@
                     .values()
                     .map(|held| held.scheduler.running_len())
                     .sum::<usize>(),
-            targets_kept: self.held.len(),
+            remaining_targets: self.held.len(),
         };
         let alone = self.heir().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
         // Alone, or without the log, nothing can be handed over; what runs is finished all the same.
-        let handed_over = report.targets_kept == 0 || alone || !self.feed.is_up;
+        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_up;
         let finished = report.open_requests == 0 && self.workers.calls.is_empty();
         let tokens_safe = stop.tokens_taken || alone;
         if (finished && handed_over && tokens_safe) || passed >= bound {
-            if !finished || report.targets_kept > 0 {
+            if !finished || report.remaining_targets > 0 {
                 event!(
                     Event::StopBound,
                     "{} requests, {} targets",
                     report.open_requests,
-                    report.targets_kept
+                    report.remaining_targets
                 );
             }
             stop.is_over = true;
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -5,7 +5,8 @@
 
 use crate::{
     app::{
-        AppEvent, AppHandle, ClaimAnswer, RepeatAnswer, RouteAnswer, RouteRequest, RouteVia, UseEnd,
+        AppEvent, AppHandle, IdempotencyDecision, IdempotentOutcome, KeyClaimResult, RouteRequest,
+        RouteVia, SelectedRoute,
     },
     calls::{
         CallBuffer, CallEnd, CallFrame, CallId, CallWork, ExecuteRequest, PushError, RunMode,
@@ -148,18 +149,18 @@
                 let claimed = self
                     .context
                     .app
-                    .ask(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
+                    .request(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
                     .await;
                 match claimed {
-                    Some(ClaimAnswer::Won) => RepeatKey::Key(key),
-                    Some(ClaimAnswer::Forward(link)) => return self.forward(&link).await,
-                    Some(ClaimAnswer::Unknown(daemon)) => {
+                    Some(KeyClaimResult::Won) => RepeatKey::Key(key),
+                    Some(KeyClaimResult::Forward(link)) => return self.forward(&link).await,
+                    Some(KeyClaimResult::HolderGone(daemon)) => {
                         return CallEnd::Unknown(format!(
                             "{daemon}, which ran the request with this key, can't be reached"
                         ));
                     }
-                    Some(ClaimAnswer::OtherRequest) => return other_request(),
-                    Some(ClaimAnswer::NotClaimed) | None => {
+                    Some(KeyClaimResult::KeyReused) => return other_request(),
+                    Some(KeyClaimResult::NotClaimed) | None => {
                         return self.refuse(NotRunReason::KeyNotClaimed);
                     }
                 }
@@ -168,22 +169,22 @@
         let answer = self
             .context
             .app
-            .ask(|reply| AppEvent::BeginRepeat(key.clone(), fingerprint, reply))
+            .request(|reply| AppEvent::BeginIdempotent(key.clone(), fingerprint, reply))
             .await;
         match answer {
             None => self.refuse(NotRunReason::Stopping),
-            Some(RepeatAnswer::Run) => self.run_recorded(key).await,
-            Some(RepeatAnswer::Replay(frames)) => self.replay(&frames).await,
-            Some(RepeatAnswer::Join(answer)) => match answer.await {
+            Some(IdempotencyDecision::Run) => self.run_recorded(key).await,
+            Some(IdempotencyDecision::Replay(frames)) => self.replay(&frames).await,
+            Some(IdempotencyDecision::Join(answer)) => match answer.await {
                 Ok(Some(frames)) => self.replay(&frames).await,
                 _ => CallEnd::Unknown(
                     "the first call with this token ended without an answer that is kept"
                         .to_owned(),
                 ),
             },
-            Some(RepeatAnswer::Unknown(cause)) => CallEnd::Unknown(cause),
-            Some(RepeatAnswer::Forward(link)) => self.forward(&link).await,
-            Some(RepeatAnswer::Wrong(error)) => token_refusal(&error),
+            Some(IdempotencyDecision::Unknown(cause)) => CallEnd::Unknown(cause),
+            Some(IdempotencyDecision::Forward(link)) => self.forward(&link).await,
+            Some(IdempotencyDecision::InvalidToken(error)) => token_refusal(&error),
         }
     }
 
@@ -195,13 +196,13 @@
         self.kept = Some(Vec::new());
         let end = self.run_once().await;
         let use_end = match (&end, self.kept.take()) {
-            (CallEnd::NotRun(_), _) => UseEnd::NotRun,
-            (CallEnd::Complete, Some(frames)) => UseEnd::Answered(Arc::new(frames)),
-            _ => UseEnd::Spent,
+            (CallEnd::NotRun(_), _) => IdempotentOutcome::NotRun,
+            (CallEnd::Complete, Some(frames)) => IdempotentOutcome::Answered(Arc::new(frames)),
+            _ => IdempotentOutcome::AnswerLost,
         };
         self.context
             .app
-            .tell(AppEvent::EndRepeat(key, use_end))
+            .notify(AppEvent::EndIdempotent(key, use_end))
             .await;
         end
     }
@@ -371,7 +372,7 @@
         match self
             .context
             .app
-            .ask(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route, reply))
             .await
         {
             None => AttemptOutcome::GivenBack(call, NotRunReason::Stopping),
@@ -408,7 +409,7 @@
         match self
             .context
             .app
-            .ask(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route, reply))
             .await
         {
             Some(Ok(answer)) => match self.execute(RequestCall::new(self.id), answer, mode).await {
@@ -429,7 +430,7 @@
     async fn execute(
         &mut self,
         call: RequestCall<Unsent>,
-        answer: RouteAnswer,
+        answer: SelectedRoute,
         mode: RunMode,
     ) -> AttemptOutcome {
         let call_id = CallId {
@@ -450,7 +451,7 @@
                 let buffer = CallBuffer::new();
                 self.context
                     .app
-                    .tell(AppEvent::Execute(request, Arc::clone(&buffer)))
+                    .notify(AppEvent::Execute(request, Arc::clone(&buffer)))
                     .await;
                 CallReader::local(buffer)
             }
--- a/crates/daemon/src/gateway/errors.rs
+++ b/crates/daemon/src/gateway/errors.rs
@@ -1,6 +1,6 @@
 //! Errors as callers see them: OpenAI-shaped JSON whose code tells "not run" from "failed" from "outcome unknown".
 
-use crate::{app::AdmitRefusal, calls::CallEnd};
+use crate::{app::AdmissionError, calls::CallEnd};
 use hoplanding_core::{
     config::ResolveError,
     request::{NotRunReason, TokenError},
@@ -153,28 +153,27 @@
     }
 }
 
-impl From<AdmitRefusal> for CallerError {
-    fn from(refusal: AdmitRefusal) -> Self {
+impl From<AdmissionError> for CallerError {
+    fn from(refusal: AdmissionError) -> Self {
         let message = refusal.to_string();
         let (status, reason) = match &refusal {
-            AdmitRefusal::NotRun(reason) => return Self::not_run(reason),
-            AdmitRefusal::UnknownCaller => (StatusCode::UNAUTHORIZED, "unknown_caller"),
-            AdmitRefusal::Model(ResolveError::NoRight(..)) | AdmitRefusal::NoService(..) => {
-                (StatusCode::FORBIDDEN, "no_right")
-            }
-            AdmitRefusal::Model(ResolveError::UnknownAdapter(_)) => {
+            AdmissionError::NotRun(reason) => return Self::not_run(reason),
+            AdmissionError::UnknownCaller => (StatusCode::UNAUTHORIZED, "unknown_caller"),
+            AdmissionError::Model(ResolveError::NoRight(..))
+            | AdmissionError::NoServiceRight(..) => (StatusCode::FORBIDDEN, "no_right"),
+            AdmissionError::Model(ResolveError::UnknownAdapter(_)) => {
                 (StatusCode::NOT_FOUND, "unknown_adapter")
             }
-            AdmitRefusal::Model(ResolveError::UnknownVersion(..)) => {
+            AdmissionError::Model(ResolveError::UnknownVersion(..)) => {
                 (StatusCode::NOT_FOUND, "unknown_version")
             }
-            AdmitRefusal::Model(ResolveError::RetiredVersion(..)) => {
+            AdmissionError::Model(ResolveError::RetiredVersion(..)) => {
                 (StatusCode::NOT_FOUND, "retired_version")
             }
-            AdmitRefusal::Model(ResolveError::NoCurrentVersion(_)) => {
+            AdmissionError::Model(ResolveError::NoCurrentVersion(_)) => {
                 (StatusCode::NOT_FOUND, "no_current_version")
             }
-            AdmitRefusal::UnknownService(_) => (StatusCode::NOT_FOUND, "unknown_service"),
+            AdmissionError::UnknownService(_) => (StatusCode::NOT_FOUND, "unknown_service"),
         };
         Self::invalid(status, reason, message)
     }
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -1,7 +1,7 @@
 //! Routes and handlers of the callers' interface.
 
 use crate::{
-    app::{AdmitRequest, AdmitSubject, AppEvent, AppHandle},
+    app::{AdmissionRequest, AdmissionSubject, AppEvent, AppHandle},
     calls::{CallBuffer, CallWork, SubmitRequest},
     clock,
     gateway::{
@@ -55,7 +55,7 @@
         let buffer = CallBuffer::new();
         let reader = CallReader::local(Arc::clone(&buffer));
         self.app
-            .tell(AppEvent::Submit(Box::new(request), buffer))
+            .notify(AppEvent::Submit(Box::new(request), buffer))
             .await;
         (reader, open)
     }
@@ -70,7 +70,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let (app, caller) = (self.app.clone(), self.caller.clone());
-        tokio::spawn(async move { app.tell(AppEvent::RequestEnded(caller)).await });
+        tokio::spawn(async move { app.notify(AppEvent::RequestEnded(caller)).await });
     }
 }
 
@@ -105,7 +105,7 @@
 
 #[handler]
 async fn readyz(context: Data<&Arc<GatewayContext>>) -> Response {
-    match context.app.ask(AppEvent::IsReady).await {
+    match context.app.request(AppEvent::IsReady).await {
         Some(true) => "ready".into_response(),
         _ => "not ready"
             .with_status(StatusCode::SERVICE_UNAVAILABLE)
@@ -121,7 +121,7 @@
     let bearer = bearer(request);
     let answer = context
         .app
-        .ask(|reply| AppEvent::ListModels(bearer, reply))
+        .request(|reply| AppEvent::ListModels(bearer, reply))
         .await;
     let models = answer.ok_or_else(CallerError::ending)??;
     Ok(Json(models_body(&models)).into_response())
@@ -139,7 +139,7 @@
 async fn new_token(context: &GatewayContext, bearer: String) -> Result<String, CallerError> {
     let answer = context
         .app
-        .ask(|reply| AppEvent::IssueToken(bearer, reply))
+        .request(|reply| AppEvent::IssueToken(bearer, reply))
         .await;
     Ok(answer.ok_or_else(CallerError::ending)??.to_string())
 }
@@ -175,12 +175,15 @@
         Some(class) => Some(class),
         None => class_header(request)?,
     };
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer(request),
-        subject: AdmitSubject::Model(parsed.model.clone()),
+        subject: AdmissionSubject::Model(parsed.model.clone()),
         class,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     let admission = answer.ok_or_else(CallerError::ending)??;
     let is_streamed = parsed.stream;
     let work = parsed.into_work(admission.resolved.model, interface);
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services.
 
 use crate::{
-    app::{Admission, AdmitRequest, AdmitSubject, AppEvent},
+    app::{Admission, AdmissionRequest, AdmissionSubject, AppEvent},
     calls::{CallEnd, CallFrame, CallWork, ServiceWork, SubmitRequest},
     gateway::{
         CallerError, GatewayContext,
@@ -82,12 +82,15 @@
     method: &str,
     path: &str,
 ) -> Result<Admission, CallerError> {
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer(request),
-        subject: AdmitSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
+        subject: AdmissionSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
         class: class_header(request)?,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     Ok(answer.ok_or_else(CallerError::ending)??)
 }
 
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -147,17 +147,17 @@
 
     /// Whether it may serve.
     pub async fn is_ready(&self) -> bool {
-        self.app.ask(AppEvent::IsReady).await.unwrap_or(false)
+        self.app.request(AppEvent::IsReady).await.unwrap_or(false)
     }
 
     /// A planned stop: interrupts nothing and reports what was left at its bound.
     pub async fn stop(self) -> StopReport {
-        let report = self.app.ask(AppEvent::Stop).await.unwrap_or_default();
+        let report = self.app.request(AppEvent::Stop).await.unwrap_or_default();
         event!(
             Event::Stopped,
             "{} requests and {} targets left",
             report.open_requests,
-            report.targets_kept
+            report.remaining_targets
         );
         report
     }
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' interface: one text in, a table or a change out.
 
 use crate::{
-    app::{AppEvent, OperatorAnswer, OperatorError, OperatorRequest},
+    app::{AppEvent, OperatorError, OperatorRequest, OperatorResponse},
     gateway::GatewayContext,
 };
 use poem::{
@@ -30,7 +30,7 @@
     };
     match context
         .app
-        .ask(|reply| AppEvent::Operator(question, reply))
+        .request(|reply| AppEvent::Operator(question, reply))
         .await
     {
         None => refuse(
@@ -39,8 +39,8 @@
             "the daemon is stopping: ask another one",
         ),
         Some(Err(error)) => refuse(status_of(&error), tag_of(&error), &error.to_string()),
-        Some(Ok(OperatorAnswer::Table(table))) => Json(json!({ "table": table })).into_response(),
-        Some(Ok(OperatorAnswer::Accepted(id, offset))) => {
+        Some(Ok(OperatorResponse::Table(table))) => Json(json!({ "table": table })).into_response(),
+        Some(Ok(OperatorResponse::Accepted(id, offset))) => {
             Json(json!({ "accepted": { "id": id, "offset": offset } })).into_response()
         }
     }
@@ -55,11 +55,11 @@
 fn status_of(error: &OperatorError) -> StatusCode {
     match error {
         OperatorError::UnknownOperator => StatusCode::UNAUTHORIZED,
-        OperatorError::Role { .. } => StatusCode::FORBIDDEN,
+        OperatorError::InsufficientRole { .. } => StatusCode::FORBIDDEN,
         OperatorError::Parse(_) | OperatorError::Query(_) => StatusCode::BAD_REQUEST,
         OperatorError::Conflict(..) => StatusCode::CONFLICT,
-        OperatorError::LogOut => StatusCode::SERVICE_UNAVAILABLE,
-        OperatorError::Unknown(_) => StatusCode::GATEWAY_TIMEOUT,
+        OperatorError::LogUnavailable => StatusCode::SERVICE_UNAVAILABLE,
+        OperatorError::OutcomeUnknown(_) => StatusCode::GATEWAY_TIMEOUT,
         OperatorError::NotFound(_) => StatusCode::NOT_FOUND,
     }
 }
@@ -67,12 +67,12 @@
 fn tag_of(error: &OperatorError) -> &'static str {
     match error {
         OperatorError::UnknownOperator => "unknown_operator",
-        OperatorError::Role { .. } => "role",
+        OperatorError::InsufficientRole { .. } => "role",
         OperatorError::Parse(_) => "parse",
         OperatorError::Query(_) => "query",
         OperatorError::Conflict(..) => "conflict",
-        OperatorError::LogOut => "log_out",
-        OperatorError::Unknown(_) => "outcome_unknown",
+        OperatorError::LogUnavailable => "log_out",
+        OperatorError::OutcomeUnknown(_) => "outcome_unknown",
         OperatorError::NotFound(_) => "not_found",
     }
 }
--- a/crates/daemon/src/platform/reader.rs
+++ b/crates/daemon/src/platform/reader.rs
@@ -47,7 +47,7 @@
             Err(ReadError::Out(cause)) => {
                 wait = Duration::ZERO;
                 tokio::time::sleep(RETRY_AFTER).await;
-                AppEvent::LogOut(cause)
+                AppEvent::LogUnavailable(cause)
             }
         };
         if events.send(event).await.is_err() {
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -457,7 +457,7 @@
     }
     sleep(Duration::from_millis(500)).await;
     let report = site.stop_daemon("a2").await.expect("the daemon ran");
-    assert_eq!((report.open_requests, report.targets_kept), (0, 0));
+    assert_eq!((report.open_requests, report.remaining_targets), (0, 0));
     while let Some(ended) = streams.join_next().await {
         let (model, result) = ended.expect("no task panics");
         let told_to_go_elsewhere = result.error.as_deref() == Some("not_run");
