--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -43,7 +43,7 @@
         {
             return Err(NotRunReason::Stopping.into());
         }
-        if self.open_requests >= self.settings.limits.open_requests {
+        if self.open_requests >= self.settings.limits.max_open_requests {
             return Err(NotRunReason::Overloaded {
                 retry_after_ms: OVERLOADED_MS,
             }
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -268,7 +268,7 @@
             return;
         }
         self.last.second = now;
-        self.workers.calls.sweep(REATTACH_WITHIN);
+        self.workers.calls.remove_expired(REATTACH_WITHIN);
         self.refuse_overdue(now);
         let targets: Vec<_> = self.held.keys().cloned().collect();
         for target in &targets {
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -47,7 +47,7 @@
     pub(super) fn log_read(&mut self, batch: LogBatch, now: Instant) {
         if !self.feed.is_up {
             self.feed.is_up = true;
-            event!(Event::LogBack, "at offset {}", self.folded.applied);
+            event!(Event::LogReachable, "at offset {}", self.folded.applied);
         }
         self.feed.read_at = Some(now);
         let count = batch.records.len();
@@ -172,7 +172,7 @@
     pub(super) fn log_out(&mut self, cause: &str) {
         if self.feed.is_up {
             self.feed.is_up = false;
-            event!(Event::LogOut, "{cause}");
+            event!(Event::LogUnreachable, "{cause}");
         }
         if !self.feed.is_caught_up {
             self.ask_for_snapshots();
@@ -214,7 +214,7 @@
     pub(super) fn tick_snapshot(&mut self, now: Instant) {
         let grown =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
-        if grown < self.settings.snapshot_every || !self.feed.is_up || self.has_gap() {
+        if grown < self.settings.snapshot_record_interval || !self.feed.is_up || self.has_gap() {
             self.feed.snapshot_due_since = None;
             return;
         }
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -100,7 +100,7 @@
     pub(super) fn tick_membership(&mut self, now: Instant) {
         for transition in self.members.tick(now) {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 transition.vm,
                 transition.from,
@@ -121,7 +121,11 @@
             .iter()
             .filter(|(_, peer)| peer.zone == self.zone)
             .count() as u32;
-        let pause = self.settings.membership.heartbeat.max(PAUSE_A_PEER * near);
+        let pause = self
+            .settings
+            .membership
+            .heartbeat_interval
+            .max(PAUSE_A_PEER * near);
         let passed = now.since(self.last.heartbeat);
         let revision = self.digest_revision();
         let eager = revision != self.last.digest_revision && passed >= EAGER_PAUSE;
@@ -209,7 +213,7 @@
             && before != after
         {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 heartbeat.daemon,
                 before.0,
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -119,7 +119,7 @@
         if self.arbiter.may_start(
             &self.me.vm,
             &notice,
-            self.settings.limits.loads_at_once,
+            self.settings.limits.max_concurrent_loads,
             now,
         ) {
             self.start_load(bid, now);
@@ -304,7 +304,7 @@
         tokio::spawn(async move {
             let began = std::time::Instant::now();
             let result = match &kind {
-                OrderKind::Present => client.present(token).await.map(|boot| (boot, None)),
+                OrderKind::Present => client.present_token(token).await.map(|boot| (boot, None)),
                 OrderKind::Load(model) => client.load(model, token).await.map(|boot| (boot, None)),
                 OrderKind::Unload(model) => {
                     client.unload(model, token).await.map(|boot| (boot, None))
@@ -445,7 +445,7 @@
     }
 
     fn order_in_doubt(&mut self, target: &TargetName, cause: &str, now: Instant) {
-        event!(Event::OrderUnknown, "{target}: {cause}");
+        event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
         let until = now.after(self.settings.membership.times.delivery_bound);
         let Some(pending) = self
             .held
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -88,12 +88,12 @@
         let Some(config) = self.folded.config.targets.get(target) else {
             return;
         };
-        event!(Event::TargetTaken, "{target} with token {}", token.0);
+        event!(Event::TargetTakenOver, "{target} with token {}", token.0);
         match self.held.get_mut(target) {
             // It was this daemon's before, and something of that time may still run: all of it stays on the books.
             Some(held) => held.take_again(token),
             None => {
-                let waiting_most = self.settings.limits.waiting_per_target;
+                let waiting_most = self.settings.limits.max_waiting_per_target;
                 let runtime =
                     HeldRuntime::new(target, token, config, waiting_most, &self.workers.http, now);
                 self.held.insert(target.clone(), runtime);
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -122,7 +122,7 @@
                 &seed.peer_address.to_string(),
             );
         }
-        let repeats = TokenRegistry::new(me.clone(), settings.limits.kept_answers);
+        let repeats = TokenRegistry::new(me.clone(), settings.limits.max_kept_answers);
         let mut state = Self {
             settings,
             me,
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn tick_stop(&mut self, now: Instant) {
-        let (grace, bound) = (self.settings.stop.grace, self.settings.stop.bound);
+        let (grace, bound) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
         let Some(stop) = &mut self.stopping else {
             return;
         };
@@ -100,7 +100,7 @@
         if (finished && handed_over && tokens_safe) || passed >= bound {
             if !finished || report.targets_kept > 0 {
                 event!(
-                    Event::StopBound,
+                    Event::StopTimedOut,
                     "{} requests, {} targets",
                     report.open_requests,
                     report.targets_kept
--- a/crates/daemon/src/calls/buffer.rs
+++ b/crates/daemon/src/calls/buffer.rs
@@ -217,7 +217,7 @@
     }
 
     /// Drops what was taken, and what nobody came back for within `kept_for`.
-    pub fn sweep(&self, kept_for: Duration) {
+    pub fn remove_expired(&self, kept_for: Duration) {
         let now = clock::now();
         self.lock().retain(|_, buffer| {
             let over = buffer.is_over(now, kept_for);
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -37,13 +37,13 @@
 }
 
 /// Moves [`now`] ahead as a suspension of the VM does: the runtime's timers stay behind.
-pub fn skip(span: Duration) {
+pub fn simulate_suspension(span: Duration) {
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX >> 1);
     SKIPPED.fetch_add(micros, Ordering::Relaxed);
 }
 
 /// By how much the times of day of two VMs may differ.
-pub const CLOCK_ERROR: Duration = Duration::from_secs(15);
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(15);
 
 /// Wall-clock time in milliseconds since 1970; for people, and for spans that are long beside [`CLOCK_ERROR`].
 #[must_use]
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -416,9 +416,9 @@
         };
         fleet.metrics.count_repeat(is_allowed);
         let decided = if is_allowed {
-            Event::RepeatAllowed
+            Event::RetryAllowed
         } else {
-            Event::RepeatDenied
+            Event::RetryDenied
         };
         event!(decided, request = self.head.id; "of {service}, {} repeats of {:.1} for {} requests, {:?} after the start",
             standing.retries,
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -166,7 +166,7 @@
         let (connection, response) = match sent {
             Ok(answered) => answered,
             Err(SendError::NotSent { target, cause, .. }) => {
-                event!(Event::TargetUnreached, request = self.head.id; "at {target}: {cause}"
+                event!(Event::TargetConnectFailed, request = self.head.id; "at {target}: {cause}"
                 );
                 end(placed_call, in_flight, CallEnd::Unreached);
                 self.unreached += 1;
@@ -174,7 +174,7 @@
                 return SendOutcome::NotSent;
             }
             Err(SendError::Unanswered { target, cause }) => {
-                event!(Event::AnswerMissing, request = self.head.id; "at {target}: {cause}"
+                event!(Event::NoAnswer, request = self.head.id; "at {target}: {cause}"
                 );
                 self.probe_after_failure(entry, in_flight.is_trial()).await;
                 end(placed_call, in_flight, CallEnd::Failed);
@@ -225,7 +225,7 @@
                 SendOutcome::Failure(open(placed_call, in_flight))
             }
             AnswerKind::Misdirected | AnswerKind::NotRun => {
-                event!(Event::TurnedAway, request = self.head.id; "at {}: {kind:?} {} for {} version {version:?}",
+                event!(Event::RequestTurnedAway, request = self.head.id; "at {}: {kind:?} {} for {} version {version:?}",
                     entry.name,
                     parts.status,
                     self.subject()
@@ -247,7 +247,7 @@
                 SendOutcome::NotRun
             }
             AnswerKind::Foreign => {
-                event!(Event::AnswerForeign, request = self.head.id; "at {}: status {}",
+                event!(Event::MismatchedAnswer, request = self.head.id; "at {}: status {}",
                     entry.name,
                     parts.status
                 );
--- a/crates/daemon/src/direct/call/target_probe.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -76,7 +76,7 @@
         }
         let is_taken_for_ended = verdict == LookVerdict::Unknown && is_trial;
         if verdict != LookVerdict::Ended {
-            event!(Event::EndNotShown, request = self.head.id; "at {}, request {:016x}: {verdict:?}, trial {is_trial}", entry.name, self.fingerprint.0
+            event!(Event::TargetEndUnconfirmed, request = self.head.id; "at {}, request {:016x}: {verdict:?}, trial {is_trial}", entry.name, self.fingerprint.0
             );
             if !is_taken_for_ended {
                 return;
@@ -86,7 +86,7 @@
             fingerprint: self.fingerprint,
             run: entry.run(),
         };
-        event!(Event::TargetEndedUnder, request = self.head.id; "at {}, request {:016x}", entry.name, self.fingerprint.0
+        event!(Event::TargetEndedDuringRequest, request = self.head.id; "at {}, request {:016x}", entry.name, self.fingerprint.0
         );
         if self.context.fleet.note_ended_under(&ended) {
             self.context.holder_client.tell_ended_under(&ended);
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -1,7 +1,7 @@
 //! Claims of the lease of this VM's zone.
 
 use crate::{
-    clock::{self, CLOCK_ERROR},
+    clock::{self, MAX_CLOCK_SKEW},
     direct::{
         caller_connections::StopPhase,
         fleet::{FleetState, FleetTables, zone_key},
@@ -132,7 +132,7 @@
         }
         drop(tables);
         if let (LeaseAction::RequestTransfer, Some(lease)) = (step, &lease) {
-            event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
+            event!(Event::LeaseRequested, "{} at {position}", self.fleet.zone);
             self.holder_client
                 .request_lease(&self.fleet.zone, lease, position);
         }
@@ -251,7 +251,7 @@
 fn waited(lease: &ZoneLease) -> Option<Duration> {
     let since_ms = lease.waits_since_ms?;
     let age = Duration::from_millis(clock::wall_ms().saturating_sub(since_ms));
-    Some(age.saturating_sub(CLOCK_ERROR))
+    Some(age.saturating_sub(MAX_CLOCK_SKEW))
 }
 
 /// Since when this VM waits before its first order in its zone, if it has not come to that.
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -20,7 +20,7 @@
     },
     event,
     events::Event,
-    logging::report_dropped,
+    logging::report_dropped_lines,
 };
 use rand::Rng;
 use std::{
@@ -279,6 +279,6 @@
         sleep(SWEEP_EVERY).await;
         pool.close_expired();
         fleet.expire();
-        dropped = report_dropped(dropped);
+        dropped = report_dropped_lines(dropped);
     }
 }
--- a/crates/daemon/src/direct/engine_client.rs
+++ b/crates/daemon/src/direct/engine_client.rs
@@ -39,7 +39,7 @@
     };
     let is_fine = matches!(outcome, OrderOutcome::Done | OrderOutcome::Begun);
     let event = if is_fine {
-        Event::OrderGiven
+        Event::OrderAccepted
     } else {
         Event::OrderFailed
     };
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -5,7 +5,7 @@
 //! leave. Everything else is listed anew. VMs tell each other of the era with every position that they pass on.
 
 use crate::{
-    clock::{self, CLOCK_ERROR},
+    clock::{self, MAX_CLOCK_SKEW},
     direct::{
         fleet::{FleetState, FleetTables},
         message::FeedTopic,
@@ -43,7 +43,7 @@
     /// Whether operators have had the time to write again what the copy lacked.
     fn is_settled(&self, rule: RewriteRule) -> bool {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(self.seen_ms));
-        age >= rule.rewrite_time + CLOCK_ERROR
+        age >= rule.rewrite_time + MAX_CLOCK_SKEW
     }
 }
 
@@ -83,7 +83,7 @@
         let known = self.tables().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
-            event!(Event::HistoryOver, "era {era}, known {known:?}");
+            event!(Event::StaleHistoryAnswer, "era {era}, known {known:?}");
         }
         is_newest
     }
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -113,7 +113,7 @@
         self.awaits_first = false;
         let version = open.notice.version;
         if let Some(source) = self.call.fetch_source {
-            event!(Event::MemoryUsed, request = self.call.head.id; "at {} with parts from {source}, by version {version:?}",
+            event!(Event::KvFetchUsed, request = self.call.head.id; "at {} with parts from {source}, by version {version:?}",
                 open.connection.target()
             );
         }
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -343,7 +343,7 @@
         }
         self.fleet.ask_others();
         if self.failures == 0 {
-            event!(Event::LogOut, "{:?}: {error}", self.topic);
+            event!(Event::LogUnreachable, "{:?}: {error}", self.topic);
         }
         self.failures += 1;
     }
@@ -356,7 +356,7 @@
         }
         if self.failures > 0 {
             self.failures = 0;
-            event!(Event::LogBack, "{:?}", self.topic);
+            event!(Event::LogReachable, "{:?}", self.topic);
             self.reachability.note_back();
         }
     }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -107,7 +107,7 @@
             }
             Ok(entry) if is_gone_since(tables, record, &entry, source) => {
                 event!(
-                    Event::EntryOutlived,
+                    Event::StaleEntry,
                     "{name} at position {}, removed in an earlier era",
                     record.position
                 );
@@ -122,7 +122,7 @@
     };
     if tables.catalog.is_removal_pending(&name) {
         event!(
-            Event::RemovalDoubted,
+            Event::RemovalUncertain,
             "{name} at position {}, {source:?}",
             record.position
         );
@@ -130,7 +130,7 @@
     }
     if was_ready && !is_ready(&tables.catalog, &name) {
         event!(
-            Event::TargetLeft,
+            Event::TargetClosed,
             "{name} at position {}, {source:?}",
             record.position
         );
@@ -171,16 +171,12 @@
     let name = entry.name.clone();
     let known = tables.catalog.life(&name);
     if entry.life < known {
-        event!(
-            Event::EntryOutlived,
-            "{name} at position {}",
-            record.position
-        );
+        event!(Event::StaleEntry, "{name} at position {}", record.position);
         return None;
     }
     if entry.life > known && tables.catalog.get(&name).is_some() {
         event!(
-            Event::TargetReborn,
+            Event::TargetReplaced,
             "{name} at position {}",
             record.position
         );
@@ -205,14 +201,14 @@
     if let Some(untold) = tables.skipped_entries.note(now) {
         let key: String = record.key.escape_debug().take(SHOWN_CHARS).collect();
         event!(
-            Event::EntryUnusable,
+            Event::InvalidEntry,
             "{key} at position {}: {error}; {untold} more before it",
             record.position
         );
     }
     if is_change {
         event!(
-            Event::TargetLeft,
+            Event::TargetClosed,
             "{name} at position {}, as its entry can't be used",
             record.position
         );
@@ -369,7 +365,7 @@
         return FoldedRecord::Outlived;
     }
     event!(
-        Event::LeaseSeen,
+        Event::LeaseRecorded,
         "{zone}: {} at {}",
         state.holder().map_or("nobody", VmName::as_str),
         state.position
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -84,7 +84,7 @@
             let mut tables = self.tables();
             if !tables.known_ends.contains_key(&topic) {
                 event!(
-                    Event::TopicKnown,
+                    Event::TopicLoaded,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
                     tables.records.size_bytes(topic),
                     self.age()
@@ -194,7 +194,7 @@
     /// Keeps removals that count now as news for others.
     fn pass_removals(&self, tables: &mut FleetTables, gone: Vec<ConfirmedRemoval>, why: &str) {
         for (name, position) in gone {
-            event!(Event::TargetLeft, "{name} at position {position}, {why}");
+            event!(Event::TargetClosed, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
             tables
                 .records
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -345,7 +345,7 @@
             format!("base {base}, adapter {adapter}")
         };
         event!(
-            Event::MemoryMoved,
+            Event::KvFetchOffered,
             "{}#{}: {} from {} ({}) to {} ({}), named {:?}, told {told}",
             moved.key.vm,
             moved.key.number,
@@ -388,7 +388,7 @@
         self.memory.set(signed(resident_bytes()));
         let mut page = String::new();
         if let Err(error) = encode(&mut page, &self.registry) {
-            event!(Event::MetricsFailed, "{error}");
+            event!(Event::MetricsWriteFailed, "{error}");
         }
         page
     }
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -64,7 +64,7 @@
         for fault in &decoded.faults {
             if let Some(untold) = self.tables().unreadable_headers.note(now) {
                 event!(
-                    Event::NoticeUnreadable,
+                    Event::InvalidNotice,
                     "{}: {fault}; {untold} more before it",
                     run.name
                 );
@@ -77,7 +77,7 @@
         if let Some(rest) = notice.backoff {
             let kept = self.tables().rests.record(run, rest, now);
             event!(
-                Event::RestAsked,
+                Event::BackoffRequested,
                 "{} for {rest:?}, kept for {kept:?}",
                 run.name
             );
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -65,7 +65,7 @@
                     sleep(RECORD_AGAIN).await;
                 }
                 if let Err(error) = self.append(&mut client, &key, &value).await {
-                    event!(Event::RecordFailed, "{key}: {error}");
+                    event!(Event::VmRecordFailed, "{key}: {error}");
                     sleep(RECORD_AGAIN).await;
                 }
                 written = Some(key);
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -8,7 +8,7 @@
     event,
     events::Event,
     logging::set_level,
-    options::{SettingsError, read_text},
+    options::{SettingsError, read_settings_file},
 };
 use std::time::Duration;
 use tokio::{
@@ -34,7 +34,7 @@
     pub fn open(path: &str) -> Result<Self, SettingsError> {
         Ok(Self {
             path: path.to_owned(),
-            text: read_text(path)?,
+            text: read_settings_file(path)?,
         })
     }
 
@@ -49,7 +49,7 @@
     /// # Errors
     /// When it can't be read, or the settings are wrong; the same text is not complained about twice.
     pub fn read_changes(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
-        let text = read_text(&self.path)?;
+        let text = read_settings_file(&self.path)?;
         if text == self.text {
             return Ok(None);
         }
@@ -65,13 +65,13 @@
         look.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = hang_up.recv() => event!(Event::HangUp),
+                _ = hang_up.recv() => event!(Event::HangupReceived),
                 _ = look.tick() => {}
             }
             match file.read_changes() {
                 Ok(Some(settings)) => self.apply_settings(&settings),
                 Ok(None) => {}
-                Err(error) => event!(Event::SettingsKept, "{error}"),
+                Err(error) => event!(Event::ReloadRejected, "{error}"),
             }
         }
     }
@@ -87,10 +87,10 @@
         set_level("info");
         let waiting = self.settings().keys_needing_restart(settings);
         if waiting.is_empty() {
-            event!(Event::SettingsChanged, "all of it");
+            event!(Event::SettingsReloaded, "all of it");
         } else {
             event!(
-                Event::SettingsChanged,
+                Event::SettingsReloaded,
                 "but for {}: restart the daemon for these",
                 waiting.join(", ")
             );
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -1,6 +1,8 @@
 //! The settings of the direct mode.
 
-use crate::options::{LogSettings, SectionReader, SettingsError, parse_settings, read_log};
+use crate::options::{
+    LogSettings, SectionReader, SettingsError, parse_settings, read_log_settings,
+};
 use hoplanding_core::{
     direct::{
         freshness::RevocationRule, lease::LeaseTimeouts, policy::PlacementPolicy,
@@ -98,7 +100,7 @@
 }
 
 fn read_settings(root: &SectionReader<'_>) -> DirectSettings {
-    root.word("mode", "direct", &["direct"]);
+    root.choice("mode", "direct", &["direct"]);
     DirectSettings {
         vm: VmName::new(&root.text("vm", "write the name of this VM")),
         zone: AvailabilityZone::new(&root.text("zone", "write the name of its availability zone")),
@@ -109,21 +111,21 @@
         metrics_address: root.optional_address("metrics_address"),
         platform_address: root.address("platform_address"),
         zones: root
-            .texts("zones", "write the names of all availability zones")
+            .text_list("zones", "write the names of all availability zones")
             .iter()
             .map(|zone| AvailabilityZone::new(zone))
             .collect(),
-        is_first_start: root.flag("first_start"),
+        is_first_start: root.boolean("first_start"),
         retries: root.section("retries", read_retries),
         revocation: root.section("revocation", read_revocation),
         recovery: root.section("recovery", read_recovery),
         quotas: root.section("quotas", read_quotas),
         trials: root.section("trials", read_trials),
         leases: root.section("leases", read_leases),
-        has_order_fencing: root.flag("orders_fenced"),
+        has_order_fencing: root.boolean("orders_fenced"),
         policy: root.section("policy", read_policy),
         timing: root.section("pace", read_timing),
-        log: root.section("log", read_log),
+        log: root.section("log", read_log_settings),
     }
 }
 
@@ -136,8 +138,10 @@
 }
 
 fn read_revocation(section: &SectionReader<'_>) -> Option<RevocationRule> {
-    let bound = section.span("bound_ms", 5000, 500, 86_400_000);
-    section.flag("strict").then_some(RevocationRule { bound })
+    let bound = section.fractional_millis("bound_ms", 5000, 500, 86_400_000);
+    section
+        .boolean("strict")
+        .then_some(RevocationRule { bound })
 }
 
 fn read_recovery(section: &SectionReader<'_>) -> RewriteRule {
@@ -157,16 +161,16 @@
 
 fn read_trials(section: &SectionReader<'_>) -> TrialRule {
     TrialRule {
-        pause: section.span("pause_ms", 30_000, 0, 86_400_000),
-        long_pause: section.span("long_pause_ms", 3_600_000, 0, 86_400_000),
+        pause: section.fractional_millis("pause_ms", 30_000, 0, 86_400_000),
+        long_pause: section.fractional_millis("long_pause_ms", 3_600_000, 0, 86_400_000),
     }
 }
 
 fn read_leases(section: &SectionReader<'_>) -> LeaseTimeouts {
     LeaseTimeouts {
-        holder_timeout: section.span("silence_ms", 1500, 100, 60_000),
-        stagger: section.span("stagger_ms", 120, 0, 10_000),
-        handover_delay: section.span("turn_ms", 3000, 0, 600_000),
+        holder_timeout: section.fractional_millis("silence_ms", 1500, 100, 60_000),
+        stagger: section.fractional_millis("stagger_ms", 120, 0, 10_000),
+        handover_delay: section.fractional_millis("turn_ms", 3000, 0, 600_000),
     }
 }
 
@@ -176,7 +180,7 @@
     let part = |name, value| section.fraction(name, value, 0.0, 100.0);
     let span = |name, value: Duration| {
         let known = u64::try_from(value.as_millis()).unwrap_or(u64::MAX);
-        section.span(name, known, 0, 600_000)
+        section.fractional_millis(name, known, 0, 600_000)
     };
     let count = |name, value: usize| section.number(name, value as u64, 0, 100_000) as usize;
     let [urgent, normal, batch] = known.max_wait_factors;
@@ -208,13 +212,13 @@
 
 fn read_timing(section: &SectionReader<'_>) -> TimingSettings {
     TimingSettings {
-        list_interval: section.span("list_every_ms", 1000, 10, 60_000),
-        min_config_interval: section.span("config_every_ms", 200, 0, 60_000),
+        list_interval: section.fractional_millis("list_every_ms", 1000, 10, 60_000),
+        min_config_interval: section.fractional_millis("config_every_ms", 200, 0, 60_000),
         max_config_wait: section
-            .span("config_bound_ms", 2000, 0, 86_400_000)
+            .fractional_millis("config_bound_ms", 2000, 0, 86_400_000)
             .saturating_sub(CONFIG_MARGIN),
-        platform_timeout: section.span("platform_timeout_ms", 900, 10, 60_000),
-        drain_delay: section.span("stop_notice_ms", 2500, 0, 60_000),
-        stop_timeout: section.span("stop_bound_ms", 7700, 100, 3_600_000),
+        platform_timeout: section.fractional_millis("platform_timeout_ms", 900, 10, 60_000),
+        drain_delay: section.fractional_millis("stop_notice_ms", 2500, 0, 60_000),
+        stop_timeout: section.fractional_millis("stop_bound_ms", 7700, 100, 3_600_000),
     }
 }
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -225,7 +225,7 @@
         };
         if timeout(RECORD_WITHIN, written).await.is_err() {
             event!(
-                Event::RecordLate,
+                Event::EndRecordLate,
                 "{}, {RECORD_WITHIN:?}",
                 suspect_key(fingerprint)
             );
@@ -259,7 +259,11 @@
             self.is_failing.store(written.is_err(), Ordering::Relaxed);
             let waiting = mem::take(&mut self.waiting);
             if let Err(error) = written {
-                event!(Event::RecordFailed, "{} suspects: {error}", self.due.len());
+                event!(
+                    Event::VmRecordFailed,
+                    "{} suspects: {error}",
+                    self.due.len()
+                );
                 drop(waiting);
                 sleep(RECORD_AGAIN).await;
             } else if self.due.is_empty() {
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -132,7 +132,7 @@
         if summary.differs_notably(&self.told_loads) {
             self.told_loads = summary;
             event!(
-                Event::LoadsLimited,
+                Event::LoadLimitChanged,
                 "to {} at once, {:?} each, {:?} without a crowd",
                 summary.limit,
                 summary.expected_time,
@@ -305,7 +305,7 @@
             }
             ZoneEvent::OrderEnded(target, life, outcome) => {
                 if !held.planner.is_current_life(&target, life) {
-                    event!(Event::OrderOutlived, "{target}: {outcome:?}");
+                    event!(Event::StaleOrderAnswer, "{target}: {outcome:?}");
                 } else if outcome == OrderOutcome::Fenced {
                     event!(Event::LeaseFenced, "{target} has orders of a newer holder");
                     self.refused = Some(held.token);
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/events.rs
@@ -45,23 +45,23 @@
     /// The daemon ended.
     Stopped = 103, Info, "daemon ended";
     /// A planned stop ran into its bound.
-    StopBound = 104, Warn, "planned stop reached its bound with work left";
+    StopTimedOut = 104, Warn, "planned stop reached its bound with work left";
     /// The settings are wrong.
-    SettingsWrong = 105, Error, "settings refused";
+    SettingsInvalid = 105, Error, "settings refused";
     /// A hang-up signal came.
-    HangUp = 106, Info, "hang-up signal";
+    HangupReceived = 106, Info, "hang-up signal";
     /// Changed settings are in force.
-    SettingsChanged = 109, Info, "changed settings taken over";
+    SettingsReloaded = 109, Info, "changed settings taken over";
     /// Changed settings are wrong, and the ones before stay in force.
-    SettingsKept = 110, Error, "changed settings refused, the old ones stay";
+    ReloadRejected = 110, Error, "changed settings refused, the old ones stay";
     /// Log lines were dropped.
-    LinesDropped = 107, Warn, "log lines dropped";
+    LogLinesDropped = 107, Warn, "log lines dropped";
     /// The metrics page could not be written.
-    MetricsFailed = 108, Warn, "metrics page not written";
+    MetricsWriteFailed = 108, Warn, "metrics page not written";
     /// The log can't be reached.
-    LogOut = 200, Warn, "platform log out of reach";
+    LogUnreachable = 200, Warn, "platform log out of reach";
     /// The log can be reached again.
-    LogBack = 201, Info, "platform log back";
+    LogReachable = 201, Info, "platform log back";
     /// Records expired before they were read.
     LogExpired = 202, Warn, "log records expired before they were read";
     /// A snapshot was taken over.
@@ -71,21 +71,21 @@
     /// A record can't be decoded.
     RecordSkipped = 205, Error, "log record passed over";
     /// An append's answer was lost.
-    AppendUnknown = 206, Warn, "answer to an append lost";
+    AppendOutcomeUnknown = 206, Warn, "answer to an append lost";
     /// A change is in force.
     ChangeAccepted = 300, Info, "configuration change accepted";
     /// A change was refused.
     ChangeRefused = 301, Warn, "configuration change refused";
     /// The belief about a peer changed.
-    PeerState = 400, Info, "peer state changed";
+    PeerStateChanged = 400, Info, "peer state changed";
     /// A peer's link broke.
     LinkBroken = 401, Warn, "peer link broken";
     /// A peer's link is up.
     LinkUp = 402, Info, "peer link up";
     /// A peer was refused.
-    PeerRefused = 403, Warn, "peer refused";
+    PeerRejected = 403, Warn, "peer refused";
     /// A target was taken over.
-    TargetTaken = 500, Info, "target taken over";
+    TargetTakenOver = 500, Info, "target taken over";
     /// A target was lost to another holder.
     TargetLost = 501, Info, "target lost to another holder";
     /// A target is served.
@@ -105,7 +105,7 @@
     /// A load failed.
     LoadFailed = 509, Warn, "adapter load failed";
     /// An order's answer was lost.
-    OrderUnknown = 510, Warn, "answer to an order lost";
+    OrderOutcomeUnknown = 510, Warn, "answer to an order lost";
     /// A stream broke and was asked for again.
     StreamResumed = 600, Info, "stream resumed";
     /// An answer could not be completed.
@@ -119,17 +119,17 @@
     /// A configuration that the log holds is older than the one in force.
     ConfigOutdated = 303, Warn, "older configuration passed over";
     /// The record of this VM was not written.
-    RecordFailed = 207, Warn, "record of this VM not written";
+    VmRecordFailed = 207, Warn, "record of this VM not written";
     /// All keys of a topic are known.
-    TopicKnown = 208, Info, "topic of the platform's log known";
+    TopicLoaded = 208, Info, "topic of the platform's log known";
     /// The log has come back from a copy.
     HistoryChanged = 209, Warn, "history of the platform's log changed";
     /// An answer of the log is of an era that is over.
-    HistoryOver = 210, Warn, "answer of an earlier history of the platform's log passed over";
+    StaleHistoryAnswer = 210, Warn, "answer of an earlier history of the platform's log passed over";
     /// A call went on before the end of its target was recorded.
-    RecordLate = 211, Warn, "end of a target not recorded in time";
+    EndRecordLate = 211, Warn, "end of a target not recorded in time";
     /// A zone's holder was read from the log.
-    LeaseSeen = 700, Info, "holder of a zone recorded";
+    LeaseRecorded = 700, Info, "holder of a zone recorded";
     /// This VM appended a claim.
     LeaseClaimed = 701, Info, "zone claimed";
     /// A claim or release was not appended.
@@ -141,39 +141,39 @@
     /// A target refused this VM's token.
     LeaseFenced = 705, Warn, "orders refused in favour of a newer holder";
     /// This VM asks a weaker holder for the lease.
-    LeaseAsked = 706, Info, "lease asked for";
+    LeaseRequested = 706, Info, "lease asked for";
     /// This VM gives a zone up for a stronger one.
     LeaseYielded = 707, Info, "lease given up for a stronger VM";
     /// This VM holds its zone by a new record of its lease.
     LeaseRenewed = 708, Info, "lease claimed again";
     /// A target takes no new work any more.
-    TargetLeft = 720, Info, "target takes no new work";
+    TargetClosed = 720, Info, "target takes no new work";
     /// The removal of a target's entry may be a lapse.
-    RemovalDoubted = 721, Info, "removal of a target in doubt";
+    RemovalUncertain = 721, Info, "removal of a target in doubt";
     /// A target has started again under its name.
-    TargetReborn = 722, Info, "target started again";
+    TargetReplaced = 722, Info, "target started again";
     /// An entry is of a life of its target that is over.
-    EntryOutlived = 723, Info, "entry of an earlier life passed over";
+    StaleEntry = 723, Info, "entry of an earlier life passed over";
     /// An entry can't be used.
-    EntryUnusable = 724, Warn, "entry of the target list can't be used";
+    InvalidEntry = 724, Warn, "entry of the target list can't be used";
     /// A target says in its answers that it is about to leave.
     TargetLeaving = 725, Info, "target says that it leaves";
     /// A target wants nothing from this VM for a while.
-    RestAsked = 726, Info, "target asks for rest";
+    BackoffRequested = 726, Info, "target asks for rest";
     /// A header in which a target tells of itself can't be read.
-    NoticeUnreadable = 727, Warn, "what a target says of itself can't be read";
+    InvalidNotice = 727, Warn, "what a target says of itself can't be read";
     /// An order was taken.
-    OrderGiven = 710, Info, "order taken";
+    OrderAccepted = 710, Info, "order taken";
     /// An order came to nothing.
     OrderFailed = 711, Warn, "order not taken";
     /// A report could not be read.
     ReportMissing = 712, Warn, "report of an engine not read";
     /// An order was answered by a life of its target that is over.
-    OrderOutlived = 713, Info, "answer to an order of an earlier life passed over";
+    StaleOrderAnswer = 713, Info, "answer to an order of an earlier life passed over";
     /// What is learned of the weight store has changed.
-    LoadsLimited = 714, Info, "loads from the weight store";
+    LoadLimitChanged = 714, Info, "loads from the weight store";
     /// An engine could take prompt parts from another one.
-    MemoryMoved = 715, Debug, "memory of a prompt may move";
+    KvFetchOffered = 715, Debug, "memory of a prompt may move";
     /// A request was refused as not run.
     CallRefused = 800, Info, "request refused as not run";
     /// A request failed.
@@ -187,13 +187,13 @@
     /// An organisation's quota is used up.
     QuotaUsedUp = 808, Info, "request refused as not run, quota used up";
     /// A target ended while a request ran there.
-    TargetEndedUnder = 816, Info, "target ended under a request";
+    TargetEndedDuringRequest = 816, Info, "target ended under a request";
     /// A holder heard of a target that ended under a request.
     RequestSuspected = 716, Warn, "request suspected";
     /// A suspect was answered well.
     SuspicionCleared = 717, Info, "suspicion of a request cleared";
     /// A target broke a call off, and nothing showed that it had ended.
-    EndNotShown = 817, Info, "no end shown of a target that broke a call off";
+    TargetEndUnconfirmed = 817, Info, "no end shown of a target that broke a call off";
     /// A target named a limit, another one or none any more.
     LimitNamed = 818, Info, "limit of a target";
     /// A request was given a target.
@@ -201,23 +201,23 @@
     /// A stream's first event went out.
     StreamAnswered = 804, Info, "stream answered";
     /// A stream whose target took prompt parts from another one has begun.
-    MemoryUsed = 805, Debug, "stream begun with moved memory";
+    KvFetchUsed = 805, Debug, "stream begun with moved memory";
     /// A target could not be reached for a request.
-    TargetUnreached = 810, Info, "target out of reach for a request";
+    TargetConnectFailed = 810, Info, "target out of reach for a request";
     /// A target answered nothing.
-    AnswerMissing = 811, Info, "no answer from a target";
+    NoAnswer = 811, Info, "no answer from a target";
     /// A target turned a request away.
-    TurnedAway = 812, Info, "request turned away by a target";
+    RequestTurnedAway = 812, Info, "request turned away by a target";
     /// An answer belongs to another request, or is no proper one.
-    AnswerForeign = 813, Warn, "answer that is not this request's";
+    MismatchedAnswer = 813, Warn, "answer that is not this request's";
     /// An answer broke off.
     AnswerBroken = 814, Info, "answer broken off by a target";
     /// A stream broke off.
     StreamBroken = 815, Info, "stream broken off by a target";
     /// The retry budget paid for a repeat.
-    RepeatAllowed = 830, Info, "repeat allowed";
+    RetryAllowed = 830, Info, "repeat allowed";
     /// The retry budget did not pay for a repeat.
-    RepeatDenied = 831, Info, "repeat denied";
+    RetryDenied = 831, Info, "repeat denied";
     /// A connection could not be accepted.
     AcceptFailed = 820, Warn, "connection not accepted";
 }
--- a/crates/daemon/src/gateway/acceptor.rs
+++ b/crates/daemon/src/gateway/acceptor.rs
@@ -12,9 +12,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Accepts TCP connections that send at once.
-pub struct PromptAcceptor(TcpAcceptor);
+pub struct NoDelayAcceptor(TcpAcceptor);
 
-impl PromptAcceptor {
+impl NoDelayAcceptor {
     /// Accepts on a listener.
     ///
     /// # Errors
@@ -24,7 +24,7 @@
     }
 }
 
-impl Acceptor for PromptAcceptor {
+impl Acceptor for NoDelayAcceptor {
     type Io = TcpStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -40,7 +40,7 @@
 impl GatewayContext {
     /// Milliseconds that a request may take: the settings' bound, or less if the caller says so.
     pub(super) fn deadline_ms(&self, request: &Request) -> u64 {
-        let most = self.settings.limits.request_deadline.as_millis() as u64;
+        let most = self.settings.limits.max_request_time.as_millis() as u64;
         let asked = request
             .header("x-timeout-ms")
             .and_then(|text| text.parse().ok());
@@ -169,7 +169,7 @@
     interface: EngineInterface,
 ) -> Result<Response, CallerError> {
     let limits = &context.settings.limits;
-    let bytes = read_body(body, limits.body_bytes, limits.body_timeout).await?;
+    let bytes = read_body(body, limits.max_body_bytes, limits.body_timeout).await?;
     let parsed = parse_engine_body(&bytes, interface)?;
     let class = match parsed.class {
         Some(class) => Some(class),
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -8,7 +8,7 @@
 mod http;
 mod services;
 
-pub use acceptor::PromptAcceptor;
+pub use acceptor::NoDelayAcceptor;
 pub use driver::{CallDriver, DriverContext};
 pub use errors::{CallerError, ErrorCode};
 pub use http::{GatewayContext, routes};
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -10,7 +10,7 @@
         http::{bearer, class_header, idempotency_header},
     },
     peers::{CallReader, ReadEvent},
-    targets::is_hop_header,
+    targets::is_hop_by_hop_header,
 };
 use futures_util::stream;
 use hoplanding_core::ids::ServiceName;
@@ -37,7 +37,7 @@
     context: Data<&Arc<GatewayContext>>,
 ) -> Result<Response, CallerError> {
     let limits = &context.settings.limits;
-    let bytes = read_body(body, limits.body_bytes, limits.body_timeout).await?;
+    let bytes = read_body(body, limits.max_body_bytes, limits.body_timeout).await?;
     let prefix = format!("/services/{service}");
     let full = request
         .original_uri()
@@ -50,10 +50,9 @@
     let service = ServiceName::new(&service);
     let method = request.method().as_str().to_owned();
     let admission = admit(&context, request, &service, &method, path).await?;
-    let headers = request
-        .headers()
-        .iter()
-        .filter(|(name, _)| !is_hop_header(name.as_str()) && !OWN_HEADERS.contains(&name.as_str()));
+    let headers = request.headers().iter().filter(|(name, _)| {
+        !is_hop_by_hop_header(name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
+    });
     let headers = headers
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())));
     let work = ServiceWork {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -31,11 +31,11 @@
     app::{AppEvent, AppHandle, AppState, AppWorkers, StopReport, run_app},
     calls::CallTable,
     events::Event,
-    gateway::{GatewayContext, PromptAcceptor, routes},
+    gateway::{GatewayContext, NoDelayAcceptor, routes},
     metrics::DaemonMetrics,
     options::Settings,
     peers::{PROTOCOL_VERSION, PeerHello, PeerServer},
-    platform::{LogAppender, PlatformClient, run_lister, run_reader},
+    platform::{LogAppender, PlatformClient, run_log_reader, run_vm_list_reader},
     targets::EngineClient,
 };
 use hoplanding_core::ids::{AvailabilityZone, DaemonRef, Incarnation, LogOffset, VmName};
@@ -117,17 +117,17 @@
             settings: Arc::clone(&settings),
             answers: AtomicU64::new(1),
         });
-        let acceptor = PromptAcceptor::new(listener)?;
+        let acceptor = NoDelayAcceptor::new(listener)?;
         let state = AppState::new(Arc::clone(&settings), me.clone(), workers);
-        let list_every = settings.platform.list_every;
+        let vm_list_interval = settings.platform.vm_list_interval;
         let tasks = vec![
             tokio::spawn(server.run()),
-            tokio::spawn(run_reader(
+            tokio::spawn(run_log_reader(
                 platform.clone(),
                 read_from_watch,
                 events.clone(),
             )),
-            tokio::spawn(run_lister(platform, list_every, events)),
+            tokio::spawn(run_vm_list_reader(platform, vm_list_interval, events)),
             tokio::spawn(async move {
                 // The server ends with the daemon; an error here means the same.
                 let _ = Server::new_with_acceptor(acceptor)
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -70,11 +70,11 @@
 }
 
 /// Says so when lines were dropped since the last look, given the count then; returns the count now.
-pub fn report_dropped(seen: usize) -> usize {
+pub fn report_dropped_lines(seen: usize) -> usize {
     let dropped = dropped_lines();
     if dropped > seen {
         event!(
-            Event::LinesDropped,
+            Event::LogLinesDropped,
             "{} since the last look",
             dropped - seen
         );
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -30,8 +30,8 @@
         Err(error) => {
             eprintln!(
                 "E{} {}: {error}",
-                Event::SettingsWrong.number(),
-                Event::SettingsWrong.text()
+                Event::SettingsInvalid.number(),
+                Event::SettingsInvalid.text()
             );
             return ExitCode::from(EXIT_SETTINGS);
         }
@@ -51,7 +51,7 @@
         Ok(code) => code,
         Err(error) => {
             event!(
-                Event::SettingsWrong,
+                Event::SettingsInvalid,
                 "the system refuses what the daemon needs ({error}): change the addresses in the settings, or its limits"
             );
             ExitCode::from(EXIT_SETTINGS)
@@ -65,10 +65,10 @@
 /// Runs until a stop signal.
 fn run(settings: DaemonSettings, file: SettingsFile) -> io::Result<ExitCode> {
     match settings {
-        DaemonSettings::Held(settings) => tokio::runtime::Builder::new_multi_thread()
+        DaemonSettings::ViaHolder(settings) => tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?
-            .block_on(run_held(*settings)),
+            .block_on(run_via_holder(*settings)),
         // One thread: a small VM has a part of one core.
         DaemonSettings::Direct(settings) => tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -88,7 +88,7 @@
     Ok(exit_code(left > 0))
 }
 
-async fn run_held(settings: Settings) -> io::Result<ExitCode> {
+async fn run_via_holder(settings: Settings) -> io::Result<ExitCode> {
     let daemon = RunningDaemon::start(settings).await?;
     tokio::spawn(note_hang_ups(signal(SignalKind::hangup())?));
     stop_signal().await?;
@@ -118,6 +118,6 @@
 /// Says that a hang-up came, which changes nothing in this mode: its settings are read at the start.
 async fn note_hang_ups(mut hang_up: Signal) {
     while hang_up.recv().await.is_some() {
-        event!(Event::HangUp);
+        event!(Event::HangupReceived);
     }
 }
--- a/crates/daemon/src/options/mod.rs
+++ b/crates/daemon/src/options/mod.rs
@@ -8,8 +8,8 @@
 pub use args::DaemonArgs;
 pub use mode::DaemonSettings;
 pub(crate) use reader::{SectionReader, parse_settings};
-pub use reader::{SettingsError, SettingsFault, read_text};
-pub(crate) use settings::read_log;
+pub use reader::{SettingsError, SettingsFault, read_settings_file};
+pub(crate) use settings::read_log_settings;
 pub use settings::{
     CallerSettings, LimitSettings, LogSettings, MembershipSettings, OperatorSettings,
     PlatformSettings, SeedSettings, Settings, StopSettings,
--- a/crates/daemon/src/options/mode.rs
+++ b/crates/daemon/src/options/mode.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug)]
 pub enum DaemonSettings {
     /// Requests go by way of the holder of a target.
-    Held(Box<Settings>),
+    ViaHolder(Box<Settings>),
     /// Gateways send straight to targets.
     Direct(Box<DirectSettings>),
 }
@@ -23,7 +23,7 @@
         if DirectSettings::is_direct_mode(text) {
             DirectSettings::parse(text).map(|settings| Self::Direct(Box::new(settings)))
         } else {
-            Settings::parse(text).map(|settings| Self::Held(Box::new(settings)))
+            Settings::parse(text).map(|settings| Self::ViaHolder(Box::new(settings)))
         }
     }
 
@@ -31,7 +31,7 @@
     #[must_use]
     pub fn log(&self) -> &LogSettings {
         match self {
-            Self::Held(settings) => &settings.log,
+            Self::ViaHolder(settings) => &settings.log,
             Self::Direct(settings) => &settings.log,
         }
     }
--- a/crates/daemon/src/options/reader.rs
+++ b/crates/daemon/src/options/reader.rs
@@ -36,7 +36,7 @@
     },
     /// The file is no JSON.
     #[error("settings are no JSON ({0}): compare them with docs/hoplandingd.sample.json")]
-    NoJson(#[from] serde_json::Error),
+    InvalidJson(#[from] serde_json::Error),
     /// Keys are wrong.
     #[error("{} faults in the settings:\n{}", .0.len(), list(.0))]
     Faults(Vec<SettingsFault>),
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// When it can't be read.
-pub fn read_text(path: &str) -> Result<String, SettingsError> {
+pub fn read_settings_file(path: &str) -> Result<String, SettingsError> {
     fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         path: path.to_owned(),
         source,
@@ -205,7 +205,13 @@
     }
 
     /// A span in milliseconds that may have a fraction, within bounds.
-    pub(crate) fn span(&self, name: &'static str, default: u64, low: u64, high: u64) -> Duration {
+    pub(crate) fn fractional_millis(
+        &self,
+        name: &'static str,
+        default: u64,
+        low: u64,
+        high: u64,
+    ) -> Duration {
         let millis = self.fraction(name, default as f64, low as f64, high as f64);
         Duration::from_secs_f64(millis / 1e3)
     }
@@ -230,7 +236,7 @@
     }
 
     /// A list of texts that must not be empty.
-    pub(crate) fn texts(&self, name: &'static str, remedy: &str) -> Vec<String> {
+    pub(crate) fn text_list(&self, name: &'static str, remedy: &str) -> Vec<String> {
         let texts: Vec<_> = self
             .get(name)
             .and_then(Value::as_array)
@@ -246,7 +252,7 @@
     }
 
     /// A yes or no; no if it is missing.
-    pub(crate) fn flag(&self, name: &'static str) -> bool {
+    pub(crate) fn boolean(&self, name: &'static str) -> bool {
         match self.get(name) {
             None => false,
             Some(Value::Bool(flag)) => *flag,
@@ -258,7 +264,7 @@
     }
 
     /// One word of several.
-    pub(crate) fn word(&self, name: &'static str, default: &str, words: &[&str]) -> String {
+    pub(crate) fn choice(&self, name: &'static str, default: &str, words: &[&str]) -> String {
         match self.get(name) {
             None => default.to_owned(),
             Some(Value::String(text)) if words.contains(&text.as_str()) => text.clone(),
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,6 +1,6 @@
 //! The settings, their defaults and their bounds.
 
-use crate::options::reader::{SectionReader, SettingsError, parse_settings, read_text};
+use crate::options::reader::{SectionReader, SettingsError, parse_settings, read_settings_file};
 use hoplanding_core::{config::OperatorRole, membership::MembershipTimes};
 use std::{net::SocketAddr, time::Duration};
 
@@ -32,7 +32,7 @@
     /// Heartbeats and suspicion.
     pub membership: MembershipSettings,
     /// Records after which a snapshot is appended.
-    pub snapshot_every: u64,
+    pub snapshot_record_interval: u64,
     /// Planned stops.
     pub stop: StopSettings,
     /// Logs.
@@ -49,7 +49,7 @@
     /// Time after which an answer counts as lost.
     pub timeout: Duration,
     /// Pause between two reads of the VM list.
-    pub list_every: Duration,
+    pub vm_list_interval: Duration,
 }
 
 /// A daemon to begin with.
@@ -87,26 +87,26 @@
 #[derive(Clone, Debug)]
 pub struct LimitSettings {
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Requests that may wait at one target.
-    pub waiting_per_target: usize,
+    pub max_waiting_per_target: usize,
     /// Requests that may be open at this daemon.
-    pub open_requests: usize,
+    pub max_open_requests: usize,
     /// Time that a request may take.
-    pub request_deadline: Duration,
+    pub max_request_time: Duration,
     /// Time that a caller may take to send a body.
     pub body_timeout: Duration,
     /// Answers to requests with a token that are kept for a repeated call.
-    pub kept_answers: usize,
+    pub max_kept_answers: usize,
     /// Loads from the weight store at once.
-    pub loads_at_once: u32,
+    pub max_concurrent_loads: u32,
 }
 
 /// Heartbeats and suspicion.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
     /// Shortest pause between two heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Spans of silence.
     pub times: MembershipTimes,
 }
@@ -115,9 +115,9 @@
 #[derive(Clone, Debug)]
 pub struct StopSettings {
     /// Time for the balancer to see `readyz` fail.
-    pub grace: Duration,
+    pub drain_delay: Duration,
     /// Time after which the daemon exits with work left.
-    pub bound: Duration,
+    pub timeout: Duration,
 }
 
 /// Logs.
@@ -135,7 +135,7 @@
     /// # Errors
     /// Lists every fault with its key, value and remedy.
     pub fn read(path: &str) -> Result<Self, SettingsError> {
-        Self::parse(&read_text(path)?)
+        Self::parse(&read_settings_file(path)?)
     }
 
     /// Reads settings from JSON.
@@ -164,9 +164,9 @@
         callers: root.sections("callers", read_caller),
         limits: root.section("limits", read_limits),
         membership: root.section("membership", read_membership),
-        snapshot_every: root.number("snapshot_every", 2000, 10, 1_000_000),
+        snapshot_record_interval: root.number("snapshot_every", 2000, 10, 1_000_000),
         stop: root.section("stop", read_stop),
-        log: root.section("log", read_log),
+        log: root.section("log", read_log_settings),
         statsd: root.optional_address("statsd"),
     }
 }
@@ -175,7 +175,7 @@
     PlatformSettings {
         address: section.address("address"),
         timeout: section.millis("timeout_ms", 2000, 10, 60_000),
-        list_every: section.millis("list_every_ms", 1000, 10, 60_000),
+        vm_list_interval: section.millis("list_every_ms", 1000, 10, 60_000),
     }
 }
 
@@ -188,7 +188,7 @@
 }
 
 fn read_operator(section: &SectionReader<'_>) -> OperatorSettings {
-    let role = section.word("role", "reader", &["reader", "editor", "admin"]);
+    let role = section.choice("role", "reader", &["reader", "editor", "admin"]);
     OperatorSettings {
         name: section.text("name", "write the operator's name"),
         token: section.text("token", "write the operator's bearer token"),
@@ -209,19 +209,19 @@
 
 fn read_limits(section: &SectionReader<'_>) -> LimitSettings {
     LimitSettings {
-        body_bytes: section.number("body_bytes", 1 << 20, 1024, 1 << 28) as usize,
-        waiting_per_target: section.number("waiting_per_target", 512, 1, 100_000) as usize,
-        open_requests: section.number("open_requests", 8192, 1, 1_000_000) as usize,
-        request_deadline: section.millis("request_deadline_ms", 300_000, 10, 86_400_000),
+        max_body_bytes: section.number("body_bytes", 1 << 20, 1024, 1 << 28) as usize,
+        max_waiting_per_target: section.number("waiting_per_target", 512, 1, 100_000) as usize,
+        max_open_requests: section.number("open_requests", 8192, 1, 1_000_000) as usize,
+        max_request_time: section.millis("request_deadline_ms", 300_000, 10, 86_400_000),
         body_timeout: section.millis("body_timeout_ms", 10_000, 10, 600_000),
-        kept_answers: section.number("kept_answers", 4096, 0, 1_000_000) as usize,
-        loads_at_once: section.number("loads_at_once", 1, 1, 64) as u32,
+        max_kept_answers: section.number("kept_answers", 4096, 0, 1_000_000) as usize,
+        max_concurrent_loads: section.number("loads_at_once", 1, 1, 64) as u32,
     }
 }
 
 fn read_membership(section: &SectionReader<'_>) -> MembershipSettings {
     MembershipSettings {
-        heartbeat: section.millis("heartbeat_ms", 200, 10, 10_000),
+        heartbeat_interval: section.millis("heartbeat_ms", 200, 10, 10_000),
         times: MembershipTimes {
             suspect_after: section.millis("suspect_after_ms", 1200, 50, 60_000),
             take_over_after: section.millis("take_over_after_ms", 6000, 100, 600_000),
@@ -232,14 +232,14 @@
 
 fn read_stop(section: &SectionReader<'_>) -> StopSettings {
     StopSettings {
-        grace: section.millis("grace_ms", 1000, 0, 60_000),
-        bound: section.millis("bound_ms", 60_000, 100, 3_600_000),
+        drain_delay: section.millis("grace_ms", 1000, 0, 60_000),
+        timeout: section.millis("bound_ms", 60_000, 100, 3_600_000),
     }
 }
 
-pub(crate) fn read_log(section: &SectionReader<'_>) -> LogSettings {
+pub(crate) fn read_log_settings(section: &SectionReader<'_>) -> LogSettings {
     LogSettings {
-        level: section.word(
+        level: section.choice(
             "level",
             "info",
             &["error", "warn", "info", "debug", "trace"],
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -82,7 +82,7 @@
             };
             tokio::spawn(async move {
                 if let Err(error) = link.serve(stream).await {
-                    event!(Event::PeerRefused, "{from}: {error}");
+                    event!(Event::PeerRejected, "{from}: {error}");
                 }
             });
         }
--- a/crates/daemon/src/platform/appender.rs
+++ b/crates/daemon/src/platform/appender.rs
@@ -71,7 +71,11 @@
             Ok(_) => AppendOutcome::Appended,
             Err(AppendError::NotAppended(_)) => AppendOutcome::NotAppended,
             Err(AppendError::Unknown(cause)) => {
-                event!(Event::AppendUnknown, "{} records: {cause}", records.len());
+                event!(
+                    Event::AppendOutcomeUnknown,
+                    "{} records: {cause}",
+                    records.len()
+                );
                 AppendOutcome::Unknown
             }
         };
--- a/crates/daemon/src/platform/client.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -27,7 +27,7 @@
 pub enum ReadError {
     /// The platform can't be reached.
     #[error("the log is out of reach ({0}): try again")]
-    Out(String),
+    Unreachable(String),
     /// The records expired.
     #[error("records before {0} have expired: take a snapshot")]
     Expired(LogOffset),
@@ -166,7 +166,7 @@
                 let answer: ExpiredAnswer = response.json().await.map_err(out)?;
                 Err(ReadError::Expired(answer.earliest))
             }
-            status => Err(ReadError::Out(status.to_string())),
+            status => Err(ReadError::Unreachable(status.to_string())),
         }
     }
 
@@ -199,5 +199,5 @@
 // By value, so that it can stand in `map_err`.
 #[allow(clippy::needless_pass_by_value)]
 fn out(error: reqwest::Error) -> ReadError {
-    ReadError::Out(error.to_string())
+    ReadError::Unreachable(error.to_string())
 }
--- a/crates/daemon/src/platform/mod.rs
+++ b/crates/daemon/src/platform/mod.rs
@@ -9,4 +9,4 @@
 
 pub use appender::{AppendJob, AppendOutcome, LogAppender};
 pub use client::{AppendError, LogBatch, PlatformClient, ReadError};
-pub use reader::{run_lister, run_reader};
+pub use reader::{run_log_reader, run_vm_list_reader};
--- a/crates/daemon/src/platform/reader.rs
+++ b/crates/daemon/src/platform/reader.rs
@@ -14,7 +14,7 @@
 const READ_WAIT: Duration = Duration::from_secs(5);
 
 /// Reads the log from `from` on; the event loop moves `from` when it took a snapshot over.
-pub async fn run_reader(
+pub async fn run_log_reader(
     client: PlatformClient,
     mut from: watch::Receiver<LogOffset>,
     events: mpsc::Sender<AppEvent>,
@@ -44,7 +44,7 @@
                 next = earliest;
                 AppEvent::LogExpired(earliest)
             }
-            Err(ReadError::Out(cause)) => {
+            Err(ReadError::Unreachable(cause)) => {
                 wait = Duration::ZERO;
                 tokio::time::sleep(RETRY_AFTER).await;
                 AppEvent::LogOut(cause)
@@ -57,7 +57,11 @@
 }
 
 /// Reads the list of VMs again and again.
-pub async fn run_lister(client: PlatformClient, every: Duration, events: mpsc::Sender<AppEvent>) {
+pub async fn run_vm_list_reader(
+    client: PlatformClient,
+    every: Duration,
+    events: mpsc::Sender<AppEvent>,
+) {
     loop {
         if let Ok(list) = client.list_vms().await
             && events.send(AppEvent::VmsListed(list)).await.is_err()
--- a/crates/daemon/src/targets/engine.rs
+++ b/crates/daemon/src/targets/engine.rs
@@ -95,13 +95,13 @@
 }
 
 /// A stream of an engine.
-pub struct StreamTake {
+pub struct EngineStream {
     /// The engine's run.
     pub boot: u64,
     items: Pin<Box<dyn Stream<Item = StreamItem> + Send>>,
 }
 
-impl StreamTake {
+impl EngineStream {
     /// The next item; a silent stream counts as broken.
     pub async fn next(&mut self) -> StreamItem {
         match tokio::time::timeout(SILENT_FOR, self.items.next()).await {
@@ -170,7 +170,7 @@
         token: FencingToken,
         class: PriorityClass,
         work: &EngineWork,
-    ) -> Result<(RequestCall<HandedOver>, StreamTake), Box<SendError>> {
+    ) -> Result<(RequestCall<HandedOver>, EngineStream), Box<SendError>> {
         let path = if work.chat {
             "/v1/chat/completions"
         } else {
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// Returns the cause when the stream can't be had.
-    pub async fn resume(&self, stream: &str, from: u64) -> Result<StreamTake, String> {
+    pub async fn resume(&self, stream: &str, from: u64) -> Result<EngineStream, String> {
         let url = format!("{}/v1/streams/{stream}?from={from}", self.base);
         let response = self
             .http
@@ -258,7 +258,7 @@
     ///
     /// # Errors
     /// Tells a refusal from a lost answer.
-    pub async fn present(&self, token: FencingToken) -> Result<u64, OrderError> {
+    pub async fn present_token(&self, token: FencingToken) -> Result<u64, OrderError> {
         send_order(self.order("/v1/fence", token).timeout(ORDER_WITHIN)).await
     }
 
@@ -356,7 +356,7 @@
     body.to_string()
 }
 
-fn take_stream(response: Response) -> StreamTake {
+fn take_stream(response: Response) -> EngineStream {
     let boot = boot_of(&response);
     let events = response
         .bytes_stream()
@@ -367,7 +367,7 @@
         Ok(event) => parse_chunk(&event.data),
         Err(error) => StreamItem::Broken(error.to_string()),
     });
-    StreamTake {
+    EngineStream {
         boot,
         items: Box::pin(items),
     }
--- a/crates/daemon/src/targets/mod.rs
+++ b/crates/daemon/src/targets/mod.rs
@@ -6,6 +6,6 @@
 mod service;
 mod stream;
 
-pub use engine::{EngineClient, EngineListing, OrderError, SendError, StreamItem, StreamTake};
-pub use service::{ServiceJob, is_hop_header, run_service_call};
+pub use engine::{EngineClient, EngineListing, EngineStream, OrderError, SendError, StreamItem};
+pub use service::{ServiceJob, is_hop_by_hop_header, run_service_call};
 pub use stream::{StreamJob, run_stream};
--- a/crates/daemon/src/targets/service.rs
+++ b/crates/daemon/src/targets/service.rs
@@ -120,7 +120,7 @@
     let headers = response
         .headers()
         .iter()
-        .filter(|(name, _)| !is_hop_header(name.as_str()));
+        .filter(|(name, _)| !is_hop_by_hop_header(name.as_str()));
     let headers = headers
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())));
     CallFrame::Head {
@@ -130,7 +130,7 @@
 }
 
 /// Whether a header belongs to one connection only (RFC 9110, section 7.6.1).
-pub fn is_hop_header(name: &str) -> bool {
+pub fn is_hop_by_hop_header(name: &str) -> bool {
     matches!(
         name,
         "connection"
--- a/crates/daemon/src/targets/stream.rs
+++ b/crates/daemon/src/targets/stream.rs
@@ -8,7 +8,7 @@
     calls::{CallBuffer, CallEnd, CallFrame, CallId, EngineWork},
     event,
     events::Event,
-    targets::{EngineClient, SendError, StreamItem, StreamTake},
+    targets::{EngineClient, EngineStream, SendError, StreamItem},
 };
 use hoplanding_core::{
     ids::{AdapterVersion, FencingToken, PriorityClass, TargetName},
@@ -79,7 +79,7 @@
 impl StreamJob {
     async fn begin(
         &mut self,
-    ) -> Result<(Option<RequestCall<HandedOver>>, StreamTake), Box<StreamEnding>> {
+    ) -> Result<(Option<RequestCall<HandedOver>>, EngineStream), Box<StreamEnding>> {
         let started = CallFrame::Started {
             target: self.target.clone(),
             stream: self.stream.clone(),
@@ -111,7 +111,7 @@
     async fn carry(
         &mut self,
         call: Option<RequestCall<HandedOver>>,
-        mut stream: StreamTake,
+        mut stream: EngineStream,
     ) -> StreamEnding {
         let boot = stream.boot;
         let mut next = self.from;
@@ -189,7 +189,7 @@
         next: u64,
         resumes: &mut u32,
         cause: String,
-    ) -> Result<StreamTake, String> {
+    ) -> Result<EngineStream, String> {
         let mut cause = cause;
         while *resumes < RESUMES {
             tokio::time::sleep(RESUME_AFTER * (1 << *resumes)).await;
--- a/crates/daemon/tests/suspension.rs
+++ b/crates/daemon/tests/suspension.rs
@@ -48,7 +48,7 @@
         target.connections()
     };
     let before = scan("r1").await;
-    clock::skip(SUSPENDED);
+    clock::simulate_suspension(SUSPENDED);
     assert_eq!(scan("r2").await, before + 1);
 }
 
@@ -66,7 +66,7 @@
         .await
         .expect("it reads");
     tokio::time::sleep(Duration::from_millis(200)).await;
-    clock::skip(Duration::from_secs(3));
+    clock::simulate_suspension(Duration::from_secs(3));
     tokio::io::AsyncWriteExt::write_all(&mut caller, body.as_bytes())
         .await
         .expect("it reads");
@@ -106,6 +106,6 @@
     })
     .await;
     relay.set(LinkState::Frozen);
-    clock::skip(SUSPENDED);
+    clock::simulate_suspension(SUSPENDED);
     assert_eq!(call("r2").await, 503);
 }
