--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -418,9 +418,9 @@
         };
         fleet.metrics.count_retry(is_allowed);
         let event = if is_allowed {
-            Event::RepeatAllowed
+            Event::RetryAllowed
         } else {
-            Event::RepeatDenied
+            Event::RetryDenied
         };
         event!(event, request = self.head.id; "service {service}, {} of {:.1} retries spent for {} requests, {:?} since the start",
             budget.retries,
--- a/crates/daemon/src/direct/call/target_probe.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -75,7 +75,7 @@
         }
         let is_presumed_crashed = verdict == ProbeVerdict::Unknown && is_trial;
         if verdict != ProbeVerdict::Crashed {
-            event!(Event::EndNotShown, request = self.head.id; "at {}, fingerprint {:016x}: {verdict:?}, trial {is_trial}", entry.name, self.fingerprint.0
+            event!(Event::TargetEndUnconfirmed, request = self.head.id; "at {}, fingerprint {:016x}: {verdict:?}, trial {is_trial}", entry.name, self.fingerprint.0
             );
             if !is_presumed_crashed {
                 return;
@@ -85,7 +85,7 @@
             fingerprint: self.fingerprint,
             run: entry.run(),
         };
-        event!(Event::TargetEndedUnder, request = self.head.id; "at {}, fingerprint {:016x}", entry.name, self.fingerprint.0
+        event!(Event::TargetEndedDuringRequest, request = self.head.id; "at {}, fingerprint {:016x}", entry.name, self.fingerprint.0
         );
         if self.context.fleet.note_ended_under(&crash) {
             self.context.holder_client.report_crash(&crash);
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -6,7 +6,7 @@
 //! waits for that long and reads the topic once more before its first order.
 
 use crate::{
-    clock::{self, CLOCK_ERROR},
+    clock::{self, MAX_CLOCK_SKEW},
     direct::{
         caller_connections::StopPhase,
         fleet::{FleetState, FleetTables, zone_key},
@@ -138,7 +138,7 @@
         }
         drop(tables);
         if let (LeaseAction::RequestTransfer, Some(lease)) = (action, &lease) {
-            event!(Event::LeaseAsked, "{} at {position}", self.fleet.zone);
+            event!(Event::LeaseRequested, "{} at {position}", self.fleet.zone);
             self.holder_client
                 .request_lease(&self.fleet.zone, lease, position);
         }
@@ -262,7 +262,7 @@
 fn min_claim_age(lease: &ZoneLease) -> Option<Duration> {
     let since_ms = lease.waits_since_ms?;
     let age = Duration::from_millis(clock::wall_ms().saturating_sub(since_ms));
-    Some(age.saturating_sub(CLOCK_ERROR))
+    Some(age.saturating_sub(MAX_CLOCK_SKEW))
 }
 
 /// Start of this VM's wait before its first order, in milliseconds since 1970, if its claim is not confirmed yet. A
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -23,7 +23,7 @@
     },
     event,
     events::Event,
-    logging::report_dropped,
+    logging::report_dropped_lines,
 };
 use rand::Rng;
 use std::{
@@ -293,6 +293,6 @@
         sleep(SWEEP_INTERVAL).await;
         pool.close_expired();
         fleet.expire();
-        dropped_lines = report_dropped(dropped_lines);
+        dropped_lines = report_dropped_lines(dropped_lines);
     }
 }
--- a/crates/daemon/src/direct/engine_client.rs
+++ b/crates/daemon/src/direct/engine_client.rs
@@ -39,7 +39,7 @@
     };
     let is_accepted = matches!(outcome, OrderOutcome::Done | OrderOutcome::Begun);
     let event = if is_accepted {
-        Event::OrderGiven
+        Event::OrderAccepted
     } else {
         Event::OrderFailed
     };
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -6,7 +6,7 @@
 //! its era, so VMs learn of a new era from the positions that they send to each other.
 
 use crate::{
-    clock::{self, CLOCK_ERROR},
+    clock::{self, MAX_CLOCK_SKEW},
     direct::{
         fleet::{FleetState, FleetTables},
         message::FeedTopic,
@@ -44,7 +44,7 @@
     /// Whether operators have had enough time to write the records again that the restored copy lacked.
     fn is_settled(&self, rule: RewriteRule) -> bool {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(self.seen_ms));
-        age >= rule.rewrite_time + CLOCK_ERROR
+        age >= rule.rewrite_time + MAX_CLOCK_SKEW
     }
 }
 
@@ -86,7 +86,7 @@
         let known = self.tables().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
-            event!(Event::HistoryOver, "era {era}, newest known {known:?}");
+            event!(Event::StaleHistoryAnswer, "era {era}, newest known {known:?}");
         }
         is_newest
     }
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -358,7 +358,7 @@
         }
         self.fleet.request_records();
         if self.failures == 0 {
-            event!(Event::LogOut, "{:?}: {error}", self.topic);
+            event!(Event::LogUnreachable, "{:?}: {error}", self.topic);
         }
         self.failures += 1;
     }
@@ -371,7 +371,7 @@
         }
         if self.failures > 0 {
             self.failures = 0;
-            event!(Event::LogBack, "{:?}", self.topic);
+            event!(Event::LogReachable, "{:?}", self.topic);
             self.reachability.note_return();
         }
     }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -108,7 +108,7 @@
             }
             Ok(entry) if is_removed_since(tables, record, &entry, source) => {
                 event!(
-                    Event::EntryOutlived,
+                    Event::StaleEntry,
                     "{name} at position {}, removed in an earlier era",
                     record.position
                 );
@@ -123,7 +123,7 @@
     };
     if tables.catalog.is_removal_pending(&name) {
         event!(
-            Event::RemovalDoubted,
+            Event::RemovalUncertain,
             "{name} at position {}, {source:?}",
             record.position
         );
@@ -131,7 +131,7 @@
     }
     if was_ready && !is_ready(&tables.catalog, &name) {
         event!(
-            Event::TargetLeft,
+            Event::TargetClosed,
             "{name} at position {}, {source:?}",
             record.position
         );
@@ -173,16 +173,12 @@
     let name = entry.name.clone();
     let known = tables.catalog.life(&name);
     if entry.life < known {
-        event!(
-            Event::EntryOutlived,
-            "{name} at position {}",
-            record.position
-        );
+        event!(Event::StaleEntry, "{name} at position {}", record.position);
         return None;
     }
     if entry.life > known && tables.catalog.get(&name).is_some() {
         event!(
-            Event::TargetReborn,
+            Event::TargetReplaced,
             "{name} at position {}",
             record.position
         );
@@ -211,14 +207,14 @@
             .take(MAX_LOGGED_KEY_CHARS)
             .collect();
         event!(
-            Event::EntryUnusable,
+            Event::InvalidEntry,
             "{key} at position {}: {error}; {unlogged} earlier entries not logged",
             record.position
         );
     }
     if is_change {
         event!(
-            Event::TargetLeft,
+            Event::TargetClosed,
             "{name} at position {}, as its entry can't be used",
             record.position
         );
@@ -384,7 +380,7 @@
         return FoldOutcome::Outdated;
     }
     event!(
-        Event::LeaseSeen,
+        Event::LeaseRecorded,
         "{zone}: {} at position {}",
         state.holder().map_or("nobody", VmName::as_str),
         state.position
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -88,7 +88,7 @@
             let mut tables = self.tables();
             if !tables.known_ends.contains_key(&topic) {
                 event!(
-                    Event::TopicKnown,
+                    Event::TopicLoaded,
                     "{topic:?} up to position {end}, {} bytes, {source:?}, {:?} after the start",
                     tables.records.size_bytes(topic),
                     self.age()
@@ -205,7 +205,7 @@
         why: &str,
     ) {
         for (name, position) in removed {
-            event!(Event::TargetLeft, "{name} at position {position}, {why}");
+            event!(Event::TargetClosed, "{name} at position {position}, {why}");
             let topic = FeedTopic::Targets;
             tables
                 .records
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -349,7 +349,7 @@
             format!("base {base}, adapter {adapter}")
         };
         event!(
-            Event::MemoryMoved,
+            Event::KvFetchOffered,
             "{}#{}: {} from {} ({}) to {} ({}), named {:?}, told {told}",
             prompt_move.key.vm,
             prompt_move.key.number,
@@ -395,7 +395,7 @@
         self.memory.set(saturating_i64(resident_bytes()));
         let mut page = String::new();
         if let Err(error) = encode(&mut page, &self.registry) {
-            event!(Event::MetricsFailed, "{error}");
+            event!(Event::MetricsWriteFailed, "{error}");
         }
         page
     }
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -70,7 +70,7 @@
         for fault in &decoded.errors {
             if let Some(suppressed) = self.tables().unreadable_headers.note(now) {
                 event!(
-                    Event::NoticeUnreadable,
+                    Event::InvalidNotice,
                     "{}: {fault}; {suppressed} earlier ones not logged",
                     run.name
                 );
@@ -83,7 +83,7 @@
         if let Some(backoff) = notice.backoff {
             let applied = self.tables().rests.record(run, backoff, now);
             event!(
-                Event::RestAsked,
+                Event::BackoffRequested,
                 "{} for {backoff:?}, applied for {applied:?}",
                 run.name
             );
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -67,7 +67,7 @@
                     sleep(REWRITE_PAUSE).await;
                 }
                 if let Err(error) = self.append(&mut client, &key, &value).await {
-                    event!(Event::RecordFailed, "{key}: {error}");
+                    event!(Event::VmRecordFailed, "{key}: {error}");
                     sleep(REWRITE_PAUSE).await;
                 }
                 last_key = Some(key);
--- a/crates/daemon/src/direct/reload.rs
+++ b/crates/daemon/src/direct/reload.rs
@@ -9,7 +9,7 @@
     event,
     events::Event,
     logging::set_level,
-    options::{SettingsError, read_text},
+    options::{SettingsError, read_settings_file},
 };
 use std::time::Duration;
 use tokio::{
@@ -35,7 +35,7 @@
     pub fn open(path: &str) -> Result<Self, SettingsError> {
         Ok(Self {
             path: path.to_owned(),
-            text: read_text(path)?,
+            text: read_settings_file(path)?,
         })
     }
 
@@ -51,7 +51,7 @@
     /// Returns an error if the file cannot be read or its settings are invalid. The same invalid text is reported only
     /// once.
     pub fn read_changes(&mut self) -> Result<Option<DirectSettings>, SettingsError> {
-        let text = read_text(&self.path)?;
+        let text = read_settings_file(&self.path)?;
         if text == self.text {
             return Ok(None);
         }
@@ -67,13 +67,13 @@
         poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = hang_up.recv() => event!(Event::HangUp),
+                _ = hang_up.recv() => event!(Event::HangupReceived),
                 _ = poll.tick() => {}
             }
             match file.read_changes() {
                 Ok(Some(settings)) => self.apply_settings(&settings),
                 Ok(None) => {}
-                Err(error) => event!(Event::SettingsKept, "{error}"),
+                Err(error) => event!(Event::ReloadRejected, "{error}"),
             }
         }
     }
@@ -89,10 +89,10 @@
         set_level("info");
         let pending_keys = self.settings().keys_needing_restart(settings);
         if pending_keys.is_empty() {
-            event!(Event::SettingsChanged, "all changes are in force");
+            event!(Event::SettingsReloaded, "all changes are in force");
         } else {
             event!(
-                Event::SettingsChanged,
+                Event::SettingsReloaded,
                 "but for {}: restart the daemon to apply these",
                 pending_keys.join(", ")
             );
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -231,7 +231,7 @@
         };
         if timeout(RECORD_TIMEOUT, written).await.is_err() {
             event!(
-                Event::RecordLate,
+                Event::EndRecordLate,
                 "{}, {RECORD_TIMEOUT:?}",
                 suspect_key(fingerprint)
             );
@@ -266,7 +266,7 @@
             let waiting = mem::take(&mut self.waiting);
             if let Err(error) = written {
                 event!(
-                    Event::RecordFailed,
+                    Event::VmRecordFailed,
                     "{} suspected requests, retry in {RETRY_INTERVAL:?}: {error}",
                     self.due.len()
                 );
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -136,7 +136,7 @@
         if summary.differs_notably(&self.logged_loads) {
             self.logged_loads = summary;
             event!(
-                Event::LoadsLimited,
+                Event::LoadLimitChanged,
                 "at most {} at once, {:?} expected each, {:?} without concurrent loads",
                 summary.limit,
                 summary.expected_time,
@@ -312,7 +312,7 @@
             }
             ZoneEvent::OrderEnded(target, life, outcome) => {
                 if !held.planner.is_current_life(&target, life) {
-                    event!(Event::OrderOutlived, "{target}: {outcome:?}");
+                    event!(Event::StaleOrderAnswer, "{target}: {outcome:?}");
                 } else if outcome == OrderOutcome::Fenced {
                     event!(
                         Event::LeaseFenced,
