--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -27,11 +27,7 @@
         Ok(self.repeats.issue())
     }
 
-    pub(super) fn begin_repeat(
-        &mut self,
-        key: &DedupKey,
-        fingerprint: u64,
-    ) -> IdempotencyDecision {
+    pub(super) fn begin_repeat(&mut self, key: &DedupKey, fingerprint: u64) -> IdempotencyDecision {
         match self.repeats.begin(key, fingerprint) {
             Ok(TokenDecision::Run) => IdempotencyDecision::Run,
             Ok(TokenDecision::Replay(answer)) => IdempotencyDecision::Replay(answer),
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -86,7 +86,10 @@
         let known = self.tables().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
-            event!(Event::StaleHistoryAnswer, "era {era}, newest known {known:?}");
+            event!(
+                Event::StaleHistoryAnswer,
+                "era {era}, newest known {known:?}"
+            );
         }
         is_newest
     }
