--- a/crates/core/src/log/fold.rs
+++ b/crates/core/src/log/fold.rs
@@ -5,7 +5,7 @@
 //! state only if it is newer.
 
 use crate::{
-    config::{ConfigState, FoldOutcome},
+    config::{ChangeOutcome, ConfigState},
     ids::{ChangeId, LogOffset},
     log::{LogRecord, SnapshotPart},
     ownership::{OwnershipEffect, OwnershipState},
@@ -37,7 +37,7 @@
     /// No effect.
     None,
     /// A configuration change was accepted or refused.
-    Change(ChangeId, FoldOutcome),
+    Change(ChangeId, ChangeOutcome),
     /// A record about target ownership was applied.
     Ownership(OwnershipEffect),
     /// Idempotency keys were claimed.
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -4,7 +4,7 @@
 //! multiply load. A request that was returned as not run is retried outside the budget, and a broken stream is resumed
 //! before its request is repeated.
 
-use crate::{config::RequestRule, ids::Instant};
+use crate::{config::RequestRepeatability, ids::Instant};
 use std::time::Duration;
 
 /// How an attempt ended without a complete answer.
@@ -93,7 +93,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInput {
     /// Whether the request may be repeated.
-    pub rule: RequestRule,
+    pub rule: RequestRepeatability,
     /// How the attempt ended.
     pub end: AttemptEnd,
     /// Number of attempts so far.
@@ -150,7 +150,7 @@
     input: &RetryInput,
     pause: Duration,
 ) -> RetryDecision {
-    let is_allowed = input.rule == RequestRule::Repeatable
+    let is_allowed = input.rule == RequestRepeatability::Repeatable
         && !input.answer_started
         && input.attempts < limits.max_attempts
         && budget.try_spend();
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -1,7 +1,7 @@
 //! Tests of idempotency tokens, the retry policy and the life cycle of requests.
 
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{DaemonRef, Incarnation, Instant, RequestId, VmName},
     request::{
         AttemptEnd, DedupKey, IdempotencyToken, NotRunReason, RequestCall, RetryBudget,
@@ -129,7 +129,7 @@
     );
 }
 
-fn input(rule: RequestRule, end: AttemptEnd) -> RetryInput {
+fn input(rule: RequestRepeatability, end: AttemptEnd) -> RetryInput {
     RetryInput {
         rule,
         end,
@@ -152,19 +152,22 @@
     let mut budget = RetryBudget::new(4.0, 0.1);
     let mut decide = |rule, end| decide_retry(&limits, &mut budget, &input(rule, end));
     assert!(matches!(
-        decide(RequestRule::Repeatable, AttemptEnd::TargetFailed),
+        decide(RequestRepeatability::Repeatable, AttemptEnd::TargetFailed),
         RetryDecision::Retry(_)
     ));
     assert_eq!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::TargetFailed),
+        decide(
+            RequestRepeatability::NotRepeatable,
+            AttemptEnd::TargetFailed
+        ),
         RetryDecision::GiveUp
     );
     assert!(matches!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::GivenBack),
+        decide(RequestRepeatability::NotRepeatable, AttemptEnd::GivenBack),
         RetryDecision::Retry(_)
     ));
     assert!(matches!(
-        decide(RequestRule::NotRepeatable, AttemptEnd::Broken),
+        decide(RequestRepeatability::NotRepeatable, AttemptEnd::Broken),
         RetryDecision::Resume(_)
     ));
 }
@@ -181,7 +184,7 @@
             decide_retry(
                 &limits,
                 &mut budget,
-                &input(RequestRule::Repeatable, AttemptEnd::TargetFailed)
+                &input(RequestRepeatability::Repeatable, AttemptEnd::TargetFailed)
             ),
             RetryDecision::Retry(_)
         ) {
@@ -199,7 +202,7 @@
 fn retry_pauses_grow_until_the_time_limit_or_deadline() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(10.0, 0.1);
-    let mut returned = input(RequestRule::Repeatable, AttemptEnd::GivenBack);
+    let mut returned = input(RequestRepeatability::Repeatable, AttemptEnd::GivenBack);
     returned.given_back = 4;
     let RetryDecision::Retry(pause) = decide_retry(&limits, &mut budget, &returned) else {
         panic!("a request that was returned as not run must be retried");
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -1,7 +1,7 @@
 //! Routes and handlers of the callers' interface.
 
 use crate::{
-    app::{AdmitRequest, AdmitSubject, AppEvent, AppHandle},
+    app::{AdmissionRequest, AdmissionSubject, AppEvent, AppHandle},
     calls::{CallBuffer, CallWork, SubmitRequest},
     clock,
     gateway::{
@@ -40,7 +40,7 @@
 impl GatewayContext {
     /// Milliseconds that a request may take: the settings' bound, or less if the caller says so.
     pub(super) fn deadline_ms(&self, request: &Request) -> u64 {
-        let most = self.settings.limits.request_deadline.as_millis() as u64;
+        let most = self.settings.limits.max_request_time.as_millis() as u64;
         let asked = request
             .header("x-timeout-ms")
             .and_then(|text| text.parse().ok());
@@ -55,7 +55,7 @@
         let buffer = CallBuffer::new();
         let reader = CallReader::local(Arc::clone(&buffer));
         self.app
-            .tell(AppEvent::Submit(Box::new(request), buffer))
+            .notify(AppEvent::Submit(Box::new(request), buffer))
             .await;
         (reader, open)
     }
@@ -70,7 +70,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         let (app, caller) = (self.app.clone(), self.caller.clone());
-        tokio::spawn(async move { app.tell(AppEvent::RequestEnded(caller)).await });
+        tokio::spawn(async move { app.notify(AppEvent::RequestEnded(caller)).await });
     }
 }
 
@@ -105,7 +105,7 @@
 
 #[handler]
 async fn readyz(context: Data<&Arc<GatewayContext>>) -> Response {
-    match context.app.ask(AppEvent::IsReady).await {
+    match context.app.request(AppEvent::IsReady).await {
         Some(true) => "ready".into_response(),
         _ => "not ready"
             .with_status(StatusCode::SERVICE_UNAVAILABLE)
@@ -121,7 +121,7 @@
     let bearer = bearer(request);
     let answer = context
         .app
-        .ask(|reply| AppEvent::ListModels(bearer, reply))
+        .request(|reply| AppEvent::ListModels(bearer, reply))
         .await;
     let models = answer.ok_or_else(CallerError::ending)??;
     Ok(Json(models_body(&models)).into_response())
@@ -139,7 +139,7 @@
 async fn new_token(context: &GatewayContext, bearer: String) -> Result<String, CallerError> {
     let answer = context
         .app
-        .ask(|reply| AppEvent::IssueToken(bearer, reply))
+        .request(|reply| AppEvent::IssueToken(bearer, reply))
         .await;
     Ok(answer.ok_or_else(CallerError::ending)??.to_string())
 }
@@ -169,18 +169,21 @@
     interface: EngineInterface,
 ) -> Result<Response, CallerError> {
     let limits = &context.settings.limits;
-    let bytes = read_body(body, limits.body_bytes, limits.body_timeout).await?;
+    let bytes = read_body(body, limits.max_body_bytes, limits.body_timeout).await?;
     let parsed = parse_engine_body(&bytes, interface)?;
     let class = match parsed.class {
         Some(class) => Some(class),
         None => class_header(request)?,
     };
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer(request),
-        subject: AdmitSubject::Model(parsed.model.clone()),
+        subject: AdmissionSubject::Model(parsed.model.clone()),
         class,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     let admission = answer.ok_or_else(CallerError::ending)??;
     let is_streamed = parsed.stream;
     let work = parsed.into_work(admission.resolved.model, interface);
@@ -188,7 +191,7 @@
     let submit = SubmitRequest {
         caller: admission.caller,
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Engine(work),
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -1,7 +1,7 @@
 //! Calls of plain services.
 
 use crate::{
-    app::{Admission, AdmitRequest, AdmitSubject, AppEvent},
+    app::{Admission, AdmissionRequest, AdmissionSubject, AppEvent},
     calls::{CallEnd, CallFrame, CallWork, ServiceWork, SubmitRequest},
     gateway::{
         CallerError, GatewayContext,
@@ -10,7 +10,7 @@
         http::{bearer, class_header, idempotency_header},
     },
     peers::{CallReader, ReadEvent},
-    targets::is_hop_header,
+    targets::is_hop_by_hop_header,
 };
 use futures_util::stream;
 use hoplanding_core::ids::ServiceName;
@@ -37,7 +37,7 @@
     context: Data<&Arc<GatewayContext>>,
 ) -> Result<Response, CallerError> {
     let limits = &context.settings.limits;
-    let bytes = read_body(body, limits.body_bytes, limits.body_timeout).await?;
+    let bytes = read_body(body, limits.max_body_bytes, limits.body_timeout).await?;
     let prefix = format!("/services/{service}");
     let full = request
         .original_uri()
@@ -50,10 +50,9 @@
     let service = ServiceName::new(&service);
     let method = request.method().as_str().to_owned();
     let admission = admit(&context, request, &service, &method, path).await?;
-    let headers = request
-        .headers()
-        .iter()
-        .filter(|(name, _)| !is_hop_header(name.as_str()) && !OWN_HEADERS.contains(&name.as_str()));
+    let headers = request.headers().iter().filter(|(name, _)| {
+        !is_hop_by_hop_header(name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
+    });
     let headers = headers
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())));
     let work = ServiceWork {
@@ -66,7 +65,7 @@
     let submit = SubmitRequest {
         caller: admission.caller.clone(),
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Service(work),
@@ -82,12 +81,15 @@
     method: &str,
     path: &str,
 ) -> Result<Admission, CallerError> {
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer(request),
-        subject: AdmitSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
+        subject: AdmissionSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
         class: class_header(request)?,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     Ok(answer.ok_or_else(CallerError::ending)??)
 }
 
