--- a/crates/core/src/policy/digest.rs
+++ b/crates/core/src/policy/digest.rs
@@ -1,55 +1,56 @@
-//! What a holder tells the gateways about a target.
+//! Target state that a holder sends to the gateways in its heartbeats.
 //!
-//! Field names are short on the wire: heartbeats are most of what a daemon sends for control.
+//! Field names are shortened on the wire because heartbeats make up most of a daemon's control traffic.
 
 use crate::ids::{AdapterVersion, TargetName};
 use serde::{Deserialize, Serialize};
 
-/// An adapter on a target.
+/// An adapter that is loaded or being loaded on a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResidentDigest {
-    /// The adapter.
+    /// The adapter and its version.
     #[serde(rename = "m")]
     pub model: AdapterVersion,
-    /// Whether its load is not finished.
+    /// Whether the load is still in progress.
     #[serde(rename = "g")]
     pub loading: bool,
 }
 
-/// A target's state as its holder knows it.
+/// State of a target as known to its holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetDigest {
-    /// The target.
+    /// The target that the digest describes.
     #[serde(rename = "t")]
     pub target: TargetName,
-    /// Grows with each change of `residents`.
+    /// Revision of `residents`; increases with each change.
     #[serde(rename = "v")]
     pub residents_revision: u64,
-    /// Adapters on it; none if they did not change since the last digest.
+    /// Resident adapters; `None` if the receiver already has `residents_revision`.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub residents: Option<Vec<ResidentDigest>>,
-    /// Requests that run.
+    /// Running requests.
     #[serde(rename = "n")]
     pub running: u32,
-    /// Requests that it can run at once.
+    /// Maximum number of concurrently running requests (batch size).
     #[serde(rename = "s")]
     pub seats: u32,
-    /// Output tokens that wait, by class.
+    /// Output tokens of the waiting requests, by priority class.
     #[serde(rename = "w")]
     pub waiting_tokens: [u64; 3],
-    /// Requests a second that the adapter which would go for the next load is worth; none if nothing can go.
+    /// Request rate, in requests per second, of the adapter that the next load would evict; zero if a slot is free,
+    /// `None` if no adapter can be evicted.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub victim_rate: Option<f32>,
-    /// Adapters that wait to be loaded.
+    /// Adapters with waiting requests that are not loaded yet.
     #[serde(rename = "q")]
-    pub wanted_loads: u32,
-    /// Output tokens a second of a full batch, as measured.
+    pub pending_loads: u32,
+    /// Throughput of a full batch, in output tokens per second.
     #[serde(rename = "p")]
     pub tokens_per_second: f32,
-    /// Whether it takes new work.
+    /// Whether the target accepts new requests.
     #[serde(rename = "o")]
     pub open: bool,
-    /// Whether an adapter that is not on it can be loaded: a slot is free, or something may be evicted.
+    /// Whether another adapter can be loaded: a slot is free, or eviction is allowed.
     #[serde(rename = "l")]
-    pub loads: bool,
+    pub can_load: bool,
 }
--- a/crates/core/src/policy/loads.rs
+++ b/crates/core/src/policy/loads.rs
@@ -1,106 +1,109 @@
-//! Whose turn it is to load, and when a failed load may be tried again.
+//! Order of adapter loads across holders, and backoff after failed loads.
 //!
-//! The weight store serves one load at a time at full speed. Holders tell each other what they load and how much the
-//! next load would be worth; the highest bid goes next. Nothing here is agreed: two loads at once only cost speed.
+//! The weight store serves one load at a time at full speed. Holders exchange notices with the number of their loads in
+//! progress and the benefit of their best next load; the highest bid starts next. There is no consensus on the order,
+//! because two concurrent loads only slow each other down.
 
 use crate::ids::{AdapterVersion, Instant, TargetName, VmName};
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, time::Duration};
 
-/// A load that a holder would like to start.
+/// A load that a holder proposes to start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadBid {
-    /// Where.
+    /// Target that would load the adapter.
     pub target: TargetName,
-    /// What.
+    /// Adapter and version to load.
     pub model: AdapterVersion,
-    /// What goes for it, if no slot is free.
+    /// Adapter to evict first; `None` if a slot is free.
     pub evict: Option<AdapterVersion>,
-    /// What it is worth, in weighted waiting requests.
+    /// Benefit, in waiting requests weighted by class and waiting time.
     pub benefit: f64,
-    /// Whether requests wait for it.
+    /// Whether requests are waiting for the adapter; false for a preload.
     pub demanded: bool,
 }
 
-/// What a holder tells the others about its loads.
+/// Load state that a holder announces to the other holders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadNotice {
-    /// Loads that it has under way.
+    /// Loads in progress at the holder.
     pub loading: u32,
-    /// Worth of its best bid; zero for none.
+    /// Benefit of its best bid; zero if it has none.
     pub best_bid: f64,
 }
 
-/// Age after which a notice counts no more.
-const NOTICE_LIFE: Duration = Duration::from_secs(3);
+/// Age from which a notice is ignored, so that a lost holder does not block the others.
+const NOTICE_TTL: Duration = Duration::from_secs(3);
 
-/// The holders' notices, as this daemon heard them.
+/// Decides when this daemon may start a load, from the latest notice of each holder.
 #[derive(Clone, Debug, Default)]
 pub struct LoadArbiter {
     notices: HashMap<VmName, (LoadNotice, Instant)>,
 }
 
 impl LoadArbiter {
-    /// Takes a notice in.
+    /// Stores the latest notice of a VM.
     pub fn record_notice(&mut self, vm: &VmName, notice: LoadNotice, now: Instant) {
         self.notices.insert(vm.clone(), (notice, now));
     }
 
-    /// Whether this daemon may start a load with its best bid.
+    /// Whether this daemon may start the load of its best bid now.
+    ///
+    /// Refused if another idle holder has a higher bid, or an equal one and a lower VM name, or if
+    /// `max_concurrent_loads` loads are already in progress.
     #[must_use]
     pub fn may_start_load(
         &self,
-        me: &VmName,
-        mine: &LoadNotice,
-        at_once: u32,
+        own_vm: &VmName,
+        own_notice: &LoadNotice,
+        max_concurrent_loads: u32,
         now: Instant,
     ) -> bool {
-        let mut loading = mine.loading;
+        let mut loading = own_notice.loading;
         for (vm, (notice, at)) in &self.notices {
-            if vm == me || now.since(*at) > NOTICE_LIFE {
+            if vm == own_vm || now.since(*at) > NOTICE_TTL {
                 continue;
             }
             loading += notice.loading;
-            let goes_first =
-                notice.best_bid > mine.best_bid || (notice.best_bid == mine.best_bid && vm < me);
-            if notice.best_bid > 0.0 && goes_first && notice.loading == 0 {
+            let has_precedence = notice.best_bid > own_notice.best_bid
+                || (notice.best_bid == own_notice.best_bid && vm < own_vm);
+            if notice.best_bid > 0.0 && has_precedence && notice.loading == 0 {
                 return false;
             }
         }
-        loading < at_once && mine.best_bid > 0.0
+        loading < max_concurrent_loads && own_notice.best_bid > 0.0
     }
 }
 
-/// First pause after a failed load.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause after failed loads.
-const LONGEST_PAUSE: Duration = Duration::from_secs(30);
-/// Failures in a row after which the waiting requests are refused.
-const FAILURES_TO_REFUSE: u32 = 3;
+/// Backoff after the first failed load; doubles with each further failure.
+const MIN_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_secs(30);
+/// Consecutive failures from which the waiting requests are refused.
+const MAX_FAILURES: u32 = 3;
 
-/// Failed loads of one target, by adapter.
+/// Exponential backoff of the failed loads of one target, by adapter.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBackoff {
     failures: HashMap<AdapterVersion, (u32, Instant)>,
 }
 
 impl LoadBackoff {
-    /// A load failed; returns whether the adapter's waiting requests should be refused.
-    pub fn failed(&mut self, model: &AdapterVersion, now: Instant) -> bool {
+    /// Records a failed load; returns whether the adapter's waiting requests should be refused.
+    pub fn record_failure(&mut self, model: &AdapterVersion, now: Instant) -> bool {
         let (count, _) = self.failures.get(model).copied().unwrap_or((0, now));
         let count = count + 1;
-        let pause = (FIRST_PAUSE * (1 << (count - 1).min(10))).min(LONGEST_PAUSE);
+        let backoff = (MIN_BACKOFF * (1 << (count - 1).min(10))).min(MAX_BACKOFF);
         self.failures
-            .insert(model.clone(), (count, now.after(pause)));
-        count >= FAILURES_TO_REFUSE
+            .insert(model.clone(), (count, now.after(backoff)));
+        count >= MAX_FAILURES
     }
 
-    /// A load succeeded.
-    pub fn succeeded(&mut self, model: &AdapterVersion) {
+    /// Clears the backoff of an adapter after a successful load.
+    pub fn record_success(&mut self, model: &AdapterVersion) {
         self.failures.remove(model);
     }
 
-    /// Whether a load may be tried.
+    /// Whether a load may be attempted now: it has not failed, or its backoff has elapsed.
     #[must_use]
     pub fn can_retry(&self, model: &AdapterVersion, now: Instant) -> bool {
         self.failures
@@ -108,13 +111,13 @@
             .is_none_or(|(_, until)| now >= *until)
     }
 
-    /// Whether anything is backed off.
+    /// Whether no adapter has failed since its last successful load.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.failures.is_empty()
     }
 
-    /// When the next try may be made, if one is pending.
+    /// Time until the next attempt; `None` if an attempt may be made now.
     #[must_use]
     pub fn remaining_backoff(&self, model: &AdapterVersion, now: Instant) -> Option<Duration> {
         let (_, until) = self.failures.get(model)?;
--- a/crates/core/src/policy/mod.rs
+++ b/crates/core/src/policy/mod.rs
@@ -1,8 +1,8 @@
-//! Popularity, loads, eviction, dispatch, routing and limits.
+//! Routing, queueing, dispatch, adapter loads, eviction and caller limits.
 //!
-//! A gateway's [`TargetRouter`] chooses the target of each request from digests that lag. The target's holder keeps a
-//! [`TargetScheduler`], which alone decides what is dispatched, loaded and evicted there. The site's loads are put in
-//! order by [`LoadArbiter`]: soft state, whose mistakes cost speed and never safety.
+//! A gateway's [`TargetRouter`] chooses the target of each request from digests that may be stale. The target's holder
+//! runs a [`TargetScheduler`], which alone decides what is dispatched, loaded and evicted there. A [`LoadArbiter`]
+//! orders the loads of all holders; it works on soft state, so wrong decisions cost speed but never correctness.
 
 mod digest;
 mod limits;
--- a/crates/core/src/policy/popularity.rs
+++ b/crates/core/src/policy/popularity.rs
@@ -1,59 +1,57 @@
-//! How often each adapter is asked for, on two time scales.
+//! Request rate of each adapter, as exponentially decayed counts on two time scales.
 //!
-//! The slow rate remembers the day; the fast one shows a shift within tens of seconds. Only adapters that were asked
-//! for lately take memory: an idle one has no entry.
+//! The slow rate averages over minutes; the fast rate reveals a shift in popularity within tens of seconds. Only
+//! recently requested adapters have an entry, so memory does not grow with the number of existing adapters.
 
 use crate::ids::{AdapterVersion, Instant};
 use std::collections::HashMap;
 
-/// Time constant of the fast rate, in seconds.
-const FAST_S: f64 = 60.0;
-/// Time constant of the slow rate, in seconds.
-const SLOW_S: f64 = 300.0;
-/// Requests within the fast scale from which the fast rate is believed.
-const FAST_EVIDENCE: f64 = 3.0;
-/// Requests within the slow scale below which an adapter is forgotten.
-const FORGET_BELOW: f64 = 0.02;
-/// Entries beyond which forgetting is worth a pass.
-const SWEEP_AT: usize = 1024;
+const FAST_TIME_CONSTANT_S: f64 = 60.0;
+const SLOW_TIME_CONSTANT_S: f64 = 300.0;
+/// Decayed fast count from which the fast rate is used; below it, single requests would dominate the rate.
+const MIN_FAST_COUNT: f64 = 3.0;
+/// Decayed slow count below which an entry is removed.
+const MIN_SLOW_COUNT: f64 = 0.02;
+/// Number of entries up to which no sweep is made.
+const MIN_SWEEP_LEN: usize = 1024;
 
-/// How much each adapter is wanted.
+/// Source of expected request rates by adapter.
 pub trait DemandEstimator {
-    /// Requests a second that are to be expected.
+    /// Expected requests per second of an adapter.
     fn rate(&self, model: &AdapterVersion, now: Instant) -> f64;
 
-    /// Adapters that may be wanted, and their rates.
+    /// Adapters that are likely to be requested, with their rates.
     fn candidates(&self, now: Instant) -> Vec<(&AdapterVersion, f64)>;
 }
 
-/// Decayed counts of one adapter.
+/// Decayed request counts of one adapter.
 #[derive(Clone, Copy, Debug)]
 pub struct RateEstimate {
     fast: f64,
     slow: f64,
-    at: Instant,
+    updated_at: Instant,
 }
 
 impl RateEstimate {
     fn decayed(&self, now: Instant) -> (f64, f64) {
-        let passed = now.since(self.at).as_secs_f64();
+        let elapsed_s = now.since(self.updated_at).as_secs_f64();
         (
-            self.fast * (-passed / FAST_S).exp(),
-            self.slow * (-passed / SLOW_S).exp(),
+            self.fast * (-elapsed_s / FAST_TIME_CONSTANT_S).exp(),
+            self.slow * (-elapsed_s / SLOW_TIME_CONSTANT_S).exp(),
         )
     }
 }
 
-/// Rates of the adapters that were asked for lately.
+/// Learns request rates from the requests that it records.
 #[derive(Clone, Debug, Default)]
 pub struct PopularityTracker {
     rates: HashMap<AdapterVersion, RateEstimate>,
     started: Option<Instant>,
-    sweep_at: usize,
+    sweep_len: usize,
 }
 
 impl PopularityTracker {
-    /// A request for an adapter came.
+    /// Counts a request for an adapter.
     pub fn record(&mut self, model: &AdapterVersion, now: Instant) {
         self.started.get_or_insert(now);
         let (fast, slow) = self
@@ -63,7 +61,7 @@
         let estimate = RateEstimate {
             fast: fast + 1.0,
             slow: slow + 1.0,
-            at: now,
+            updated_at: now,
         };
         match self.rates.get_mut(model) {
             Some(rate) => *rate = estimate,
@@ -71,18 +69,18 @@
                 self.rates.insert(model.clone(), estimate);
             }
         }
-        if self.rates.len() > self.sweep_at.max(SWEEP_AT) {
+        if self.rates.len() > self.sweep_len.max(MIN_SWEEP_LEN) {
             self.sweep(now);
         }
     }
 
-    /// Number of entries.
+    /// Number of adapters with an entry.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rates.len()
     }
 
-    /// Whether nothing was asked for lately.
+    /// Whether no adapter has an entry.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rates.is_empty()
@@ -90,8 +88,8 @@
 
     fn sweep(&mut self, now: Instant) {
         self.rates
-            .retain(|_, rate| rate.decayed(now).1 >= FORGET_BELOW);
-        self.sweep_at = self.rates.len() * 2;
+            .retain(|_, rate| rate.decayed(now).1 >= MIN_SLOW_COUNT);
+        self.sweep_len = self.rates.len() * 2;
     }
 }
 
@@ -101,16 +99,17 @@
             return 0.0;
         };
         let (fast, slow) = rate.decayed(now);
-        // A tracker younger than the slow scale has seen only part of it.
-        let age = self
-            .started
-            .map_or(SLOW_S, |started| now.since(started).as_secs_f64());
-        let span = SLOW_S * (1.0 - (-(age.max(FAST_S)) / SLOW_S).exp());
-        let slow_rate = slow / span;
-        if fast < FAST_EVIDENCE {
+        // A tracker younger than the slow time constant has seen only part of that span, so the count is scaled up.
+        let age_s = self.started.map_or(SLOW_TIME_CONSTANT_S, |started| {
+            now.since(started).as_secs_f64()
+        });
+        let span_s = SLOW_TIME_CONSTANT_S
+            * (1.0 - (-(age_s.max(FAST_TIME_CONSTANT_S)) / SLOW_TIME_CONSTANT_S).exp());
+        let slow_rate = slow / span_s;
+        if fast < MIN_FAST_COUNT {
             return slow_rate;
         }
-        slow_rate.max(fast / FAST_S)
+        slow_rate.max(fast / FAST_TIME_CONSTANT_S)
     }
 
     fn candidates(&self, now: Instant) -> Vec<(&AdapterVersion, f64)> {
--- a/crates/core/src/policy/queue.rs
+++ b/crates/core/src/policy/queue.rs
@@ -1,37 +1,39 @@
-//! Requests that wait at one target, by adapter and class.
+//! Waiting requests of one target, in FIFO order by adapter and priority class.
+//!
+//! Totals by class are kept up to date, so that admission and digests need no pass over the queue.
 
 use crate::ids::{AdapterVersion, CallerName, Instant, PriorityClass, RequestId};
 use std::collections::{HashMap, VecDeque};
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Its id.
+    /// Request id, unique across gateways.
     pub id: RequestId,
-    /// The adapter and version it names.
+    /// Requested adapter and version.
     pub model: AdapterVersion,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// The caller.
+    /// Caller that sent the request.
     pub caller: CallerName,
-    /// Prompt tokens, estimated.
+    /// Estimated prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens that it may generate.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
-    /// When it came.
+    /// Time of arrival.
     pub queued_at: Instant,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
 }
 
-/// Requests that wait for one adapter.
+/// Waiting requests for one adapter, by class.
 #[derive(Clone, Debug, Default)]
 pub struct AdapterQueue {
     classes: [VecDeque<QueuedRequest>; 3],
 }
 
 impl AdapterQueue {
-    /// Number that wait, by class.
+    /// Number of waiting requests, by class.
     #[must_use]
     pub fn counts(&self) -> [usize; 3] {
         [
@@ -41,31 +43,31 @@
         ]
     }
 
-    /// Number that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.classes.iter().map(VecDeque::len).sum()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.classes.iter().all(VecDeque::is_empty)
     }
 
-    /// The longest waiting request of a class.
+    /// The longest-waiting request of a class.
     #[must_use]
     pub fn head(&self, class: PriorityClass) -> Option<&QueuedRequest> {
         self.classes[class.index()].front()
     }
 
-    /// All that wait, most urgent first.
+    /// All waiting requests, most urgent class first.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.classes.iter().flatten()
     }
 }
 
-/// All requests that wait at one target.
+/// All waiting requests of one target, by adapter.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingQueue {
     adapters: HashMap<AdapterVersion, AdapterQueue>,
@@ -74,7 +76,7 @@
 }
 
 impl WaitingQueue {
-    /// Adds a request.
+    /// Appends a request to the queue of its adapter and class.
     pub fn push(&mut self, request: QueuedRequest) {
         let class = request.class.index();
         self.counts[class] += 1;
@@ -83,18 +85,18 @@
         queue.classes[class].push_back(request);
     }
 
-    /// Takes the longest waiting request of an adapter and class.
+    /// Removes the longest-waiting request of an adapter and class.
     pub fn pop(&mut self, model: &AdapterVersion, class: PriorityClass) -> Option<QueuedRequest> {
         let queue = self.adapters.get_mut(model)?;
         let request = queue.classes[class.index()].pop_front()?;
         if queue.is_empty() {
             self.adapters.remove(model);
         }
-        self.discount(&request);
+        self.subtract_counts(&request);
         Some(request)
     }
 
-    /// Takes one request out, wherever it stands.
+    /// Removes a request by id, at any position.
     pub fn remove(&mut self, model: &AdapterVersion, id: RequestId) -> Option<QueuedRequest> {
         let queue = self.adapters.get_mut(model)?;
         let mut found = None;
@@ -108,23 +110,23 @@
             self.adapters.remove(model);
         }
         let request = found?;
-        self.discount(&request);
+        self.subtract_counts(&request);
         Some(request)
     }
 
-    /// Takes every request of an adapter out.
+    /// Removes all requests for an adapter.
     pub fn remove_adapter(&mut self, model: &AdapterVersion) -> Vec<QueuedRequest> {
         let Some(queue) = self.adapters.remove(model) else {
             return Vec::new();
         };
         let requests: Vec<_> = queue.classes.into_iter().flatten().collect();
         for request in &requests {
-            self.discount(request);
+            self.subtract_counts(request);
         }
         requests
     }
 
-    /// Takes everything out.
+    /// Removes all requests.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
         self.counts = [0; 3];
         self.tokens = [0; 3];
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// Takes out what can no longer be answered in time.
+    /// Removes the requests whose deadline has passed.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<QueuedRequest> {
         let mut expired = Vec::new();
         for queue in self.adapters.values() {
@@ -151,7 +153,7 @@
         expired
     }
 
-    /// The queue of an adapter.
+    /// Queue of an adapter; `None` if no request waits for it.
     #[must_use]
     pub fn adapter(&self, model: &AdapterVersion) -> Option<&AdapterQueue> {
         self.adapters.get(model)
@@ -162,31 +164,31 @@
         self.adapters.iter()
     }
 
-    /// Number that wait, by class.
+    /// Number of waiting requests, by class.
     #[must_use]
     pub fn counts(&self) -> [usize; 3] {
         self.counts
     }
 
-    /// Output tokens that wait, by class.
+    /// Output tokens of the waiting requests, by class.
     #[must_use]
     pub fn tokens(&self) -> [u64; 3] {
         self.tokens
     }
 
-    /// Number that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.counts.iter().sum()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request is waiting.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn discount(&mut self, request: &QueuedRequest) {
+    fn subtract_counts(&mut self, request: &QueuedRequest) {
         let class = request.class.index();
         self.counts[class] -= 1;
         self.tokens[class] -= u64::from(request.output_tokens);
--- a/crates/core/src/policy/router.rs
+++ b/crates/core/src/policy/router.rs
@@ -1,8 +1,9 @@
-//! The gateway's choice of a target.
+//! Target selection at the gateways.
 //!
-//! A request goes where it is expected to start soonest: a target that has its adapter, even behind a queue, or
-//! another one at the cost of a load. Among targets without the adapter, a ring of hashes names its homes, so that
-//! gateways that know nothing of each other send the first requests for an idle adapter to the same place.
+//! A request goes to the target where it is expected to start soonest: one that has its adapter, even if requests are
+//! queued there, or another one at the cost of a load. Among targets without the adapter, a consistent-hash ring
+//! determines its home targets, so that gateways send the first requests for an idle adapter to the same target without
+//! coordination.
 
 use crate::{
     ids::{AdapterVersion, AvailabilityZone, PriorityClass, TargetName},
@@ -14,53 +15,52 @@
     hash::{Hash, Hasher},
 };
 
-/// Wait beyond the best one, in seconds, up to which an idle adapter's home is kept.
-const HOME_TOLERANCE_S: f64 = 0.5;
-/// Places of each target on the ring of hashes.
-const RING_POINTS: u32 = 16;
-/// Targets that one choice looks at, at the most.
-const WALK_MOST: usize = 24;
-/// First targets from an adapter's place on the ring that count as its homes.
-const HOMES: usize = 6;
-/// Time until some seat of a full batch falls free, in seconds.
-const SEAT_TURN_S: f64 = 0.3;
-/// What a full batch costs a request beside the wait for a seat, in seconds.
-const STEP_COST_S: f64 = 0.05;
-/// Expected time of a load, in seconds.
-const LOAD_S: f64 = 0.35;
+/// Wait in excess of the shortest one, in seconds, up to which a home target is preferred for an idle adapter.
+const HOME_WAIT_TOLERANCE_S: f64 = 0.5;
+const RING_POINTS_PER_TARGET: u32 = 16;
+/// Maximum number of targets that one choice visits on the ring.
+const MAX_VISITED_TARGETS: usize = 24;
+/// Number of eligible targets, counted from an adapter's position on the ring, that are its homes.
+const HOME_COUNT: usize = 6;
+/// Expected time until a seat becomes free in a full batch, in seconds.
+const SEAT_WAIT_S: f64 = 0.3;
+/// Slowdown of a request in a full batch, in addition to the wait for a seat, in seconds.
+const FULL_BATCH_COST_S: f64 = 0.05;
+/// Expected duration of an adapter load, in seconds.
+const EXPECTED_LOAD_S: f64 = 0.35;
 
-/// A target as a gateway sees it.
+/// A target as known to a gateway.
 #[derive(Clone, Debug)]
 struct RoutedTarget {
     name: TargetName,
     zone: AvailabilityZone,
     reachable: bool,
     digest: TargetDigest,
-    /// Output tokens sent there since the last digest, by class.
+    /// Output tokens sent to the target since its last digest, by class.
     sent_tokens: [u64; 3],
-    sent: u32,
+    sent_requests: u32,
 }
 
 impl RoutedTarget {
-    /// Seconds until a new request of a class would get a seat.
+    /// Expected wait of a new request of a class, including the slowdown by the running batch, in seconds.
     fn wait_s(&self, class: PriorityClass, weights: &PolicyWeights) -> f64 {
         let digest = &self.digest;
-        let speed = f64::from(digest.tokens_per_second).max(1.0);
+        let throughput = f64::from(digest.tokens_per_second).max(1.0);
         let waiting: u64 = (0..=class.index())
             .map(|index| digest.waiting_tokens[index] + self.sent_tokens[index])
             .sum();
-        let occupied = self.occupied(class, weights);
-        // A seat is likely free below a full batch; the load still slows every step a little.
-        let seat = if occupied >= 1.0 {
-            waiting as f64 / speed + SEAT_TURN_S
+        let occupancy = self.occupancy(class, weights);
+        // Below a full batch a seat is likely to be free, but each running request slows down every step.
+        let seat_wait_s = if occupancy >= 1.0 {
+            waiting as f64 / throughput + SEAT_WAIT_S
         } else {
             0.0
         };
-        seat + occupied * STEP_COST_S
+        seat_wait_s + occupancy * FULL_BATCH_COST_S
     }
 
-    /// Share of the seats of a class that are taken.
-    fn occupied(&self, class: PriorityClass, weights: &PolicyWeights) -> f64 {
+    /// Running and sent requests as a share of the seats available to a class; may exceed 1.
+    fn occupancy(&self, class: PriorityClass, weights: &PolicyWeights) -> f64 {
         let reserved = match class {
             PriorityClass::Urgent => 0.0,
             PriorityClass::Normal | PriorityClass::Batch => weights.urgent_reserve,
@@ -68,60 +68,60 @@
         let seats = (f64::from(self.digest.seats) * (1.0 - reserved))
             .ceil()
             .max(1.0);
-        f64::from(self.digest.running + self.sent) / seats
+        f64::from(self.digest.running + self.sent_requests) / seats
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         self.reachable && self.digest.open
     }
 
-    fn usable_for(&self, query: &RouteQuery<'_>) -> bool {
-        self.usable() && !query.excluded.contains(&self.name)
+    fn is_usable_for(&self, query: &RouteQuery<'_>) -> bool {
+        self.is_usable() && !query.excluded.contains(&self.name)
     }
 }
 
-/// What the choice depends on.
+/// Properties of a request that determine its target.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// The adapter and version.
+    /// Requested adapter and version.
     pub model: &'a AdapterVersion,
-    /// The class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Output tokens that it may generate.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
-    /// The gateway's zone.
+    /// Availability zone of the gateway.
     pub zone: &'a AvailabilityZone,
-    /// Targets that were tried in vain.
+    /// Targets on which earlier attempts failed.
     pub excluded: &'a [TargetName],
 }
 
 /// The chosen target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteChoice {
-    /// The target.
+    /// Target to send the request to.
     pub target: TargetName,
-    /// Whether it has the adapter or loads it already.
+    /// Whether the adapter is loaded or being loaded there; always true for a plain service.
     pub resident: bool,
-    /// Expected time until the request starts, in seconds.
+    /// Expected time until the request starts, including cost terms of the weights, in seconds.
     pub expected_s: f64,
 }
 
-/// A gateway's view of the targets of one kind.
+/// A gateway's view of the targets of one kind: engines, or plain services.
 #[derive(Clone, Debug, Default)]
 pub struct TargetRouter {
     targets: Vec<RoutedTarget>,
-    /// Places of the targets on the ring of hashes, sorted.
+    /// Positions of the targets on the hash ring, sorted.
     ring: Vec<(u64, usize)>,
-    /// Adapters that wait to be loaded, over all targets.
-    queued_loads: u32,
+    /// Adapters waiting to be loaded, summed over all targets.
+    pending_loads: u32,
     by_name: HashMap<TargetName, usize>,
     by_model: HashMap<AdapterVersion, Vec<usize>>,
-    /// Adapters sent to a target that does not have them yet, until its digest says more.
-    promised: HashMap<AdapterVersion, usize>,
+    /// Target last chosen to load each adapter, until its digest lists the adapter or it becomes unreachable.
+    pending_residents: HashMap<AdapterVersion, usize>,
 }
 
 impl TargetRouter {
-    /// Adds a target, or takes its new digest in.
+    /// Adds a target, or replaces its digest; marks the target as reachable.
     pub fn update_digest(&mut self, zone: &AvailabilityZone, digest: &TargetDigest) {
         let index = match self.by_name.get(&digest.target) {
             Some(index) => *index,
@@ -131,7 +131,8 @@
             self.replace_residents(index, digest.residents_revision, residents);
         }
         let routed = &mut self.targets[index];
-        self.queued_loads = self.queued_loads + digest.wanted_loads - routed.digest.wanted_loads;
+        self.pending_loads =
+            self.pending_loads + digest.pending_loads - routed.digest.pending_loads;
         let residents = routed.digest.residents.take();
         let revision = routed.digest.residents_revision;
         routed.digest = TargetDigest {
@@ -140,23 +141,23 @@
             ..digest.clone()
         };
         routed.sent_tokens = [0; 3];
-        routed.sent = 0;
+        routed.sent_requests = 0;
         routed.reachable = true;
     }
 
-    /// A target's digest has not changed since the last one.
+    /// Confirms that a target's last digest is still current; marks the target as reachable.
     pub fn mark_unchanged(&mut self, target: &str) {
         if let Some(index) = self.by_name.get(target) {
             let routed = &mut self.targets[*index];
             routed.sent_tokens = [0; 3];
-            routed.sent = 0;
+            routed.sent_requests = 0;
             routed.reachable = true;
         }
     }
 
     fn add_target(&mut self, zone: &AvailabilityZone, digest: &TargetDigest) -> usize {
         let index = self.targets.len();
-        for point in 0..RING_POINTS {
+        for point in 0..RING_POINTS_PER_TARGET {
             let mut hasher = SipHasher13::new();
             (&digest.target, point).hash(&mut hasher);
             self.ring.push((hasher.finish(), index));
@@ -169,11 +170,11 @@
             digest: TargetDigest {
                 residents: Some(Vec::new()),
                 residents_revision: 0,
-                wanted_loads: 0,
+                pending_loads: 0,
                 ..digest.clone()
             },
             sent_tokens: [0; 3],
-            sent: 0,
+            sent_requests: 0,
         });
         self.by_name.insert(digest.target.clone(), index);
         index
@@ -203,8 +204,8 @@
                 .entry(resident.model.clone())
                 .or_default()
                 .push(index);
-            if self.promised.get(&resident.model) == Some(&index) {
-                self.promised.remove(&resident.model);
+            if self.pending_residents.get(&resident.model) == Some(&index) {
+                self.pending_residents.remove(&resident.model);
             }
         }
         let digest = &mut self.targets[index].digest;
@@ -212,7 +213,7 @@
         digest.residents_revision = revision;
     }
 
-    /// Revision of residents that is known of a target; zero if none.
+    /// Last received revision of a target's residents; zero if none.
     #[must_use]
     pub fn known_residents_revision(&self, target: &str) -> u64 {
         self.by_name
@@ -220,27 +221,28 @@
             .map_or(0, |index| self.targets[*index].digest.residents_revision)
     }
 
-    /// Marks a target as reachable or not.
+    /// Sets whether a target is reachable.
     pub fn set_reachable(&mut self, target: &str, reachable: bool) {
         if let Some(index) = self.by_name.get(target) {
             let routed = &mut self.targets[*index];
             routed.reachable = reachable;
             if !reachable {
-                self.queued_loads -= std::mem::take(&mut routed.digest.wanted_loads);
+                self.pending_loads -= std::mem::take(&mut routed.digest.pending_loads);
                 let index = *index;
-                self.promised.retain(|_, promised| *promised != index);
+                self.pending_residents
+                    .retain(|_, pending_residents| *pending_residents != index);
             }
         }
     }
 
-    /// Closes a target for new work at once, before its holder says so.
+    /// Stops sending new requests to a target until its next digest.
     pub fn close(&mut self, target: &str) {
         if let Some(index) = self.by_name.get(target) {
             self.targets[*index].digest.open = false;
         }
     }
 
-    /// Whether an adapter is on some usable target.
+    /// Whether an adapter is loaded or being loaded on a target that is reachable and open.
     #[must_use]
     pub fn is_resident(&self, model: &AdapterVersion) -> bool {
         let indices = self
@@ -248,36 +250,41 @@
             .get(model)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        indices.iter().any(|index| self.targets[*index].usable())
+        indices.iter().any(|index| self.targets[*index].is_usable())
     }
 
-    /// Whether a target is the home of an idle adapter.
+    /// Whether a target is the first eligible one on the ring for an adapter.
     #[must_use]
     pub fn is_home(&self, model: &AdapterVersion, target: &str) -> bool {
         let mut is_home = false;
-        self.walk(model, |_, routed| {
-            let is_first = routed.usable() && routed.digest.loads;
-            is_home = is_first && routed.name.as_str() == target;
-            is_first
+        self.visit_ring(model, |_, routed| {
+            let is_eligible = routed.is_usable() && routed.digest.can_load;
+            is_home = is_eligible && routed.name.as_str() == target;
+            is_eligible
         });
         is_home
     }
 
-    /// Visits targets in the order of the ring from an adapter's place on, each once, until `stop` says so; at most
-    /// [`WALK_MOST`], so that a choice costs the same before many targets as before few.
-    fn walk(&self, model: &AdapterVersion, mut stop: impl FnMut(usize, &RoutedTarget) -> bool) {
+    /// Visits each target once in ring order, starting at an adapter's position, until `stop` returns true.
+    ///
+    /// Visits at most [`MAX_VISITED_TARGETS`], so that the cost of a choice does not grow with the number of targets.
+    fn visit_ring(
+        &self,
+        model: &AdapterVersion,
+        mut stop: impl FnMut(usize, &RoutedTarget) -> bool,
+    ) {
         let hash = model_hash(model);
-        let start = self.ring.partition_point(|(place, _)| *place < hash);
-        let mut seen: Vec<usize> = Vec::with_capacity(WALK_MOST);
+        let start = self.ring.partition_point(|(position, _)| *position < hash);
+        let mut visited: Vec<usize> = Vec::with_capacity(MAX_VISITED_TARGETS);
         let (before, after) = self.ring.split_at(start);
         for (_, index) in after.iter().chain(before) {
-            if seen.contains(index) {
+            if visited.contains(index) {
                 continue;
             }
-            if seen.len() >= WALK_MOST || stop(*index, &self.targets[*index]) {
+            if visited.len() >= MAX_VISITED_TARGETS || stop(*index, &self.targets[*index]) {
                 return;
             }
-            seen.push(*index);
+            visited.push(*index);
         }
     }
 
@@ -287,13 +294,13 @@
         self.targets.len()
     }
 
-    /// Whether no target is known.
+    /// Whether no target has been added.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// Chooses the target of an engine request and counts it as sent there.
+    /// Chooses the target of an engine request and counts the request as sent; `None` if no target is usable.
     pub fn choose(
         &mut self,
         query: &RouteQuery<'_>,
@@ -308,9 +315,9 @@
             (None, None) => return None,
         };
         if !is_resident {
-            self.promised.insert(query.model.clone(), index);
+            self.pending_residents.insert(query.model.clone(), index);
         }
-        self.count_sent(index, query);
+        self.record_sent(index, query);
         Some(RouteChoice {
             target: self.targets[index].name.clone(),
             resident: is_resident,
@@ -318,7 +325,8 @@
         })
     }
 
-    /// Chooses the target of a plain service's call: the least loaded, in the own zone if equal.
+    /// Chooses the target of a plain service's call among the members: the one with the shortest wait, where leaving
+    /// the gateway's zone costs `zone_cost_s`. Counts the call as sent.
     pub fn choose_service(
         &mut self,
         query: &RouteQuery<'_>,
@@ -329,7 +337,7 @@
             .targets
             .iter()
             .enumerate()
-            .filter(|(_, routed)| routed.usable_for(query) && is_member(&routed.name));
+            .filter(|(_, routed)| routed.is_usable_for(query) && is_member(&routed.name));
         let costs = members.map(|(index, routed)| {
             (
                 index,
@@ -337,7 +345,7 @@
             )
         });
         let (index, expected_s) = costs.min_by(|(_, a), (_, b)| a.total_cmp(b))?;
-        self.count_sent(index, query);
+        self.record_sent(index, query);
         Some(RouteChoice {
             target: self.targets[index].name.clone(),
             resident: true,
@@ -355,18 +363,18 @@
             .get(query.model)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        let promised = self.promised.get(query.model);
+        let pending_residents = self.pending_residents.get(query.model);
         let candidates = indices
             .iter()
-            .chain(promised)
-            .filter(|index| self.targets[**index].usable_for(query));
+            .chain(pending_residents)
+            .filter(|index| self.targets[**index].is_usable_for(query));
         let costs = candidates.map(|index| {
             let routed = &self.targets[*index];
             let mut cost = routed.wait_s(query.class, weights) + zone_cost(routed, query, weights);
             if query.class == PriorityClass::Batch {
-                // Batch work prefers the fuller target, so that others can run empty.
-                let occupied = routed.occupied(query.class, weights);
-                cost -= weights.packing_s * occupied.min(1.0);
+                // Batch requests prefer the fuller target, so that others can run empty.
+                let occupancy = routed.occupancy(query.class, weights);
+                cost -= weights.packing_s * occupancy.min(1.0);
             }
             (*index, cost)
         });
@@ -374,48 +382,49 @@
     }
 
     fn best_home(&self, query: &RouteQuery<'_>, weights: &PolicyWeights) -> Option<(usize, f64)> {
-        let mut homes: Vec<(usize, f64)> = Vec::with_capacity(HOMES);
+        let mut homes: Vec<(usize, f64)> = Vec::with_capacity(HOME_COUNT);
         let mut shortest = (f64::INFINITY, 0);
-        self.walk(query.model, |index, routed| {
-            if !routed.usable_for(query) || !routed.digest.loads {
+        self.visit_ring(query.model, |index, routed| {
+            if !routed.is_usable_for(query) || !routed.digest.can_load {
                 return false;
             }
             let wait = routed.wait_s(query.class, weights);
             if wait < shortest.0 {
                 shortest = (wait, index);
             }
-            if homes.len() < HOMES {
+            if homes.len() < HOME_COUNT {
                 homes.push((index, wait + zone_cost(routed, query, weights)));
             }
-            // Beyond the homes the walk only goes on to find room, if they have none.
-            homes.len() >= HOMES && shortest.0 < HOME_TOLERANCE_S
+            // After the homes, the visit only continues to find a free target if all homes are busy.
+            homes.len() >= HOME_COUNT && shortest.0 < HOME_WAIT_TOLERANCE_S
         });
-        let patience = match query.class {
+        let packing_tolerance_s = match query.class {
             PriorityClass::Batch => weights.packing_s,
             _ => 0.0,
         };
-        let near = homes
+        let eligible_homes = homes
             .iter()
-            .filter(|(_, wait)| *wait <= shortest.0 + HOME_TOLERANCE_S + patience);
-        // Of the homes with room, the one that loses least by the load.
-        let cost = |index: &usize| {
+            .filter(|(_, wait)| *wait <= shortest.0 + HOME_WAIT_TOLERANCE_S + packing_tolerance_s);
+        // Among the homes with a short wait, the one whose evicted adapter has the lowest request rate.
+        let eviction_rate = |index: &usize| {
             self.targets[*index]
                 .digest
                 .victim_rate
                 .unwrap_or(f32::INFINITY)
         };
-        let near = near.min_by(|(a, _), (b, _)| cost(a).total_cmp(&cost(b)));
-        // If every home is busy, the adapter goes where there is room.
-        let anywhere = shortest.0.is_finite().then_some((shortest.1, shortest.0));
-        let chosen = near.copied().or(anywhere)?;
-        // The store serves one load at a time, for all targets.
-        let load = LOAD_S * f64::from(1 + self.queued_loads);
-        Some((chosen.0, chosen.1 + load + weights.load_penalty_s))
+        let best_home =
+            eligible_homes.min_by(|(a, _), (b, _)| eviction_rate(a).total_cmp(&eviction_rate(b)));
+        // If every home is busy, fall back to the target with the shortest wait.
+        let fallback = shortest.0.is_finite().then_some((shortest.1, shortest.0));
+        let chosen = best_home.copied().or(fallback)?;
+        // The weight store serves one load at a time for all targets.
+        let load_s = EXPECTED_LOAD_S * f64::from(1 + self.pending_loads);
+        Some((chosen.0, chosen.1 + load_s + weights.load_penalty_s))
     }
 
-    fn count_sent(&mut self, index: usize, query: &RouteQuery<'_>) {
+    fn record_sent(&mut self, index: usize, query: &RouteQuery<'_>) {
         let routed = &mut self.targets[index];
-        routed.sent += 1;
+        routed.sent_requests += 1;
         routed.sent_tokens[query.class.index()] += u64::from(query.output_tokens);
     }
 }
--- a/crates/core/src/policy/scheduler.rs
+++ b/crates/core/src/policy/scheduler.rs
@@ -1,8 +1,8 @@
-//! What a holder decides for one target: dispatch, loads and eviction.
+//! Dispatch, adapter loads and eviction of one target, as decided by its holder.
 //!
-//! All work on a target goes through its one scheduler, so it knows what runs, and an adapter with a request in
-//! flight is never chosen for eviction. Costs depend on the target's slots and on the adapters that wait, never on
-//! the number of adapters that exist.
+//! All requests of a target go through its single scheduler, so the scheduler knows what is running and never evicts an
+//! adapter with a request in flight. The cost of a decision depends on the target's slots and on the adapters with
+//! waiting requests, not on the number of existing adapters.
 
 use crate::{
     ids::{AdapterVersion, Instant, PriorityClass, RequestId, TargetName},
@@ -14,53 +14,53 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Time of one load at full speed, in seconds, until loads were measured.
-const ASSUMED_LOAD_S: f64 = 0.35;
-/// Output tokens a second of a full batch until steps were measured.
-const ASSUMED_TOKENS_PER_SECOND: f64 = 400.0;
-/// Wait after which a demanded load may stop new work on an adapter that never falls idle.
-const FORCE_AFTER: Duration = Duration::from_secs(4);
-/// Share of its bound after which waiting work goes before all but the urgent.
-const AGED_SHARE: f64 = 0.75;
-/// Weight of the newest measurement in a moving average.
-const NEWEST_SHARE: f64 = 0.1;
+/// Load duration assumed before the first load has completed, in seconds.
+const INITIAL_LOAD_S: f64 = 0.35;
+/// Throughput of a full batch assumed before the first measurement.
+const INITIAL_TOKENS_PER_SECOND: f64 = 400.0;
+/// Wait for a load after which a resident adapter that never becomes idle is drained.
+const LOAD_STARVATION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Share of its maximum wait after which a request precedes all but urgent ones; also the limit for admission.
+const AGED_WAIT_SHARE: f64 = 0.75;
+/// Weight of the newest sample in the moving averages.
+const EWMA_WEIGHT: f64 = 0.1;
 
 /// State of an adapter on a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdapterState {
-    /// The load order was sent.
+    /// A load order was sent.
     Loading,
     /// Requests may be dispatched to it.
     Loaded,
-    /// Its unload is announced or sent.
+    /// An unload was announced or sent.
     Unloading,
 }
 
-/// An adapter on a target.
+/// An adapter that occupies a slot of a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResidentAdapter {
-    /// The adapter.
+    /// The adapter and its version.
     pub model: AdapterVersion,
-    /// Its state.
+    /// Progress of its load or unload.
     pub state: AdapterState,
-    /// Requests in flight on it.
+    /// Running requests that use the adapter.
     pub in_flight: u32,
-    /// When its load ended.
+    /// Time at which its load completed; start of the load while it is loading.
     pub loaded_at: Instant,
-    /// When it was last used.
+    /// Time of the last start or end of a request.
     pub used_at: Instant,
-    /// Whether it gets no new work, so that it can make room.
-    pub making_room: bool,
+    /// Whether dispatch to it has stopped so that it can be evicted.
+    pub is_draining: bool,
 }
 
-/// Sizes of a target.
+/// Capacity of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SchedulerLimits {
-    /// Adapter slots.
+    /// Adapter slots; zero for a plain service.
     pub slots: usize,
-    /// Requests that it batches.
+    /// Maximum number of concurrently running requests (batch size).
     pub seats: usize,
-    /// Requests that may wait.
+    /// Maximum number of waiting requests.
     pub waiting: usize,
 }
 
@@ -72,12 +72,12 @@
     in_prefill: bool,
 }
 
-/// A request that goes out now.
+/// A request to send to the target now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchOrder {
-    /// The request.
+    /// Request taken from the queue.
     pub request: QueuedRequest,
-    /// How long it waited for its adapter to be loaded.
+    /// Time that the request waited for its adapter to be loaded.
     pub load_stall: Duration,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl TargetScheduler {
-    /// A scheduler of an engine, which is taken to be empty.
+    /// Creates the scheduler of an engine that is assumed to have no adapters loaded.
     #[must_use]
     pub fn engine(target: TargetName, limits: SchedulerLimits) -> Self {
         Self {
@@ -114,15 +114,15 @@
             running: HashMap::new(),
             prefill_tokens: 0,
             backoff: LoadBackoff::default(),
-            tokens_per_second: ASSUMED_TOKENS_PER_SECOND,
-            load_seconds: ASSUMED_LOAD_S,
+            tokens_per_second: INITIAL_TOKENS_PER_SECOND,
+            load_seconds: INITIAL_LOAD_S,
             open: true,
             may_evict: true,
             victim_rate: Some(0.0),
         }
     }
 
-    /// A scheduler of a plain service, which needs no loads.
+    /// Creates the scheduler of a plain service, which has no adapters.
     #[must_use]
     pub fn service(target: TargetName, concurrency: usize, waiting: usize) -> Self {
         let limits = SchedulerLimits {
@@ -136,91 +136,92 @@
         }
     }
 
-    /// The target.
+    /// Name of the target.
     #[must_use]
     pub fn target(&self) -> &TargetName {
         &self.target
     }
 
-    /// Its sizes.
+    /// Capacity of the target.
     #[must_use]
     pub fn limits(&self) -> SchedulerLimits {
         self.limits
     }
 
-    /// Adapters on it.
+    /// Adapters that occupy a slot, in any state.
     #[must_use]
     pub fn residents(&self) -> &[ResidentAdapter] {
         &self.residents
     }
 
-    /// What waits.
+    /// Waiting requests.
     #[must_use]
     pub fn waiting(&self) -> &WaitingQueue {
         &self.waiting
     }
 
-    /// Number of requests that run.
+    /// Number of running requests.
     #[must_use]
     pub fn running_len(&self) -> usize {
         self.running.len()
     }
 
-    /// Ids of the requests that run.
+    /// Ids of the running requests.
     pub fn running_ids(&self) -> impl Iterator<Item = RequestId> {
         self.running.keys().copied()
     }
 
-    /// Failed loads that are backed off.
+    /// Backoff of failed loads.
     #[must_use]
     pub fn backoff(&self) -> &LoadBackoff {
         &self.backoff
     }
 
-    /// Opens or closes it for new work; what waits stays until taken out.
+    /// Sets whether new requests are accepted; waiting requests stay queued.
     pub fn set_open(&mut self, open: bool) {
         self.open = open;
     }
 
-    /// Says whether ownership lets anything be unloaded here.
+    /// Sets whether the ownership state permits unloads on this target.
     pub fn set_may_evict(&mut self, may_evict: bool) {
         self.may_evict = may_evict;
     }
 
-    /// Whether an adapter that is not here can be loaded.
+    /// Whether a non-resident adapter can be loaded: a slot is free, or unloads are permitted.
     #[must_use]
     pub fn can_load(&self) -> bool {
         self.may_evict || self.residents.len() < self.limits.slots
     }
 
-    /// Takes out what waits for adapters that can't be loaded here, so that another target serves it.
+    /// Removes the requests for adapters that cannot be loaded here, so that they can be sent to another target.
     pub fn drain_unloadable(&mut self) -> Vec<QueuedRequest> {
         if !self.needs_loads || self.can_load() {
             return Vec::new();
         }
-        let stuck = self.waiting.iter().map(|(model, _)| model);
-        let stuck = stuck.filter(|model| {
+        let unloadable = self.waiting.iter().map(|(model, _)| model);
+        let unloadable = unloadable.filter(|model| {
             self.residents
                 .iter()
                 .all(|resident| resident.model != **model)
         });
-        let stuck: Vec<_> = stuck.cloned().collect();
-        stuck
+        let unloadable: Vec<_> = unloadable.cloned().collect();
+        unloadable
             .iter()
             .flat_map(|model| self.waiting.remove_adapter(model))
             .collect()
     }
 
-    /// Whether it takes new work.
+    /// Whether new requests are accepted.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.open
     }
 
-    /// Takes a request in, or says why not.
+    /// Adds a request to the queue.
     ///
     /// # Errors
-    /// Gives the request back with the reason.
+    /// Returns the request with the reason if the target is closed, its queue is full for the request's class, or the
+    /// expected wait is too long.
     pub fn enqueue(
         &mut self,
         request: QueuedRequest,
@@ -231,7 +232,7 @@
                 retry_after_ms: 500,
             })
         } else {
-            self.overload(request.class, weights)
+            self.overload_reason(request.class, weights)
         };
         if let Some(reason) = refusal {
             return Err(Box::new((request, reason)));
@@ -240,30 +241,36 @@
         Ok(())
     }
 
-    fn overload(&self, class: PriorityClass, weights: &PolicyWeights) -> Option<NotRunReason> {
-        let expected = self.expected_wait_s(class);
-        let bound = weights.bound_s(class);
-        // The queue is shared by all classes; what is left of it for batch work is smaller.
-        let most = self.limits.waiting - self.limits.waiting / 4 * class.index();
-        if expected <= bound * AGED_SHARE && self.waiting.len() < most {
+    fn overload_reason(
+        &self,
+        class: PriorityClass,
+        weights: &PolicyWeights,
+    ) -> Option<NotRunReason> {
+        let expected_s = self.expected_wait_s(class);
+        let max_wait_s = weights.max_wait_s(class);
+        // All classes share the queue; lower classes may fill only part of it.
+        let max_waiting = self.limits.waiting - self.limits.waiting / 4 * class.index();
+        if expected_s <= max_wait_s * AGED_WAIT_SHARE && self.waiting.len() < max_waiting {
             return None;
         }
-        let excess = (expected - bound * AGED_SHARE).clamp(0.2, bound);
+        let excess_s = (expected_s - max_wait_s * AGED_WAIT_SHARE).clamp(0.2, max_wait_s);
         Some(NotRunReason::Overloaded {
-            retry_after_ms: (excess * 1000.0) as u64,
+            retry_after_ms: (excess_s * 1000.0) as u64,
         })
     }
 
-    /// Time that new work of a class would wait for a seat, from what waits before it.
+    /// Expected wait of a new request of a class for a seat, in seconds, from the queued tokens of its own and more
+    /// urgent classes.
     #[must_use]
     pub fn expected_wait_s(&self, class: PriorityClass) -> f64 {
         let tokens: u64 = self.waiting.tokens()[..=class.index()].iter().sum();
         tokens as f64 / self.tokens_per_second.max(1.0)
     }
 
-    /// Takes the next request that goes out now, if there is one.
+    /// Removes the next request to dispatch from the queue and counts it as running; `None` if nothing can be
+    /// dispatched now.
     ///
-    /// `allowed` says whether ownership lets requests go to an adapter.
+    /// `allowed` returns whether the ownership state permits dispatch to an adapter.
     pub fn next_dispatch(
         &mut self,
         weights: &PolicyWeights,
@@ -290,22 +297,22 @@
         }
         let mut best: Option<(f64, &QueuedRequest)> = None;
         let mut consider = |request| {
-            let due = due_at(request, weights, now);
+            let due = due_in_s(request, weights, now);
             if best.is_none_or(|(earliest, _)| due < earliest) {
                 best = Some((due, request));
             }
         };
-        let hold_batch = self.hold_batch(weights, now);
+        let should_hold_batch = self.should_hold_batch(weights, now);
         let classes = PriorityClass::ALL
             .into_iter()
             .filter(|class| self.has_seat(*class, weights));
         let classes: Vec<_> = classes
-            .filter(|class| *class != PriorityClass::Batch || !hold_batch)
+            .filter(|class| *class != PriorityClass::Batch || !should_hold_batch)
             .collect();
         if self.needs_loads {
             for resident in &self.residents {
                 if resident.state != AdapterState::Loaded
-                    || resident.making_room
+                    || resident.is_draining
                     || !allowed(&resident.model)
                 {
                     continue;
@@ -338,11 +345,11 @@
         self.running.len() + reserved < self.limits.seats && !prefill_full
     }
 
-    /// Whether batch work waits for company, so that steps run full or not at all.
-    fn hold_batch(&self, weights: &PolicyWeights, now: Instant) -> bool {
-        let least = self.limits.seats as f64 * weights.hold_below;
+    /// Whether batch requests are held back until more of them arrive, so that engine steps run with fuller batches.
+    fn should_hold_batch(&self, weights: &PolicyWeights, now: Instant) -> bool {
+        let min_occupied = self.limits.seats as f64 * weights.hold_below;
         let waiting = self.waiting.counts()[PriorityClass::Batch.index()];
-        if weights.hold_below == 0.0 || (self.running.len() + waiting) as f64 >= least {
+        if weights.hold_below == 0.0 || (self.running.len() + waiting) as f64 >= min_occupied {
             return false;
         }
         let heads = self
@@ -374,7 +381,7 @@
         resident.loaded_at.since(request.queued_at)
     }
 
-    /// Counts a request as running that another holder, or an earlier attempt, started.
+    /// Counts a request as running that another holder or an earlier attempt has started.
     pub fn adopt_running(&mut self, id: RequestId, model: &AdapterVersion, class: PriorityClass) {
         let running = RunningRequest {
             model: model.clone(),
@@ -389,7 +396,7 @@
         }
     }
 
-    /// The first token of a running request came: its prefill is over.
+    /// Records the first token of a running request, which ends its prefill.
     pub fn finish_prefill(&mut self, id: RequestId) {
         if let Some(running) = self.running.get_mut(&id)
             && std::mem::take(&mut running.in_prefill)
@@ -398,7 +405,7 @@
         }
     }
 
-    /// A running request ended.
+    /// Records the end of a running request.
     pub fn finish_request(&mut self, id: RequestId, now: Instant) {
         self.finish_prefill(id);
         let Some(running) = self.running.remove(&id) else {
@@ -410,13 +417,13 @@
         }
     }
 
-    /// Whether a request runs here.
+    /// Whether a request is running on this target.
     #[must_use]
     pub fn is_running(&self, id: RequestId) -> bool {
         self.running.contains_key(&id)
     }
 
-    /// Number of running requests by class.
+    /// Number of running requests, by class.
     #[must_use]
     pub fn running_counts(&self) -> [usize; 3] {
         let mut counts = [0; 3];
@@ -426,7 +433,7 @@
         counts
     }
 
-    /// Takes a waiting request out because its caller gave it up.
+    /// Removes a waiting request that its caller has cancelled.
     pub fn cancel_waiting(
         &mut self,
         model: &AdapterVersion,
@@ -435,12 +442,13 @@
         self.waiting.remove(model, id)
     }
 
-    /// Takes out everything that waits.
+    /// Removes all waiting requests.
     pub fn drain_waiting(&mut self) -> Vec<QueuedRequest> {
         self.waiting.drain()
     }
 
-    /// Takes out what waited past its deadline or its class's bound.
+    /// Removes the requests whose deadline has passed, and the longest-waiting request of each adapter and class if it
+    /// has exceeded the maximum wait of its class.
     pub fn remove_overdue(&mut self, weights: &PolicyWeights, now: Instant) -> Vec<QueuedRequest> {
         let mut overdue = self.waiting.remove_expired(now);
         let late: Vec<_> = self
@@ -451,7 +459,7 @@
                     .into_iter()
                     .filter_map(|class| queue.head(class))
             })
-            .filter(|head| now.since(head.queued_at).as_secs_f64() > weights.bound_s(head.class))
+            .filter(|head| now.since(head.queued_at).as_secs_f64() > weights.max_wait_s(head.class))
             .map(|head| (head.model.clone(), head.id))
             .collect();
         overdue.extend(
@@ -461,7 +469,7 @@
         overdue
     }
 
-    /// The load that would be worth most here.
+    /// The load with the highest benefit among adapters with waiting requests; `None` if none is possible now.
     #[must_use]
     pub fn demand_bid(
         &self,
@@ -475,20 +483,20 @@
                 .iter()
                 .any(|resident| resident.state != AdapterState::Loaded)
         {
-            // One order at a time on a target.
+            // Only one load or unload is in progress on a target at a time.
             return None;
         }
         let evict = self.victim(popularity, now);
         if evict.is_none() && self.residents.len() >= self.limits.slots {
             return None;
         }
-        let wanted = self
+        let loadable = self
             .waiting
             .iter()
             .filter(|(model, _)| self.is_loadable(model, now));
-        let worth = wanted.map(|(model, queue)| (queue_worth(queue, weights, now), model));
+        let benefits = loadable.map(|(model, queue)| (queue_benefit(queue, weights, now), model));
         let (benefit, model) =
-            worth.max_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| y.cmp(x)))?;
+            benefits.max_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| y.cmp(x)))?;
         Some(LoadBid {
             target: self.target.clone(),
             model: model.clone(),
@@ -498,7 +506,8 @@
         })
     }
 
-    /// A load without demand: the most wanted adapter that is loaded nowhere, if it is wanted more than what goes.
+    /// A load without waiting requests: the adapter with the highest request rate among those that `is_candidate`
+    /// accepts, if its rate exceeds that of the evicted adapter by the factor `preload_margin`.
     #[must_use]
     pub fn preload_bid(
         &self,
@@ -516,19 +525,19 @@
         {
             return None;
         }
-        let free = self.residents.len() < self.limits.slots;
+        let has_free_slot = self.residents.len() < self.limits.slots;
         let evict = self.victim(popularity, now);
-        if evict.is_none() && !free {
+        if evict.is_none() && !has_free_slot {
             return None;
         }
-        let lost = evict
+        let evicted_rate = evict
             .as_ref()
             .map_or(0.0, |victim| popularity.rate(victim, now));
         let candidates = popularity
             .candidates(now)
             .into_iter()
             .filter(|(model, rate)| {
-                *rate > lost * weights.preload_margin
+                *rate > evicted_rate * weights.preload_margin
                     && self.is_loadable(model, now)
                     && is_candidate(model)
             });
@@ -537,9 +546,9 @@
         Some(LoadBid {
             target: self.target.clone(),
             model: model.clone(),
-            evict: if free { None } else { evict },
-            // Worth less than any demanded load: rates are far below one waiting batch request.
-            benefit: (rate - lost) * 1e-3,
+            evict: if has_free_slot { None } else { evict },
+            // Scaled down so that any load with waiting requests, which is worth at least 1, takes precedence.
+            benefit: (rate - evicted_rate) * 1e-3,
             demanded: false,
         })
     }
@@ -551,7 +560,8 @@
             && self.backoff.can_retry(model, now)
     }
 
-    /// The adapter whose loss costs least, among those with nothing in flight or waiting; none if a slot is free.
+    /// The adapter with the lowest request rate among those without running or waiting requests; a draining one may have
+    /// waiting requests. `None` if a slot is free.
     fn victim(&self, popularity: &impl DemandEstimator, now: Instant) -> Option<AdapterVersion> {
         if !self.may_evict || self.residents.len() < self.limits.slots {
             return None;
@@ -559,15 +569,15 @@
         let idle = self.residents.iter().filter(|resident| {
             resident.state == AdapterState::Loaded
                 && resident.in_flight == 0
-                && (resident.making_room || self.waiting.adapter(&resident.model).is_none())
+                && (resident.is_draining || self.waiting.adapter(&resident.model).is_none())
         });
-        let valued = idle.map(|resident| (popularity.rate(&resident.model, now), resident));
+        let rated = idle.map(|resident| (popularity.rate(&resident.model, now), resident));
         let least =
-            valued.min_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.used_at.cmp(&y.used_at)));
+            rated.min_by(|(a, x), (b, y)| a.total_cmp(b).then_with(|| x.used_at.cmp(&y.used_at)));
         least.map(|(_, resident)| resident.model.clone())
     }
 
-    /// The adapter that could go for another one now.
+    /// The adapter that can be evicted now; `None` if a slot is free or no adapter can be evicted.
     #[must_use]
     pub fn eviction_candidate(
         &self,
@@ -577,38 +587,39 @@
         self.victim(popularity, now)
     }
 
-    /// Works out what the next load would cost here, for the digest.
+    /// Updates the request rate of the adapter that the next load would evict, for the digest.
     pub fn update_victim_rate(&mut self, popularity: &impl DemandEstimator, now: Instant) {
-        let is_free = self.residents.len() < self.limits.slots;
+        let has_free_slot = self.residents.len() < self.limits.slots;
         let victim = self
             .victim(popularity, now)
             .map(|model| popularity.rate(&model, now) as f32);
-        self.victim_rate = if is_free {
+        self.victim_rate = if has_free_slot {
             Some(0.0)
         } else {
             victim.map(rounded_rate)
         };
     }
 
-    /// Stops new work on the least wanted adapter if a load has waited long and nothing ever falls idle.
+    /// Starts draining the adapter with the lowest request rate if a request has waited for a load for longer than
+    /// `LOAD_STARVATION_TIMEOUT` and every slot holds an adapter with running or waiting requests.
     pub fn drain_for_starved_load(&mut self, popularity: &impl DemandEstimator, now: Instant) {
-        let starved = self.waiting.iter().any(|(model, queue)| {
+        let is_starved = self.waiting.iter().any(|(model, queue)| {
             let waited = queue
                 .iter()
                 .map(|request| now.since(request.queued_at))
                 .max()
                 .unwrap_or_default();
-            waited > FORCE_AFTER && self.is_loadable(model, now)
+            waited > LOAD_STARVATION_TIMEOUT && self.is_loadable(model, now)
         });
-        let full = self.residents.len() >= self.limits.slots;
-        let blocked = full
+        let is_full = self.residents.len() >= self.limits.slots;
+        let is_blocked = is_full
             && self.residents.iter().all(|resident| {
                 resident.in_flight > 0 || self.waiting.adapter(&resident.model).is_some()
             });
-        if !starved
-            || !blocked
+        if !is_starved
+            || !is_blocked
             || !self.may_evict
-            || self.residents.iter().any(|resident| resident.making_room)
+            || self.residents.iter().any(|resident| resident.is_draining)
         {
             return;
         }
@@ -617,11 +628,11 @@
             .iter_mut()
             .map(|resident| (popularity.rate(&resident.model, now), resident));
         if let Some((_, resident)) = rates.min_by(|(a, _), (b, _)| a.total_cmp(b)) {
-            resident.making_room = true;
+            resident.is_draining = true;
         }
     }
 
-    /// A load order goes out.
+    /// Records that a load order is sent.
     pub fn load_started(&mut self, model: &AdapterVersion, now: Instant) {
         self.residents_revision += 1;
         self.residents.push(ResidentAdapter {
@@ -630,15 +641,15 @@
             in_flight: 0,
             loaded_at: now,
             used_at: now,
-            making_room: false,
+            is_draining: false,
         });
     }
 
-    /// A load ended well.
+    /// Records a successful load and its duration.
     pub fn load_succeeded(&mut self, model: &AdapterVersion, took: Duration, now: Instant) {
         self.residents_revision += 1;
-        self.backoff.succeeded(model);
-        self.load_seconds += (took.as_secs_f64() - self.load_seconds) * NEWEST_SHARE;
+        self.backoff.record_success(model);
+        self.load_seconds += (took.as_secs_f64() - self.load_seconds) * EWMA_WEIGHT;
         if let Some(resident) = self.resident_mut(model) {
             resident.state = AdapterState::Loaded;
             resident.loaded_at = now;
@@ -646,18 +657,18 @@
         }
     }
 
-    /// A load failed; returns the requests that are refused for it.
+    /// Records a failed load; returns the waiting requests to refuse, if it failed repeatedly.
     pub fn load_failed(&mut self, model: &AdapterVersion, now: Instant) -> Vec<QueuedRequest> {
         self.residents_revision += 1;
         self.residents.retain(|resident| resident.model != *model);
-        if self.backoff.failed(model, now) {
+        if self.backoff.record_failure(model, now) {
             self.waiting.remove_adapter(model)
         } else {
             Vec::new()
         }
     }
 
-    /// An unload is announced or sent: nothing goes there any more.
+    /// Records that an unload is announced or sent, which stops dispatch to the adapter.
     pub fn unload_started(&mut self, model: &AdapterVersion) {
         self.residents_revision += 1;
         if let Some(resident) = self.resident_mut(model) {
@@ -665,22 +676,22 @@
         }
     }
 
-    /// An unload was given up before it was sent.
+    /// Records that an unload was cancelled before it was sent.
     pub fn unload_cancelled(&mut self, model: &AdapterVersion) {
         self.residents_revision += 1;
         if let Some(resident) = self.resident_mut(model) {
             resident.state = AdapterState::Loaded;
-            resident.making_room = false;
+            resident.is_draining = false;
         }
     }
 
-    /// An unload is over.
+    /// Records that an unload has completed.
     pub fn unload_finished(&mut self, model: &AdapterVersion) {
         self.residents_revision += 1;
         self.residents.retain(|resident| resident.model != *model);
     }
 
-    /// Takes the target's own list of loaded adapters in, after a takeover or a restart.
+    /// Replaces the resident adapters with the target's own list, after a takeover or a restart.
     pub fn replace_residents(&mut self, loaded: &[AdapterVersion], now: Instant) {
         self.residents_revision += 1;
         let residents = loaded.iter().map(|model| ResidentAdapter {
@@ -693,23 +704,23 @@
                 .count() as u32,
             loaded_at: now,
             used_at: now,
-            making_room: false,
+            is_draining: false,
         });
         self.residents = residents.collect();
     }
 
-    /// A full or nearly full batch made this many tokens a second.
+    /// Adds a throughput sample of a full or nearly full batch, in output tokens per second.
     pub fn record_throughput(&mut self, tokens_per_second: f64) {
-        self.tokens_per_second += (tokens_per_second - self.tokens_per_second) * NEWEST_SHARE;
+        self.tokens_per_second += (tokens_per_second - self.tokens_per_second) * EWMA_WEIGHT;
     }
 
-    /// Seconds that a load takes, as measured.
+    /// Moving average of the load duration, in seconds.
     #[must_use]
     pub fn load_seconds(&self) -> f64 {
         self.load_seconds
     }
 
-    /// What the gateways are told; `known` is the revision of residents that they have.
+    /// The digest for the gateways, without residents if `known` is their current revision.
     #[must_use]
     pub fn digest(&self, known: Option<u64>) -> TargetDigest {
         let residents = self
@@ -727,22 +738,22 @@
             running: self.running.len() as u32,
             seats: self.limits.seats as u32,
             waiting_tokens: self.waiting.tokens(),
-            // Rounded, so that a digest of a target at rest stays the same.
+            // Rounded, so that the digest of an idle target does not change.
             tokens_per_second: self.tokens_per_second.round() as f32,
             open: self.open,
-            loads: self.can_load(),
-            wanted_loads: self.wanted_loads(),
+            can_load: self.can_load(),
+            pending_loads: self.pending_loads(),
             victim_rate: self.victim_rate,
         }
     }
 
-    fn wanted_loads(&self) -> u32 {
-        let wanted = self.waiting.iter().filter(|(model, _)| {
+    fn pending_loads(&self) -> u32 {
+        let unloaded = self.waiting.iter().filter(|(model, _)| {
             let mut residents = self.residents.iter();
             !residents
                 .any(|resident| resident.model == **model && resident.state == AdapterState::Loaded)
         });
-        wanted.count() as u32
+        unloaded.count() as u32
     }
 
     fn resident_mut(&mut self, model: &AdapterVersion) -> Option<&mut ResidentAdapter> {
@@ -752,7 +763,7 @@
     }
 }
 
-/// A rate to the nearest power of the square root of two: a digest changes only when the rate really does.
+/// Rounds a rate to the nearest power of the square root of two, so that digests change only with significant changes.
 fn rounded_rate(rate: f32) -> f32 {
     if rate < 1e-4 {
         return 0.0;
@@ -760,30 +771,30 @@
     ((rate.log2() * 2.0).round() / 2.0).exp2()
 }
 
-/// When a request is due, in seconds before or after now: the earliest goes first.
-fn due_at(request: &QueuedRequest, weights: &PolicyWeights, now: Instant) -> f64 {
+/// Time until a request is due, in seconds, negative if overdue; the lowest value is dispatched first.
+fn due_in_s(request: &QueuedRequest, weights: &PolicyWeights, now: Instant) -> f64 {
     let waited = now.since(request.queued_at).as_secs_f64();
-    let bound = weights.bound_s(request.class);
+    let max_wait_s = weights.max_wait_s(request.class);
     let slack = match request.class {
         PriorityClass::Urgent => return -1e6 - waited,
-        PriorityClass::Normal => bound * 0.25,
-        PriorityClass::Batch => bound * 0.5,
+        PriorityClass::Normal => max_wait_s * 0.25,
+        PriorityClass::Batch => max_wait_s * 0.5,
     };
-    if waited > bound * AGED_SHARE {
-        // Before all that is not urgent, and behind all that is: urgent work is bounded by its own admission.
+    if waited > max_wait_s * AGED_WAIT_SHARE {
+        // Before all non-urgent requests but after urgent ones, whose wait is already bounded by their admission.
         return -1e3 - waited;
     }
     slack - waited
 }
 
-fn queue_worth(queue: &super::queue::AdapterQueue, weights: &PolicyWeights, now: Instant) -> f64 {
+fn queue_benefit(queue: &super::queue::AdapterQueue, weights: &PolicyWeights, now: Instant) -> f64 {
     let classes = PriorityClass::ALL.into_iter();
-    let worths = classes.map(|class| {
+    let benefits = classes.map(|class| {
         let count = queue.counts()[class.index()] as f64;
         let waited = queue
             .head(class)
             .map_or(0.0, |head| now.since(head.queued_at).as_secs_f64());
         weights.class_weight(class) * count * (1.0 + waited)
     });
-    worths.sum()
+    benefits.sum()
 }
--- a/crates/core/src/policy/weights.rs
+++ b/crates/core/src/policy/weights.rs
@@ -1,11 +1,13 @@
-//! The weights of the policy, which a configuration change puts in force at once.
+//! Tunable weights of the scheduling policy, and presets of them.
+//!
+//! Weights are part of the configuration; a change takes effect immediately. Operators set them by field name.
 
 use crate::ids::PriorityClass;
 use serde::{Deserialize, Serialize};
 
 macro_rules! policy_weights {
     ($($(#[$doc:meta])* $name:ident = $default:expr, $low:expr, $high:expr, $unit:expr;)*) => {
-        /// The weights of the policy.
+        /// Tunable weights of the scheduling policy.
         #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
         pub struct PolicyWeights {
             $($(#[$doc])* pub $name: f64,)*
@@ -18,7 +20,7 @@
         }
 
         impl PolicyWeights {
-            /// Sets a weight by name; false if it is unknown or out of range.
+            /// Sets a weight by name; returns false if the name is unknown or the value out of range.
             pub fn set(&mut self, name: &str, value: f64) -> bool {
                 match name {
                     $(stringify!($name) if ($low..=$high).contains(&value) => {
@@ -29,7 +31,7 @@
                 }
             }
 
-            /// Every weight with its present value, range and unit.
+            /// All weights with their current value, range and unit.
             #[must_use]
             pub fn list(&self) -> Vec<WeightInfo> {
                 vec![$(WeightInfo {
@@ -45,60 +47,60 @@
 }
 
 policy_weights! {
-    /// What one second of an urgent request's wait counts against a batch request's.
+    /// Cost of one second of an urgent request's wait, relative to a batch request's.
     urgent_weight = 16.0, 1.0, 1000.0, "ratio";
-    /// What one second of a normal request's wait counts against a batch request's.
+    /// Cost of one second of a normal request's wait, relative to a batch request's.
     normal_weight = 4.0, 1.0, 1000.0, "ratio";
-    /// Share of a target's batch that only urgent work may use.
+    /// Share of a target's batch reserved for urgent requests.
     urgent_reserve = 0.1, 0.0, 0.9, "share";
-    /// Bound on an urgent request's wait; work that would wait longer is refused.
+    /// Maximum wait of an urgent request; requests expected to wait longer are refused.
     urgent_bound_s = 10.0, 0.1, 600.0, "s";
-    /// Bound on a normal request's wait.
+    /// Maximum wait of a normal request.
     normal_bound_s = 20.0, 0.1, 600.0, "s";
-    /// Bound on a batch request's wait.
+    /// Maximum wait of a batch request.
     batch_bound_s = 120.0, 1.0, 7200.0, "s";
-    /// How strongly batch work is packed on busy targets, in seconds of wait.
+    /// Extra wait accepted to place batch requests on busier targets, so that others can run empty.
     packing_s = 0.0, 0.0, 60.0, "s";
-    /// Running share of a batch below which batch work is held back for company.
+    /// Batch occupancy, running and waiting, below which batch requests are held back until more of them arrive.
     hold_below = 0.0, 0.0, 1.0, "share";
-    /// Longest time for which batch work is held back.
+    /// Maximum time for which batch requests are held back.
     hold_s = 20.0, 0.0, 600.0, "s";
-    /// Cost of using a target without the adapter, beside the load itself.
+    /// Cost of choosing a target without the adapter, in addition to the load time.
     load_penalty_s = 0.3, 0.0, 60.0, "s";
-    /// How much more wanted an adapter must be than the one that it replaces without demand.
+    /// Factor by which a preloaded adapter's request rate must exceed that of the adapter it evicts.
     preload_margin = 2.0, 1.0, 100.0, "ratio";
-    /// Prompt tokens that non-urgent work may have in prefill at once on a target.
+    /// Prompt tokens in prefill on a target from which only urgent requests are dispatched.
     prefill_tokens = 4096.0, 64.0, 1_000_000.0, "tokens";
-    /// Cost of leaving the caller's availability zone.
+    /// Cost of choosing a target outside the gateway's availability zone.
     zone_cost_s = 0.005, 0.0, 10.0, "s";
 }
 
-/// A weight, its value and its range.
+/// A weight with its current value, range and unit.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct WeightInfo {
-    /// Its name.
+    /// Field name in [`PolicyWeights`].
     pub name: &'static str,
-    /// Its value.
+    /// Current value.
     pub value: f64,
-    /// Least value.
+    /// Minimum value.
     pub low: f64,
-    /// Greatest value.
+    /// Maximum value.
     pub high: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
 }
 
-/// A documented set of weights.
+/// A named set of weights for a common objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightPreset {
-    /// Kilindini's: nobody waits for a load if it can be helped.
+    /// Avoids waits for adapter loads.
     LoadStallsFirst,
-    /// Kettleby's: every engine step as full as can be.
+    /// Keeps the batch of every engine step as full as possible.
     BatchEfficiencyFirst,
 }
 
 impl WeightPreset {
-    /// Parses a preset's name.
+    /// Parses a preset name; `None` if it is unknown.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         match text {
@@ -108,7 +110,7 @@
         }
     }
 
-    /// The weights that it sets; the others stay as they are.
+    /// Names and values of the weights that the preset sets; the others are left unchanged.
     #[must_use]
     pub fn overrides(self) -> &'static [(&'static str, f64)] {
         match self {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// The default weights with the preset's on top.
+    /// The default weights with the preset's overrides applied.
     #[must_use]
     pub fn weights(self) -> PolicyWeights {
         let mut weights = PolicyWeights::default();
@@ -141,9 +143,9 @@
 }
 
 impl PolicyWeights {
-    /// Bound on the wait of a class, in seconds.
+    /// Maximum wait of a class, in seconds.
     #[must_use]
-    pub fn bound_s(&self, class: PriorityClass) -> f64 {
+    pub fn max_wait_s(&self, class: PriorityClass) -> f64 {
         match class {
             PriorityClass::Urgent => self.urgent_bound_s,
             PriorityClass::Normal => self.normal_bound_s,
@@ -151,7 +153,7 @@
         }
     }
 
-    /// What a second of waiting counts in a class.
+    /// Cost of one second of waiting in a class, relative to batch.
     #[must_use]
     pub fn class_weight(&self, class: PriorityClass) -> f64 {
         match class {
