--- a/crates/core/tests/load/fetching.rs
+++ b/crates/core/tests/load/fetching.rs
@@ -19,8 +19,8 @@
     check_gain(NORMAL_RATE_PER_S, seeds(SEEDS));
 }
 
-/// Guards against cached prefixes that are not fetched while the engines have more prompt tokens to prefill than they can
-/// in time.
+/// Guards against cached prefixes that are not fetched while the engines have more prompt tokens to prefill than they
+/// can in time.
 #[test]
 fn cached_prefixes_are_fetched_while_engines_are_busy() {
     check_gain(BUSY_RATE_PER_S, seeds(SEEDS));
--- a/crates/core/tests/load/plain.rs
+++ b/crates/core/tests/load/plain.rs
@@ -211,8 +211,8 @@
     CallPlacer::Holder(Box::default())
 }
 
-/// Guards against an overloaded target that serves all calls late: with 190 calls per second on one target that can serve
-/// 97, the excess calls have to be refused so that the others are in time.
+/// Guards against an overloaded target that serves all calls late: with 190 calls per second on one target that can
+/// serve 97, the excess calls have to be refused so that the others are in time.
 #[test]
 fn overloaded_target_serves_to_capacity_in_time_without_rejections() {
     let before = simulate(per_gateway(), 1, 190.0);
@@ -229,8 +229,8 @@
     assert!(after.in_time > before.in_time, "{before:?} {after:?}");
 }
 
-/// Guards against a holder that serves fewer calls in time than independent gateways near capacity: 250 calls per second
-/// on three targets that can serve 290.
+/// Guards against a holder that serves fewer calls in time than independent gateways near capacity: 250 calls per
+/// second on three targets that can serve 290.
 #[test]
 fn holder_serves_more_calls_in_time_near_capacity() {
     let before = simulate(per_gateway(), 3, 250.0);
@@ -248,8 +248,7 @@
     assert!(after.refused * 1_000 < CALL_COUNT, "{after:?}");
 }
 
-/// Guards against refusals after the end of one call is reported four seconds late, which must not be taken for the
-/// normal duration of a call.
+/// Guards against refusals of later calls because the end of one call was reported four seconds late.
 #[test]
 fn late_end_of_one_call_causes_no_refusals() {
     let targets = [target_entry(0)];
--- a/crates/core/tests/load/quotas.rs
+++ b/crates/core/tests/load/quotas.rs
@@ -153,8 +153,9 @@
     result
 }
 
-/// Guards against refusals for organisations below their quota, and against an overloading organisation that exceeds its
-/// quota or is held below it. Fixed shares per VM refuse too much, because callers are spread unevenly over the VMs.
+/// Guards against refusals for organisations below their quota, and against an overloading organisation that exceeds
+/// its quota or is held below it. Fixed shares per VM refuse too much, because callers are spread unevenly over the
+/// VMs.
 #[test]
 fn zone_ledgers_enforce_quotas_without_refusals_below_them() {
     for seed in seeds(3) {
--- a/crates/core/tests/load/simulation.rs
+++ b/crates/core/tests/load/simulation.rs
@@ -1,5 +1,5 @@
-//! Simulation of zones in virtual time: callers, engines that prefill prompts and stream answers, and a weight store that
-//! loads adapters, driven by the real planners.
+//! Simulation of zones in virtual time: callers, engines that prefill prompts and stream answers, and a weight store
+//! that loads adapters, driven by the real planners.
 
 use hoplanding_core::{
     direct::{
--- a/crates/core/tests/load/speeds.rs
+++ b/crates/core/tests/load/speeds.rs
@@ -28,8 +28,8 @@
 }
 
 // With engines of 15 tokens per ms, 9 of 132 long calls were still running at the end of the arrivals and counted as
-// unserved: 0.932 served instead of 0.95, though none was refused or abandoned. Simulations therefore continue until the
-// last callers have been served or have given up.
+// unserved: 0.932 served instead of 0.95, though none was refused or abandoned. Simulations therefore continue until
+// the last callers have been served or have given up.
 #[test]
 fn service_by_a_slow_engine_at_seed_8001() {
     check_speeds(8_001..8_004);
@@ -39,8 +39,8 @@
     for seed in seeds {
         let speed = sample_in_range(seed, 12.0, 90.0);
         let engines = [steady_engine(speed); 4];
-        // Slow engines need more than 800 ms for a long prompt, and a load takes 250 ms on any engine, however calls are
-        // placed; the objective allows for both.
+        // Slow engines need more than 800 ms for a long prompt, and a load takes 250 ms on any engine, however calls
+        // are placed; the objective allows for both.
         let mut classes = scaled_load(speed);
         classes[0].objective_ms = 250 + (24_000.0 / speed) as u64;
         classes[0].first_event_timeout_ms = 4 * classes[0].objective_ms;
--- a/crates/core/tests/load/stores.rs
+++ b/crates/core/tests/load/stores.rs
@@ -407,8 +407,8 @@
     assert_eq!(limiter.limit(), reduced_limit);
 }
 
-/// Guards against a first load time that is taken for congestion: until a load was in time, loads that take a fifth longer
-/// than assumed do not reduce the limit, and loads that take twice as long do.
+/// Guards against a first load time that is taken for congestion: until a load was in time, loads that take a fifth
+/// longer than assumed do not reduce the limit, and loads that take twice as long do.
 #[test]
 fn only_far_too_long_first_loads_indicate_congestion() {
     for (ms, is_cut) in [(300, false), (500, true)] {
@@ -427,8 +427,9 @@
     }
 }
 
-/// Guards against a zone that stops loading for 30 s: a call that is retried 10 s after its load was lost with an engine
-/// restart must not raise the expected load time to 5 s. No load would then start to show that loads take 250 ms.
+/// Guards against a zone that stops loading for 30 s: a call that is retried 10 s after its load was lost with an
+/// engine restart must not raise the expected load time to 5 s. No load would then start to show that loads take 250
+/// ms.
 #[test]
 fn load_lost_in_an_engine_restart_does_not_change_the_expected_time() {
     let mut limiter = LoadLimiter::default();
@@ -461,8 +462,8 @@
     assert!(expected < Duration::from_millis(290), "{expected:?}");
 }
 
-/// Guards against load times slightly above the initial assumption that are taken for congestion: 288 ms, with three zones
-/// at a store of capacity 48. Callers must not wait noticeably longer than with a configured capacity.
+/// Guards against load times slightly above the initial assumption that are taken for congestion: 288 ms, with three
+/// zones at a store of capacity 48. Callers must not wait noticeably longer than with a configured capacity.
 #[test]
 fn load_time_slightly_above_the_assumption_is_learned() {
     let (mut first, mut first_known) = (0.0, 0.0);
--- a/crates/core/tests/policy_bounds.rs
+++ b/crates/core/tests/policy_bounds.rs
@@ -1,7 +1,7 @@
 //! Regression bounds of the scheduling policy.
 //!
-//! The simulation of the policy bench runs in virtual time, so its figures are the same on every machine. The bounds are
-//! read from `benches/policy/bounds.json`.
+//! The simulation of the policy bench runs in virtual time, so its figures are the same on every machine. The bounds
+//! are read from `benches/policy/bounds.json`.
 
 #[path = "../benches/policy/adaptive.rs"]
 mod adaptive;
