--- a/crates/core/benches/policy/adaptive.rs
+++ b/crates/core/benches/policy/adaptive.rs
@@ -1,9 +1,9 @@
-//! The core's own decision code: `hoplanding`, and `clairvoyant`, which is the same code with knowledge of the
-//! arrivals to come in place of popularity.
+//! The policies built on the core's own decision code: `hoplanding`, and `clairvoyant`, which uses the same code but
+//! estimates demand from the future arrivals instead of learned popularity, as a bound on what can be achieved.
 
 use crate::{
     model::EngineModel,
-    sim::{Command, EngineNumber, Notice, Policy, RequestNumber},
+    sim::{Command, EngineNumber, Policy, PolicyEvent, RequestNumber},
     workload::Arrival,
 };
 use hoplanding_core::{
@@ -17,14 +17,14 @@
 };
 use std::{collections::HashMap, time::Duration};
 
-/// Requests that may wait at one target.
-const WAITING_MOST: usize = 2048;
-/// Seconds by which a clairvoyant looks ahead for loads without demand.
-const HORIZON_S: f64 = 20.0;
-/// Pause between two looks for loads without demand, in microseconds.
-const PRELOAD_EVERY_US: u64 = 250_000;
+/// Maximum number of waiting requests per target.
+const MAX_WAITING: usize = 2048;
+/// Time by which the clairvoyant policy looks ahead for preloads.
+const PRELOAD_HORIZON_S: f64 = 20.0;
+/// Minimum interval between two evaluations of preloads.
+const PRELOAD_INTERVAL_US: u64 = 250_000;
 
-/// Knows when each adapter is asked for next.
+/// Demand estimator that knows the future arrivals of each adapter.
 pub struct Oracle {
     times: HashMap<AdapterVersion, Vec<f64>>,
 }
@@ -41,7 +41,7 @@
         Self { times }
     }
 
-    fn next(&self, model: &AdapterVersion, now: Instant) -> Option<f64> {
+    fn time_to_next(&self, model: &AdapterVersion, now: Instant) -> Option<f64> {
         let times = self.times.get(model)?;
         let seconds = now.as_secs_f64();
         times
@@ -52,39 +52,40 @@
 
 impl DemandEstimator for Oracle {
     fn rate(&self, model: &AdapterVersion, now: Instant) -> f64 {
-        self.next(model, now)
-            .map_or(0.0, |left| 1.0 / left.max(1e-3))
+        self.time_to_next(model, now)
+            .map_or(0.0, |delay_s| 1.0 / delay_s.max(1e-3))
     }
 
     fn candidates(&self, now: Instant) -> Vec<(&AdapterVersion, f64)> {
-        let models = self
-            .times
-            .keys()
-            .filter(|model| self.next(model, now).is_some_and(|left| left < HORIZON_S));
+        let models = self.times.keys().filter(|model| {
+            self.time_to_next(model, now)
+                .is_some_and(|delay_s| delay_s < PRELOAD_HORIZON_S)
+        });
         models.map(|model| (model, self.rate(model, now))).collect()
     }
 }
 
-/// What is known of demand.
+/// Source of the demand estimates.
 pub enum Demand {
-    /// One tracker for each holder; a holder has as many engines as its zone's daemons leave it.
+    /// One popularity tracker per holder; the engines are distributed over the holders.
     Learned(Vec<PopularityTracker>),
+    /// Known future arrivals.
     Known(Oracle),
 }
 
-/// The core's decisions over all engines of a site.
+/// One router and one scheduler per engine, for all engines of a site.
 pub struct AdaptivePolicy {
     schedulers: Vec<TargetScheduler>,
-    lost: Vec<bool>,
+    is_lost: Vec<bool>,
     router: TargetRouter,
     zones: Vec<AvailabilityZone>,
     demand: Demand,
     weights: PolicyWeights,
     loading: Option<EngineNumber>,
-    began: Instant,
-    preloaded_at: Instant,
-    first: HashMap<RequestNumber, Instant>,
-    dirty: Vec<bool>,
+    load_started_at: Instant,
+    last_preload_at: Instant,
+    first_arrivals: HashMap<RequestNumber, Instant>,
+    has_stale_digest: Vec<bool>,
 }
 
 impl AdaptivePolicy {
@@ -98,7 +99,7 @@
         let limits = SchedulerLimits {
             slots: model.slots,
             seats: model.batch,
-            waiting: WAITING_MOST,
+            waiting: MAX_WAITING,
         };
         let names = (0..engines).map(|engine| TargetName::new(&format!("engine-{engine:02}")));
         let schedulers: Vec<_> = names
@@ -108,32 +109,32 @@
             .map(|zone| AvailabilityZone::new(&format!("zone-{zone}")))
             .collect();
         let mut policy = Self {
-            lost: vec![false; engines],
-            dirty: vec![false; engines],
+            is_lost: vec![false; engines],
+            has_stale_digest: vec![false; engines],
             schedulers,
             router: TargetRouter::default(),
             zones,
             demand,
             weights,
             loading: None,
-            began: Instant::default(),
-            preloaded_at: Instant::default(),
-            first: HashMap::new(),
+            load_started_at: Instant::default(),
+            last_preload_at: Instant::default(),
+            first_arrivals: HashMap::new(),
         };
         for engine in 0..engines {
-            // A daemon measures this within seconds of full batches.
+            // A daemon learns the throughput within seconds of full batches, so the moving average starts converged.
             for _ in 0..100 {
                 policy.schedulers[engine].record_throughput(model.full_speed());
             }
-            policy.publish(engine, Instant::default());
+            policy.publish_digest(engine, Instant::default());
         }
         policy
     }
 
-    fn publish(&mut self, engine: EngineNumber, now: Instant) {
+    fn publish_digest(&mut self, engine: EngineNumber, now: Instant) {
         match &self.demand {
             Demand::Learned(trackers) => {
-                let holder = Self::holder(engine, trackers.len());
+                let holder = Self::holder_of(engine, trackers.len());
                 self.schedulers[engine].update_victim_rate(&trackers[holder], now);
             }
             Demand::Known(oracle) => self.schedulers[engine].update_victim_rate(oracle, now),
@@ -146,11 +147,11 @@
         self.router.update_digest(&zone, &digest);
     }
 
-    fn holder(engine: EngineNumber, holders: usize) -> usize {
+    fn holder_of(engine: EngineNumber, holders: usize) -> usize {
         engine % holders
     }
 
-    fn arrive(
+    fn route_request(
         &mut self,
         request: RequestNumber,
         arrivals: &[Arrival],
@@ -172,7 +173,7 @@
         };
         let engine = self.engine_of(&choice.target);
         if let Demand::Learned(trackers) = &mut self.demand {
-            let holder = Self::holder(engine, trackers.len());
+            let holder = Self::holder_of(engine, trackers.len());
             trackers[holder].record(&arrival.model, now);
         }
         let queued = QueuedRequest {
@@ -185,7 +186,7 @@
             caller: CallerName::new("caller"),
             prompt_tokens: arrival.prompt_tokens,
             output_tokens: arrival.output_tokens,
-            queued_at: *self.first.entry(request).or_insert(now),
+            queued_at: *self.first_arrivals.entry(request).or_insert(now),
             deadline: now.after(Duration::from_secs(100_000)),
         };
         if self.schedulers[engine]
@@ -195,8 +196,8 @@
             commands.push(Command::Refuse(request));
             return;
         }
-        self.pump(engine, now, commands);
-        self.load(now, commands);
+        self.dispatch(engine, now, commands);
+        self.start_best_load(now, commands);
     }
 
     fn engine_of(&self, target: &TargetName) -> EngineNumber {
@@ -204,10 +205,10 @@
             .schedulers
             .iter()
             .position(|scheduler| scheduler.target() == target);
-        position.expect("the router knows these engines only")
+        position.expect("the router only knows engines of this site")
     }
 
-    fn pump(&mut self, engine: EngineNumber, now: Instant, commands: &mut Vec<Command>) {
+    fn dispatch(&mut self, engine: EngineNumber, now: Instant, commands: &mut Vec<Command>) {
         while let Some(order) = self.schedulers[engine].next_dispatch(&self.weights, now, |_| true)
         {
             commands.push(Command::Start(
@@ -215,10 +216,10 @@
                 order.request.id.counter as RequestNumber,
             ));
         }
-        self.dirty[engine] = true;
+        self.has_stale_digest[engine] = true;
     }
 
-    fn bid(&self, engine: EngineNumber, preload: bool, now: Instant) -> Option<LoadBid> {
+    fn best_bid(&self, engine: EngineNumber, with_preloads: bool, now: Instant) -> Option<LoadBid> {
         let scheduler = &self.schedulers[engine];
         let name = scheduler.target();
         let is_candidate = |model: &AdapterVersion| {
@@ -226,10 +227,10 @@
         };
         match &self.demand {
             Demand::Learned(trackers) => {
-                let tracker = &trackers[Self::holder(engine, trackers.len())];
+                let tracker = &trackers[Self::holder_of(engine, trackers.len())];
                 let demanded = scheduler.demand_bid(&self.weights, tracker, now);
                 demanded.or_else(|| {
-                    preload
+                    with_preloads
                         .then(|| scheduler.preload_bid(&self.weights, tracker, now, is_candidate))?
                 })
             }
@@ -237,24 +238,26 @@
                 let demanded = scheduler.demand_bid(&self.weights, oracle, now);
                 let anywhere = |model: &AdapterVersion| !self.router.is_resident(model);
                 demanded.or_else(|| {
-                    preload.then(|| scheduler.preload_bid(&self.weights, oracle, now, anywhere))?
+                    with_preloads
+                        .then(|| scheduler.preload_bid(&self.weights, oracle, now, anywhere))?
                 })
             }
         }
     }
 
-    /// Starts the load that is worth most, if the store is free.
-    fn load(&mut self, now: Instant, commands: &mut Vec<Command>) {
+    /// Starts the load with the highest benefit if no other load is in progress.
+    fn start_best_load(&mut self, now: Instant, commands: &mut Vec<Command>) {
         if self.loading.is_some() {
             return;
         }
-        let preload = now.0 >= self.preloaded_at.0 + PRELOAD_EVERY_US
+        let with_preloads = now.0 >= self.last_preload_at.0 + PRELOAD_INTERVAL_US
             || matches!(self.demand, Demand::Known(_));
-        let alive = (0..self.schedulers.len()).filter(|engine| !self.lost[*engine]);
-        let bids = alive.filter_map(|engine| Some((engine, self.bid(engine, preload, now)?)));
+        let alive = (0..self.schedulers.len()).filter(|engine| !self.is_lost[*engine]);
+        let bids =
+            alive.filter_map(|engine| Some((engine, self.best_bid(engine, with_preloads, now)?)));
         let best = bids.max_by(|(_, a), (_, b)| a.benefit.total_cmp(&b.benefit));
-        if preload {
-            self.preloaded_at = now;
+        if with_preloads {
+            self.last_preload_at = now;
         }
         let Some((engine, bid)) = best else {
             return;
@@ -266,33 +269,33 @@
         }
         self.schedulers[engine].load_started(&bid.model, now);
         self.loading = Some(engine);
-        self.began = now;
-        self.publish(engine, now);
+        self.load_started_at = now;
+        self.publish_digest(engine, now);
         commands.push(Command::Load(engine, bid.model));
     }
 
-    fn loaded(
+    fn on_loaded(
         &mut self,
         engine: EngineNumber,
         model: &AdapterVersion,
-        ok: bool,
+        is_loaded: bool,
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
         self.loading = None;
-        if ok {
-            self.schedulers[engine].load_succeeded(model, now.since(self.began), now);
+        if is_loaded {
+            self.schedulers[engine].load_succeeded(model, now.since(self.load_started_at), now);
         } else {
             for refused in self.schedulers[engine].load_failed(model, now) {
                 commands.push(Command::Refuse(refused.id.counter as RequestNumber));
             }
         }
-        self.publish(engine, now);
-        self.pump(engine, now, commands);
-        self.load(now, commands);
+        self.publish_digest(engine, now);
+        self.dispatch(engine, now, commands);
+        self.start_best_load(now, commands);
     }
 
-    fn restarted(&mut self, engine: EngineNumber, now: Instant) {
+    fn on_restarted(&mut self, engine: EngineNumber, now: Instant) {
         let running: Vec<_> = self.schedulers[engine].running_ids().collect();
         for id in running {
             self.schedulers[engine].finish_request(id, now);
@@ -301,12 +304,12 @@
         if self.loading == Some(engine) {
             self.loading = None;
         }
-        self.publish(engine, now);
+        self.publish_digest(engine, now);
     }
 
-    fn tick(&mut self, now: Instant, commands: &mut Vec<Command>) {
+    fn on_tick(&mut self, now: Instant, commands: &mut Vec<Command>) {
         for engine in 0..self.schedulers.len() {
-            if self.lost[engine] {
+            if self.is_lost[engine] {
                 continue;
             }
             for overdue in self.schedulers[engine].remove_overdue(&self.weights, now) {
@@ -315,7 +318,7 @@
             if now.0 % 1_000_000 < 50_000 {
                 match &self.demand {
                     Demand::Learned(trackers) => {
-                        let holder = Self::holder(engine, trackers.len());
+                        let holder = Self::holder_of(engine, trackers.len());
                         self.schedulers[engine].drain_for_starved_load(&trackers[holder], now);
                     }
                     Demand::Known(oracle) => {
@@ -323,48 +326,55 @@
                     }
                 }
             }
-            self.pump(engine, now, commands);
-            if std::mem::take(&mut self.dirty[engine]) {
-                self.publish(engine, now);
+            self.dispatch(engine, now, commands);
+            if std::mem::take(&mut self.has_stale_digest[engine]) {
+                self.publish_digest(engine, now);
             }
         }
-        self.load(now, commands);
+        self.start_best_load(now, commands);
     }
 }
 
 impl Policy for AdaptivePolicy {
-    fn tell(
+    fn on_event(
         &mut self,
-        notice: &Notice,
+        event: &PolicyEvent,
         arrivals: &[Arrival],
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        match notice {
-            Notice::Arrived(request) => self.arrive(*request, arrivals, now, commands),
-            Notice::FirstToken(engine, request) => {
+        match event {
+            PolicyEvent::Arrived(request) => self.route_request(*request, arrivals, now, commands),
+            PolicyEvent::FirstToken(engine, request) => {
                 self.schedulers[*engine].finish_prefill(request_id(*request))
             }
-            Notice::Ended(engine, request) => {
+            PolicyEvent::Ended(engine, request) => {
                 self.schedulers[*engine].finish_request(request_id(*request), now);
-                self.pump(*engine, now, commands);
-                self.load(now, commands);
+                self.dispatch(*engine, now, commands);
+                self.start_best_load(now, commands);
             }
-            Notice::Loaded(engine, model, ok) => self.loaded(*engine, model, *ok, now, commands),
-            Notice::Restarted(engine) => {
-                self.restarted(*engine, now);
-                self.load(now, commands);
+            PolicyEvent::Loaded(engine, model, is_loaded) => {
+                self.on_loaded(*engine, model, *is_loaded, now, commands)
             }
-            Notice::Lost(engine) => {
-                self.restarted(*engine, now);
-                self.lost[*engine] = true;
+            PolicyEvent::Restarted(engine) => {
+                self.on_restarted(*engine, now);
+                self.start_best_load(now, commands);
+            }
+            PolicyEvent::Lost(engine) => {
+                self.on_restarted(*engine, now);
+                self.is_lost[*engine] = true;
                 self.schedulers[*engine].set_open(false);
-                self.publish(*engine, now);
+                self.publish_digest(*engine, now);
                 for waiting in self.schedulers[*engine].drain_waiting() {
-                    self.arrive(waiting.id.counter as RequestNumber, arrivals, now, commands);
+                    self.route_request(
+                        waiting.id.counter as RequestNumber,
+                        arrivals,
+                        now,
+                        commands,
+                    );
                 }
             }
-            Notice::Tick => self.tick(now, commands),
+            PolicyEvent::Tick => self.on_tick(now, commands),
         }
     }
 }
--- a/crates/core/benches/policy/baselines.rs
+++ b/crates/core/benches/policy/baselines.rs
@@ -1,7 +1,7 @@
-//! What a user would write first: `lru`, and `static`.
+//! Baseline policies: LRU eviction with three ways to choose a target (`lru`, `lru_affinity` and `static`).
 
 use crate::{
-    sim::{Command, EngineNumber, Notice, Policy, RequestNumber},
+    sim::{Command, EngineNumber, Policy, PolicyEvent, RequestNumber},
     workload::Arrival,
 };
 use hoplanding_core::ids::{AdapterVersion, Instant};
@@ -10,14 +10,14 @@
     hash::{DefaultHasher, Hash, Hasher},
 };
 
-/// How a target is chosen.
+/// Method of choosing a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
+pub enum TargetChoice {
     /// The least loaded target.
     LeastLoaded,
-    /// The least loaded target that has the adapter, or else the least loaded.
+    /// The least loaded target that has the adapter or is loading it, or else the least loaded one.
     Affinity,
-    /// By a hash of the adapter.
+    /// A fixed target for each adapter, by a hash.
     Hashed,
 }
 
@@ -27,19 +27,19 @@
     running: HashMap<RequestNumber, AdapterVersion>,
     loaded: HashMap<AdapterVersion, Instant>,
     loading: Option<AdapterVersion>,
-    lost: bool,
+    is_lost: bool,
 }
 
-/// Loads on demand, evicts the least recently used, serves first in first out.
+/// Loads adapters on demand, evicts the least recently used one, and serves requests in FIFO order.
 pub struct LruPolicy {
     engines: Vec<Engine>,
     slots: usize,
     batch: usize,
-    choice: Choice,
+    choice: TargetChoice,
 }
 
 impl LruPolicy {
-    pub fn new(engines: usize, slots: usize, batch: usize, choice: Choice) -> Self {
+    pub fn new(engines: usize, slots: usize, batch: usize, choice: TargetChoice) -> Self {
         Self {
             engines: vec![Engine::default(); engines],
             slots,
@@ -50,9 +50,9 @@
 
     fn choose(&self, model: &AdapterVersion) -> EngineNumber {
         let alive: Vec<_> = (0..self.engines.len())
-            .filter(|engine| !self.engines[*engine].lost)
+            .filter(|engine| !self.engines[*engine].is_lost)
             .collect();
-        if self.choice == Choice::Hashed {
+        if self.choice == TargetChoice::Hashed {
             let mut hasher = DefaultHasher::new();
             model.hash(&mut hasher);
             return alive[(hasher.finish() % alive.len() as u64) as usize];
@@ -60,22 +60,22 @@
         let load = |engine: &EngineNumber| {
             self.engines[*engine].queue.len() + self.engines[*engine].running.len()
         };
-        let has = |engine: &&EngineNumber| {
+        let is_resident = |engine: &&EngineNumber| {
             let state = &self.engines[**engine];
             state.loaded.contains_key(model) || state.loading.as_ref() == Some(model)
         };
-        let wants_resident = self.choice == Choice::Affinity;
+        let wants_resident = self.choice == TargetChoice::Affinity;
         let resident = alive
             .iter()
             .filter(|_| wants_resident)
-            .filter(has)
+            .filter(is_resident)
             .min_by_key(|engine| load(engine));
         *resident
             .or_else(|| alive.iter().min_by_key(|engine| load(engine)))
-            .expect("some engine is alive")
+            .expect("at least one engine is alive")
     }
 
-    fn pump(
+    fn dispatch(
         &mut self,
         engine: EngineNumber,
         arrivals: &[Arrival],
@@ -89,8 +89,8 @@
             if state.running.len() >= batch {
                 return;
             }
-            if let Some(used) = state.loaded.get_mut(model) {
-                *used = now;
+            if let Some(used_at) = state.loaded.get_mut(model) {
+                *used_at = now;
                 state.queue.pop_front();
                 state.running.insert(request, model.clone());
                 commands.push(Command::Start(engine, request));
@@ -105,7 +105,7 @@
                     .iter()
                     .filter(|(model, _)| !state.running.values().any(|running| running == *model));
                 let oldest = idle
-                    .min_by_key(|(model, used)| (**used, (*model).clone()))
+                    .min_by_key(|(model, used_at)| (**used_at, (*model).clone()))
                     .map(|(model, _)| model.clone());
                 let Some(oldest) = oldest else {
                     return;
@@ -121,45 +121,45 @@
 }
 
 impl Policy for LruPolicy {
-    fn tell(
+    fn on_event(
         &mut self,
-        notice: &Notice,
+        event: &PolicyEvent,
         arrivals: &[Arrival],
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        match notice {
-            Notice::Arrived(request) => {
+        match event {
+            PolicyEvent::Arrived(request) => {
                 let engine = self.choose(&arrivals[*request].model);
                 self.engines[engine].queue.push_back(*request);
-                self.pump(engine, arrivals, now, commands);
+                self.dispatch(engine, arrivals, now, commands);
             }
-            Notice::Ended(engine, request) => {
+            PolicyEvent::Ended(engine, request) => {
                 self.engines[*engine].running.remove(request);
-                self.pump(*engine, arrivals, now, commands);
+                self.dispatch(*engine, arrivals, now, commands);
             }
-            Notice::Loaded(engine, model, ok) => {
+            PolicyEvent::Loaded(engine, model, is_loaded) => {
                 self.engines[*engine].loading = None;
-                if *ok {
+                if *is_loaded {
                     self.engines[*engine].loaded.insert(model.clone(), now);
                 }
-                self.pump(*engine, arrivals, now, commands);
+                self.dispatch(*engine, arrivals, now, commands);
             }
-            Notice::Restarted(engine) => {
+            PolicyEvent::Restarted(engine) => {
                 let state = &mut self.engines[*engine];
                 state.loaded.clear();
                 state.loading = None;
                 state.running.clear();
-                self.pump(*engine, arrivals, now, commands);
+                self.dispatch(*engine, arrivals, now, commands);
             }
-            Notice::Lost(engine) => {
+            PolicyEvent::Lost(engine) => {
                 let state = std::mem::take(&mut self.engines[*engine]);
-                self.engines[*engine].lost = true;
+                self.engines[*engine].is_lost = true;
                 for request in state.queue {
-                    self.tell(&Notice::Arrived(request), arrivals, now, commands);
+                    self.on_event(&PolicyEvent::Arrived(request), arrivals, now, commands);
                 }
             }
-            Notice::FirstToken(..) | Notice::Tick => {}
+            PolicyEvent::FirstToken(..) | PolicyEvent::Tick => {}
         }
     }
 }
--- a/crates/core/benches/policy/main.rs
+++ b/crates/core/benches/policy/main.rs
@@ -1,4 +1,5 @@
-//! The policy bench: the core's own decisions in virtual time against baselines and a bound.
+//! Policy bench: simulates the core's scheduling decisions in virtual time, and compares them with baselines and with a
+//! policy that knows the future.
 //!
 //! `cargo bench --bench policy -- --json` prints one object a line.
 
@@ -15,7 +16,7 @@
 use std::{process::ExitCode, sync::Mutex, thread};
 use workload::{Fault, Site};
 
-/// Arguments of the bench.
+/// Command-line options.
 #[derive(Options)]
 struct BenchArgs {
     #[options(help = "print this help")]
@@ -34,7 +35,7 @@
     policy: Option<String>,
     #[options(no_short, help = "JSON file of an engine model")]
     model: Option<String>,
-    #[options(no_short, help = "given by cargo bench; nothing depends on it")]
+    #[options(no_short, help = "passed by cargo bench; ignored")]
     bench: bool,
 }
 
@@ -68,24 +69,24 @@
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("{path} can't be read ({error}): name a JSON file"))?;
     serde_json::from_str(&text)
-        .map_err(|error| format!("{path} is no engine model ({error}): see docs/MEASUREMENTS.md"))
+        .map_err(|error| format!("{path} is not a valid engine model ({error}): see docs/MEASUREMENTS.md"))
 }
 
 fn run_all(args: &BenchArgs, model: &EngineModel) -> Vec<RunFigures> {
-    let fits =
+    let matches_filter =
         |wanted: &Option<String>, name: &str| wanted.as_ref().is_none_or(|wanted| wanted == name);
     let mut jobs = Vec::new();
     for site in Site::ALL
         .into_iter()
-        .filter(|site| fits(&args.workload, site.name()))
+        .filter(|site| matches_filter(&args.workload, site.name()))
     {
         for fault in Fault::ALL
             .into_iter()
-            .filter(|fault| fits(&args.fault, fault.name()))
+            .filter(|fault| matches_filter(&args.fault, fault.name()))
         {
             for policy in PolicyName::ALL
                 .into_iter()
-                .filter(|policy| fits(&args.policy, policy.name()))
+                .filter(|policy| matches_filter(&args.policy, policy.name()))
             {
                 jobs.extend(
                     (0..args.seeds).map(|offset| (site, fault, policy, args.seed + offset)),
@@ -117,7 +118,7 @@
         .collect()
 }
 
-/// Means over the seeds.
+/// Prints the means over all seeds of each workload, fault and policy.
 fn print_table(figures: &[RunFigures]) {
     println!(
         "{:<10} {:<14} {:<12} {:>9} {:>9} {:>6} {:>9} {:>9} {:>8} {:>7} {:>7} {:>6} {:>6} {:>7}",
@@ -136,31 +137,31 @@
         "loads",
         "recov"
     );
-    let mut rest = figures;
-    while let Some(first) = rest.first() {
-        let same = rest.iter().take_while(|line| {
+    let mut remaining = figures;
+    while let Some(first) = remaining.first() {
+        let same_run = remaining.iter().take_while(|line| {
             (line.workload, line.fault, line.policy) == (first.workload, first.fault, first.policy)
         });
-        let (group, tail) = rest.split_at(same.count());
-        rest = tail;
-        let of =
+        let (group, tail) = remaining.split_at(same_run.count());
+        remaining = tail;
+        let group_mean =
             |figure: fn(&RunFigures) -> f64| mean(&group.iter().map(figure).collect::<Vec<_>>());
         println!(
             "{:<10} {:<14} {:<12} {:>9.1} {:>9.0} {:>6.3} {:>9.0} {:>9.0} {:>8.1} {:>7.0} {:>7.0} {:>6.3} {:>6.0} {:>7.1}",
             first.workload,
             first.fault,
             first.policy,
-            of(|line| line.load_stall_ms_mean),
-            of(|line| line.load_stall_ms_p99),
-            of(|line| line.batch_efficiency),
-            of(|line| line.urgent_ttft_ms_p99),
-            of(|line| line.normal_ttft_ms_p99),
-            of(|line| line.batch_wait_s_max),
-            of(|line| line.refused as f64),
-            of(|line| line.unfinished as f64),
-            of(|line| line.work_share),
-            of(|line| line.loads as f64),
-            of(|line| line.recovery_s),
+            group_mean(|line| line.load_stall_ms_mean),
+            group_mean(|line| line.load_stall_ms_p99),
+            group_mean(|line| line.batch_efficiency),
+            group_mean(|line| line.urgent_ttft_ms_p99),
+            group_mean(|line| line.normal_ttft_ms_p99),
+            group_mean(|line| line.batch_wait_s_max),
+            group_mean(|line| line.refused as f64),
+            group_mean(|line| line.unfinished as f64),
+            group_mean(|line| line.work_share),
+            group_mean(|line| line.loads as f64),
+            group_mean(|line| line.recovery_s),
         );
     }
 }
--- a/crates/core/benches/policy/model.rs
+++ b/crates/core/benches/policy/model.rs
@@ -1,24 +1,24 @@
-//! The engine model, and the sizes of a site.
+//! Engine model: capacities and step times.
 
 use serde::{Deserialize, Serialize};
 
-/// Sizes and speeds; a JSON file with these keys can be given by `--model`.
+/// Parameters of an engine. `--model` reads them from a JSON file with the same keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineModel {
-    /// Adapter slots of an engine.
+    /// Adapter slots per engine.
     pub slots: usize,
     /// Sequences in a full batch.
     pub batch: usize,
-    /// Time of an empty step, in milliseconds.
+    /// Fixed duration of a step, in milliseconds.
     pub step_ms: f64,
-    /// Time that each sequence adds to a step.
+    /// Additional duration of a step per sequence, in milliseconds.
     pub sequence_ms: f64,
-    /// Time that each prompt token adds to a step.
+    /// Additional duration of a step per prompt token, in milliseconds.
     pub prefill_ms: f64,
-    /// Prompt tokens that one step takes on.
+    /// Maximum number of prompt tokens per step.
     pub prefill_chunk: u32,
-    /// Time of one load alone, in milliseconds; loads at once share the store.
+    /// Duration of a single load, in milliseconds; concurrent loads share the store's throughput.
     pub load_ms: f64,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl EngineModel {
-    /// Output tokens a second of a full batch.
+    /// Throughput of a full batch, in output tokens per second.
     pub fn full_speed(&self) -> f64 {
         let step = self.step_ms + self.sequence_ms * self.batch as f64;
         self.batch as f64 / step * 1000.0
--- a/crates/core/benches/policy/report.rs
+++ b/crates/core/benches/policy/report.rs
@@ -1,8 +1,8 @@
-//! The figures of a run; docs/MEASUREMENTS.md defines each.
+//! Figures of a run; docs/MEASUREMENTS.md defines each of them.
 
 use crate::{
     adaptive::{AdaptivePolicy, Demand, Oracle},
-    baselines::{Choice, LruPolicy},
+    baselines::{LruPolicy, TargetChoice},
     model::EngineModel,
     sim::{Policy, RunResult, Simulation},
     workload::{ARRIVALS_S, Arrival, FAULT_AT_S, Fault, Site, WARM_UP_S, arrivals},
@@ -13,10 +13,10 @@
 };
 use serde::Serialize;
 
-/// Width of the window in which the recovery from a shift is looked for, in seconds.
+/// Length of the window whose mean load stall decides whether a policy has recovered from a popularity shift.
 const WINDOW_S: f64 = 10.0;
 
-/// Policies under test.
+/// Simulated policies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyName {
     Lru,
@@ -69,7 +69,7 @@
     pub recovery_s: f64,
 }
 
-/// Weights of a site: the preset that it would choose.
+/// Weights of the preset that fits the objective of a site.
 pub fn weights_of(site: Site) -> PolicyWeights {
     match site {
         Site::Kettleby => WeightPreset::BatchEfficiencyFirst.weights(),
@@ -90,10 +90,10 @@
     let daemons = if site == Site::Kettleby { 6 } else { 7 };
     let adaptive = |demand| AdaptivePolicy::new(zones, engines, model, weights_of(site), demand);
     let lru = |choice| LruPolicy::new(engines, model.slots, model.batch, choice);
-    let mut policy_box: Box<dyn Policy> = match policy {
-        PolicyName::Lru => Box::new(lru(Choice::LeastLoaded)),
-        PolicyName::LruAffinity => Box::new(lru(Choice::Affinity)),
-        PolicyName::Static => Box::new(lru(Choice::Hashed)),
+    let mut policy_impl: Box<dyn Policy> = match policy {
+        PolicyName::Lru => Box::new(lru(TargetChoice::LeastLoaded)),
+        PolicyName::LruAffinity => Box::new(lru(TargetChoice::Affinity)),
+        PolicyName::Static => Box::new(lru(TargetChoice::Hashed)),
         PolicyName::Hoplanding => Box::new(adaptive(Demand::Learned(vec![
                 PopularityTracker::default();
                 daemons
@@ -101,7 +101,7 @@
         PolicyName::Clairvoyant => Box::new(adaptive(Demand::Known(Oracle::new(&requests)))),
     };
     let result =
-        Simulation::new(site, fault, model, &requests, seed, WARM_UP_S).run(policy_box.as_mut());
+        Simulation::new(site, fault, model, &requests, seed, WARM_UP_S).run(policy_impl.as_mut());
     figures(site, fault, policy, model, seed, &requests, &result)
 }
 
@@ -125,12 +125,12 @@
             .filter(|(_, outcome)| outcome.started_s.is_some())
             .map(|(_, outcome)| outcome.load_stall_s * 1000.0),
     );
-    // A request that never started counts with the time that it waited to the end.
+    // A request that never started counts with its wait until the end of the simulation.
     let ttft = |class: PriorityClass| {
-        let of_class = measured
+        let class_outcomes = measured
             .iter()
             .filter(|(arrival, outcome)| arrival.class == class && outcome.refused_s.is_none());
-        sorted(of_class.map(|(arrival, outcome)| {
+        sorted(class_outcomes.map(|(arrival, outcome)| {
             (outcome.first_token_s.unwrap_or(ARRIVALS_S + 150.0) - arrival.at_s) * 1000.0
         }))
     };
@@ -180,7 +180,8 @@
     }
 }
 
-/// Seconds after a shift until the mean stall of a window is back within a tenth of what it was before.
+/// Time after a popularity shift, in seconds, until the mean load stall of a window is within 10 % of the mean before
+/// the shift.
 fn recovery(measured: &[(&Arrival, &crate::sim::Outcome)]) -> f64 {
     let stall_between = |from: f64, to: f64| {
         let within = measured.iter().filter(|(arrival, outcome)| {
@@ -214,7 +215,7 @@
     sorted.get(index).copied().unwrap_or(0.0)
 }
 
-/// The mean of some values; zero if there are none.
+/// Arithmetic mean; zero for an empty slice.
 pub fn mean(values: &[f64]) -> f64 {
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
--- a/crates/core/benches/policy/sim.rs
+++ b/crates/core/benches/policy/sim.rs
@@ -1,4 +1,7 @@
-//! Engines, the store and time. A policy only sees events and gives commands; a command that breaks a rule panics.
+//! Discrete-event simulation of engines and the weight store.
+//!
+//! A policy receives events and returns commands. A command that violates a rule, such as the unload of an adapter in
+//! use, panics.
 
 use crate::{
     model::EngineModel,
@@ -11,23 +14,23 @@
     collections::{BinaryHeap, HashMap},
 };
 
-/// Pause between two ticks, as between two heartbeats.
-const TICK_S: f64 = 0.05;
-/// Time after the last arrival for what is left.
-const DRAIN_S: f64 = 150.0;
-/// Pause between two engine restarts.
-const RESTART_EVERY_S: f64 = 15.0;
-/// Share of loads that fail.
-const FAILING_SHARE: f64 = 0.2;
-/// How much slower the slow store is.
-const SLOW_STORE: f64 = 2.0;
+/// Interval between two ticks; equals the heartbeat interval.
+const TICK_INTERVAL_S: f64 = 0.05;
+/// Time after the last arrival in which open requests can still finish.
+const DRAIN_TIMEOUT_S: f64 = 150.0;
+/// Interval between two engine restarts.
+const RESTART_INTERVAL_S: f64 = 15.0;
+/// Share of loads that fail under [`Fault::FailingLoads`].
+const LOAD_FAILURE_RATE: f64 = 0.2;
+/// Factor by which loads take longer under [`Fault::StoreSlow`].
+const SLOW_STORE_FACTOR: f64 = 2.0;
 
-/// Number of a request.
+/// Index of a request in the arrivals.
 pub type RequestNumber = usize;
-/// Number of an engine.
+/// Index of an engine.
 pub type EngineNumber = usize;
 
-/// What a policy orders.
+/// Command of a policy.
 #[derive(Clone, Debug)]
 pub enum Command {
     Start(EngineNumber, RequestNumber),
@@ -36,32 +39,33 @@
     Refuse(RequestNumber),
 }
 
-/// What a policy is told.
+/// Event that a policy is notified of.
 #[derive(Clone, Debug)]
-pub enum Notice {
+pub enum PolicyEvent {
     Arrived(RequestNumber),
     FirstToken(EngineNumber, RequestNumber),
     Ended(EngineNumber, RequestNumber),
+    /// A load ended; the flag tells whether it succeeded.
     Loaded(EngineNumber, AdapterVersion, bool),
-    /// An engine restarted: nothing is loaded, nothing runs.
+    /// An engine restarted without loaded adapters or running requests.
     Restarted(EngineNumber),
-    /// An engine is gone.
+    /// An engine is lost for the rest of the simulation.
     Lost(EngineNumber),
     Tick,
 }
 
-/// A policy under test.
+/// A simulated policy.
 pub trait Policy {
-    fn tell(
+    fn on_event(
         &mut self,
-        notice: &Notice,
+        policy_event: &PolicyEvent,
         arrivals: &[Arrival],
         now: Instant,
         commands: &mut Vec<Command>,
     );
 }
 
-/// What became of a request.
+/// Times of a request, in seconds of virtual time.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     pub started_s: Option<f64>,
@@ -74,8 +78,8 @@
 #[derive(Clone, Debug)]
 struct Running {
     request: RequestNumber,
-    prefill_left: u32,
-    tokens_left: u32,
+    remaining_prefill: u32,
+    remaining_tokens: u32,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -83,9 +87,9 @@
     running: Vec<Running>,
     loaded: HashMap<AdapterVersion, f64>,
     loading: Option<AdapterVersion>,
-    stepping: bool,
+    is_stepping: bool,
     epoch: u64,
-    lost: bool,
+    is_lost: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -119,24 +123,24 @@
 struct ActiveLoad {
     engine: EngineNumber,
     model: AdapterVersion,
-    left_s: f64,
-    fails: bool,
+    remaining_s: f64,
+    will_fail: bool,
     epoch: u64,
 }
 
-/// What a run yields.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 pub struct RunResult {
     pub outcomes: Vec<Outcome>,
     pub steps: u64,
     pub step_sequences: u64,
-    /// Output tokens made while requests arrived.
+    /// Output tokens generated after the warm-up and before the last arrival.
     pub tokens: u64,
     pub loads: u64,
     pub decisions: u64,
 }
 
-/// One run.
+/// A simulation run.
 pub struct Simulation<'a> {
     model: &'a EngineModel,
     fault: Fault,
@@ -144,14 +148,14 @@
     arrivals: &'a [Arrival],
     engines: Vec<Engine>,
     loads: Vec<ActiveLoad>,
-    store_at: f64,
+    store_advanced_at: f64,
     store_check: u64,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    sequence: u64,
+    event_sequence: u64,
     now: f64,
     random: StdRng,
     result: RunResult,
-    warm: f64,
+    warm_up_s: f64,
 }
 
 impl<'a> Simulation<'a> {
@@ -161,7 +165,7 @@
         model: &'a EngineModel,
         arrivals: &'a [Arrival],
         seed: u64,
-        warm: f64,
+        warm_up_s: f64,
     ) -> Self {
         let (zones, engines) = site.sizes();
         Self {
@@ -171,17 +175,17 @@
             arrivals,
             engines: vec![Engine::default(); engines],
             loads: Vec::new(),
-            store_at: 0.0,
+            store_advanced_at: 0.0,
             store_check: 0,
             queue: BinaryHeap::new(),
-            sequence: 0,
+            event_sequence: 0,
             now: 0.0,
             random: StdRng::seed_from_u64(seed ^ 0xFA17),
             result: RunResult {
                 outcomes: vec![Outcome::default(); arrivals.len()],
                 ..RunResult::default()
             },
-            warm,
+            warm_up_s,
         }
     }
 
@@ -189,14 +193,14 @@
         for (number, arrival) in self.arrivals.iter().enumerate() {
             self.schedule(arrival.at_s, Event::Arrival(number));
         }
-        self.schedule(TICK_S, Event::Tick);
+        self.schedule(TICK_INTERVAL_S, Event::Tick);
         match self.fault {
-            Fault::Restarts => self.schedule(RESTART_EVERY_S, Event::Restart(0)),
+            Fault::Restarts => self.schedule(RESTART_INTERVAL_S, Event::Restart(0)),
             Fault::ZoneLost => self.schedule(FAULT_AT_S, Event::LoseZone),
             _ => {}
         }
         while let Some(Reverse((Time(at), _, event))) = self.queue.pop() {
-            if at > ARRIVALS_S + DRAIN_S {
+            if at > ARRIVALS_S + DRAIN_TIMEOUT_S {
                 break;
             }
             self.now = at;
@@ -206,13 +210,14 @@
     }
 
     fn schedule(&mut self, at: f64, event: Event) {
-        self.sequence += 1;
-        self.queue.push(Reverse((Time(at), self.sequence, event)));
+        self.event_sequence += 1;
+        self.queue
+            .push(Reverse((Time(at), self.event_sequence, event)));
     }
 
     fn handle(&mut self, event: Event, policy: &mut dyn Policy) {
         match event {
-            Event::Arrival(request) => self.tell(policy, &Notice::Arrived(request)),
+            Event::Arrival(request) => self.notify_policy(policy, &PolicyEvent::Arrived(request)),
             Event::StepEnd(engine, epoch) if self.engines[engine].epoch == epoch => {
                 self.end_step(engine, policy)
             }
@@ -220,104 +225,114 @@
             Event::StoreCheck(check) if check == self.store_check => self.end_loads(policy),
             Event::StoreCheck(_) => {}
             Event::Tick => {
-                self.schedule(self.now + TICK_S, Event::Tick);
-                self.tell(policy, &Notice::Tick);
+                self.schedule(self.now + TICK_INTERVAL_S, Event::Tick);
+                self.notify_policy(policy, &PolicyEvent::Tick);
             }
             Event::Restart(engine) => {
                 if self.now < ARRIVALS_S {
                     self.schedule(
-                        self.now + RESTART_EVERY_S,
+                        self.now + RESTART_INTERVAL_S,
                         Event::Restart((engine + 5) % self.engines.len()),
                     );
                 }
-                self.clear(engine, policy, &Notice::Restarted(engine));
+                self.reset_engine(engine, policy, &PolicyEvent::Restarted(engine));
             }
             Event::LoseZone => {
                 for engine in (0..self.engines.len()).step_by(self.zones) {
-                    self.engines[engine].lost = true;
-                    self.clear(engine, policy, &Notice::Lost(engine));
+                    self.engines[engine].is_lost = true;
+                    self.reset_engine(engine, policy, &PolicyEvent::Lost(engine));
                 }
             }
         }
     }
 
-    /// Empties an engine; what ran there arrives once more, as a gateway would repeat it.
-    fn clear(&mut self, engine: EngineNumber, policy: &mut dyn Policy, notice: &Notice) {
+    /// Empties an engine; its running requests arrive again, as a gateway would retry them.
+    fn reset_engine(
+        &mut self,
+        engine: EngineNumber,
+        policy: &mut dyn Policy,
+        policy_event: &PolicyEvent,
+    ) {
         self.advance_store();
         self.loads.retain(|load| load.engine != engine);
         let state = &mut self.engines[engine];
         state.epoch += 1;
-        state.stepping = false;
+        state.is_stepping = false;
         state.loaded.clear();
         state.loading = None;
-        let again: Vec<_> = state
+        let repeated: Vec<_> = state
             .running
             .drain(..)
             .map(|running| running.request)
             .collect();
-        self.plan_store();
-        self.tell(policy, notice);
-        for request in again {
-            self.tell(policy, &Notice::Arrived(request));
+        self.schedule_store_check();
+        self.notify_policy(policy, policy_event);
+        for request in repeated {
+            self.notify_policy(policy, &PolicyEvent::Arrived(request));
         }
     }
 
-    fn tell(&mut self, policy: &mut dyn Policy, notice: &Notice) {
+    fn notify_policy(&mut self, policy: &mut dyn Policy, policy_event: &PolicyEvent) {
         let mut commands = Vec::new();
-        policy.tell(notice, self.arrivals, instant(self.now), &mut commands);
+        policy.on_event(
+            policy_event,
+            self.arrivals,
+            instant(self.now),
+            &mut commands,
+        );
         self.result.decisions += 1;
         for command in commands {
-            self.obey(command);
+            self.apply_command(command);
         }
     }
 
-    fn obey(&mut self, command: Command) {
+    fn apply_command(&mut self, command: Command) {
         match command {
             Command::Start(engine, request) => self.start(engine, request),
             Command::Load(engine, model) => {
                 self.advance_store();
                 let state = &mut self.engines[engine];
                 assert!(
-                    !state.lost && state.loading.is_none() && state.loaded.len() < self.model.slots,
-                    "no room to load"
+                    !state.is_lost
+                        && state.loading.is_none()
+                        && state.loaded.len() < self.model.slots,
+                    "load without a free slot, during another load, or on a lost engine"
                 );
                 state.loading = Some(model.clone());
-                let fails = self.fault == Fault::FailingLoads
-                    && self.random.random::<f64>() < FAILING_SHARE;
+                let will_fail = self.fault == Fault::FailingLoads
+                    && self.random.random::<f64>() < LOAD_FAILURE_RATE;
                 let slow = self.fault == Fault::StoreSlow
                     && (FAULT_AT_S..FAULT_AT_S + 60.0).contains(&self.now);
-                let left_s = self.model.load_ms / 1000.0 * if slow { SLOW_STORE } else { 1.0 };
+                let remaining_s =
+                    self.model.load_ms / 1000.0 * if slow { SLOW_STORE_FACTOR } else { 1.0 };
                 let epoch = state.epoch;
                 self.loads.push(ActiveLoad {
                     engine,
                     model,
-                    left_s,
-                    fails,
+                    remaining_s,
+                    will_fail,
                     epoch,
                 });
                 self.result.loads += 1;
-                self.plan_store();
+                self.schedule_store_check();
             }
             Command::Unload(engine, model) => {
                 let state = &mut self.engines[engine];
-                let serving = state
+                let is_serving = state
                     .running
                     .iter()
                     .any(|running| self.arrivals[running.request].model == model);
-                assert!(
-                    !serving,
-                    "an adapter that serves a request is never unloaded"
-                );
+                assert!(!is_serving, "unload of an adapter with running requests");
                 assert!(
                     state.loaded.remove(&model).is_some(),
-                    "what is unloaded was loaded"
+                    "unload of an adapter that is not loaded"
                 );
             }
             Command::Refuse(request) => {
                 let outcome = &mut self.result.outcomes[request];
                 assert!(
                     outcome.ended_s.is_none() && outcome.refused_s.is_none(),
-                    "one end for each request"
+                    "request ended more than once"
                 );
                 outcome.refused_s = Some(self.now);
             }
@@ -328,96 +343,96 @@
         let arrival = &self.arrivals[request];
         let state = &mut self.engines[engine];
         assert!(
-            !state.lost && state.running.len() < self.model.batch,
-            "a free seat"
+            !state.is_lost && state.running.len() < self.model.batch,
+            "start without a free seat or on a lost engine"
         );
         let loaded_at = *state
             .loaded
             .get(&arrival.model)
-            .expect("the adapter that was named is loaded");
+            .expect("the requested adapter is loaded");
         let outcome = &mut self.result.outcomes[request];
         outcome.started_s = Some(self.now);
         outcome.load_stall_s = (loaded_at - arrival.at_s).max(0.0);
         state.running.push(Running {
             request,
-            prefill_left: arrival.prompt_tokens,
-            tokens_left: arrival.output_tokens,
+            remaining_prefill: arrival.prompt_tokens,
+            remaining_tokens: arrival.output_tokens,
         });
-        self.step(engine);
+        self.start_step(engine);
     }
 
-    fn step(&mut self, engine: EngineNumber) {
+    fn start_step(&mut self, engine: EngineNumber) {
         let state = &mut self.engines[engine];
-        if state.stepping || state.running.is_empty() {
+        if state.is_stepping || state.running.is_empty() {
             return;
         }
-        state.stepping = true;
+        state.is_stepping = true;
         let prefill: u32 = state
             .running
             .iter()
-            .map(|running| running.prefill_left)
+            .map(|running| running.remaining_prefill)
             .sum();
         let prefill = f64::from(prefill.min(self.model.prefill_chunk));
-        let span = self.model.step_ms
+        let step_ms = self.model.step_ms
             + self.model.sequence_ms * state.running.len() as f64
             + self.model.prefill_ms * prefill;
         let epoch = state.epoch;
-        if (self.warm..ARRIVALS_S).contains(&self.now) {
+        if (self.warm_up_s..ARRIVALS_S).contains(&self.now) {
             self.result.steps += 1;
             self.result.step_sequences += state.running.len() as u64;
         }
-        self.schedule(self.now + span / 1000.0, Event::StepEnd(engine, epoch));
+        self.schedule(self.now + step_ms / 1000.0, Event::StepEnd(engine, epoch));
     }
 
     fn end_step(&mut self, engine: EngineNumber, policy: &mut dyn Policy) {
         let mut prefill = self.model.prefill_chunk;
-        let mut notices = Vec::new();
+        let mut policy_events = Vec::new();
         let state = &mut self.engines[engine];
-        state.stepping = false;
+        state.is_stepping = false;
         for running in &mut state.running {
-            let taken = running.prefill_left.min(prefill);
-            running.prefill_left -= taken;
+            let taken = running.remaining_prefill.min(prefill);
+            running.remaining_prefill -= taken;
             prefill -= taken;
-            if running.prefill_left > 0 {
+            if running.remaining_prefill > 0 {
                 continue;
             }
-            running.tokens_left -= 1;
-            if (self.warm..ARRIVALS_S).contains(&self.now) {
+            running.remaining_tokens -= 1;
+            if (self.warm_up_s..ARRIVALS_S).contains(&self.now) {
                 self.result.tokens += 1;
             }
             let outcome = &mut self.result.outcomes[running.request];
             if outcome.first_token_s.is_none() {
                 outcome.first_token_s = Some(self.now);
-                notices.push(Notice::FirstToken(engine, running.request));
+                policy_events.push(PolicyEvent::FirstToken(engine, running.request));
             }
-            if running.tokens_left == 0 {
-                assert!(outcome.ended_s.is_none(), "one end for each request");
+            if running.remaining_tokens == 0 {
+                assert!(outcome.ended_s.is_none(), "request ended more than once");
                 outcome.ended_s = Some(self.now);
-                notices.push(Notice::Ended(engine, running.request));
+                policy_events.push(PolicyEvent::Ended(engine, running.request));
             }
         }
-        state.running.retain(|running| running.tokens_left > 0);
-        for notice in notices {
-            self.tell(policy, &notice);
+        state.running.retain(|running| running.remaining_tokens > 0);
+        for policy_event in policy_events {
+            self.notify_policy(policy, &policy_event);
         }
-        self.step(engine);
+        self.start_step(engine);
     }
 
-    /// Takes off what the loads under way have fetched; they share the store evenly.
+    /// Advances the loads in progress to the current time; they share the store's throughput evenly.
     fn advance_store(&mut self) {
-        let share = (self.now - self.store_at) / self.loads.len().max(1) as f64;
-        self.store_at = self.now;
+        let share = (self.now - self.store_advanced_at) / self.loads.len().max(1) as f64;
+        self.store_advanced_at = self.now;
         for load in &mut self.loads {
-            load.left_s -= share;
+            load.remaining_s -= share;
         }
     }
 
-    fn plan_store(&mut self) {
+    fn schedule_store_check(&mut self) {
         self.store_check += 1;
         let least = self
             .loads
             .iter()
-            .map(|load| load.left_s)
+            .map(|load| load.remaining_s)
             .fold(f64::INFINITY, f64::min);
         if least.is_finite() {
             let at = self.now + least.max(0.0) * self.loads.len() as f64;
@@ -427,28 +442,30 @@
 
     fn end_loads(&mut self, policy: &mut dyn Policy) {
         self.advance_store();
-        let (done, left): (Vec<_>, Vec<_>) =
-            self.loads.drain(..).partition(|load| load.left_s <= 1e-9);
-        self.loads = left;
-        self.plan_store();
+        let (done, pending): (Vec<_>, Vec<_>) = self
+            .loads
+            .drain(..)
+            .partition(|load| load.remaining_s <= 1e-9);
+        self.loads = pending;
+        self.schedule_store_check();
         for load in done {
             let state = &mut self.engines[load.engine];
             if state.epoch != load.epoch {
                 continue;
             }
             state.loading = None;
-            if !load.fails {
+            if !load.will_fail {
                 state.loaded.insert(load.model.clone(), self.now);
             }
-            self.tell(
+            self.notify_policy(
                 policy,
-                &Notice::Loaded(load.engine, load.model, !load.fails),
+                &PolicyEvent::Loaded(load.engine, load.model, !load.will_fail),
             );
         }
     }
 }
 
-/// A time of the simulation as the core takes it.
+/// Converts simulation time to the core's time type.
 pub fn instant(seconds: f64) -> Instant {
     Instant((seconds * 1e6) as u64)
 }
