--- a/crates/core/benches/policy/main.rs
+++ b/crates/core/benches/policy/main.rs
@@ -68,8 +68,9 @@
     };
     let text = std::fs::read_to_string(path)
         .map_err(|error| format!("{path} can't be read ({error}): name a JSON file"))?;
-    serde_json::from_str(&text)
-        .map_err(|error| format!("{path} is not a valid engine model ({error}): see docs/MEASUREMENTS.md"))
+    serde_json::from_str(&text).map_err(|error| {
+        format!("{path} is not a valid engine model ({error}): see docs/MEASUREMENTS.md")
+    })
 }
 
 fn run_all(args: &BenchArgs, model: &EngineModel) -> Vec<RunFigures> {
--- a/crates/core/tests/load/quotas.rs
+++ b/crates/core/tests/load/quotas.rs
@@ -30,9 +30,9 @@
 const QUOTA_FACTOR: f64 = 1.8;
 /// Duration of the simulation, in seconds.
 const DURATION_S: f64 = 30.0;
-/// Period in which the second organisation sends `HOT_FACTOR` times its normal load, in seconds.
-const HOT_PERIOD_S: std::ops::Range<f64> = 12.0..20.0;
-const HOT_FACTOR: f64 = 6.0;
+/// Period in which the second organisation sends `OVERLOAD_FACTOR` times its normal load, in seconds.
+const OVERLOAD_PERIOD_S: std::ops::Range<f64> = 12.0..20.0;
+const OVERLOAD_FACTOR: f64 = 6.0;
 
 /// Where quota ledgers are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -102,18 +102,18 @@
     for (organisation, share) in SHARES.iter().enumerate() {
         let mut now_s = 0.0;
         // The callers of an organisation connect to a few VMs only.
-        let homes: Vec<_> = (0..4 + organisation)
+        let entry_vms: Vec<_> = (0..4 + organisation)
             .map(|_| random.random_range(0..VM_COUNT))
             .collect();
         while now_s < DURATION_S {
-            let is_hot = organisation == 1 && HOT_PERIOD_S.contains(&now_s);
-            let factor = if is_hot { HOT_FACTOR } else { 1.0 };
+            let is_overloading = organisation == 1 && OVERLOAD_PERIOD_S.contains(&now_s);
+            let factor = if is_overloading { OVERLOAD_FACTOR } else { 1.0 };
             let gap = Exp::new(CALLS_PER_S * share * factor).expect("a rate");
             now_s += gap.sample(&mut random);
             let units = CALL_UNITS[usize::from(random.random_bool(2.0 / 3.0))];
             let first = match scope {
                 LedgerScope::Zones => random.random_range(0..ZONE_COUNT),
-                LedgerScope::Vms => homes[random.random_range(0..homes.len())],
+                LedgerScope::Vms => entry_vms[random.random_range(0..entry_vms.len())],
             };
             // A zone's holder without enough units left is followed by those of the other zones; a VM has no fallback.
             let ledgers_tried = if scope == LedgerScope::Zones {
--- a/crates/core/tests/load/simulation.rs
+++ b/crates/core/tests/load/simulation.rs
@@ -91,14 +91,14 @@
     /// Prefill throughput, in prompt tokens per ms.
     pub prefill_tokens_per_ms: f64,
     /// Period in which the engine is slower: start and end in ms of virtual time, and the factor.
-    pub slow: Option<(u64, u64, f64)>,
+    pub slow_period: Option<(u64, u64, f64)>,
 }
 
 /// An engine with a constant prefill throughput.
 pub fn steady_engine(prefill_tokens_per_ms: f64) -> EngineSpeed {
     EngineSpeed {
         prefill_tokens_per_ms,
-        slow: None,
+        slow_period: None,
     }
 }
 
@@ -136,7 +136,7 @@
 }
 
 struct ModelEngine {
-    kind: EngineSpeed,
+    speed: EngineSpeed,
     zone: usize,
     waiting: Vec<SentPrompt>,
     /// Prompt in prefill, and its remaining tokens.
@@ -170,7 +170,7 @@
     engines: BTreeMap<TargetName, ModelEngine>,
     classes: Vec<CallClass>,
     next_arrival: Vec<u64>,
-    open: HashMap<u64, OpenCall>,
+    open_calls: HashMap<u64, OpenCall>,
     outcomes: Vec<CallerOutcomes>,
     random: StdRng,
     next_number: u64,
@@ -246,8 +246,8 @@
 
 impl LoadSimulation {
     /// Creates a simulation of one zone.
-    pub fn new(kinds: &[EngineSpeed], classes: &[CallClass], seed: u64) -> Self {
-        Self::over_zones(&[kinds], classes, seed)
+    pub fn new(speeds: &[EngineSpeed], classes: &[CallClass], seed: u64) -> Self {
+        Self::over_zones(&[speeds], classes, seed)
     }
 
     /// Creates a simulation of several zones that share one weight store.
@@ -255,12 +255,14 @@
         let mut engines = BTreeMap::new();
         let mut planners = Vec::new();
         let count = u32::try_from(zones.len()).expect("few zones");
-        for (zone, kinds) in zones.iter().enumerate() {
-            let names: Vec<_> = (0..kinds.len()).map(|at| format!("e{zone}-{at}")).collect();
+        for (zone, speeds) in zones.iter().enumerate() {
+            let names: Vec<_> = (0..speeds.len())
+                .map(|number| format!("e{zone}-{number}"))
+                .collect();
             planners.push(planner(&names, count));
-            for (name, kind) in names.iter().zip(*kinds) {
+            for (name, speed) in names.iter().zip(*speeds) {
                 let engine = ModelEngine {
-                    kind: *kind,
+                    speed: *speed,
                     zone,
                     waiting: Vec::new(),
                     reading: None,
@@ -280,7 +282,7 @@
             engines,
             classes: classes.to_vec(),
             next_arrival: vec![0; classes.len()],
-            open: HashMap::new(),
+            open_calls: HashMap::new(),
             outcomes: vec![CallerOutcomes::default(); classes.len()],
             random: StdRng::seed_from_u64(seed),
             next_number: 0,
@@ -344,13 +346,13 @@
                 .iter()
                 .filter(|(_, engine)| engine.zone == zone);
             let entries = engines.map(|(name, engine)| {
-                let held = engine.adapters.iter().map(|adapter| ResidentAdapter {
+                let resident_adapters = engine.adapters.iter().map(|adapter| ResidentAdapter {
                     adapter: adapter.clone(),
                     version: 1,
                 });
                 Arc::new(TargetEntry {
                     orders_taken: engine.sequence,
-                    adapters: held.collect(),
+                    adapters: resident_adapters.collect(),
                     ..(*entry(name.as_str())).clone()
                 })
             });
@@ -359,17 +361,17 @@
     }
 
     fn add_arrivals(&mut self, now: u64) {
-        for at in 0..self.classes.len() {
-            while self.next_arrival[at] <= now {
-                let class = self.classes[at];
+        for class_index in 0..self.classes.len() {
+            while self.next_arrival[class_index] <= now {
+                let class = self.classes[class_index];
                 let gap = Exp::new(class.per_s).expect("a rate");
-                self.next_arrival[at] += (gap.sample(&mut self.random) * 1e6) as u64;
-                self.ask(at, class, now);
+                self.next_arrival[class_index] += (gap.sample(&mut self.random) * 1e6) as u64;
+                self.start_call(class_index, class, now);
             }
         }
     }
 
-    fn ask(&mut self, at: usize, class: CallClass, now: u64) {
+    fn start_call(&mut self, class_index: usize, class: CallClass, now: u64) {
         let mean = class.tokens.ln() - class.spread * class.spread / 2.0;
         let size = LogNormal::new(mean, class.spread).expect("a spread");
         let tokens = size.sample(&mut self.random).min(39_600.0) as u32 + 1;
@@ -379,30 +381,30 @@
         self.next_number += 1;
         let count = self.planners.len();
         // The home zone of the most popular adapters is the caller's own zone.
-        let own = self.random.random_range(0..count);
-        let home = if adapter <= 3 {
-            own
+        let own_zone = self.random.random_range(0..count);
+        let home_zone = if adapter <= 3 {
+            own_zone
         } else {
             adapter as usize % count
         };
         let call = OpenCall {
             adapter,
-            zones: (0..count).map(|turn| (home + turn) % count).collect(),
+            zones: (0..count).map(|turn| (home_zone + turn) % count).collect(),
             search: ZoneSearch::new(self.policy, count),
-            class: at,
+            class: class_index,
             arrived: now,
             tokens,
             prefix: u64::from(self.random.random_range(0..class.shared.1)),
             target: None,
         };
-        self.open.insert(number, call);
-        self.outcomes[at].calls += 1.0;
+        self.open_calls.insert(number, call);
+        self.outcomes[class_index].calls += 1.0;
         self.ask_next_zone(number, now);
     }
 
     /// Sends a call's next placement query; the call is refused if no zone is left to query.
     fn ask_next_zone(&mut self, number: u64, now: u64) {
-        let Some(call) = self.open.get_mut(&number) else {
+        let Some(call) = self.open_calls.get_mut(&number) else {
             return;
         };
         let class = self.classes[call.class];
@@ -410,7 +412,7 @@
             let outcomes = &mut self.outcomes[call.class];
             outcomes.refused += 1.0;
             outcomes.refusal_waits.push((now - call.arrived) / 1_000);
-            self.open.remove(&number);
+            self.open_calls.remove(&number);
             return;
         };
         let objective = Duration::from_millis(class.objective_ms);
@@ -472,7 +474,9 @@
                         OrderOutcome::Begun
                     }
                     OrderKind::Unload => {
-                        engine.adapters.retain(|held| *held != order.subject);
+                        engine
+                            .adapters
+                            .retain(|resident_adapters| *resident_adapters != order.subject);
                         engine.evict_prefixes(&order.subject);
                         OrderOutcome::Done
                     }
@@ -487,7 +491,7 @@
     }
 
     fn process_answer(&mut self, zone: usize, key: &CallKey, answer: PlacementAnswer, now: u64) {
-        let Some(call) = self.open.get_mut(&key.number) else {
+        let Some(call) = self.open_calls.get_mut(&key.number) else {
             return;
         };
         match answer {
@@ -539,12 +543,12 @@
                 .streaming
                 .extract_if(.., |(_, until)| *until <= now)
                 .collect();
-            let slow = engine
-                .kind
-                .slow
+            let slow_period = engine
+                .speed
+                .slow_period
                 .filter(|(from, to, _)| (*from..*to).contains(&(now / 1_000)));
-            let prefill_rate =
-                engine.kind.prefill_tokens_per_ms / slow.map_or(1.0, |(_, _, factor)| factor);
+            let prefill_rate = engine.speed.prefill_tokens_per_ms
+                / slow_period.map_or(1.0, |(_, _, factor)| factor);
             let mut tokens_left = prefill_rate * STEP_MICROS as f64 / 1e3;
             let mut started = Vec::new();
             while tokens_left > 0.0 {
@@ -564,7 +568,7 @@
             }
             for key in &started {
                 let output = self
-                    .open
+                    .open_calls
                     .get(&key.number)
                     .map_or(0, |call| self.classes[call.class].output);
                 engine
@@ -585,7 +589,7 @@
             let zone = self.engines[target].zone;
             self.planners[zone].call_started(key, target, Some(1), Instant(now));
         }
-        if let Some(call) = self.open.remove(&key.number) {
+        if let Some(call) = self.open_calls.remove(&key.number) {
             let class = self.classes[call.class];
             let outcomes = &mut self.outcomes[call.class];
             if now - call.arrived <= class.objective_ms * 1_000 {
@@ -600,13 +604,13 @@
     fn expire_calls(&mut self, now: u64) {
         let timeout = |call: &OpenCall| self.classes[call.class].first_event_timeout_ms * 1_000;
         let gone: Vec<_> = self
-            .open
+            .open_calls
             .iter()
             .filter(|(_, call)| now - call.arrived > timeout(call))
             .map(|(number, call)| (*number, call.class, call.target.clone()))
             .collect();
         for (number, class, target) in gone {
-            self.open.remove(&number);
+            self.open_calls.remove(&number);
             self.outcomes[class].abandoned += 1.0;
             if let Some(engine) = target.as_ref().and_then(|name| self.engines.get_mut(name)) {
                 engine.waiting.retain(|prompt| prompt.key.number != number);
@@ -635,13 +639,13 @@
         cached_prefixes: &HashMap<SocketAddr, VecDeque<(u32, u64)>>,
         now: u64,
     ) -> Option<(SentPrompt, f64)> {
-        let (at, _) = self
+        let (index, _) = self
             .waiting
             .iter()
             .enumerate()
             .filter(|(_, prompt)| prompt.arrives_at <= now)
             .min_by_key(|(_, prompt)| (prompt.rank, prompt.arrives_at))?;
-        let prompt = self.waiting.remove(at);
+        let prompt = self.waiting.remove(index);
         let (adapter, prefix, shared) = prompt.prefix;
         let is_cached =
             |cached_prefixes: &VecDeque<(u32, u64)>| cached_prefixes.contains(&(adapter, prefix));
@@ -651,7 +655,7 @@
             tokens -= f64::from(shared);
         } else if source.is_some_and(is_cached) {
             // The fetch takes 20 ms on the engine's network link.
-            tokens -= f64::from(shared) - 20.0 * self.kind.prefill_tokens_per_ms;
+            tokens -= f64::from(shared) - 20.0 * self.speed.prefill_tokens_per_ms;
         }
         self.cached_prefixes
             .retain(|known| *known != (adapter, prefix));
--- a/crates/core/tests/load/speeds.rs
+++ b/crates/core/tests/load/speeds.rs
@@ -61,12 +61,12 @@
 /// planner does not learn the engine's speed.
 #[test]
 fn slowed_engine_gets_few_calls_until_it_recovers() {
-    let slow = EngineSpeed {
-        slow: Some((8_000, 20_000, 5.0)),
+    let slow_engine = EngineSpeed {
+        slow_period: Some((8_000, 20_000, 5.0)),
         ..steady_engine(30.0)
     };
     let engines = [
-        slow,
+        slow_engine,
         steady_engine(30.0),
         steady_engine(30.0),
         steady_engine(30.0),
--- a/crates/core/tests/load/stores.rs
+++ b/crates/core/tests/load/stores.rs
@@ -66,7 +66,7 @@
     engine: usize,
     requested_at: u64,
     load: StoreLoad,
-    left: f64,
+    remaining_micros: f64,
     /// Time at which the waiting call arrives at the engine.
     call_at: u64,
 }
@@ -142,7 +142,10 @@
                 result.requested += f64::from(u8::from(is_measured));
             }
         }
-        let in_progress = running.iter().filter(|load| load.left > 0.0).count();
+        let in_progress = running
+            .iter()
+            .filter(|load| load.remaining_micros > 0.0)
+            .count();
         let speed = (capacity / in_progress as f64).min(1.0);
         let mut unfinished = Vec::new();
         for mut load in running {
@@ -150,13 +153,13 @@
                 Some(factor) if load.engine == 0 => 1.0 / factor,
                 _ => 1.0,
             };
-            load.left -= STEP_MICROS as f64 * speed * engine_speed;
+            load.remaining_micros -= STEP_MICROS as f64 * speed * engine_speed;
             let target = engine_name(load.zone, load.engine);
             if now < load.call_at {
                 unfinished.push(load);
                 continue;
             }
-            if load.left > 0.0 {
+            if load.remaining_micros > 0.0 {
                 limiters[load.zone].record_late(&target, load.load, Instant(now));
                 load.load.is_judged = true;
                 load.call_at = now + RETRY_DELAY_MICROS;
@@ -205,13 +208,13 @@
                         Instant(now),
                         zone_loads + waiting[zone].len() >= limit,
                     ),
-                    left: scenario.load_micros,
+                    remaining_micros: scenario.load_micros,
                     call_at: now + expected + CALL_MARGIN_MICROS,
                 });
             }
         }
         if is_measured {
-            let in_progress = running.iter().filter(|load| load.left > 0.0);
+            let in_progress = running.iter().filter(|load| load.remaining_micros > 0.0);
             for load in in_progress {
                 result.in_progress += 1.0;
                 result.in_first_zone += f64::from(u8::from(load.zone == 0));
