--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -1,9 +1,9 @@
-//! Which memory of prompts other engines may take from an engine.
+//! Tracking of the versions that made an engine's KV cache, to decide which cache other engines may fetch.
 //!
-//! Nothing on the way from one engine to another says which weights made the memory that moves, and the engine that takes it
-//! does not look: where some engines have newer weights than their neighbours, callers would get answers that are computed from
-//! two versions. So memory moves only if its versions are known, of the base model as well as of the adapter, and are those that
-//! the call runs under.
+//! A cache transfer does not state which weights made the cache, and the fetching engine does not check. Where some
+//! engines have newer weights than others, an unchecked transfer would give callers answers that mix two versions. So
+//! cache is transferred only if the versions of base model and adapter that made it are known and are those that the
+//! call runs under.
 
 use crate::{
     direct::{
@@ -15,70 +15,75 @@
 };
 use std::sync::Arc;
 
-/// Memory of a prompt that an engine can lend.
+/// KV cache of a prompt prefix that an engine can lend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LendableCache {
-    /// What made it.
-    pub mark: CacheTag,
-    /// Its tokens.
+    /// Versions that made the cache.
+    pub tag: CacheTag,
+    /// Length of the prefix, in tokens.
     pub tokens: u32,
 }
 
 impl EngineState {
-    /// Marks another loading of a base model or an adapter.
+    /// Allocates the generation of another load of a base model or an adapter.
     pub(super) fn next_generation(&mut self) -> u64 {
-        self.generations += 1;
-        self.generations
+        self.last_generation += 1;
+        self.last_generation
     }
 
-    /// Versions of what makes its memory of a prompt, as far as is known.
+    /// Versions that make KV cache for a subject here, as far as known.
     #[must_use]
-    pub fn memory_versions(&self, subject: &AdapterName) -> CacheVersions {
+    pub fn cache_versions(&self, subject: &AdapterName) -> CacheVersions {
         CacheVersions {
-            base: self.base(subject).and_then(|held| held.known_version),
+            base: self
+                .base_model(subject)
+                .and_then(|loaded| loaded.known_version),
             adapter: self.copies.get(subject).and_then(|copy| copy.known_version),
         }
     }
 
-    fn base(&self, subject: &AdapterName) -> Option<&LoadedModel> {
-        self.held(split_subject(subject).0)
+    fn base_model(&self, subject: &AdapterName) -> Option<&LoadedModel> {
+        self.loaded_model(split_subject(subject).0)
     }
 
-    fn held(&self, model: &str) -> Option<&LoadedModel> {
-        self.models.iter().find(|held| held.name.as_str() == model)
+    fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
+        self.models
+            .iter()
+            .find(|loaded| loaded.name.as_str() == model)
     }
 
-    /// The version of the base model by the engine's own word; its entry in the list may be from before it started again.
-    fn own_base(&self, subject: &AdapterName) -> Option<u64> {
-        let known_version = self.base(subject)?.known_version?;
+    /// Version of the base model as stated by the engine itself. Its entry in the platform's list may predate a
+    /// restart.
+    fn reported_base_version(&self, subject: &AdapterName) -> Option<u64> {
+        let known_version = self.base_model(subject)?.known_version?;
         (known_version.source != VersionSource::List).then_some(known_version.version)
     }
 
-    /// The version that a call has to ask for so that it runs under no other than the one that is known here. A copy that is
-    /// replaced unseen, by a late order of an earlier holder, would else make memory that is taken for the known version's.
+    /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order
+    /// of an earlier holder replaced unnoticed would make KV cache that is taken for the known version's.
     #[must_use]
     pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
             Some(_) => Some(self.copies.get(subject)?.known_version?.version),
-            None => self.own_base(subject),
+            None => self.reported_base_version(subject),
         }
     }
 
-    /// Which loading of an adapter, or of a base model, a call that is sent now will run on.
+    /// Generation of the adapter or base model on which a call sent now will run.
     #[must_use]
     pub fn generation(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
             Some(_) => self.copies.get(subject).map(|copy| copy.generation),
-            None => self.base(subject).map(|held| held.generation),
+            None => self.base_model(subject).map(|loaded| loaded.generation),
         }
     }
 
-    /// Takes over the base models that a report lists.
-    pub(super) fn take_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
+    /// Updates the base models from a report.
+    pub(super) fn update_models(&mut self, models: &[(AdapterName, u64)], now: Instant) {
         let old = std::mem::take(&mut self.models);
         for (name, version) in models {
             let known_version = ObservedVersion::observe(*version, VersionSource::Report, now);
-            match old.iter().find(|held| held.name == *name) {
+            match old.iter().find(|loaded| loaded.name == *name) {
                 Some(known) => self.models.push(known.clone()),
                 None => {
                     self.models.push(LoadedModel {
@@ -86,35 +91,37 @@
                         known_version: None,
                         generation: 0,
                     });
-                    self.outdate_memory(name.as_str());
+                    self.invalidate_cache(name.as_str());
                 }
             }
-            self.see_base(name.as_str(), known_version);
+            self.observe_base_version(name.as_str(), known_version);
         }
     }
 
-    /// Takes over what told the version of a base model.
-    fn see_base(&mut self, model: &str, known_version: Option<ObservedVersion>) {
-        let known = self.held(model).and_then(|held| held.known_version);
-        if VersionMatch::of(known, known_version) == VersionMatch::Different {
-            self.outdate_memory(model);
+    /// Records an observed version of a base model.
+    fn observe_base_version(&mut self, model: &str, observed: Option<ObservedVersion>) {
+        let known = self
+            .loaded_model(model)
+            .and_then(|loaded| loaded.known_version);
+        if VersionMatch::of(known, observed) == VersionMatch::Different {
+            self.invalidate_cache(model);
         }
         let mut models = self.models.iter_mut();
-        if let Some(held) = models.find(|held| held.name.as_str() == model)
-            && known_version.is_some()
+        if let Some(loaded) = models.find(|loaded| loaded.name.as_str() == model)
+            && observed.is_some()
         {
-            held.known_version = known_version;
+            loaded.known_version = observed;
         }
     }
 
-    /// A base model was loaded anew, or may have been: what was read before is worth nothing now, for its adapters
-    /// neither. A sight that goes takes its generation with it, so that no later one speaks for what was read before.
-    fn outdate_memory(&mut self, model: &str) {
+    /// Invalidates the KV cache of a base model that was, or may have been, loaded again, and that of its adapters. The
+    /// generations change together with the known version, so that no later observation applies to cache made before.
+    fn invalidate_cache(&mut self, model: &str) {
         let generation = self.next_generation();
-        for held in &mut self.models {
-            if held.name.as_str() == model {
-                held.generation = generation;
-                held.known_version = None;
+        for loaded in &mut self.models {
+            if loaded.name.as_str() == model {
+                loaded.generation = generation;
+                loaded.known_version = None;
             }
         }
         for (subject, copy) in &mut self.copies {
@@ -124,7 +131,7 @@
         }
     }
 
-    /// An adapter is loaded, or replaced: until that has ended nobody knows what is there.
+    /// Invalidates a copy whose load or replacement is ordered: its version is unknown until that has ended.
     pub fn invalidate_copy(&mut self, subject: &AdapterName) {
         let generation = self.next_generation();
         if let Some(copy) = self.copies.get_mut(subject) {
@@ -132,24 +139,30 @@
             copy.generation = generation;
             copy.was_unlisted = false;
         }
-        self.note_unlisted();
+        self.mark_unlisted();
     }
 
-    /// It has taken an order. One that expects none before it is taken as well by an engine that has started again
-    /// unseen, with other weights: its next answer or report tells.
+    /// Records that the engine accepted an order.
+    ///
+    /// An order with sequence number 0 is also accepted by an engine that has restarted unnoticed, with other weights,
+    /// so its KV cache counts as invalid until its next answer or report.
     pub fn record_accepted_order(&mut self, order: &EngineOrder) {
         if order.expected == 0 {
-            let models: Vec<_> = self.models.iter().map(|held| held.name.clone()).collect();
+            let models: Vec<_> = self
+                .models
+                .iter()
+                .map(|loaded| loaded.name.clone())
+                .collect();
             for model in models {
-                self.outdate_memory(model.as_str());
+                self.invalidate_cache(model.as_str());
             }
         }
     }
 
-    /// Takes over versions from the list for copies of which nothing else told them. An entry may be seconds old, so it
-    /// speaks of a copy only if the list has been seen without it since it was loaded.
-    pub(super) fn take_listed_versions(&mut self, now: Instant) {
-        if !self.is_inventory_known || self.pending.is_some() || self.entry_is_old {
+    /// Applies versions from the platform's list to copies whose version is unknown. An entry may be seconds old, so it
+    /// applies to a copy only if the list was seen without the adapter since the load.
+    pub(super) fn apply_listed_versions(&mut self, now: Instant) {
+        if !self.is_inventory_known || self.pending.is_some() || self.is_entry_outdated {
             return;
         }
         for resident in &self.entry.adapters {
@@ -164,30 +177,32 @@
         }
     }
 
-    /// Notes which copies the list is without.
-    pub(super) fn note_unlisted(&mut self) {
+    /// Marks the copies that the platform's list does not contain.
+    pub(super) fn mark_unlisted(&mut self) {
         for (subject, copy) in &mut self.copies {
             let mut listed = self.entry.adapters.iter();
             copy.was_unlisted |= !listed.any(|resident| resident.adapter == *subject);
         }
     }
 
-    /// Where a changed entry tells other weights of a base model than are known, nobody knows which are there until the
-    /// report tells.
-    pub(super) fn doubt_models(&mut self, now: Instant) {
+    /// Invalidates base models for which a changed entry lists another version than the known one, and requests a
+    /// report to learn which is loaded.
+    pub(super) fn check_listed_models(&mut self, now: Instant) {
         let entry = Arc::clone(&self.entry);
         for (model, version) in &entry.models {
             let listed = ObservedVersion::observe(*version, VersionSource::List, now);
-            let known = self.held(model).and_then(|held| held.known_version);
+            let known = self
+                .loaded_model(model)
+                .and_then(|loaded| loaded.known_version);
             if VersionMatch::of(known, listed) == VersionMatch::Different {
-                self.outdate_memory(model);
+                self.invalidate_cache(model);
                 self.report_due_at = Some(now);
             }
         }
     }
 
-    /// Notes that a call's prompt has been read by this version of the base model. What comes from before its adapter
-    /// or its base model was loaded anew says nothing.
+    /// Records that the prompt of a call was read under this version of the base model. Ignored if the adapter or base
+    /// model was loaded again since the call was sent.
     pub fn record_prompt_read(&mut self, key: &CallKey, version: u64, now: Instant) {
         let Some(call) = self.calls.get_mut(key) else {
             return;
@@ -201,87 +216,98 @@
             return;
         }
         let known_version = ObservedVersion::observe(version, VersionSource::Answer, now);
-        self.see_base(split_subject(&subject).0, known_version);
-        self.read_parts.note(&subject, generation, &shared);
+        self.observe_base_version(split_subject(&subject).0, known_version);
+        self.read_segments.insert(&subject, generation, &shared);
     }
 
-    /// A call that is sent to it now.
-    pub fn sent_call(&mut self, ask: &PlacementRequest) -> SentCall {
-        let shared = shared_segments(&ask.prefix);
-        let generation = self.generation(&ask.subject);
+    /// Creates the record of a call that is sent now, and records its prompt segments as sent.
+    pub fn prepare_call(&mut self, request: &PlacementRequest) -> SentCall {
+        let shared = shared_segments(&request.prefix);
+        let generation = self.generation(&request.subject);
         if let Some(generation) = generation {
-            self.sent_parts.note(&ask.subject, generation, &shared);
+            self.sent_segments
+                .insert(&request.subject, generation, &shared);
         }
         SentCall {
-            subject: ask.subject.clone(),
-            tokens: ask.max_kv_tokens(),
+            subject: request.subject.clone(),
+            tokens: request.max_kv_tokens(),
             shared,
             generation,
-            fingerprint: Some(ask.fingerprint),
+            fingerprint: Some(request.fingerprint),
         }
     }
 
-    /// Tokens at the start of a prompt that it has likely kept.
+    /// Length of the prompt prefix that the engine has likely kept in its KV cache, in tokens.
     #[must_use]
-    pub fn cached_tokens(&self, ask: &PlacementRequest) -> u32 {
-        let generation = self.generation(&ask.subject);
+    pub fn cached_tokens(&self, request: &PlacementRequest) -> u32 {
+        let generation = self.generation(&request.subject);
         generation.map_or(0, |generation| {
-            let sent = &self.sent_parts;
-            sent.tokens(&ask.subject, generation, &ask.prefix)
+            let sent = &self.sent_segments;
+            sent.tokens(&request.subject, generation, &request.prefix)
         })
     }
 
-    /// Memory of a prompt that it has read, of which it is known what made it.
+    /// KV cache of a prompt prefix that the engine has read under known versions.
     #[must_use]
-    pub fn lendable_cache(&self, ask: &PlacementRequest) -> Option<LendableCache> {
-        let subject = &ask.subject;
+    pub fn lendable_cache(&self, request: &PlacementRequest) -> Option<LendableCache> {
+        let subject = &request.subject;
         let generation = self.generation(subject)?;
-        let tokens = self.read_parts.tokens(subject, generation, &ask.prefix);
+        let tokens = self
+            .read_segments
+            .tokens(subject, generation, &request.prefix);
         if tokens == 0 || !self.is_inventory_known {
             return None;
         }
-        let base = self.own_base(subject)?;
+        let base = self.reported_base_version(subject)?;
         let adapter = match split_subject(subject).1 {
             Some(_) => {
                 let copy = self.copies.get(subject)?;
-                let is_here = copy.state == CopyState::Loaded;
-                Some(copy.known_version.filter(|_| is_here)?.version)
+                let is_loaded = copy.state == CopyState::Loaded;
+                Some(copy.known_version.filter(|_| is_loaded)?.version)
             }
             None => None,
         };
-        let mark = CacheTag { base, adapter };
-        Some(LendableCache { mark, tokens })
+        let tag = CacheTag { base, adapter };
+        Some(LendableCache { tag, tokens })
     }
 
-    /// Whether a call may use memory with this mark here. Where nobody knows the version of the adapter here, the call has to
-    /// name the one that it expects: the engine turns it away if it has another, and then its report comes first.
+    /// Whether a call here may use KV cache with this tag. If the version of the adapter here is unknown, the call
+    /// asks for the version that made the cache. The engine rejects the call if it has another version, and its report
+    /// is then read before the next transfer.
     #[must_use]
-    pub fn can_use_cache(&self, mark: CacheTag, subject: &AdapterName, named: Option<u64>) -> bool {
+    pub fn can_use_cache(
+        &self,
+        tag: CacheTag,
+        subject: &AdapterName,
+        named_version: Option<u64>,
+    ) -> bool {
         let own = self.copies.get(subject).and_then(|copy| copy.known_version);
-        let is_fit = match (
-            mark.adapter,
-            named.or(own.map(|known_version| known_version.version)),
+        let is_usable = match (
+            tag.adapter,
+            named_version.or(own.map(|known_version| known_version.version)),
         ) {
             (None, _) => true,
             (Some(_), None) => self.report_due_at.is_none() && !self.is_reporting,
             (made_by, known) => made_by == known,
         };
-        self.is_inventory_known && is_fit && self.own_base(subject) == Some(mark.base)
+        self.is_inventory_known
+            && is_usable
+            && self.reported_base_version(subject) == Some(tag.base)
     }
 
-    /// Holds a copy as it is until a call elsewhere has its memory.
+    /// Pins a copy until a call at another engine has fetched its KV cache.
     pub fn lend_cache(&mut self, subject: &AdapterName, key: &CallKey) {
         if let Some(copy) = self.copies.get_mut(subject) {
             copy.borrowers.push(key.clone());
         }
     }
 
-    /// A call elsewhere has the memory, or does not need it any more. One whose gateway can't be reached may yet take
-    /// it until a time.
-    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, pinned_until: Instant) {
+    /// Ends the loan to a call that has fetched the KV cache or no longer needs it. The copy stays pinned until
+    /// `lent_until`, up to which a call of an unreachable gateway may still fetch.
+    pub fn end_loan(&mut self, subject: &AdapterName, key: &CallKey, lent_until: Instant) {
         if let Some(copy) = self.copies.get_mut(subject) {
             copy.borrowers.retain(|borrower| borrower != key);
-            copy.lent_until = copy.lent_until.max(pinned_until);
+            copy.lent_until = copy.lent_until.max(lent_until);
         }
     }
 }
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn tick_stop(&mut self, now: Instant) {
-        let (grace, bound) = (self.settings.stop.grace, self.settings.stop.bound);
+        let (grace, bound) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
         let Some(stop) = &mut self.stopping else {
             return;
         };
@@ -87,23 +87,23 @@
                     .values()
                     .map(|held| held.scheduler.running_len())
                     .sum::<usize>(),
-            targets_kept: self.held.len(),
+            remaining_targets: self.held.len(),
         };
         let alone = self.heir().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
         // Alone, or without the log, nothing can be handed over; what runs is finished all the same.
-        let handed_over = report.targets_kept == 0 || alone || !self.feed.is_up;
+        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_up;
         let finished = report.open_requests == 0 && self.workers.calls.is_empty();
         let tokens_safe = stop.tokens_taken || alone;
         if (finished && handed_over && tokens_safe) || passed >= bound {
-            if !finished || report.targets_kept > 0 {
+            if !finished || report.remaining_targets > 0 {
                 event!(
-                    Event::StopBound,
+                    Event::StopTimedOut,
                     "{} requests, {} targets",
                     report.open_requests,
-                    report.targets_kept
+                    report.remaining_targets
                 );
             }
             stop.is_over = true;
@@ -117,7 +117,7 @@
     fn heir(&self) -> Option<DaemonRef> {
         let mut able = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm);
         able.find(|daemon| {
@@ -130,7 +130,7 @@
     fn hand_over_targets(&mut self) {
         let able: Vec<_> = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm)
             .collect();
@@ -165,7 +165,7 @@
         let Some(link) = self.links.get(&heir.vm) else {
             return;
         };
-        let handed = self.repeats.hand_over(&heir);
+        let handed = self.repeats.transfer_to(&heir);
         if link.try_send(PeerMessage::HandTokens(handed)) {
             stop.tokens_sent_to = Some(heir.vm.clone());
         }
--- a/crates/daemon/src/direct/call/answers.rs
+++ b/crates/daemon/src/direct/call/answers.rs
@@ -1,22 +1,22 @@
-//! Answers as they go to callers.
+//! Building the answers that go to callers.
 
 use bytes::Bytes;
-use hoplanding_platform::{front::own_answer_headers, headers::travelling};
+use hoplanding_platform::{headers::end_to_end_headers, message_heads::gateway_answer_headers};
 use http::{Response, StatusCode};
 use http_body_util::{BodyExt, Full, combinators::UnsyncBoxBody};
 use std::time::Duration;
 
-/// The body of an answer.
+/// Body of an answer to a caller; an error aborts the caller's connection.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
 
-/// An answer that could not be passed on whole; the caller's connection is closed.
+/// An answer that ended before it was complete. Closing the caller's connection keeps it from looking complete.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "the answer broke off ({0}): the caller's connection is closed so that it does not look complete"
+    "answer incomplete ({0}): closing the caller's connection so that the answer does not look complete"
 )]
 pub struct BrokenAnswer(pub String);
 
-/// A body that is there whole.
+/// A body that is already in memory.
 #[must_use]
 pub fn full(body: Bytes) -> AnswerBody {
     Full::new(body)
@@ -24,15 +24,15 @@
         .boxed_unsync()
 }
 
-/// A target's answer as it goes to the caller.
+/// A target's answer, without hop-by-hop and internal headers.
 pub(super) fn passed_answer(parts: &http::response::Parts, body: Bytes) -> Response<AnswerBody> {
     let mut response = Response::new(full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = travelling(&parts.headers);
+    *response.headers_mut() = end_to_end_headers(&parts.headers);
     response
 }
 
-/// An answer of this VM's own.
+/// An empty answer that this gateway makes itself.
 #[must_use]
 pub fn own_answer(
     id: &str,
@@ -41,11 +41,11 @@
 ) -> Response<AnswerBody> {
     let mut response = Response::new(full(Bytes::new()));
     *response.status_mut() = status;
-    *response.headers_mut() = own_answer_headers(id, retry_after);
+    *response.headers_mut() = gateway_answer_headers(id, retry_after);
     response
 }
 
-/// The promise that a call was not run, with the time to come back.
-pub(super) fn refusal(id: &str, come_back: Duration) -> Response<AnswerBody> {
-    own_answer(id, StatusCode::SERVICE_UNAVAILABLE, Some(come_back))
+/// A 503 with `Retry-After`, which guarantees that no target ran the call.
+pub(super) fn refusal(id: &str, retry_after: Duration) -> Response<AnswerBody> {
+    own_answer(id, StatusCode::SERVICE_UNAVAILABLE, Some(retry_after))
 }
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -1,4 +1,7 @@
-//! Trials of suspected requests: the permit of a gateway, and what this VM notes of suspects.
+//! The gateway's side of trials of suspects, and the changes of suspicion in this VM's fleet state.
+//!
+//! A request under which a target crashed is a suspect. It runs again only as a trial, for which a zone's holder grants a
+//! permit, one at a time.
 
 use crate::{
     clock,
@@ -12,19 +15,19 @@
 };
 use std::sync::Arc;
 
-/// Leave to send a suspect once; tells holders of the trial's end when dropped.
+/// Permission to send a suspect once; reports the end of the trial to the holders when dropped.
 #[derive(Debug)]
 pub struct TrialPermit {
     holder_client: Arc<HolderClient>,
-    /// The zone whose holder granted it.
+    /// The zone whose holder was asked for the permit.
     zone: AvailabilityZone,
     number: u64,
     fingerprint: RequestFingerprint,
-    is_good: bool,
+    is_successful: bool,
 }
 
 impl TrialPermit {
-    /// The permit that a zone's holder granted to the question with this number.
+    /// The permit requested from a zone's holder under this call number.
     #[must_use]
     pub fn new(
         holder_client: &Arc<HolderClient>,
@@ -37,48 +40,52 @@
             zone: zone.clone(),
             number,
             fingerprint,
-            is_good: false,
+            is_successful: false,
         }
     }
 
-    /// The zone whose holder answered.
+    /// The zone whose holder decided about the trial.
     #[must_use]
     pub fn zone(&self) -> &AvailabilityZone {
         &self.zone
     }
 
-    /// The request was answered well.
-    pub fn note_good(&mut self) {
-        self.is_good = true;
+    /// Marks the trial as successful.
+    pub fn mark_successful(&mut self) {
+        self.is_successful = true;
     }
 }
 
 impl Drop for TrialPermit {
     fn drop(&mut self) {
-        self.holder_client
-            .end_trial(&self.zone, self.number, self.fingerprint, self.is_good);
+        self.holder_client.end_trial(
+            &self.zone,
+            self.number,
+            self.fingerprint,
+            self.is_successful,
+        );
     }
 }
 
 impl FleetState {
-    /// Notes that a target ended under a request; says whether that is news.
-    pub fn note_ended_under(&self, ended: &TargetCrash) -> bool {
+    /// Records that a target crashed while it ran a request; returns whether that was not known before.
+    pub fn note_ended_under(&self, crash: &TargetCrash) -> bool {
         let now = clock::now();
         let mut tables = self.tables();
-        if !tables.suspects.record_crash(ended, now) {
+        if !tables.suspects.record_crash(crash, now) {
             return false;
         }
         let (suspected, quarantined) = tables.suspects.counts(now);
         event!(
             Event::RequestSuspected,
-            "{:016x}: {} ended under it, {suspected} suspected, {quarantined} quarantined",
-            ended.fingerprint.0,
-            ended.run.name
+            "{:016x}: target {} crashed while running it; {suspected} requests suspected, {quarantined} of them quarantined",
+            crash.fingerprint.0,
+            crash.run.name
         );
         true
     }
 
-    /// Notes that a trial of a request was answered well.
+    /// Clears the suspicion of a request, after a successful trial.
     pub fn clear_suspicion(&self, fingerprint: RequestFingerprint) {
         if self.tables().suspects.clear(fingerprint) {
             event!(Event::SuspicionCleared, "{:016x}", fingerprint.0);
