--- a/crates/core/src/config/apply.rs
+++ b/crates/core/src/config/apply.rs
@@ -1,14 +1,14 @@
-//! Accepting and refusing changes.
+//! Application of change records to the configuration.
 //!
-//! A change of several parts is tried on the objects it touches only; if a later part is refused, the earlier ones
-//! are put back, so that it stands or falls as a whole.
+//! A change record is atomic. Its parts are applied one after the other; if one is refused, the objects that earlier
+//! parts changed are restored.
 
 use crate::{
     config::{
         AdapterConfig, AuditEntry, AuditOutcome, CallerConfig, CallerQuota, ChangeConflict,
         ChangeOutcome, ConfigChange, ConfigState, ObjectRef, OperatorConfig, RequestRepeatability,
         RightConfig, ServiceRule, TargetConfig, VersionConfig, VersionStatus,
-        state::{AUDIT_ENTRIES, REMEMBERED_CHANGES, RememberedChange},
+        state::{MAX_AUDIT_ENTRIES, MAX_REMEMBERED_CHANGES, RememberedChange},
     },
     ids::{AdapterName, LogOffset, VersionName},
     log::ChangeRecord,
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use std::collections::BTreeSet;
 
-/// An object as it was before a part was applied.
+/// Copy of an object before a part was applied; `None` for an object that did not exist.
 enum SavedObject {
     Adapter(Option<AdapterConfig>),
     Caller(Option<CallerConfig>),
@@ -29,7 +29,8 @@
 }
 
 impl ConfigState {
-    /// Folds a change; a second copy of one that was folded lately has no effect.
+    /// Applies a change record and adds it to the audit trail. A duplicate of a recent record has no effect and returns the
+    /// first outcome.
     pub fn apply(&mut self, offset: LogOffset, record: &ChangeRecord) -> ChangeOutcome {
         if let Some(outcome) = self.outcome(&record.id) {
             return outcome.clone();
@@ -50,7 +51,8 @@
         record: &ChangeRecord,
     ) -> Result<(), ChangeConflict> {
         let mut saved = Vec::new();
-        // Parts of one change may build on each other: only the first touch of an object compares revisions.
+        // Later parts may build on earlier ones, which advance the object's revision: only the first part per object
+        // compares revisions.
         let mut touched = BTreeSet::new();
         for part in &record.parts {
             let object = part.change.object();
@@ -59,16 +61,16 @@
             } else {
                 self.check_revision(&object, part.based_on)
             };
-            let undo = (
+            let undo_entry = (
                 object.clone(),
                 self.save(&object),
                 self.removed.get(&object.to_string()).copied(),
             );
-            if let Err(conflict) = check.and_then(|()| self.apply_one(offset, &part.change)) {
+            if let Err(conflict) = check.and_then(|()| self.apply_change(offset, &part.change)) {
                 self.restore(saved);
                 return Err(conflict);
             }
-            saved.push(undo);
+            saved.push(undo_entry);
             touched.insert(object);
         }
         Ok(())
@@ -96,7 +98,7 @@
         })
     }
 
-    fn apply_one(
+    fn apply_change(
         &mut self,
         offset: LogOffset,
         change: &ConfigChange,
@@ -406,22 +408,22 @@
 
     fn restore(&mut self, saved: Vec<(ObjectRef, SavedObject, Option<LogOffset>)>) {
         for (object, old, removed) in saved.into_iter().rev() {
-            put_back(&mut self.removed, object.to_string(), removed);
+            restore_entry(&mut self.removed, object.to_string(), removed);
             match (object, old) {
                 (ObjectRef::Adapter(name), SavedObject::Adapter(old)) => {
-                    put_back(&mut self.adapters, name, old)
+                    restore_entry(&mut self.adapters, name, old)
                 }
                 (ObjectRef::Caller(name), SavedObject::Caller(old)) => {
-                    put_back(&mut self.callers, name, old)
+                    restore_entry(&mut self.callers, name, old)
                 }
                 (ObjectRef::Target(name), SavedObject::Target(old)) => {
-                    put_back(&mut self.targets, name, old)
+                    restore_entry(&mut self.targets, name, old)
                 }
                 (ObjectRef::Weight(name), SavedObject::Weight(old)) => {
-                    put_back(&mut self.weights, name, old)
+                    restore_entry(&mut self.weights, name, old)
                 }
                 (ObjectRef::Operator(name), SavedObject::Operator(old)) => {
-                    put_back(&mut self.operators, name, old)
+                    restore_entry(&mut self.operators, name, old)
                 }
                 (ObjectRef::Right(caller, pattern), SavedObject::Right(old)) => {
                     let rights = self.rights.entry(caller).or_default();
@@ -435,7 +437,7 @@
                     });
                     self.service_rules.extend(old);
                 }
-                _ => unreachable!("an object is saved as what it is"),
+                _ => unreachable!("the saved copy has the kind of its object"),
             }
         }
     }
@@ -445,7 +447,7 @@
             id: record.id.clone(),
             outcome: outcome.clone(),
         });
-        if self.remembered.len() > REMEMBERED_CHANGES {
+        if self.remembered.len() > MAX_REMEMBERED_CHANGES {
             self.remembered.pop_front();
         }
     }
@@ -473,13 +475,13 @@
                 .parts
                 .iter()
                 .map(|part| part.change.object().to_string())
-                .take(AUDITED_OBJECTS)
+                .take(MAX_AUDITED_OBJECTS)
                 .collect(),
             before,
             after,
             outcome,
         });
-        if self.audit.len() > AUDIT_ENTRIES {
+        if self.audit.len() > MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
     }
@@ -487,7 +489,7 @@
     fn describe_objects(&self, record: &ChangeRecord) -> String {
         let mut texts: Vec<String> = Vec::new();
         let mut seen = BTreeSet::new();
-        for part in record.parts.iter().take(AUDITED_OBJECTS) {
+        for part in record.parts.iter().take(MAX_AUDITED_OBJECTS) {
             let object = part.change.object();
             if seen.insert(object.clone()) {
                 texts.push(self.describe(&object));
@@ -509,19 +511,19 @@
     }
 }
 
-/// Objects that one line of the audit trail describes; a bulk change names its first ones.
-const AUDITED_OBJECTS: usize = 4;
-/// Bytes of a command that one line of the audit trail keeps.
-const AUDITED_TEXT: usize = 400;
+/// Objects that one entry of the audit trail describes; for a bulk change, its first ones.
+const MAX_AUDITED_OBJECTS: usize = 4;
+/// Characters of a command that one entry of the audit trail holds.
+const MAX_AUDITED_CHARS: usize = 400;
 
 fn shorten(text: &str) -> String {
-    match text.char_indices().nth(AUDITED_TEXT) {
+    match text.char_indices().nth(MAX_AUDITED_CHARS) {
         None => text.to_owned(),
         Some((end, _)) => format!("{}...", &text[..end]),
     }
 }
 
-fn put_back<K: Ord, V>(map: &mut std::collections::BTreeMap<K, V>, key: K, old: Option<V>) {
+fn restore_entry<K: Ord, V>(map: &mut std::collections::BTreeMap<K, V>, key: K, old: Option<V>) {
     match old {
         Some(value) => {
             map.insert(key, value);
--- a/crates/core/src/config/audit.rs
+++ b/crates/core/src/config/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: every change, the refused ones too.
+//! The audit trail, which lists accepted and refused changes.
 
 use crate::{
     config::ChangeConflict,
@@ -6,37 +6,37 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One line of the audit trail.
+/// One change in the audit trail.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Where the change stands in the log.
+    /// Log offset of the change.
     pub offset: LogOffset,
-    /// The change.
+    /// Id of the change.
     pub id: ChangeId,
-    /// Who made it.
+    /// The operator who made the change.
     pub operator: OperatorName,
-    /// The daemon that it came through.
+    /// VM of the daemon that accepted the command.
     pub via: VmName,
-    /// When, in milliseconds since 1970 by that daemon's clock.
+    /// Unix time by that daemon's clock, in milliseconds.
     pub at_ms: u64,
-    /// The command as typed.
+    /// The command as typed, with secrets redacted; long commands are cut off.
     pub text: String,
-    /// The objects touched, as text.
+    /// Names of the first objects that the change touches.
     pub objects: Vec<String>,
-    /// The objects before the change, as JSON.
+    /// These objects before the change, as JSON; `-` for an object that did not exist.
     pub before: String,
-    /// The objects after the change, as JSON.
+    /// These objects after the change, as JSON.
     pub after: String,
-    /// What became of it.
+    /// Whether the change was accepted.
     pub outcome: AuditOutcome,
 }
 
-/// What became of a change.
+/// Result of a change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AuditOutcome {
-    /// It is in force.
+    /// The change took effect.
     Accepted,
-    /// It is not, and never will be.
+    /// The change was refused and has no effect, now or later.
     Refused(ChangeConflict),
 }
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,4 +1,6 @@
-//! The changes that operators make, and the objects that they touch.
+//! Changes of the configuration, the objects that they touch, and the conflicts for which they are refused.
+//!
+//! Names of variants and fields are stored in the log and sent to operators' tools.
 
 use crate::{
     config::{
@@ -12,11 +14,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// One change of the configuration.
+/// One change to one object of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum ConfigChange {
-    /// Declares an adapter.
+    /// Declares an adapter without versions.
     CreateAdapter { adapter: AdapterName },
     /// Publishes a version; the first one becomes current.
     PublishVersion {
@@ -33,42 +35,42 @@
         adapter: AdapterName,
         version: VersionName,
     },
-    /// Retires an adapter with all its versions.
+    /// Retires all versions of an adapter, which then has no current one.
     RetireAdapter { adapter: AdapterName },
-    /// Says whether requests to an adapter may be repeated.
+    /// Sets whether requests to an adapter may be repeated.
     MarkAdapter {
         adapter: AdapterName,
         rule: RequestRepeatability,
     },
-    /// Says whether an adapter is kept loaded.
+    /// Sets whether an adapter is kept loaded without demand.
     KeepReady {
         adapter: AdapterName,
         ready: LoadPolicy,
     },
-    /// Says whether calls of a service may be repeated.
+    /// Sets whether calls of a plain service with a method and a path prefix may be repeated.
     MarkService {
         service: ServiceName,
         method: String,
         path: String,
         rule: RequestRepeatability,
     },
-    /// Declares a caller, or gives it a new token.
+    /// Declares a caller, or replaces its token and keeps its quota.
     CreateCaller {
         caller: CallerName,
         token_hash: TokenHash,
     },
-    /// Bounds a caller's work.
+    /// Sets the quota of a caller.
     SetQuota {
         caller: CallerName,
         quota: CallerQuota,
     },
-    /// Gives a caller a right.
+    /// Grants a right to a caller, or replaces its priority.
     Allow {
         caller: CallerName,
         pattern: RightPattern,
         priority: PriorityClass,
     },
-    /// Takes a right away.
+    /// Revokes a right.
     Revoke {
         caller: CallerName,
         pattern: RightPattern,
@@ -83,11 +85,11 @@
     },
     /// Removes a target.
     RemoveTarget { target: TargetName },
-    /// Stops or resumes new work on a target.
+    /// Stops or resumes the assignment of new work to a target.
     SetDraining { target: TargetName, draining: bool },
-    /// Sets a weight of the policy.
+    /// Sets a weight of the scheduling policy.
     SetWeight { weight: String, value: f64 },
-    /// Declares an operator, or gives one a new token or role.
+    /// Declares an operator, or replaces its token and role.
     CreateOperator {
         operator: OperatorName,
         token_hash: TokenHash,
@@ -95,21 +97,21 @@
     },
 }
 
-/// The object that a change touches; compare-and-set works per object.
+/// Identifies a configuration object, the unit of compare-and-set.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ObjectRef {
-    /// An adapter.
+    /// An adapter with its versions.
     Adapter(AdapterName),
     /// A rule of a service: service, method, path.
     ServiceRule(ServiceName, String, String),
-    /// A caller.
+    /// A caller, without its rights.
     Caller(CallerName),
     /// A right of a caller.
     Right(CallerName, RightPattern),
     /// A target.
     Target(TargetName),
-    /// A weight of the policy.
+    /// A weight of the scheduling policy.
     Weight(String),
     /// An operator.
     Operator(OperatorName),
@@ -164,7 +166,7 @@
         }
     }
 
-    /// The role that an operator needs for it.
+    /// The least role that an operator needs to make the change.
     #[must_use]
     pub fn required_role(&self) -> OperatorRole {
         match self {
@@ -177,11 +179,11 @@
     }
 }
 
-/// Why the fold refuses a change.
+/// Why a change is refused. The messages are sent to operators' tools.
 #[derive(Clone, Debug, PartialEq, thiserror::Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "conflict")]
 pub enum ChangeConflict {
-    /// Another change came first.
+    /// The object was changed after the revision that the change is based on.
     #[error(
         "{object} was changed at offset {current} by {winner} after you read it at {based_on}: look at `show changes where object = \"{object}\"` and repeat your command if it still applies"
     )]
@@ -194,16 +196,16 @@
     /// The object does not exist.
     #[error("{object} does not exist: create it first")]
     Missing { object: ObjectRef },
-    /// The object exists.
+    /// The object already exists.
     #[error("{object} already exists: leave out `create`, or choose another name")]
     Exists { object: ObjectRef },
-    /// The version does not exist.
+    /// The version is not published.
     #[error("version {version} of adapter {adapter} is not published: publish it first")]
     VersionMissing {
         adapter: AdapterName,
         version: VersionName,
     },
-    /// The version exists; versions are immutable.
+    /// The version is already published; versions are immutable.
     #[error(
         "version {version} of adapter {adapter} is already published and versions are immutable: publish under a new name"
     )]
@@ -219,7 +221,7 @@
         adapter: AdapterName,
         version: VersionName,
     },
-    /// The version is the current one.
+    /// The version is the current one and can't be retired.
     #[error(
         "version {version} of adapter {adapter} is the current one: make another version current first"
     )]
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The fold of the log into the configuration.
+//! The operators' configuration as a state machine that is replicated through the log.
 //!
-//! A change names the revision of each object that it was based on. The fold accepts it if every part still stands on
-//! the current revision, and refuses it otherwise, the same at every daemon. Revisions are log offsets, so they only
-//! ever grow.
+//! Every daemon applies the same change records in log order and reaches the same state. A change names the revision of
+//! each object that it was based on; it is accepted if those revisions are still current and refused otherwise
+//! (compare-and-set). A revision is the log offset of the last accepted change, so revisions of an object only increase.
 
 mod apply;
 mod audit;
--- a/crates/core/src/config/objects.rs
+++ b/crates/core/src/config/objects.rs
@@ -1,4 +1,4 @@
-//! The objects that the configuration consists of.
+//! The objects of the configuration. They are stored in snapshots, some under one-letter field names.
 
 use crate::ids::{
     AdapterName, AvailabilityZone, CallerName, LogOffset, PriorityClass, ServiceName, TokenHash,
@@ -7,22 +7,22 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// An adapter and its versions.
+/// An adapter with its versions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AdapterConfig {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the adapter.
     #[serde(rename = "r")]
     pub revision: LogOffset,
-    /// The version that a bare name means.
+    /// The version that serves requests without a version.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub current: Option<VersionName>,
     /// Published versions, oldest first.
     #[serde(rename = "v", default)]
     pub versions: Vec<VersionConfig>,
-    /// Whether requests to it may be repeated.
+    /// Whether requests to the adapter may be repeated.
     #[serde(rename = "q", default)]
     pub repeatability: RequestRepeatability,
-    /// Whether it is to be kept loaded.
+    /// Whether the adapter is kept loaded without demand.
     #[serde(rename = "k", default)]
     pub load_policy: LoadPolicy,
 }
@@ -37,36 +37,36 @@
     }
 }
 
-/// One published version; immutable but for its status.
+/// One published version. Only its status can change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionConfig {
-    /// Its name.
+    /// Name of the version.
     #[serde(rename = "n")]
     pub name: VersionName,
-    /// Whether it may still be asked for.
+    /// Whether requests may use the version.
     #[serde(rename = "s", default)]
     pub status: VersionStatus,
 }
 
-/// Whether a version may be asked for.
+/// Whether requests may use a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VersionStatus {
-    /// It may.
+    /// Requests may use it.
     #[default]
     Published,
-    /// It may not.
+    /// Requests are refused.
     Retired,
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may be sent again after it may have been executed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestRepeatability {
-    /// Running it twice does no harm.
+    /// Executing the request twice does no harm.
     #[default]
     Repeatable,
-    /// It may run at most once.
+    /// The request may be executed at most once.
     NotRepeatable,
 }
 
@@ -74,47 +74,47 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadPolicy {
-    /// Loaded by demand.
+    /// Loaded when requests arrive.
     #[default]
     ByDemand,
-    /// Loaded at all times where there is room.
+    /// Loaded at all times, as far as adapter slots allow.
     Kept,
 }
 
-/// What a target is.
+/// The role of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "role")]
 pub enum TargetRole {
     /// A model engine that serves adapters.
     Engine {
-        /// Adapter slots.
+        /// Number of adapters that fit at once.
         slots: u32,
-        /// Sequences that it batches.
+        /// Largest number of sequences in a batch.
         batch: u32,
     },
     /// An instance of a plain service.
     Service {
-        /// The service.
+        /// Name of the service.
         service: ServiceName,
-        /// Calls that it takes at the same time.
+        /// Largest number of concurrent calls.
         concurrency: u32,
     },
 }
 
-/// A target as the configuration declares it.
+/// A target that operators declared.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetConfig {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the object.
     pub revision: LogOffset,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: AvailabilityZone,
-    /// `IP:port` of its HTTP interface.
+    /// `IP:port` of the target's HTTP interface.
     pub address: String,
-    /// What it is.
+    /// Engine or plain service.
     pub role: TargetRole,
-    /// Whether it refuses orders with an old fencing token.
+    /// Whether the target refuses orders with an older fencing token.
     pub checks_fencing: bool,
-    /// Whether it gets no new work.
+    /// Whether the target is draining and gets no new work.
     #[serde(default)]
     pub draining: bool,
 }
@@ -122,21 +122,21 @@
 /// A caller: a service that sends requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerConfig {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the object.
     pub revision: LogOffset,
-    /// Hash of its bearer token.
+    /// Hash of the caller's bearer token.
     pub token_hash: TokenHash,
-    /// Bounds on its work.
+    /// Limits on the caller's requests at each daemon.
     #[serde(default)]
     pub quota: CallerQuota,
 }
 
-/// Bounds on a caller's work at one daemon.
+/// Limits on a caller's requests at one daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerQuota {
-    /// Requests a second that it may send on average.
+    /// Average requests per second.
     pub requests_per_second: f64,
-    /// Requests that may wait at once.
+    /// Largest number of waiting requests.
     pub waiting: u32,
 }
 
@@ -149,13 +149,13 @@
     }
 }
 
-/// Which adapters or services a right covers.
+/// The adapters or the plain service that a right covers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RightPattern {
     /// Every adapter.
     All,
-    /// Adapters whose name starts with this.
+    /// Adapters whose name starts with the prefix.
     Prefix(String),
     /// One adapter.
     Exact(AdapterName),
@@ -164,7 +164,7 @@
 }
 
 impl RightPattern {
-    /// Whether the pattern covers an adapter.
+    /// Whether the pattern covers an adapter; a service pattern covers none.
     #[must_use]
     pub fn covers(&self, adapter: &str) -> bool {
         match self {
@@ -175,7 +175,7 @@
         }
     }
 
-    /// How narrow the pattern is; a narrower right goes before a wider one.
+    /// Rank of the pattern by how specific it is; the right with the highest rank decides.
     #[must_use]
     pub fn specificity(&self) -> usize {
         match self {
@@ -197,53 +197,53 @@
     }
 }
 
-/// A caller's right to some adapters, with the priority of its requests there.
+/// A caller's right to some adapters or a plain service, with the priority of the caller's requests there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RightConfig {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the object.
     pub revision: LogOffset,
-    /// The caller.
+    /// Name of the caller.
     pub caller: CallerName,
-    /// What it covers.
+    /// The adapters or the service that the right covers.
     pub pattern: RightPattern,
-    /// Priority of its requests; a request may ask for less but not for more.
+    /// Highest priority of the caller's requests, and their default.
     pub priority: PriorityClass,
 }
 
-/// Marks calls of a plain service as not repeatable.
+/// Whether calls of a plain service may be repeated, by method and path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRule {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the object.
     pub revision: LogOffset,
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// HTTP method in capitals; `*` for any.
+    /// HTTP method in capitals, or `*` for every method.
     pub method: String,
-    /// Prefix of the path below the service.
+    /// Prefix of the path within the service.
     pub path: String,
-    /// Whether the calls may be repeated.
+    /// Whether matching calls may be repeated.
     pub rule: RequestRepeatability,
 }
 
-/// What an operator may do.
+/// Role of an operator; each role includes the ones before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OperatorRole {
-    /// Ask queries.
+    /// May run queries.
     Reader,
-    /// Ask queries and make changes.
+    /// May also make changes, except those reserved for admins.
     Editor,
-    /// Also change targets, callers and operators.
+    /// May also create or remove targets and create callers and operators.
     Admin,
 }
 
-/// An operator.
+/// An operator's credentials and role.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct OperatorConfig {
-    /// Offset of the last accepted change to it.
+    /// Log offset of the last accepted change to the object.
     pub revision: LogOffset,
-    /// Hash of the bearer token.
+    /// Hash of the operator's bearer token.
     pub token_hash: TokenHash,
-    /// What the operator may do.
+    /// Commands that the operator may run.
     pub role: OperatorRole,
 }
--- a/crates/core/src/config/state.rs
+++ b/crates/core/src/config/state.rs
@@ -1,4 +1,5 @@
-//! The configuration as folded so far, and what requests ask of it.
+//! The configuration after the changes applied so far, with the look-ups that serve requests: callers by token, models
+//! by name, rights and rules.
 
 use crate::{
     config::{
@@ -14,19 +15,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Change ids that are remembered to recognise a second copy.
-pub(super) const REMEMBERED_CHANGES: usize = 4096;
-/// Lines of the audit trail that the state carries; older ones are in the daemons' logs.
-pub(super) const AUDIT_ENTRIES: usize = 2000;
+/// Change ids kept for the detection of duplicate records.
+pub(super) const MAX_REMEMBERED_CHANGES: usize = 4096;
+/// Entries of the audit trail in the state; older ones are only in the daemons' log files.
+pub(super) const MAX_AUDIT_ENTRIES: usize = 2000;
 
-/// The configuration.
+/// The configuration, as every daemon holds it and as snapshots store it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
     /// Adapters by name.
     pub adapters: BTreeMap<AdapterName, AdapterConfig>,
     /// Callers by name.
     pub callers: BTreeMap<CallerName, CallerConfig>,
-    /// Rights by caller, narrowest first.
+    /// Rights by caller, most specific first.
     pub rights: BTreeMap<CallerName, Vec<RightConfig>>,
     /// Rules for calls of plain services.
     pub service_rules: Vec<ServiceRule>,
@@ -34,68 +35,68 @@
     pub targets: BTreeMap<TargetName, TargetConfig>,
     /// Operators by name.
     pub operators: BTreeMap<OperatorName, OperatorConfig>,
-    /// Weights of the policy that differ from the default, with their revision.
+    /// Weights of the scheduling policy that were set, with their revisions.
     pub weights: BTreeMap<String, (f64, LogOffset)>,
-    /// Latest changes, oldest first, so that a second copy has no second effect.
+    /// Latest changes, oldest first, so that duplicate records have no effect.
     pub(super) remembered: VecDeque<RememberedChange>,
-    /// Latest lines of the audit trail, oldest first.
+    /// Latest entries of the audit trail, oldest first.
     pub audit: VecDeque<AuditEntry>,
-    /// Revisions of objects that were removed, so that a late change to one is refused.
+    /// Tombstones: offsets of removals by the object's text, so that a change based on the removed object is refused.
     pub(super) removed: BTreeMap<String, LogOffset>,
 }
 
-/// A change that was folded.
+/// A change that was applied, with its outcome.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct RememberedChange {
     pub(super) id: ChangeId,
     pub(super) outcome: ChangeOutcome,
 }
 
-/// What the fold made of a change.
+/// Outcome of applying a change record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// It is in force since this offset.
+    /// The change took effect at this offset.
     Accepted(LogOffset),
-    /// It is refused at this offset.
+    /// The change was refused at this offset.
     Refused(LogOffset, super::ChangeConflict),
 }
 
-/// What a model name means at this moment.
+/// The version and the rules that a model name resolves to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolvedModel {
     /// Adapter and version.
     pub model: AdapterVersion,
-    /// Whether requests may be repeated.
+    /// Whether requests to the adapter may be repeated.
     pub repeatability: RequestRepeatability,
-    /// Highest priority that the caller has there.
+    /// Highest priority that the caller may request.
     pub priority: PriorityClass,
 }
 
-/// Why a model name can't be served.
+/// Why a model name can't be resolved. The messages are sent to callers.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolveError {
-    /// No such adapter.
+    /// The adapter does not exist.
     #[error("adapter `{0}` does not exist: `GET /v1/models` lists those you may call")]
     UnknownAdapter(String),
-    /// No such version.
+    /// The version is not published.
     #[error(
         "version `{1}` of adapter `{0}` is not published: leave the version out for the current one"
     )]
     UnknownVersion(String, String),
-    /// The version was retired.
+    /// The version is retired.
     #[error("version `{1}` of adapter `{0}` is retired: leave the version out for the current one")]
     RetiredVersion(String, String),
     /// The adapter has no current version.
     #[error("adapter `{0}` has no current version: ask an operator to publish one")]
     NoCurrentVersion(String),
-    /// The caller has no right.
+    /// The caller has no right to the adapter.
     #[error("caller `{0}` has no right to `{1}`: ask an operator for `allow {0} on ...`")]
     NoRight(String, String),
 }
 
 impl ConfigState {
-    /// Finds the caller that a bearer token belongs to.
+    /// Finds the caller by the hash of its bearer token.
     #[must_use]
     pub fn caller_by_token(&self, hash: &TokenHash) -> Option<&CallerName> {
         let mut callers = self.callers.iter();
@@ -104,7 +105,7 @@
             .map(|(name, _)| name)
     }
 
-    /// Finds the operator that a bearer token belongs to.
+    /// Finds the operator by the hash of its bearer token.
     #[must_use]
     pub fn operator_by_token(&self, hash: &TokenHash) -> Option<(&OperatorName, &OperatorConfig)> {
         self.operators
@@ -112,12 +113,12 @@
             .find(|(_, operator)| operator.token_hash == *hash)
     }
 
-    /// Finds out which adapter and version a caller's model name means.
+    /// Resolves a caller's model name, `ADAPTER` or `ADAPTER@VERSION`. A name without a version means the current one.
     ///
     /// # Errors
-    /// Names what is missing, and what to do about it.
+    /// Names what is missing, and the remedy.
     pub fn resolve(&self, caller: &str, model: &str) -> Result<ResolvedModel, ResolveError> {
-        let (name, wanted) = match model.split_once('@') {
+        let (name, requested) = match model.split_once('@') {
             Some((name, version)) => (name, Some(version)),
             None => (model, None),
         };
@@ -127,10 +128,10 @@
         let Some(right) = self.right_to_adapter(caller, name) else {
             return Err(ResolveError::NoRight(caller.to_owned(), name.to_owned()));
         };
-        let version = match wanted {
-            Some(wanted) => config
-                .version(wanted)
-                .ok_or_else(|| ResolveError::UnknownVersion(name.to_owned(), wanted.to_owned()))?,
+        let version = match requested {
+            Some(requested) => config.version(requested).ok_or_else(|| {
+                ResolveError::UnknownVersion(name.to_owned(), requested.to_owned())
+            })?,
             None => config
                 .current
                 .as_ref()
@@ -153,7 +154,7 @@
         })
     }
 
-    /// The narrowest right of a caller that covers an adapter.
+    /// The most specific right of a caller that covers an adapter.
     #[must_use]
     pub fn right_to_adapter(&self, caller: &str, adapter: &str) -> Option<&RightConfig> {
         let rights = self.rights.get(caller)?;
@@ -169,7 +170,8 @@
             .find(|right| matches!(&right.pattern, RightPattern::Service(name) if name.as_str() == service))
     }
 
-    /// Whether a call of a plain service may be repeated; the longest matching path decides.
+    /// Whether a call of a plain service may be repeated. The rule with the longest matching path decides, and with equal
+    /// paths the one that names the method; calls without a rule are repeatable.
     #[must_use]
     pub fn service_rule(&self, service: &str, method: &str, path: &str) -> RequestRepeatability {
         let matching = self.service_rules.iter().filter(|rule| {
@@ -182,7 +184,7 @@
             .map_or(RequestRepeatability::Repeatable, |rule| rule.rule)
     }
 
-    /// The weights in force.
+    /// The weights of the scheduling policy: those that were set, and defaults.
     #[must_use]
     pub fn policy_weights(&self) -> PolicyWeights {
         let mut weights = PolicyWeights::default();
@@ -192,10 +194,10 @@
         weights
     }
 
-    /// Offset of the last accepted change to an object; zero if there was none.
+    /// Offset of the last accepted change to an object, including its removal; zero if there was none.
     #[must_use]
     pub fn revision(&self, object: &ObjectRef) -> LogOffset {
-        let present = match object {
+        let current = match object {
             ObjectRef::Adapter(name) => self.adapters.get(name).map(|adapter| adapter.revision),
             ObjectRef::Caller(name) => self.callers.get(name).map(|caller| caller.revision),
             ObjectRef::Target(name) => self.targets.get(name).map(|target| target.revision),
@@ -208,12 +210,12 @@
                 self.find_right(caller, pattern).map(|right| right.revision)
             }
         };
-        present
+        current
             .or_else(|| self.removed.get(&object.to_string()).copied())
             .unwrap_or_default()
     }
 
-    /// Outcome of a change that was folded lately.
+    /// Outcome of a change, if it is among the latest ones.
     #[must_use]
     pub fn outcome(&self, id: &ChangeId) -> Option<&ChangeOutcome> {
         let mut latest = self.remembered.iter().rev();
--- a/crates/core/src/language/mod.rs
+++ b/crates/core/src/language/mod.rs
@@ -1,7 +1,7 @@
 //! The operators' query and command language.
 //!
-//! The grammar is `grammar.pest`; docs/LANGUAGE.md explains it. A statement is either a query, which every daemon
-//! answers from its own state, or a list of commands, which become one change that stands or falls as a whole.
+//! The grammar is in `grammar.pest`; docs/LANGUAGE.md explains it. A statement is either a query, which every daemon
+//! answers from its own state, or a list of commands, which becomes one atomic change of the configuration.
 
 mod parse;
 mod statement;
--- a/crates/core/src/language/parse.rs
+++ b/crates/core/src/language/parse.rs
@@ -1,4 +1,6 @@
-//! From text to statements.
+//! Parser of statements.
+//!
+//! Error messages, including the expected syntax, are sent to operators' tools.
 
 use crate::{
     config::{
@@ -23,13 +25,13 @@
 #[grammar = "language/grammar.pest"]
 struct StatementParser;
 
-/// Requests that may wait for a caller whose quota does not say.
-const DEFAULT_WAITING: u32 = 4096;
+/// Limit on waiting requests for a `set quota` command without `waiting`.
+const DEFAULT_MAX_WAITING: u32 = 4096;
 
-/// Why a text is no statement.
+/// Why a text is not a valid statement.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// A word does not fit.
+    /// A word does not match the grammar; lines and columns count from 1.
     #[error("{line}:{column}: at `{word}`: expected {expected}\n  {text}\n  {marker}")]
     Unexpected {
         line: usize,
@@ -39,10 +41,10 @@
         text: String,
         marker: String,
     },
-    /// A number is out of range.
+    /// A number is too large for its type.
     #[error("`{0}` is out of range: use a smaller number")]
     OutOfRange(String),
-    /// No such preset.
+    /// There is no preset of this name.
     #[error("preset `{0}` does not exist: use load-stalls-first or batch-efficiency-first")]
     UnknownPreset(String),
 }
@@ -50,10 +52,10 @@
 /// Parses one statement.
 ///
 /// # Errors
-/// Points at the word that does not fit and says what was expected there.
+/// Names the word that does not match the grammar and what was expected in its place.
 pub fn parse(text: &str) -> Result<Statement, ParseError> {
-    let mut pairs =
-        StatementParser::parse(Rule::statement, text).map_err(|error| explain(text, &error))?;
+    let mut pairs = StatementParser::parse(Rule::statement, text)
+        .map_err(|error| unexpected_word(text, &error))?;
     let statement = pairs
         .next()
         .expect("a statement has one pair")
@@ -61,32 +63,32 @@
         .next()
         .expect("a statement has content");
     match statement.as_rule() {
-        Rule::show => Ok(Statement::Show(show(statement)?)),
-        Rule::explain => Ok(explanation(statement)),
-        _ => commands(text, statement),
+        Rule::show => Ok(Statement::Show(parse_show(statement)?)),
+        Rule::explain => Ok(parse_explain(statement)),
+        _ => parse_commands(text, statement),
     }
 }
 
-fn explain(text: &str, error: &PestError<Rule>) -> ParseError {
+fn unexpected_word(text: &str, error: &PestError<Rule>) -> ParseError {
     let (line, column) = match error.line_col {
         LineColLocation::Pos(position) | LineColLocation::Span(position, _) => position,
     };
-    let shown = text.lines().nth(line - 1).unwrap_or_default();
-    let rest: String = shown.chars().skip(column - 1).collect();
+    let source_line = text.lines().nth(line - 1).unwrap_or_default();
+    let rest: String = source_line.chars().skip(column - 1).collect();
     let word = rest
         .split_whitespace()
         .next()
         .unwrap_or("end of text")
         .to_owned();
     let expected = match &error.variant {
-        ErrorVariant::ParsingError { positives, .. } => expectations(positives, text),
+        ErrorVariant::ParsingError { positives, .. } => expected_syntax(positives, text),
         ErrorVariant::CustomError { message } => message.clone(),
     };
     ParseError::Unexpected {
         line,
         column,
         expected,
-        text: shown.to_owned(),
+        text: source_line.to_owned(),
         marker: format!(
             "{}{}",
             " ".repeat(column - 1),
@@ -96,7 +98,7 @@
     }
 }
 
-fn expectations(rules: &[Rule], text: &str) -> String {
+fn expected_syntax(rules: &[Rule], text: &str) -> String {
     let words: BTreeSet<&str> = rules.iter().map(|rule| expected_text(*rule)).collect();
     if words.is_empty() {
         return format!(
@@ -169,7 +171,7 @@
     }
 }
 
-fn show(pair: Pair<'_, Rule>) -> Result<ShowQuery, ParseError> {
+fn parse_show(pair: Pair<'_, Rule>) -> Result<ShowQuery, ParseError> {
     let mut query = ShowQuery {
         table: TableName::Targets,
         scope: QueryScope::Fleet,
@@ -183,27 +185,27 @@
                 query.table = TableName::parse(part.as_str()).expect("the grammar lists the tables")
             }
             Rule::scope => query.scope = QueryScope::Local,
-            Rule::filter => query.filter = part.into_inner().map(condition).collect(),
+            Rule::filter => query.filter = part.into_inner().map(parse_condition).collect(),
             Rule::order => {
                 let mut parts = part.into_inner();
                 query.order = Some(SortOrder {
-                    column: text_of(&mut parts),
+                    column: next_text(&mut parts),
                     descending: parts
                         .next()
                         .is_some_and(|direction| direction.as_str().eq_ignore_ascii_case("desc")),
                 });
             }
-            Rule::limit => query.limit = Some(whole_number(&mut part.into_inner())?),
+            Rule::limit => query.limit = Some(next_integer(&mut part.into_inner())?),
             _ => {}
         }
     }
     Ok(query)
 }
 
-fn condition(pair: Pair<'_, Rule>) -> Condition {
+fn parse_condition(pair: Pair<'_, Rule>) -> Condition {
     let mut parts = pair.into_inner();
-    let column = text_of(&mut parts);
-    let operator = match text_of(&mut parts).as_str() {
+    let column = next_text(&mut parts);
+    let operator = match next_text(&mut parts).as_str() {
         "=" => ConditionOperator::Equal,
         "!=" => ConditionOperator::NotEqual,
         "<" => ConditionOperator::Less,
@@ -235,17 +237,17 @@
     }
 }
 
-fn explanation(pair: Pair<'_, Rule>) -> Statement {
+fn parse_explain(pair: Pair<'_, Rule>) -> Statement {
     let subject = pair.into_inner().next().expect("explain has a subject");
     let rule = subject.as_rule();
-    let name = text_of(&mut subject.into_inner());
+    let name = next_text(&mut subject.into_inner());
     match rule {
         Rule::explain_adapter => Statement::ExplainAdapter(AdapterName::new(&name)),
         _ => Statement::ExplainRequest(name),
     }
 }
 
-fn commands(text: &str, pair: Pair<'_, Rule>) -> Result<Statement, ParseError> {
+fn parse_commands(text: &str, pair: Pair<'_, Rule>) -> Result<Statement, ParseError> {
     let redacted = redact(text, pair.clone());
     let mut changes = Vec::new();
     for command in pair.into_inner() {
@@ -258,21 +260,21 @@
     }))
 }
 
-/// Strikes tokens out, so that none gets into the log.
+/// Replaces secrets by `***`, so that none is stored in the log.
 fn redact(text: &str, pair: Pair<'_, Rule>) -> String {
     let mut redacted = String::with_capacity(text.len());
-    let mut copied = 0;
+    let mut copied_to = 0;
     for secret in pair
         .into_inner()
         .flatten()
         .filter(|part| part.as_rule() == Rule::secret)
     {
         let span = secret.as_span();
-        redacted.push_str(&text[copied..span.start()]);
+        redacted.push_str(&text[copied_to..span.start()]);
         redacted.push_str("***");
-        copied = span.end();
+        copied_to = span.end();
     }
-    redacted.push_str(&text[copied..]);
+    redacted.push_str(&text[copied_to..]);
     redacted
 }
 
@@ -290,7 +292,7 @@
 }
 
 fn create_adapter(parts: &mut Pairs<'_, Rule>, changes: &mut Vec<ConfigChange>) {
-    let adapter = AdapterName::new(&text_of(parts));
+    let adapter = AdapterName::new(&next_text(parts));
     changes.push(ConfigChange::CreateAdapter {
         adapter: adapter.clone(),
     });
@@ -306,7 +308,7 @@
     parts: &mut Pairs<'_, Rule>,
     changes: &mut Vec<ConfigChange>,
 ) -> Result<(), ParseError> {
-    let name = text_of(parts);
+    let name = next_text(parts);
     let preset = WeightPreset::parse(&name).ok_or(ParseError::UnknownPreset(name))?;
     changes.extend(
         preset
@@ -321,24 +323,24 @@
 }
 
 fn create_target(parts: &mut Pairs<'_, Rule>) -> Result<ConfigChange, ParseError> {
-    let target = text_of(parts).as_str().into();
-    let zone = text_of(parts).as_str().into();
-    let address = text_of(parts);
+    let target = next_text(parts).as_str().into();
+    let zone = next_text(parts).as_str().into();
+    let address = next_text(parts);
     let role = parts
         .next()
         .and_then(|role| role.into_inner().next())
         .expect("a target has a role");
     let is_engine = role.as_rule() == Rule::engine_role;
-    let mut sizes = role.into_inner();
+    let mut arguments = role.into_inner();
     let role = if is_engine {
         TargetRole::Engine {
-            slots: whole_number(&mut sizes)?,
-            batch: whole_number(&mut sizes)?,
+            slots: next_integer(&mut arguments)?,
+            batch: next_integer(&mut arguments)?,
         }
     } else {
         TargetRole::Service {
-            service: text_of(&mut sizes).as_str().into(),
-            concurrency: whole_number(&mut sizes)?,
+            service: next_text(&mut arguments).as_str().into(),
+            concurrency: next_integer(&mut arguments)?,
         }
     };
     Ok(ConfigChange::CreateTarget {
@@ -351,11 +353,11 @@
 }
 
 fn set_quota(parts: &mut Pairs<'_, Rule>) -> Result<ConfigChange, ParseError> {
-    let caller = text_of(parts).as_str().into();
-    let requests_per_second = number(parts);
+    let caller = next_text(parts).as_str().into();
+    let requests_per_second = next_number(parts);
     let waiting = match parts.peek() {
-        Some(_) => whole_number(parts)?,
-        None => DEFAULT_WAITING,
+        Some(_) => next_integer(parts)?,
+        None => DEFAULT_MAX_WAITING,
     };
     Ok(ConfigChange::SetQuota {
         caller,
@@ -367,36 +369,36 @@
 }
 
 fn simple_change(rule: Rule, parts: &mut Pairs<'_, Rule>) -> ConfigChange {
-    let first = text_of(parts);
+    let first = next_text(parts);
     let name = first.as_str();
     match rule {
         Rule::create_caller => ConfigChange::CreateCaller {
             caller: name.into(),
-            token_hash: TokenHash::of(&text_of(parts)),
+            token_hash: TokenHash::of(&next_text(parts)),
         },
         Rule::create_operator => ConfigChange::CreateOperator {
             operator: name.into(),
-            token_hash: TokenHash::of(&text_of(parts)),
-            role: operator_role(&text_of(parts)),
+            token_hash: TokenHash::of(&next_text(parts)),
+            role: parse_role(&next_text(parts)),
         },
         Rule::publish => ConfigChange::PublishVersion {
             version: name.into(),
-            adapter: text_of(parts).as_str().into(),
+            adapter: next_text(parts).as_str().into(),
         },
         Rule::make_current => ConfigChange::MakeCurrent {
             version: name.into(),
-            adapter: text_of(parts).as_str().into(),
+            adapter: next_text(parts).as_str().into(),
         },
         Rule::retire_version => ConfigChange::RetireVersion {
             version: name.into(),
-            adapter: text_of(parts).as_str().into(),
+            adapter: next_text(parts).as_str().into(),
         },
         Rule::retire_adapter => ConfigChange::RetireAdapter {
             adapter: name.into(),
         },
         Rule::allow => ConfigChange::Allow {
             caller: name.into(),
-            pattern: pattern(parts),
+            pattern: parse_pattern(parts),
             priority: parts
                 .next()
                 .and_then(|class| PriorityClass::parse(&class.as_str().to_ascii_lowercase()))
@@ -404,21 +406,21 @@
         },
         Rule::revoke => ConfigChange::Revoke {
             caller: name.into(),
-            pattern: pattern(parts),
+            pattern: parse_pattern(parts),
         },
         Rule::mark_adapter => ConfigChange::MarkAdapter {
             adapter: name.into(),
-            rule: request_rule(&text_of(parts)),
+            rule: parse_repeatability(&next_text(parts)),
         },
         Rule::mark_service => ConfigChange::MarkService {
             service: name.into(),
-            method: text_of(parts),
-            path: text_of(parts),
-            rule: request_rule(&text_of(parts)),
+            method: next_text(parts),
+            path: next_text(parts),
+            rule: parse_repeatability(&next_text(parts)),
         },
         Rule::set_weight => ConfigChange::SetWeight {
             weight: first,
-            value: number(parts),
+            value: next_number(parts),
         },
         Rule::drain => ConfigChange::SetDraining {
             target: name.into(),
@@ -442,7 +444,7 @@
     }
 }
 
-fn pattern(parts: &mut Pairs<'_, Rule>) -> RightPattern {
+fn parse_pattern(parts: &mut Pairs<'_, Rule>) -> RightPattern {
     let pattern = parts
         .next()
         .and_then(|pattern| pattern.into_inner().next())
@@ -451,15 +453,15 @@
     let mut inner = pattern.into_inner();
     match rule {
         Rule::all_adapters => RightPattern::All,
-        Rule::on_service => RightPattern::Service(ServiceName::new(&text_of(&mut inner))),
+        Rule::on_service => RightPattern::Service(ServiceName::new(&next_text(&mut inner))),
         Rule::on_prefix => {
-            RightPattern::Prefix(text_of(&mut inner).trim_end_matches('*').to_owned())
+            RightPattern::Prefix(next_text(&mut inner).trim_end_matches('*').to_owned())
         }
-        _ => RightPattern::Exact(AdapterName::new(&text_of(&mut inner))),
+        _ => RightPattern::Exact(AdapterName::new(&next_text(&mut inner))),
     }
 }
 
-fn request_rule(text: &str) -> RequestRepeatability {
+fn parse_repeatability(text: &str) -> RequestRepeatability {
     if text.to_ascii_lowercase().starts_with("not") {
         RequestRepeatability::NotRepeatable
     } else {
@@ -467,7 +469,7 @@
     }
 }
 
-fn operator_role(text: &str) -> OperatorRole {
+fn parse_role(text: &str) -> OperatorRole {
     match text.to_ascii_lowercase().as_str() {
         "admin" => OperatorRole::Admin,
         "editor" => OperatorRole::Editor,
@@ -475,18 +477,19 @@
     }
 }
 
-fn text_of(parts: &mut Pairs<'_, Rule>) -> String {
+/// Text of the next pair; empty if there is none.
+fn next_text(parts: &mut Pairs<'_, Rule>) -> String {
     parts
         .next()
         .map(|part| part.as_str().to_owned())
         .unwrap_or_default()
 }
 
-fn number(parts: &mut Pairs<'_, Rule>) -> f64 {
-    text_of(parts).parse().unwrap_or_default()
+fn next_number(parts: &mut Pairs<'_, Rule>) -> f64 {
+    next_text(parts).parse().unwrap_or_default()
 }
 
-fn whole_number<T: std::str::FromStr>(parts: &mut Pairs<'_, Rule>) -> Result<T, ParseError> {
-    let text = text_of(parts);
+fn next_integer<T: std::str::FromStr>(parts: &mut Pairs<'_, Rule>) -> Result<T, ParseError> {
+    let text = next_text(parts);
     text.parse().map_err(|_| ParseError::OutOfRange(text))
 }
--- a/crates/core/src/language/statement.rs
+++ b/crates/core/src/language/statement.rs
@@ -1,4 +1,4 @@
-//! What a parsed text means.
+//! Parsed statements: queries, explanations and command lists.
 
 use crate::{
     config::{ConfigChange, ConfigState, OperatorRole},
@@ -14,48 +14,48 @@
 pub enum Statement {
     /// A query of one table.
     Show(ShowQuery),
-    /// Why an adapter is where it is.
+    /// Explains the placement of an adapter.
     ExplainAdapter(AdapterName),
-    /// Why a request waits.
+    /// Explains why the request with this id waits.
     ExplainRequest(String),
-    /// Commands that stand or fall together.
+    /// Commands that make one atomic change.
     Commands(CommandList),
 }
 
-/// The tables that can be asked for.
+/// The tables that can be queried. Names of variants are sent between daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TableName {
-    /// Targets with holder and state.
+    /// Targets with their holder and state.
     Targets,
-    /// Which adapter is loaded where.
+    /// Loaded adapters by target.
     Loaded,
-    /// What waits, by target, adapter, class and caller.
+    /// Waiting requests, by target, adapter, priority class and caller.
     Waiting,
-    /// VMs and what is believed of them.
+    /// VMs with their state as the daemon knows it.
     Vms,
-    /// Callers with quotas.
+    /// Callers with their quotas.
     Callers,
     /// Rights of callers.
     Rights,
-    /// Adapters with versions.
+    /// Adapters with their versions.
     Adapters,
     /// The audit trail.
     Changes,
-    /// How far each daemon has read the log.
+    /// Log offset that each daemon has applied.
     Lag,
     /// Operators.
     Operators,
-    /// Rules of plain services.
+    /// Rules on repeating calls of plain services.
     Services,
-    /// Weights of the policy.
+    /// Weights of the scheduling policy.
     Weights,
-    /// Requests that run or wait.
+    /// Running and waiting requests.
     Requests,
 }
 
 impl TableName {
-    /// Parses a table's name.
+    /// Parses a table name; `None` if there is no such table.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Some(match text {
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Whether each daemon knows only its part of the table.
+    /// Whether each daemon holds only some rows of the table, so that a query has to ask all daemons.
     #[must_use]
     pub fn is_distributed(self) -> bool {
         matches!(
@@ -86,81 +86,81 @@
     }
 }
 
-/// Whose rows are asked for.
+/// The daemons whose rows a query returns.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum QueryScope {
-    /// Those of all daemons that can be reached.
+    /// All daemons that can be reached.
     #[default]
     Fleet,
-    /// Those of the daemon asked.
+    /// Only the daemon that receives the query.
     Local,
 }
 
-/// How a column is compared.
+/// Comparison of a column with a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConditionOperator {
-    /// Equal.
+    /// `=`
     Equal,
-    /// Not equal.
+    /// `!=`
     NotEqual,
-    /// Less.
+    /// `<`
     Less,
-    /// Less or equal.
+    /// `<=`
     AtMost,
-    /// Greater.
+    /// `>`
     Greater,
-    /// Greater or equal.
+    /// `>=`
     AtLeast,
-    /// Like a pattern in which `*` stands for any text.
+    /// `like`, with a pattern in which `*` stands for any text.
     Like,
 }
 
-/// One condition of a query.
+/// One condition of a `where` clause.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Condition {
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// The comparison.
+    /// Comparison operator.
     pub operator: ConditionOperator,
-    /// What it is compared with.
+    /// Value to compare the column with.
     pub value: CellValue,
 }
 
-/// The order of the rows.
+/// The `order by` clause.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SortOrder {
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// Greatest first.
+    /// Whether the greatest value comes first.
     pub descending: bool,
 }
 
 /// A query of one table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShowQuery {
-    /// The table.
+    /// The table to query.
     pub table: TableName,
-    /// Whose rows.
+    /// The daemons to ask.
     pub scope: QueryScope,
-    /// Conditions that all have to hold.
+    /// Conditions, all of which a row has to meet.
     pub filter: Vec<Condition>,
-    /// Order of the rows.
+    /// Order of the rows; `None` leaves them as the daemons return them.
     pub order: Option<SortOrder>,
-    /// Rows at the most.
+    /// Largest number of rows.
     pub limit: Option<usize>,
 }
 
-/// Commands as typed, and the changes that they stand for.
+/// Commands as typed, and the changes that they make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandList {
-    /// The text, with secrets struck out.
+    /// The text, with secrets replaced by `***`.
     pub text: String,
-    /// The changes.
+    /// The changes, in the order of the commands.
     pub changes: Vec<ConfigChange>,
 }
 
 impl CommandList {
-    /// The changes with the revisions that they are based on.
+    /// The changes, each with the current revision of its object in `config`.
     #[must_use]
     pub fn change_parts(&self, config: &ConfigState) -> Vec<ChangePart> {
         let parts = self.changes.iter().map(|change| ChangePart {
@@ -170,14 +170,14 @@
         parts.collect()
     }
 
-    /// The role that an operator needs for all of them.
+    /// The least role that an operator needs to make all the changes.
     #[must_use]
     pub fn required_role(&self) -> OperatorRole {
-        let admin = self
+        let needs_admin = self
             .changes
             .iter()
             .any(|change| change.required_role() == OperatorRole::Admin);
-        if admin {
+        if needs_admin {
             OperatorRole::Admin
         } else {
             OperatorRole::Editor
--- a/crates/core/tests/language.rs
+++ b/crates/core/tests/language.rs
@@ -1,20 +1,21 @@
-//! The language: what texts mean, and what wrong ones are told.
+//! The operators' language: statements and the changes that they make, error messages, and query clauses.
 
 use hoplanding_core::language::{CellValue, DataTable, Statement, parse};
 
 fn error_of(text: &str) -> String {
-    parse(text).expect_err("the text is wrong").to_string()
+    parse(text).expect_err("the text is invalid").to_string()
 }
 
 fn changes_of(text: &str) -> String {
-    match parse(text).expect("the text is right") {
+    match parse(text).expect("the text is valid") {
         Statement::Commands(list) => {
-            serde_json::to_string(&list.changes).expect("changes have a JSON form")
+            serde_json::to_string(&list.changes).expect("changes serialise to JSON")
         }
-        other => panic!("{other:?} is no list of commands"),
+        other => panic!("{other:?} is not a list of commands"),
     }
 }
 
+/// Changes are stored in the log under these names; a renamed field would make stored records unreadable.
 #[test]
 fn commands_become_changes() {
     insta::assert_snapshot!(changes_of("create adapter reel-scribe version v1"), @r#"[{"change":"create_adapter","adapter":"reel-scribe"},{"change":"publish_version","adapter":"reel-scribe","version":"v1"}]"#);
@@ -25,8 +26,9 @@
     insta::assert_snapshot!(changes_of("set quota of dispatch to 12.5 per second waiting 40"), @r#"[{"change":"set_quota","caller":"dispatch","quota":{"requests_per_second":12.5,"waiting":40}}]"#);
 }
 
+/// An operator has to find the invalid word and the accepted syntax in the message.
 #[test]
-fn errors_point_at_the_word() {
+fn errors_name_the_invalid_word() {
     insta::assert_snapshot!(error_of("show tragets"), @r"
     1:6: at `tragets`: expected a table (targets, loaded, waiting, requests, vms, callers, rights, adapters, changes, lag, operators, services, weights)
       show tragets
@@ -45,32 +47,34 @@
     insta::assert_snapshot!(error_of("set preset fastest"), @"preset `fastest` does not exist: use load-stalls-first or batch-efficiency-first");
 }
 
+/// The text of a command is stored in the audit trail, which must not contain tokens.
 #[test]
-fn tokens_are_struck_out() {
+fn secrets_are_redacted() {
     let Ok(Statement::Commands(list)) =
         parse("create caller desk token very-secret; drain target e1")
     else {
-        panic!("the text is right");
+        panic!("the text is valid");
     };
     assert_eq!(list.text, "create caller desk token ***; drain target e1");
     assert!(
         !serde_json::to_string(&list.changes)
-            .expect("changes have a JSON form")
+            .expect("changes serialise to JSON")
             .contains("very-secret")
     );
 }
 
+/// Guards against conditions, order and limit that are applied wrongly or in the wrong sequence.
 #[test]
-fn queries_filter_sort_and_cut() {
+fn queries_filter_sort_and_limit() {
     let mut table = DataTable::new(&["name", "count"]);
     for (name, count) in [("alpha", 3.0), ("beta", 1.0), ("alps", 2.0), ("gamma", 9.0)] {
         table
             .rows
             .push(vec![CellValue::text(name), CellValue::Number(count)]);
     }
-    let ask = |text: &str| match parse(text) {
-        Ok(Statement::Show(query)) => table.clone().apply(&query),
-        other => panic!("{other:?} is no query"),
+    let query = |text: &str| match parse(text) {
+        Ok(Statement::Show(show)) => table.clone().apply(&show),
+        other => panic!("{other:?} is not a query"),
     };
     let names = |table: DataTable| {
         table
@@ -80,19 +84,19 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        names(ask("show targets where name like al* order by count").expect("a right query")),
+        names(query("show targets where name like al* order by count").expect("a valid query")),
         ["alps", "alpha"]
     );
     assert_eq!(
         names(
-            ask("show targets where count >= 2 order by count desc limit 2")
-                .expect("a right query")
+            query("show targets where count >= 2 order by count desc limit 2")
+                .expect("a valid query")
         ),
         ["gamma", "alpha"]
     );
     assert_eq!(
-        names(ask("show targets where name != beta and count < 9").expect("a right query")),
+        names(query("show targets where name != beta and count < 9").expect("a valid query")),
         ["alpha", "alps"]
     );
-    insta::assert_snapshot!(ask("show targets where colour = red").expect_err("a wrong column"), @"the table has no column `colour`: it has name, count");
+    insta::assert_snapshot!(query("show targets where colour = red").expect_err("an unknown column"), @"the table has no column `colour`: it has name, count");
 }
