--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -100,7 +100,7 @@
     pub(super) fn tick_membership(&mut self, now: Instant) {
         for transition in self.members.tick(now) {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 transition.vm,
                 transition.from,
@@ -121,7 +121,11 @@
             .iter()
             .filter(|(_, peer)| peer.zone == self.zone)
             .count() as u32;
-        let pause = self.settings.membership.heartbeat.max(PAUSE_A_PEER * near);
+        let pause = self
+            .settings
+            .membership
+            .heartbeat_interval
+            .max(PAUSE_A_PEER * near);
         let passed = now.since(self.last.heartbeat);
         let revision = self.digest_revision();
         let eager = revision != self.last.digest_revision && passed >= EAGER_PAUSE;
@@ -209,7 +213,7 @@
             && before != after
         {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 heartbeat.daemon,
                 before.0,
@@ -223,14 +227,14 @@
             self.note_silent(&heartbeat.daemon.vm, &heartbeat.silent);
         }
         self.arbiter
-            .observe(&heartbeat.daemon.vm, heartbeat.loads, now);
+            .record_notice(&heartbeat.daemon.vm, heartbeat.loads, now);
         let mut told = BTreeSet::new();
         for digest in &heartbeat.targets {
             let is_holder = self
                 .folded
                 .ownership
                 .holder(digest.target.as_str())
-                .is_some_and(|lease| lease.is_of(&heartbeat.daemon));
+                .is_some_and(|lease| lease.is_held_by(&heartbeat.daemon));
             if !is_holder
                 || !self
                     .links
@@ -241,8 +245,8 @@
             }
             told.insert(digest.target.clone());
             match self.is_engine(digest.target.as_str()) {
-                Some(true) => self.engines.observe(&heartbeat.zone, digest),
-                Some(false) => self.services.observe(&heartbeat.zone, digest),
+                Some(true) => self.engines.update_digest(&heartbeat.zone, digest),
+                Some(false) => self.services.update_digest(&heartbeat.zone, digest),
                 None => {}
             }
             if self.is_closed(&digest.target) {
@@ -258,12 +262,12 @@
             let is_theirs = ownership
                 .holder
                 .as_ref()
-                .is_some_and(|lease| lease.is_of(daemon));
+                .is_some_and(|lease| lease.is_held_by(daemon));
             is_theirs && !told.contains(*target)
         });
         for (target, _) in held {
-            self.engines.confirm(target.as_str());
-            self.services.confirm(target.as_str());
+            self.engines.mark_unchanged(target.as_str());
+            self.services.mark_unchanged(target.as_str());
         }
     }
 
@@ -277,7 +281,7 @@
                 reporters.remove(reporter);
             }
             self.members
-                .observe_silent_to(vm.as_str(), reporters.len() as u32);
+                .observe_silence_reports(vm.as_str(), reporters.len() as u32);
         }
     }
 
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -5,7 +5,7 @@
     config::{AuditOutcome, LoadPolicy, RequestRepeatability, TargetRole, VersionStatus},
     ids::{Instant, PriorityClass},
     language::{CellValue, DataTable, TableName},
-    policy::{AdapterState, DemandEstimate},
+    policy::{AdapterState, DemandEstimator},
 };
 
 impl AppState {
@@ -89,7 +89,7 @@
 
     fn comes_first(&self) -> bool {
         self.members
-            .able_daemons()
+            .eligible_daemons()
             .iter()
             .all(|daemon| self.me.vm <= daemon.vm)
     }
@@ -248,7 +248,7 @@
                     CellValue::Number(now.since(heard).as_secs_f64())
                 }),
                 CellValue::optional(listed),
-                CellValue::Number(f64::from(peer.silent_to)),
+                CellValue::Number(f64::from(peer.silence_reports)),
                 CellValue::Bool(
                     self.links
                         .get(vm)
@@ -273,7 +273,7 @@
                 CellValue::text(name),
                 CellValue::Number(caller.quota.requests_per_second),
                 CellValue::Number(f64::from(caller.quota.waiting)),
-                CellValue::Number(f64::from(self.limits.open(name.as_str()))),
+                CellValue::Number(f64::from(self.limits.open_requests(name.as_str()))),
                 CellValue::text(caller.revision),
             ]);
         }
