--- a/crates/daemon/src/calls/buffer.rs
+++ b/crates/daemon/src/calls/buffer.rs
@@ -1,7 +1,7 @@
-//! Frames between the one who makes an answer and the one who takes it.
+//! Buffer of frames between the producer of an answer and its reader.
 //!
-//! A buffer holds the frames that were not acknowledged, at most [`FRAME_WINDOW`]; a maker that is ahead by that many
-//! waits. So one slow caller holds up nobody else, and a broken link can be re-attached from the last frame taken.
+//! A buffer holds at most [`FRAME_WINDOW`] unacknowledged frames; then the producer waits. One slow caller therefore
+//! blocks nobody else, and the reader can re-attach after a broken link from the last frame that it received.
 
 use crate::{
     calls::{CallEnd, CallFrame, CallId, NumberedFrame},
@@ -15,13 +15,13 @@
 };
 use tokio::sync::Notify;
 
-/// Frames that may be under way without an acknowledgement.
+/// Largest number of unacknowledged frames of an answer.
 pub const FRAME_WINDOW: usize = 128;
 
-/// Why a frame was not taken.
+/// Why a frame was not added.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PushError {
-    /// Nobody wants the answer any more.
+    /// The reader is gone.
     Abandoned,
 }
 
@@ -35,16 +35,16 @@
     detached_at: Option<Instant>,
 }
 
-/// Frames of one answer.
+/// Frames of one answer, with flow control.
 #[derive(Debug, Default)]
 pub struct CallBuffer {
     state: Mutex<BufferState>,
-    grown: Notify,
-    room: Notify,
+    frame_added: Notify,
+    space_freed: Notify,
 }
 
 impl CallBuffer {
-    /// An empty buffer.
+    /// Creates an empty buffer.
     #[must_use]
     pub fn new() -> Arc<Self> {
         Arc::new(Self::default())
@@ -54,15 +54,15 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Adds a frame, waiting for room.
+    /// Adds a frame, waiting until the window has room.
     ///
     /// # Errors
-    /// Says that nobody wants the answer any more.
+    /// Returns [`PushError::Abandoned`] if the answer is no longer needed.
     pub async fn push(&self, frame: CallFrame) -> Result<(), PushError> {
         loop {
-            let room = self.room.notified();
-            tokio::pin!(room);
-            room.as_mut().enable();
+            let space_freed = self.space_freed.notified();
+            tokio::pin!(space_freed);
+            space_freed.as_mut().enable();
             {
                 let mut state = self.lock();
                 if state.abandoned {
@@ -73,13 +73,13 @@
                     break;
                 }
             }
-            room.await;
+            space_freed.await;
         }
-        self.grown.notify_waiters();
+        self.frame_added.notify_waiters();
         Ok(())
     }
 
-    /// Ends the answer; the last frame needs no room.
+    /// Ends the answer; the last frame is added even if the window is full.
     pub fn end(&self, end: CallEnd) {
         {
             let mut state = self.lock();
@@ -89,15 +89,15 @@
             state.ended_at = Some(clock::now());
             add_frame(&mut state, CallFrame::End(end));
         }
-        self.grown.notify_waiters();
+        self.frame_added.notify_waiters();
     }
 
-    /// Waits for the frame after those with numbers below `from`; none if it was acknowledged away or abandoned.
+    /// Waits for the frame with sequence number `from`; `None` if it was acknowledged already, or the answer abandoned.
     pub async fn next(&self, from: u64) -> Option<NumberedFrame> {
         loop {
-            let grown = self.grown.notified();
-            tokio::pin!(grown);
-            grown.as_mut().enable();
+            let frame_added = self.frame_added.notified();
+            tokio::pin!(frame_added);
+            frame_added.as_mut().enable();
             {
                 let state = self.lock();
                 if from < state.acknowledged || state.abandoned {
@@ -108,11 +108,11 @@
                     return Some(frame.clone());
                 }
             }
-            grown.await;
+            frame_added.await;
         }
     }
 
-    /// Forgets the frames with numbers below `seq`.
+    /// Removes the frames with sequence numbers below `seq`.
     pub fn acknowledge(&self, seq: u64) {
         {
             let mut state = self.lock();
@@ -121,62 +121,65 @@
                 state.acknowledged += 1;
             }
         }
-        self.room.notify_waiters();
+        self.space_freed.notify_waiters();
     }
 
-    /// Says that nobody wants the answer any more.
+    /// Marks the answer as no longer needed.
     pub fn abandon(&self) {
         self.lock().abandoned = true;
-        self.room.notify_waiters();
-        self.grown.notify_waiters();
+        self.space_freed.notify_waiters();
+        self.frame_added.notify_waiters();
     }
 
-    /// Whether nobody wants the answer any more.
+    /// Whether the answer is no longer needed.
     #[must_use]
     pub fn is_abandoned(&self) -> bool {
         self.lock().abandoned
     }
 
-    /// Waits until nobody wants the answer any more.
-    pub async fn abandoned(&self) {
+    /// Waits until the answer is no longer needed.
+    pub async fn wait_abandoned(&self) {
         loop {
-            let room = self.room.notified();
-            tokio::pin!(room);
-            room.as_mut().enable();
+            let space_freed = self.space_freed.notified();
+            tokio::pin!(space_freed);
+            space_freed.as_mut().enable();
             if self.is_abandoned() {
                 return;
             }
-            room.await;
+            space_freed.await;
         }
     }
 
-    /// Waits until every frame was taken, or nobody wants them.
-    pub async fn taken(&self) {
+    /// Waits until all frames of an ended answer are acknowledged, or the answer is abandoned.
+    pub async fn wait_drained(&self) {
         loop {
-            let room = self.room.notified();
-            tokio::pin!(room);
-            room.as_mut().enable();
+            let space_freed = self.space_freed.notified();
+            tokio::pin!(space_freed);
+            space_freed.as_mut().enable();
             {
                 let state = self.lock();
                 if state.abandoned || state.ended_at.is_some() && state.frames.is_empty() {
                     return;
                 }
             }
-            room.await;
+            space_freed.await;
         }
     }
 
-    /// Notes whether a taker is attached.
+    /// Records whether a reader is attached.
     pub fn set_attached(&self, attached: bool) {
         self.lock().detached_at = if attached { None } else { Some(clock::now()) };
     }
 
-    fn is_over(&self, now: Instant, kept_for: Duration) -> bool {
+    fn is_expired(&self, now: Instant, ttl: Duration) -> bool {
         let state = self.lock();
-        let taken = state.ended_at.is_some() && state.frames.is_empty();
-        let is_old =
-            |since: Option<Instant>| since.is_some_and(|since| now.since(since) > kept_for);
-        taken || state.abandoned || is_old(state.detached_at) || is_old(state.ended_at)
+        let is_drained = state.ended_at.is_some() && state.frames.is_empty();
+        let is_past_ttl =
+            |since: Option<Instant>| since.is_some_and(|since| now.since(since) > ttl);
+        is_drained
+            || state.abandoned
+            || is_past_ttl(state.detached_at)
+            || is_past_ttl(state.ended_at)
     }
 }
 
@@ -186,45 +189,45 @@
     state.frames.push_back(NumberedFrame { seq, frame });
 }
 
-/// Answers that other daemons take from this one.
+/// Answers that other daemons read from this one.
 #[derive(Debug, Default)]
 pub struct CallTable {
     buffers: Mutex<HashMap<CallId, Arc<CallBuffer>>>,
 }
 
 impl CallTable {
-    /// Adds an answer.
+    /// Adds the buffer of a call.
     pub fn insert(&self, id: CallId, buffer: &Arc<CallBuffer>) {
         self.lock().insert(id, Arc::clone(buffer));
     }
 
-    /// Finds an answer.
+    /// Returns the buffer of a call.
     #[must_use]
     pub fn get(&self, id: CallId) -> Option<Arc<CallBuffer>> {
         self.lock().get(&id).cloned()
     }
 
-    /// Number of answers.
+    /// Number of buffers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether there is none.
+    /// Whether the table has no buffers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lock().is_empty()
     }
 
-    /// Drops what was taken, and what nobody came back for within `kept_for`.
-    pub fn remove_expired(&self, kept_for: Duration) {
+    /// Removes buffers that are drained or abandoned, and those ended or without a reader for longer than `ttl`.
+    pub fn remove_expired(&self, ttl: Duration) {
         let now = clock::now();
         self.lock().retain(|_, buffer| {
-            let over = buffer.is_over(now, kept_for);
-            if over {
+            let is_expired = buffer.is_expired(now, ttl);
+            if is_expired {
                 buffer.abandon();
             }
-            !over
+            !is_expired
         });
     }
 
--- a/crates/daemon/src/calls/frame.rs
+++ b/crates/daemon/src/calls/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer.
+//! Frames of an answer, and how it ends.
 
 use hoplanding_core::{
     ids::{AdapterVersion, TargetName},
@@ -9,36 +9,36 @@
 /// One piece of an answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallFrame {
-    /// The request goes to its target now.
+    /// The request is sent to its target.
     Started {
-        /// The target.
+        /// Target that runs the request.
         target: TargetName,
-        /// Name of the stream there, to ask for the rest of it.
+        /// Name of the stream at the target, used to resume it.
         stream: String,
-        /// The adapter and version; none for a plain service.
+        /// Adapter and version; `None` for a plain service.
         model: Option<AdapterVersion>,
-        /// How long it waited for the adapter to be loaded, in milliseconds.
+        /// Time that the request waited for its adapter to load, in milliseconds.
         load_stall_ms: u32,
     },
-    /// Text of an engine's answer.
+    /// One token of an engine's answer.
     Text {
         /// Index of the token in the answer, from zero.
         offset: u64,
-        /// The text.
+        /// Text of the token.
         text: String,
-        /// Why the answer ends here, if it does.
+        /// Finish reason, on the last token.
         finish: Option<String>,
     },
     /// Status and headers of a plain service's answer.
     Head {
         /// HTTP status.
         status: u16,
-        /// Headers.
+        /// Names and values, without hop-by-hop headers.
         headers: Vec<(String, String)>,
     },
-    /// Bytes of a plain service's answer.
+    /// Part of the body of a plain service's answer.
     Body(#[serde(with = "serde_bytes_compat")] Vec<u8>),
-    /// The end; nothing follows.
+    /// End of the answer; always the last frame.
     End(CallEnd),
 }
 
@@ -47,36 +47,36 @@
 pub enum CallEnd {
     /// The answer is complete.
     Complete,
-    /// It was not run.
+    /// The request was not run.
     NotRun(NotRunProof),
-    /// The target stated a failure.
+    /// The target reported a failure.
     Failed(String),
-    /// The stream broke off; the rest may still be had.
+    /// The stream was interrupted; it may be possible to resume it.
     Broken(String),
-    /// Nobody can say what became of it.
+    /// It is unknown whether the request ran.
     Unknown(String),
-    /// The request itself is wrong.
+    /// The request itself is invalid.
     Refused {
         /// HTTP status.
         status: u16,
         /// Machine-readable code.
         code: String,
-        /// What to do about it.
+        /// Description and remedy for the caller.
         message: String,
     },
 }
 
-/// A frame with its number, from zero.
+/// A frame with its sequence number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NumberedFrame {
-    /// The number.
+    /// Sequence number in the answer, from zero.
     pub seq: u64,
     /// The frame.
     pub frame: CallFrame,
 }
 
 mod serde_bytes_compat {
-    //! Bytes as one CBOR byte string.
+    //! Serialises bytes as one CBOR byte string instead of an array of numbers.
 
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/daemon/src/calls/mod.rs
+++ b/crates/daemon/src/calls/mod.rs
@@ -1,4 +1,7 @@
-//! Calls between daemons, or between the parts of one: what is asked, and the frames of the answer.
+//! Calls between daemons or within one: requests, and the frames of their answers.
+//!
+//! A gateway sends a request to the daemon that holds the target, and reads the answer as a sequence of numbered frames
+//! from a [`CallBuffer`], either directly or over a peer link.
 
 mod buffer;
 mod frame;
--- a/crates/daemon/src/calls/request.rs
+++ b/crates/daemon/src/calls/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of a holder or of another gateway.
+//! Requests to a holder or to another gateway.
 
 use hoplanding_core::{
     config::RequestRule,
@@ -11,10 +11,10 @@
     hash::{Hash, Hasher},
 };
 
-/// One attempt of a request, as a call between daemons.
+/// Id of a call between daemons: one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CallId {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from zero.
     pub attempt: u32,
@@ -29,94 +29,94 @@
 /// A request to a model engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineWork {
-    /// The adapter and version.
+    /// Resolved adapter and version.
     pub model: AdapterVersion,
-    /// Whether it goes to the chat interface.
+    /// Whether the request goes to the chat interface.
     pub chat: bool,
-    /// The caller's body as JSON; model, stream and priority are set by the holder.
+    /// The caller's body as JSON; the holder sets the model, stream, priority and token limit.
     pub body: String,
-    /// Prompt tokens, estimated.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens that it may generate.
+    /// Largest number of tokens to generate.
     pub output_tokens: u32,
 }
 
-/// A call of a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceWork {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceName,
     /// HTTP method.
     pub method: String,
-    /// Path and query below the service.
+    /// Path and query, without the gateway's `/services/NAME` prefix.
     pub path: String,
-    /// Headers that are passed through.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// Request body.
     pub body: bytes::Bytes,
 }
 
-/// The work of a request.
+/// Payload of a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CallWork {
-    /// To a model engine.
+    /// Request to a model engine.
     Engine(EngineWork),
-    /// To a plain service.
+    /// Request to a plain service.
     Service(ServiceWork),
 }
 
-/// Whether a request is to run, or only the rest of its answer is wanted.
+/// Whether to run a request or to resume its answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunMode {
-    /// Run it.
+    /// Runs the request.
     Run,
-    /// Ask the target for the rest of a stream; this runs nothing.
+    /// Reads the rest of a stream from the target without running anything.
     Resume {
         /// Name of the stream at the target.
         stream: String,
-        /// First token that is missing.
+        /// Index of the first missing token.
         from: u64,
     },
 }
 
-/// What a gateway asks of a target's holder.
+/// Request from a gateway to a target's holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExecuteRequest {
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
-    /// The target.
+    /// Target to run on.
     pub target: TargetName,
-    /// Run, or resume.
+    /// Whether to run or to resume.
     pub mode: RunMode,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// The caller.
+    /// Name of the caller.
     pub caller: CallerName,
-    /// Milliseconds that are left for it.
+    /// Remaining time until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// What is to be done.
+    /// Payload of the request.
     pub work: CallWork,
 }
 
-/// What a caller asks of a gateway, possibly forwarded by another one.
+/// Request from a caller to a gateway, possibly forwarded by another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubmitRequest {
-    /// The caller.
+    /// Name of the caller.
     pub caller: CallerName,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Whether it may be repeated.
+    /// Whether the request may be repeated.
     pub rule: RequestRule,
-    /// The caller's idempotency token or key.
+    /// Idempotency token or key of the caller.
     pub idempotency: Option<String>,
-    /// Milliseconds that are left for it.
+    /// Remaining time until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// What is to be done.
+    /// Payload of the request.
     pub work: CallWork,
 }
 
 impl SubmitRequest {
-    /// Number that tells two requests apart that carry the same token or key.
+    /// Returns a hash of caller and payload, which detects different requests with the same token or key.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = SipHasher13::new();
@@ -130,7 +130,7 @@
         hasher.finish()
     }
 
-    /// Output tokens that it may generate; one for a plain service.
+    /// Returns the largest number of output tokens; one for a plain service.
     #[must_use]
     pub fn output_tokens(&self) -> u32 {
         match &self.work {
--- a/crates/daemon/src/gateway/acceptor.rs
+++ b/crates/daemon/src/gateway/acceptor.rs
@@ -1,7 +1,7 @@
-//! Accepting callers' connections without Nagle's delay.
+//! TCP acceptor for callers' connections that disables Nagle's algorithm.
 //!
-//! A streamed answer is many small writes; held back for the acknowledgement of the one before, each could cost the
-//! 40 ms of a delayed acknowledgement.
+//! A streamed answer consists of many small writes. With Nagle's algorithm each could wait for the acknowledgement of
+//! the previous one, up to the 40 ms of a delayed ACK.
 
 use poem::{
     http::uri::Scheme,
@@ -11,14 +11,14 @@
 use std::io;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Accepts TCP connections that send at once.
+/// Accepts TCP connections and sets `TCP_NODELAY` on them.
 pub struct NoDelayAcceptor(TcpAcceptor);
 
 impl NoDelayAcceptor {
-    /// Accepts on a listener.
+    /// Wraps a bound listener.
     ///
     /// # Errors
-    /// Returns the error of the system.
+    /// Returns the I/O error of the conversion.
     pub fn new(listener: TcpListener) -> io::Result<Self> {
         Ok(Self(TcpAcceptor::from_tokio(listener)?))
     }
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of engines as OpenAI-shaped HTTP: whole or as server-sent events.
+//! Engine answers as OpenAI-shaped HTTP responses: one JSON body, or server-sent events.
 
 use crate::{
     calls::{CallEnd, CallFrame},
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
-/// What the frames of an answer say before its text.
+/// Metadata of an answer, known before its text.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
     id: String,
@@ -29,13 +29,13 @@
 }
 
 impl AnswerHead {
-    fn apply(&self, response: &mut Response) {
+    fn add_headers(&self, response: &mut Response) {
         let headers = response.headers_mut();
-        let pairs = [
+        let named_values = [
             ("x-hoplanding-model", &self.model),
             ("x-hoplanding-target", &self.target),
         ];
-        for (name, value) in pairs {
+        for (name, value) in named_values {
             if let Ok(value) = value.parse() {
                 headers.insert(name, value);
             }
@@ -43,29 +43,35 @@
         headers.insert("x-hoplanding-load-stall-ms", self.load_stall_ms.into());
     }
 
-    fn chunk(&self, text: &str, finish: Option<&str>) -> Value {
+    fn chunk(&self, text: &str, finish_reason: Option<&str>) -> Value {
         let (object, content) = match self.interface {
             EngineInterface::Completions => (
                 "text_completion",
-                json!({ "index": 0, "text": text, "finish_reason": finish }),
+                json!({ "index": 0, "text": text, "finish_reason": finish_reason }),
             ),
             EngineInterface::Chat => (
                 "chat.completion.chunk",
-                json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish }),
+                json!({ "index": 0, "delta": { "content": text }, "finish_reason": finish_reason }),
             ),
         };
         json!({ "id": self.id, "object": object, "created": self.created, "model": self.model, "choices": [content] })
     }
 
-    fn whole(&self, text: &str, finish: Option<&str>, tokens: usize, prompt_tokens: u32) -> Value {
+    fn full_body(
+        &self,
+        text: &str,
+        finish_reason: Option<&str>,
+        tokens: usize,
+        prompt_tokens: u32,
+    ) -> Value {
         let (object, content) = match self.interface {
             EngineInterface::Completions => (
                 "text_completion",
-                json!({ "index": 0, "text": text, "finish_reason": finish }),
+                json!({ "index": 0, "text": text, "finish_reason": finish_reason }),
             ),
             EngineInterface::Chat => (
                 "chat.completion",
-                json!({ "index": 0, "message": { "role": "assistant", "content": text }, "finish_reason": finish }),
+                json!({ "index": 0, "message": { "role": "assistant", "content": text }, "finish_reason": finish_reason }),
             ),
         };
         let usage = json!({
@@ -80,7 +86,7 @@
     }
 }
 
-/// Waits for the head of an answer, or for the error that came in its place.
+/// Waits for the head of an answer, or for the error sent in its place.
 async fn read_head(
     reader: &mut CallReader,
     id: String,
@@ -110,12 +116,12 @@
 
 pub(super) fn end_error(end: &CallEnd) -> CallerError {
     let unfinished = CallEnd::Failed("the answer ended before it was complete".to_owned());
-    CallerError::of_end(end)
-        .unwrap_or_else(|| CallerError::of_end(&unfinished).unwrap_or_else(CallerError::ending))
+    CallerError::from_end(end)
+        .unwrap_or_else(|| CallerError::from_end(&unfinished).unwrap_or_else(CallerError::stopping))
 }
 
-/// Answers with one body.
-pub async fn whole_answer(
+/// Collects the answer and returns it as one JSON body.
+pub async fn buffered_answer(
     mut reader: CallReader,
     id: String,
     interface: EngineInterface,
@@ -124,39 +130,39 @@
     let head = read_head(&mut reader, id, interface).await?;
     let mut text = String::new();
     let mut tokens = 0;
-    let mut finished = None;
+    let mut finish_reason = None;
     loop {
         match reader.next().await {
             ReadEvent::Frame(CallFrame::Text {
-                text: piece,
+                text: chunk_text,
                 finish,
                 ..
             }) => {
-                text.push_str(&piece);
+                text.push_str(&chunk_text);
                 tokens += 1;
-                finished = finish;
+                finish_reason = finish;
             }
-            ReadEvent::Frame(CallFrame::End(CallEnd::Complete)) if finished.is_some() => break,
+            ReadEvent::Frame(CallFrame::End(CallEnd::Complete)) if finish_reason.is_some() => break,
             ReadEvent::Frame(CallFrame::End(end)) => return Err(end_error(&end)),
             ReadEvent::Frame(_) => {}
             ReadEvent::Lost(cause) => return Err(end_error(&CallEnd::Unknown(cause.to_owned()))),
         }
     }
-    let mut response =
-        Json(head.whole(&text, finished.as_deref(), tokens, prompt_tokens)).into_response();
-    head.apply(&mut response);
+    let mut response = Json(head.full_body(&text, finish_reason.as_deref(), tokens, prompt_tokens))
+        .into_response();
+    head.add_headers(&mut response);
     Ok(response)
 }
 
 struct StreamState {
     reader: CallReader,
     head: AnswerHead,
-    ready: VecDeque<Event>,
-    finished: bool,
-    ended: bool,
+    pending_events: VecDeque<Event>,
+    has_finished: bool,
+    has_ended: bool,
 }
 
-/// Answers with server-sent events; only a complete answer ends with `[DONE]`.
+/// Returns the answer as server-sent events; only a complete answer ends with `[DONE]`.
 pub async fn streamed_answer(
     mut reader: CallReader,
     id: String,
@@ -166,44 +172,45 @@
     let state = StreamState {
         reader,
         head: head.clone(),
-        ready: VecDeque::new(),
-        finished: false,
-        ended: false,
+        pending_events: VecDeque::new(),
+        has_finished: false,
+        has_ended: false,
     };
     let events = stream::unfold(state, |mut state| async move {
         loop {
-            if let Some(event) = state.ready.pop_front() {
+            if let Some(event) = state.pending_events.pop_front() {
                 return Some((event, state));
             }
-            if state.ended {
+            if state.has_ended {
                 return None;
             }
-            state.read().await;
+            state.read_frame().await;
         }
     });
     let mut response = SSE::new(events).into_response();
-    head.apply(&mut response);
+    head.add_headers(&mut response);
     Ok(response)
 }
 
 impl StreamState {
-    async fn read(&mut self) {
+    async fn read_frame(&mut self) {
         let end = match self.reader.next().await {
             ReadEvent::Frame(CallFrame::Text { text, finish, .. }) => {
-                self.finished |= finish.is_some();
+                self.has_finished |= finish.is_some();
                 let chunk = self.head.chunk(&text, finish.as_deref());
-                self.ready.push_back(Event::message(chunk.to_string()));
+                self.pending_events
+                    .push_back(Event::message(chunk.to_string()));
                 return;
             }
             ReadEvent::Frame(CallFrame::End(end)) => end,
             ReadEvent::Frame(_) => return,
             ReadEvent::Lost(cause) => CallEnd::Unknown(cause.to_owned()),
         };
-        self.ended = true;
-        if end == CallEnd::Complete && self.finished {
-            self.ready.push_back(Event::message("[DONE]"));
+        self.has_ended = true;
+        if end == CallEnd::Complete && self.has_finished {
+            self.pending_events.push_back(Event::message("[DONE]"));
         } else {
-            self.ready
+            self.pending_events
                 .push_back(Event::message(end_error(&end).body().to_string()));
         }
     }
--- a/crates/daemon/src/gateway/body.rs
+++ b/crates/daemon/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Reading callers' bodies.
+//! Reading and validating callers' request bodies.
 
 use crate::{calls::EngineWork, gateway::CallerError};
 use hoplanding_core::ids::{AdapterVersion, PriorityClass};
@@ -7,14 +7,14 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Tokens of an answer whose request names no number.
-const DEFAULT_TOKENS: u32 = 256;
-/// Tokens that a request may ask for.
-const TOKENS_MOST: u32 = 65_536;
-/// Characters of a token, for estimates.
-const TOKEN_CHARS: usize = 4;
+/// Output tokens of a request without `max_tokens`.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
+/// Largest `max_tokens` of a request.
+const MAX_OUTPUT_TOKENS: u32 = 65_536;
+/// Average characters per token, for estimating prompt tokens.
+const CHARS_PER_TOKEN: usize = 4;
 
-/// Which interface a request came through.
+/// OpenAI-compatible interface that a request came through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineInterface {
     /// `/v1/completions`.
@@ -23,14 +23,14 @@
     Chat,
 }
 
-/// A caller's request to an engine, checked.
+/// A validated request to a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineBody {
-    /// The model as named.
+    /// Model name as given by the caller, with or without `@version`.
     pub model: String,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Class that it asks for.
+    /// Requested priority class, if any.
     pub class: Option<PriorityClass>,
     output_tokens: u32,
     prompt_tokens: u32,
@@ -38,7 +38,7 @@
 }
 
 impl EngineBody {
-    /// The work that is passed on, with the model as resolved.
+    /// Converts the request to the work sent to a holder, with the resolved model.
     #[must_use]
     pub fn into_work(self, model: AdapterVersion, interface: EngineInterface) -> EngineWork {
         EngineWork {
@@ -51,25 +51,25 @@
     }
 }
 
-/// Reads a body within bounds of size and time.
+/// Reads a request body of at most `max_bytes` within `time_limit`.
 pub async fn read_body(
     body: Body,
-    bytes_most: usize,
-    within: Duration,
+    max_bytes: usize,
+    time_limit: Duration,
 ) -> Result<Vec<u8>, CallerError> {
-    match timeout(within, body.into_bytes_limit(bytes_most)).await {
+    match timeout(time_limit, body.into_bytes_limit(max_bytes)).await {
         Err(_) => Err(CallerError::invalid(
             StatusCode::REQUEST_TIMEOUT,
             "slow_body",
             format!(
                 "the body did not come within {} ms: send it faster",
-                within.as_millis()
+                time_limit.as_millis()
             ),
         )),
         Ok(Err(poem::error::ReadBodyError::PayloadTooLarge)) => Err(CallerError::invalid(
             StatusCode::PAYLOAD_TOO_LARGE,
             "oversized_body",
-            format!("the body is larger than {bytes_most} bytes: send a smaller one"),
+            format!("the body is larger than {max_bytes} bytes: send a smaller one"),
         )),
         Ok(Err(error)) => Err(CallerError::invalid(
             StatusCode::BAD_REQUEST,
@@ -80,10 +80,10 @@
     }
 }
 
-/// Checks a request to an engine.
+/// Parses and validates a request to an engine.
 ///
 /// # Errors
-/// Names the field, and what it should be.
+/// Names the invalid field and the expected value.
 pub fn parse_engine_body(
     bytes: &[u8],
     interface: EngineInterface,
@@ -107,15 +107,15 @@
         _ => return Err(field_error("stream", "true or false")),
     };
     let output_tokens = match &json["max_tokens"] {
-        Value::Null => DEFAULT_TOKENS,
+        Value::Null => DEFAULT_OUTPUT_TOKENS,
         value => value
             .as_u64()
-            .filter(|tokens| (1..=u64::from(TOKENS_MOST)).contains(tokens))
+            .filter(|tokens| (1..=u64::from(MAX_OUTPUT_TOKENS)).contains(tokens))
             .map(|tokens| tokens as u32)
             .ok_or_else(|| {
                 field_error(
                     "max_tokens",
-                    &format!("a whole number from 1 to {TOKENS_MOST}"),
+                    &format!("a whole number from 1 to {MAX_OUTPUT_TOKENS}"),
                 )
             })?,
     };
@@ -134,7 +134,7 @@
         stream,
         class,
         output_tokens,
-        prompt_tokens: (prompt_chars / TOKEN_CHARS).max(1) as u32,
+        prompt_tokens: (prompt_chars / CHARS_PER_TOKEN).max(1) as u32,
         json,
     })
 }
@@ -173,16 +173,16 @@
     error
 }
 
-/// The body of the list of models.
+/// Builds the response body of `/v1/models`; the flag marks the current version of an adapter.
 #[must_use]
 pub fn models_body(models: &[(AdapterVersion, bool)]) -> Value {
-    let entries = models.iter().map(|(model, current)| {
+    let entries = models.iter().map(|(model, is_current)| {
         json!({
             "id": model.to_string(),
             "object": "model",
             "owned_by": "hoplanding",
             "root": model.adapter,
-            "current": current,
+            "current": is_current,
         })
     });
     json!({ "object": "list", "data": entries.collect::<Vec<_>>() })
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -1,7 +1,7 @@
-//! One request from its admission to its end: tokens and keys, attempts, resumes.
+//! Drives one request from admission to its end: idempotency tokens and keys, attempts, retries and resumes.
 //!
-//! The driver decides nothing by itself that the core can decide: the typestate says what the request may become, and
-//! [`decide_retry`] what comes next.
+//! The decisions are made in the core: the typestate [`RequestCall`] limits what may become of the request, and
+//! [`decide_retry`] chooses the next step after each attempt. The driver sends the calls, relays the frames and waits.
 
 use crate::{
     app::{
@@ -32,23 +32,27 @@
 };
 use tokio::sync::mpsc;
 
-/// Bytes of an answer that are kept for a repeated call.
-const KEPT_BYTES: usize = 64 * 1024;
-/// Time for a broken link to come back before the holder is taken for lost.
-const LINK_PATIENCE: Duration = Duration::from_millis(1500);
-/// Retries that a daemon may make at once.
-const BUDGET_MOST: f64 = 64.0;
-/// Retries that each request pays for.
-const BUDGET_EARNED: f64 = 0.1;
+/// Largest answer, in bytes of text and body, that is recorded for replay to a repeated call.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
+/// Time for a broken link to reconnect before the holder counts as lost.
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Capacity of the daemon's retry budget, in retries.
+const RETRY_BUDGET_CAPACITY: f64 = 64.0;
+/// Retries that each request adds to the budget.
+const RETRY_BUDGET_PER_REQUEST: f64 = 0.1;
 
-static BUDGET: Mutex<Option<RetryBudget>> = Mutex::new(None);
+static RETRY_BUDGET: Mutex<Option<RetryBudget>> = Mutex::new(None);
 
-fn with_budget<T>(act: impl FnOnce(&mut RetryBudget) -> T) -> T {
-    let mut budget = BUDGET.lock().expect("no holder of the lock panics");
-    act(budget.get_or_insert_with(|| RetryBudget::new(BUDGET_MOST, BUDGET_EARNED)))
+fn with_retry_budget<T>(update: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    let mut budget = RETRY_BUDGET.lock().expect("no holder of the lock panics");
+    update(
+        budget.get_or_insert_with(|| {
+            RetryBudget::new(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_PER_REQUEST)
+        }),
+    )
 }
 
-/// What a driver works with.
+/// Handles that a driver needs.
 #[derive(Clone)]
 pub struct DriverContext {
     app: AppHandle,
@@ -56,7 +60,7 @@
 }
 
 impl DriverContext {
-    /// A context that asks the loop behind `events`.
+    /// Creates a context that queries the event loop through `events`.
     #[must_use]
     pub fn new(events: mpsc::Sender<AppEvent>, metrics: DaemonMetrics) -> Self {
         Self {
@@ -66,91 +70,94 @@
     }
 }
 
-/// Drives one request.
+/// Driver of one request.
 pub struct CallDriver {
     context: DriverContext,
     id: RequestId,
     request: SubmitRequest,
-    out: Arc<CallBuffer>,
+    output: Arc<CallBuffer>,
     deadline: Instant,
     attempt: u32,
-    given_back: u32,
-    given_back_since: Option<Instant>,
-    avoid: Vec<TargetName>,
-    /// Frames kept for a repeated call, if the request carries a token or key.
-    kept: Option<Vec<CallFrame>>,
-    kept_bytes: usize,
-    started: Option<StartedStream>,
+    not_run_count: u32,
+    not_run_since: Option<Instant>,
+    excluded_targets: Vec<TargetName>,
+    /// Frames recorded for replay, if the request carries an idempotency token or key.
+    recorded: Option<Vec<CallFrame>>,
+    recorded_bytes: usize,
+    stream: Option<StreamLocation>,
     next_token: u64,
     answer_started: bool,
 }
 
-/// Where a stream runs.
-struct StartedStream {
+/// Location of a started stream.
+struct StreamLocation {
     target: TargetName,
     stream: String,
 }
 
 /// How one attempt ended.
 enum AttemptOutcome {
-    Over(CallEnd),
-    Again(RequestCall<HandedOver>, AttemptEnd, String),
-    GivenBack(RequestCall<Unsent>, NotRunReason),
+    /// The request has its final end.
+    Final(CallEnd),
+    /// The attempt was handed over and may have run; a retry or resume may follow.
+    Interrupted(RequestCall<HandedOver>, AttemptEnd, String),
+    /// The attempt provably did not run.
+    NotRun(RequestCall<Unsent>, NotRunReason),
 }
 
 impl CallDriver {
-    /// A driver that writes the answer's frames to `out`.
+    /// Creates a driver that writes the answer's frames to `output`.
     #[must_use]
     pub fn new(
         context: DriverContext,
         id: RequestId,
         request: SubmitRequest,
-        out: Arc<CallBuffer>,
+        output: Arc<CallBuffer>,
     ) -> Self {
         let deadline = clock::now().after(Duration::from_millis(request.deadline_ms));
         Self {
             context,
             id,
             request,
-            out,
+            output,
             deadline,
             attempt: 0,
-            given_back: 0,
-            given_back_since: None,
-            avoid: Vec::new(),
-            kept: None,
-            kept_bytes: 0,
-            started: None,
+            not_run_count: 0,
+            not_run_since: None,
+            excluded_targets: Vec::new(),
+            recorded: None,
+            recorded_bytes: 0,
+            stream: None,
             next_token: 0,
             answer_started: false,
         }
     }
 
-    /// Drives the request to its end.
+    /// Runs the request and ends its answer.
     pub async fn run(mut self) {
         let end = match self.request.idempotency.clone() {
-            None => self.run_once().await,
-            Some(text) => self.run_repeatable_key(&text).await,
+            None => self.run_attempts().await,
+            Some(text) => self.run_with_key(&text).await,
         };
         if let CallEnd::Unknown(cause) = &end {
             event!(Event::OutcomeUnknown, "{}: {cause}", self.id);
             self.context.metrics.count("gateway.outcome_unknown");
         }
-        self.out.end(end);
+        self.output.end(end);
     }
 
-    async fn run_repeatable_key(&mut self, text: &str) -> CallEnd {
+    async fn run_with_key(&mut self, text: &str) -> CallEnd {
         let fingerprint = self.request.fingerprint();
         let key = match IdempotencyToken::parse(text) {
             Some(token) => RepeatKey::Token(token),
             None => {
                 let key = KeyHash::of(&self.request.caller, text);
-                let claimed = self
+                let claim = self
                     .context
                     .app
                     .ask(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
                     .await;
-                match claimed {
+                match claim {
                     Some(ClaimAnswer::Won) => RepeatKey::Key(key),
                     Some(ClaimAnswer::Forward(link)) => return self.forward(&link).await,
                     Some(ClaimAnswer::Unknown(daemon)) => {
@@ -158,9 +165,9 @@
                             "{daemon}, which ran the request with this key, can't be reached"
                         ));
                     }
-                    Some(ClaimAnswer::OtherRequest) => return other_request(),
+                    Some(ClaimAnswer::OtherRequest) => return key_reused_end(),
                     Some(ClaimAnswer::NotClaimed) | None => {
-                        return self.refuse(NotRunReason::KeyNotClaimed);
+                        return self.end_refused(NotRunReason::KeyNotClaimed);
                     }
                 }
             }
@@ -171,7 +178,7 @@
             .ask(|reply| AppEvent::BeginRepeat(key.clone(), fingerprint, reply))
             .await;
         match answer {
-            None => self.refuse(NotRunReason::Stopping),
+            None => self.end_refused(NotRunReason::Stopping),
             Some(RepeatAnswer::Run) => self.run_recorded(key).await,
             Some(RepeatAnswer::Replay(frames)) => self.replay(&frames).await,
             Some(RepeatAnswer::Join(answer)) => match answer.await {
@@ -187,44 +194,44 @@
         }
     }
 
-    fn refuse(&self, reason: NotRunReason) -> CallEnd {
+    fn end_refused(&self, reason: NotRunReason) -> CallEnd {
         CallEnd::NotRun(RequestCall::new(self.id).refuse(reason))
     }
 
     async fn run_recorded(&mut self, key: RepeatKey) -> CallEnd {
-        self.kept = Some(Vec::new());
-        let end = self.run_once().await;
-        let use_end = match (&end, self.kept.take()) {
+        self.recorded = Some(Vec::new());
+        let end = self.run_attempts().await;
+        let recorded_end = match (&end, self.recorded.take()) {
             (CallEnd::NotRun(_), _) => UseEnd::NotRun,
             (CallEnd::Complete, Some(frames)) => UseEnd::Answered(Arc::new(frames)),
             _ => UseEnd::Spent,
         };
         self.context
             .app
-            .tell(AppEvent::EndRepeat(key, use_end))
+            .tell(AppEvent::EndRepeat(key, recorded_end))
             .await;
         end
     }
 
     async fn replay(&mut self, frames: &[CallFrame]) -> CallEnd {
         for frame in frames {
-            if self.out.push(frame.clone()).await.is_err() {
+            if self.output.push(frame.clone()).await.is_err() {
                 break;
             }
         }
         CallEnd::Complete
     }
 
-    /// Lets the daemon that may run the request do so, and passes its answer on.
+    /// Forwards the request to the daemon that owns its token or key, and relays the answer.
     async fn forward(&mut self, link: &PeerLink) -> CallEnd {
         let call = CallId {
             request: self.id,
             attempt: u32::MAX,
         };
         let message = PeerMessage::Submit(call, Box::new(self.request.clone()));
-        let Some(mut reader) = CallReader::over_link(link, call, message, LINK_PATIENCE).await
+        let Some(mut reader) = CallReader::over_link(link, call, message, RECONNECT_TIMEOUT).await
         else {
-            // Nothing was sent, but an earlier call with the same token may have run there.
+            // This call was not sent, but an earlier one with the same token may have run there.
             return CallEnd::Unknown(
                 "the daemon that issued the token can't be reached".to_owned(),
             );
@@ -233,20 +240,20 @@
             match reader.next().await {
                 ReadEvent::Frame(CallFrame::End(end)) => return end,
                 ReadEvent::Frame(frame) => {
-                    // The answer is taken to its end even if the caller has gone: it may ask again.
-                    let _ = self.out.push(frame).await;
+                    // Reads the answer to its end even if the caller has disconnected, as it may repeat the call.
+                    let _ = self.output.push(frame).await;
                 }
                 ReadEvent::Lost(cause) => return CallEnd::Unknown(cause.to_owned()),
             }
         }
     }
 
-    async fn run_once(&mut self) -> CallEnd {
-        with_budget(RetryBudget::earn);
+    async fn run_attempts(&mut self) -> CallEnd {
+        with_retry_budget(RetryBudget::earn);
         let mut call = RequestCall::new(self.id);
         let mut broken_since = None;
         let mut resume = false;
-        // A later attempt that is given back says nothing about an earlier one that was handed over.
+        // A later attempt that was not run does not prove the same for an earlier one that was handed over.
         let mut may_have_run = false;
         loop {
             let outcome = if resume {
@@ -255,38 +262,38 @@
                 self.run_attempt(call).await
             };
             let (end, reason) = match outcome {
-                AttemptOutcome::Over(end) => return end,
-                AttemptOutcome::GivenBack(unsent, reason) if is_final(&reason) => {
-                    return self.end_given_back(unsent, reason, may_have_run);
+                AttemptOutcome::Final(end) => return end,
+                AttemptOutcome::NotRun(unsent, reason) if is_final_refusal(&reason) => {
+                    return self.end_not_run(unsent, reason, may_have_run);
                 }
-                AttemptOutcome::GivenBack(unsent, reason) => {
-                    self.given_back_since.get_or_insert_with(clock::now);
-                    match self.decide(AttemptEnd::GivenBack, None) {
+                AttemptOutcome::NotRun(unsent, reason) => {
+                    self.not_run_since.get_or_insert_with(clock::now);
+                    match self.decide_next(AttemptEnd::GivenBack, None) {
                         RetryDecision::Retry(pause) | RetryDecision::Resume(pause) => {
                             tokio::time::sleep(pause).await
                         }
                         RetryDecision::GiveUp => {
-                            return self.end_given_back(unsent, reason, may_have_run);
+                            return self.end_not_run(unsent, reason, may_have_run);
                         }
                     }
-                    self.given_back += 1;
+                    self.not_run_count += 1;
                     call = unsent;
                     continue;
                 }
-                AttemptOutcome::Again(handed, end, reason) => {
-                    // The next attempt is unsent again; that an earlier one was not stays on record.
+                AttemptOutcome::Interrupted(handed_over, end, reason) => {
+                    // The next attempt starts as unsent; `may_have_run` records that an earlier one was handed over.
                     may_have_run = true;
-                    call = RequestCall::new(handed.id());
+                    call = RequestCall::new(handed_over.id());
                     (end, reason)
                 }
             };
             let since = *broken_since.get_or_insert_with(clock::now);
-            let end = if self.started.is_none() && end == AttemptEnd::Broken {
+            let end = if self.stream.is_none() && end == AttemptEnd::Broken {
                 AttemptEnd::TargetFailed
             } else {
                 end
             };
-            match self.decide(end, Some(since)) {
+            match self.decide_next(end, Some(since)) {
                 RetryDecision::Resume(pause) => {
                     resume = true;
                     tokio::time::sleep(pause).await;
@@ -294,7 +301,7 @@
                 RetryDecision::Retry(pause) => {
                     resume = false;
                     broken_since = None;
-                    self.restart().await;
+                    self.reset_stream().await;
                     tokio::time::sleep(pause).await;
                 }
                 RetryDecision::GiveUp => return self.give_up(&reason),
@@ -303,36 +310,36 @@
         }
     }
 
-    fn decide(&self, end: AttemptEnd, broken_since: Option<Instant>) -> RetryDecision {
+    fn decide_next(&self, end: AttemptEnd, broken_since: Option<Instant>) -> RetryDecision {
         let input = RetryInput {
             rule: self.request.rule,
             end,
             attempts: self.attempt + 1,
-            given_back: self.given_back,
-            given_back_since: self.given_back_since,
+            given_back: self.not_run_count,
+            given_back_since: self.not_run_since,
             answer_started: self.answer_started,
             broken_since,
             now: clock::now(),
             deadline: self.deadline,
             jitter: rand::rng().random(),
         };
-        with_budget(|budget| decide_retry(&RetryLimits::default(), budget, &input))
+        with_retry_budget(|budget| decide_retry(&RetryLimits::default(), budget, &input))
     }
 
-    /// Forgets a stream that can't be resumed, before the request is run again from its beginning.
-    async fn restart(&mut self) {
+    /// Discards a stream that can't be resumed, before the request runs again from the beginning.
+    async fn reset_stream(&mut self) {
         self.context.metrics.count("gateway.retried");
-        if let Some(started) = self.started.take() {
-            self.avoid.push(started.target);
+        if let Some(started) = self.stream.take() {
+            self.excluded_targets.push(started.target);
         }
         self.next_token = 0;
-        if let Some(kept) = &mut self.kept {
-            kept.clear();
+        if let Some(recorded) = &mut self.recorded {
+            recorded.clear();
         }
     }
 
-    /// Ends a request whose last attempt was given back unsent: "not run" only if no earlier one was handed over.
-    fn end_given_back(
+    /// Ends a request whose last attempt was not run: "not run" only if no earlier attempt was handed over.
+    fn end_not_run(
         &self,
         unsent: RequestCall<Unsent>,
         reason: NotRunReason,
@@ -366,7 +373,7 @@
             target: None,
             class: self.request.class,
             output_tokens: self.request.output_tokens(),
-            avoid: self.avoid.clone(),
+            avoid: self.excluded_targets.clone(),
         };
         match self
             .context
@@ -374,21 +381,21 @@
             .ask(|reply| AppEvent::Route(route, reply))
             .await
         {
-            None => AttemptOutcome::GivenBack(call, NotRunReason::Stopping),
+            None => AttemptOutcome::NotRun(call, NotRunReason::Stopping),
             Some(Err(reason)) => {
-                // A target that was tried in vain may be the only one; the next try may use it again.
-                self.avoid.clear();
-                AttemptOutcome::GivenBack(call, reason)
+                // An excluded target may be the only one, so the next attempt may use it again.
+                self.excluded_targets.clear();
+                AttemptOutcome::NotRun(call, reason)
             }
             Some(Ok(answer)) => self.execute(call, answer, RunMode::Run).await,
         }
     }
 
     async fn resume_attempt(&mut self, call: RequestCall<Unsent>) -> AttemptOutcome {
-        let handed = call.hand_over();
-        let Some(started) = &self.started else {
-            return AttemptOutcome::Again(
-                handed,
+        let handed_over = call.hand_over();
+        let Some(started) = &self.stream else {
+            return AttemptOutcome::Interrupted(
+                handed_over,
                 AttemptEnd::TargetFailed,
                 "the stream never started".to_owned(),
             );
@@ -412,14 +419,14 @@
             .await
         {
             Some(Ok(answer)) => match self.execute(RequestCall::new(self.id), answer, mode).await {
-                // Only the resume was given back: the request itself may still be running.
-                AttemptOutcome::GivenBack(_, reason) => {
-                    AttemptOutcome::Again(handed, AttemptEnd::Broken, reason.to_string())
+                // Only the resume was refused; the request itself may still be running.
+                AttemptOutcome::NotRun(_, reason) => {
+                    AttemptOutcome::Interrupted(handed_over, AttemptEnd::Broken, reason.to_string())
                 }
                 outcome => outcome,
             },
-            _ => AttemptOutcome::Again(
-                handed,
+            _ => AttemptOutcome::Interrupted(
+                handed_over,
                 AttemptEnd::Broken,
                 "the target has no holder that can be reached".to_owned(),
             ),
@@ -434,7 +441,7 @@
     ) -> AttemptOutcome {
         let call_id = CallId {
             request: self.id,
-            attempt: self.attempt + self.given_back,
+            attempt: self.attempt + self.not_run_count,
         };
         let request = Box::new(ExecuteRequest {
             call: call_id,
@@ -456,44 +463,45 @@
             }
             RouteVia::Link(link) => {
                 let message = PeerMessage::Execute(request);
-                match CallReader::over_link(&link, call_id, message, LINK_PATIENCE).await {
+                match CallReader::over_link(&link, call_id, message, RECONNECT_TIMEOUT).await {
                     Some(reader) => reader,
-                    None => return AttemptOutcome::GivenBack(call, NotRunReason::NotConnected),
+                    None => return AttemptOutcome::NotRun(call, NotRunReason::NotConnected),
                 }
             }
         };
-        self.relay(call.hand_over(), reader, answer.target).await
+        self.relay_frames(call.hand_over(), reader, answer.target)
+            .await
     }
 
-    /// Passes frames on until the attempt ends.
-    async fn relay(
+    /// Relays frames until the attempt ends, the caller disconnects or the deadline passes.
+    async fn relay_frames(
         &mut self,
         call: RequestCall<HandedOver>,
         mut reader: CallReader,
         target: TargetName,
     ) -> AttemptOutcome {
         loop {
-            let left = self.deadline.since(clock::now());
+            let remaining = self.deadline.since(clock::now());
             let event = tokio::select! {
                 event = reader.next() => event,
-                () = self.out.abandoned(), if self.kept.is_none() => {
-                    return AttemptOutcome::Over(CallEnd::Unknown("the caller went away".to_owned()));
+                () = self.output.wait_abandoned(), if self.recorded.is_none() => {
+                    return AttemptOutcome::Final(CallEnd::Unknown("the caller went away".to_owned()));
                 }
-                () = tokio::time::sleep(left) => {
-                    return AttemptOutcome::Over(self.give_up("the deadline passed"));
+                () = tokio::time::sleep(remaining) => {
+                    return AttemptOutcome::Final(self.give_up("the deadline passed"));
                 }
             };
             let frame = match event {
                 ReadEvent::Frame(frame) => frame,
                 ReadEvent::Lost(cause) => {
-                    return AttemptOutcome::Again(call, AttemptEnd::Broken, cause.to_owned());
+                    return AttemptOutcome::Interrupted(call, AttemptEnd::Broken, cause.to_owned());
                 }
             };
             match frame {
-                CallFrame::End(end) => return self.attempt_ended(call, end, target),
+                CallFrame::End(end) => return self.handle_attempt_end(call, end, target),
                 frame => {
-                    if self.pass(frame).await.is_err() && self.kept.is_none() {
-                        return AttemptOutcome::Over(CallEnd::Unknown(
+                    if self.forward_frame(frame).await.is_err() && self.recorded.is_none() {
+                        return AttemptOutcome::Final(CallEnd::Unknown(
                             "the caller went away".to_owned(),
                         ));
                     }
@@ -502,7 +510,7 @@
         }
     }
 
-    fn attempt_ended(
+    fn handle_attempt_end(
         &mut self,
         call: RequestCall<HandedOver>,
         end: CallEnd,
@@ -511,7 +519,7 @@
         match end {
             CallEnd::Complete => {
                 drop(call.answered());
-                AttemptOutcome::Over(CallEnd::Complete)
+                AttemptOutcome::Final(CallEnd::Complete)
             }
             CallEnd::NotRun(proof) => match call.given_back(&proof) {
                 Ok(unsent) => {
@@ -521,31 +529,33 @@
                             | NotRunReason::TargetRefused { .. }
                             | NotRunReason::NoTarget { .. }
                     ) {
-                        self.avoid.push(target);
+                        self.excluded_targets.push(target);
                     }
-                    AttemptOutcome::GivenBack(unsent, proof.reason)
+                    AttemptOutcome::NotRun(unsent, proof.reason)
                 }
-                Err(call) => AttemptOutcome::Again(
+                Err(call) => AttemptOutcome::Interrupted(
                     call,
                     AttemptEnd::Broken,
                     "a proof for another request came".to_owned(),
                 ),
             },
-            CallEnd::Failed(cause) => AttemptOutcome::Again(call, AttemptEnd::TargetFailed, cause),
+            CallEnd::Failed(cause) => {
+                AttemptOutcome::Interrupted(call, AttemptEnd::TargetFailed, cause)
+            }
             CallEnd::Broken(cause)
-                if cause.ends_with(NO_LONGER_THERE) || cause.starts_with("404") =>
+                if cause.ends_with(STREAM_GONE_SUFFIX) || cause.starts_with("404") =>
             {
-                // Nothing is left to resume.
-                AttemptOutcome::Again(call, AttemptEnd::TargetFailed, cause)
+                // The target has discarded the stream, so it can't be resumed.
+                AttemptOutcome::Interrupted(call, AttemptEnd::TargetFailed, cause)
             }
             CallEnd::Broken(cause) | CallEnd::Unknown(cause) => {
-                AttemptOutcome::Again(call, AttemptEnd::Broken, cause)
+                AttemptOutcome::Interrupted(call, AttemptEnd::Broken, cause)
             }
-            end @ CallEnd::Refused { .. } => AttemptOutcome::Over(end),
+            end @ CallEnd::Refused { .. } => AttemptOutcome::Final(end),
         }
     }
 
-    async fn pass(&mut self, frame: CallFrame) -> Result<(), PushError> {
+    async fn forward_frame(&mut self, frame: CallFrame) -> Result<(), PushError> {
         match &frame {
             CallFrame::Started {
                 target,
@@ -553,14 +563,14 @@
                 model,
                 ..
             } => {
-                let again = self.started.is_some();
+                let is_restarted = self.stream.is_some();
                 if model.is_some() {
-                    self.started = Some(StartedStream {
+                    self.stream = Some(StreamLocation {
                         target: target.clone(),
                         stream: stream.clone(),
                     });
                 }
-                if again {
+                if is_restarted {
                     return Ok(());
                 }
             }
@@ -574,30 +584,30 @@
             CallFrame::Head { .. } | CallFrame::Body(_) => self.answer_started = true,
             CallFrame::End(_) => {}
         }
-        self.keep(&frame);
-        self.out.push(frame).await
+        self.record_frame(&frame);
+        self.output.push(frame).await
     }
 
-    fn keep(&mut self, frame: &CallFrame) {
-        let Some(kept) = &mut self.kept else {
+    fn record_frame(&mut self, frame: &CallFrame) {
+        let Some(recorded) = &mut self.recorded else {
             return;
         };
-        self.kept_bytes += match frame {
+        self.recorded_bytes += match frame {
             CallFrame::Text { text, .. } => text.len(),
             CallFrame::Body(bytes) => bytes.len(),
             _ => 0,
         };
-        if self.kept_bytes <= KEPT_BYTES {
-            kept.push(frame.clone());
+        if self.recorded_bytes <= MAX_RECORDED_BYTES {
+            recorded.push(frame.clone());
         }
     }
 }
 
-/// End of the cause when a target no longer has a stream.
-const NO_LONGER_THERE: &str = "the target no longer has it";
+/// Suffix of the cause when a target has discarded a stream.
+const STREAM_GONE_SUFFIX: &str = "the target no longer has it";
 
-/// Whether a refusal is the request's final answer, to be given at once.
-fn is_final(reason: &NotRunReason) -> bool {
+/// Returns whether a refusal ends the request at once instead of leading to a retry.
+fn is_final_refusal(reason: &NotRunReason) -> bool {
     match reason {
         NotRunReason::Overloaded { .. }
         | NotRunReason::QuotaUsedUp { .. }
@@ -613,7 +623,7 @@
     }
 }
 
-fn other_request() -> CallEnd {
+fn key_reused_end() -> CallEnd {
     CallEnd::Refused {
         status: 422,
         code: "key_reused".to_owned(),
--- a/crates/daemon/src/gateway/errors.rs
+++ b/crates/daemon/src/gateway/errors.rs
@@ -1,4 +1,7 @@
-//! Errors as callers see them: OpenAI-shaped JSON whose code tells "not run" from "failed" from "outcome unknown".
+//! Error responses for callers.
+//!
+//! Bodies have the OpenAI shape. The error code distinguishes requests that were not run, that failed, and whose outcome
+//! is unknown, so that a caller knows whether sending a request again is safe.
 
 use crate::{app::AdmitRefusal, calls::CallEnd};
 use hoplanding_core::{
@@ -8,16 +11,16 @@
 use poem::{IntoResponse, Response, http::StatusCode, web::Json};
 use serde_json::{Value, json};
 
-/// What a caller may conclude.
+/// Outcome of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorCode {
-    /// The request is wrong; it was not run.
+    /// The request is invalid and was not run.
     Invalid,
-    /// It was not run.
+    /// The request was not run and can be sent again.
     NotRun,
-    /// The target stated that it failed, or its answer broke off.
+    /// The target reported a failure, or its answer was interrupted.
     Failed,
-    /// It may or may not have run.
+    /// The request may or may not have run.
     OutcomeUnknown,
 }
 
@@ -32,23 +35,23 @@
     }
 }
 
-/// An error for a caller.
+/// An error response for a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerError {
-    /// HTTP status.
+    /// HTTP status of the response.
     pub status: StatusCode,
-    /// What may be concluded.
+    /// Outcome of the request.
     pub code: ErrorCode,
-    /// Machine-readable detail.
+    /// Machine-readable reason, more specific than the code.
     pub reason: String,
-    /// What to do about it.
+    /// Description and remedy for people.
     pub message: String,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds; also sent as `retry-after` in whole seconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl CallerError {
-    /// A wrong request.
+    /// Creates the error for an invalid request.
     #[must_use]
     pub fn invalid(status: StatusCode, reason: &str, message: impl Into<String>) -> Self {
         Self {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// A request that was not run.
+    /// Creates the error for a request that was not run: 429 for quota and overload, else 503.
     #[must_use]
     pub fn not_run(reason: &NotRunReason) -> Self {
         let status = match reason {
@@ -72,21 +75,21 @@
         Self {
             status,
             code: ErrorCode::NotRun,
-            reason: reason_tag(reason),
+            reason: reason_code(reason),
             message: format!("not run: {reason}"),
             retry_after_ms: Some(reason.retry_after_ms()),
         }
     }
 
-    /// The daemon itself is ending.
+    /// Creates the error for a daemon that is shutting down.
     #[must_use]
-    pub fn ending() -> Self {
+    pub fn stopping() -> Self {
         Self::not_run(&NotRunReason::Stopping)
     }
 
-    /// The error that an end without an answer means; none for a complete answer.
+    /// Maps the end of a call to an error; `None` for a complete answer.
     #[must_use]
-    pub fn of_end(end: &CallEnd) -> Option<Self> {
+    pub fn from_end(end: &CallEnd) -> Option<Self> {
         let (status, code, reason, message) = match end {
             CallEnd::Complete => return None,
             CallEnd::NotRun(proof) => return Some(Self::not_run(&proof.reason)),
@@ -125,7 +128,7 @@
         })
     }
 
-    /// The OpenAI-shaped body.
+    /// Returns the OpenAI-shaped JSON body.
     #[must_use]
     pub fn body(&self) -> Value {
         json!({
@@ -144,10 +147,10 @@
 impl IntoResponse for CallerError {
     fn into_response(self) -> Response {
         let mut response = Json(self.body()).with_status(self.status).into_response();
-        if let Some(millis) = self.retry_after_ms {
+        if let Some(retry_after_ms) = self.retry_after_ms {
             response
                 .headers_mut()
-                .insert("retry-after", millis.div_ceil(1000).max(1).into());
+                .insert("retry-after", retry_after_ms.div_ceil(1000).max(1).into());
         }
         response
     }
@@ -180,7 +183,7 @@
     }
 }
 
-/// The end that a wrong token means.
+/// Maps an invalid idempotency token to the end of the call (422).
 #[must_use]
 pub fn token_refusal(error: &TokenError) -> CallEnd {
     CallEnd::Refused {
@@ -190,7 +193,7 @@
     }
 }
 
-fn reason_tag(reason: &NotRunReason) -> String {
+fn reason_code(reason: &NotRunReason) -> String {
     let value = serde_json::to_value(reason).unwrap_or_default();
     value["reason"].as_str().unwrap_or("not_run").to_owned()
 }
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -1,4 +1,4 @@
-//! Routes and handlers of the callers' interface.
+//! Routes and handlers of the callers' HTTP interface.
 
 use crate::{
     app::{AdmitRequest, AdmitSubject, AppEvent, AppHandle},
@@ -6,7 +6,7 @@
     clock,
     gateway::{
         CallerError,
-        answer::{streamed_answer, whole_answer},
+        answer::{buffered_answer, streamed_answer},
         body::{EngineInterface, models_body, parse_engine_body, read_body},
         services::call_service,
     },
@@ -27,28 +27,28 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// What the handlers work with.
+/// State shared by the handlers.
 pub struct GatewayContext {
-    /// The event loop.
+    /// Handle to the event loop.
     pub app: AppHandle,
-    /// The settings.
+    /// Settings of the daemon.
     pub settings: Arc<Settings>,
-    /// Numbers answers, for their ids.
-    pub answers: AtomicU64,
+    /// Counter for the ids of engine answers.
+    pub next_answer_number: AtomicU64,
 }
 
 impl GatewayContext {
-    /// Milliseconds that a request may take: the settings' bound, or less if the caller says so.
+    /// Returns the time limit of a request in milliseconds: the configured limit, or less if `x-timeout-ms` asks for it.
     pub(super) fn deadline_ms(&self, request: &Request) -> u64 {
-        let most = self.settings.limits.max_request_time.as_millis() as u64;
-        let asked = request
+        let max_ms = self.settings.limits.max_request_time.as_millis() as u64;
+        let requested_ms = request
             .header("x-timeout-ms")
             .and_then(|text| text.parse().ok());
-        asked.unwrap_or(most).min(most)
+        requested_ms.unwrap_or(max_ms).min(max_ms)
     }
 
-    pub(super) async fn submit(&self, request: SubmitRequest) -> (CallReader, OpenRequest) {
-        let open = OpenRequest {
+    pub(super) async fn submit(&self, request: SubmitRequest) -> (CallReader, OpenRequestGuard) {
+        let guard = OpenRequestGuard {
             app: self.app.clone(),
             caller: request.caller.clone(),
         };
@@ -57,24 +57,24 @@
         self.app
             .tell(AppEvent::Submit(Box::new(request), buffer))
             .await;
-        (reader, open)
+        (reader, guard)
     }
 }
 
-/// Counts a request as open until it is dropped.
-pub struct OpenRequest {
+/// Guard that counts a request as open until it is dropped.
+pub struct OpenRequestGuard {
     app: AppHandle,
     caller: CallerName,
 }
 
-impl Drop for OpenRequest {
+impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let (app, caller) = (self.app.clone(), self.caller.clone());
         tokio::spawn(async move { app.tell(AppEvent::RequestEnded(caller)).await });
     }
 }
 
-/// The routes of callers and operators.
+/// Builds the routes for callers and operators.
 pub fn routes(context: Arc<GatewayContext>) -> impl Endpoint + use<> {
     Route::new()
         .at("/healthz", get(healthz))
@@ -84,7 +84,7 @@
         .at("/v1/chat/completions", post(chat_completions))
         .at("/v1/idempotency_tokens", post(issue_token))
         .at("/services/:service/*path", call_service)
-        .at("/operators/v1/statements", post(operators::statement))
+        .at("/operators/v1/statements", post(operators::handle_statement))
         .data(context)
         .catch_error(|_: poem::error::NotFoundError| async {
             CallerError::invalid(
@@ -118,12 +118,12 @@
     request: &Request,
     context: Data<&Arc<GatewayContext>>,
 ) -> Result<Response, CallerError> {
-    let bearer = bearer(request);
+    let bearer_token = bearer_token(request);
     let answer = context
         .app
-        .ask(|reply| AppEvent::ListModels(bearer, reply))
+        .ask(|reply| AppEvent::ListModels(bearer_token, reply))
         .await;
-    let models = answer.ok_or_else(CallerError::ending)??;
+    let models = answer.ok_or_else(CallerError::stopping)??;
     Ok(Json(models_body(&models)).into_response())
 }
 
@@ -132,16 +132,16 @@
     request: &Request,
     context: Data<&Arc<GatewayContext>>,
 ) -> Result<Response, CallerError> {
-    let token = new_token(&context, bearer(request)).await?;
+    let token = new_token(&context, bearer_token(request)).await?;
     Ok(Json(json!({ "object": "idempotency_token", "token": token })).into_response())
 }
 
-async fn new_token(context: &GatewayContext, bearer: String) -> Result<String, CallerError> {
+async fn new_token(context: &GatewayContext, bearer_token: String) -> Result<String, CallerError> {
     let answer = context
         .app
-        .ask(|reply| AppEvent::IssueToken(bearer, reply))
+        .ask(|reply| AppEvent::IssueToken(bearer_token, reply))
         .await;
-    Ok(answer.ok_or_else(CallerError::ending)??.to_string())
+    Ok(answer.ok_or_else(CallerError::stopping)??.to_string())
 }
 
 #[handler]
@@ -173,15 +173,15 @@
     let parsed = parse_engine_body(&bytes, interface)?;
     let class = match parsed.class {
         Some(class) => Some(class),
-        None => class_header(request)?,
+        None => priority_header(request)?,
     };
     let admit = AdmitRequest {
-        bearer: bearer(request),
+        bearer: bearer_token(request),
         subject: AdmitSubject::Model(parsed.model.clone()),
         class,
     };
     let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
-    let admission = answer.ok_or_else(CallerError::ending)??;
+    let admission = answer.ok_or_else(CallerError::stopping)??;
     let is_streamed = parsed.stream;
     let work = parsed.into_work(admission.resolved.model, interface);
     let prompt_tokens = work.prompt_tokens;
@@ -193,19 +193,19 @@
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Engine(work),
     };
-    let gives_token = submit.idempotency.is_some();
-    let (reader, open) = context.submit(submit).await;
-    let number = context.answers.fetch_add(1, Ordering::Relaxed);
+    let issues_next_token = submit.idempotency.is_some();
+    let (reader, guard) = context.submit(submit).await;
+    let number = context.next_answer_number.fetch_add(1, Ordering::Relaxed);
     let id = format!("cmpl-{:x}-{number:x}", clock::wall_ms());
     let mut response = if is_streamed {
         let response = streamed_answer(reader, id, interface).await?;
-        keep_open(response, open)
+        attach_guard(response, guard)
     } else {
-        let response = whole_answer(reader, id, interface, prompt_tokens).await?;
-        drop(open);
+        let response = buffered_answer(reader, id, interface, prompt_tokens).await?;
+        drop(guard);
         response
     };
-    if gives_token && let Ok(value) = new_token(context, String::new()).await?.parse() {
+    if issues_next_token && let Ok(value) = new_token(context, String::new()).await?.parse() {
         response
             .headers_mut()
             .insert("x-hoplanding-next-token", value);
@@ -213,18 +213,18 @@
     Ok(response)
 }
 
-/// Ties a request's count to the life of its streamed body.
-fn keep_open(response: Response, open: OpenRequest) -> Response {
+/// Keeps the guard of an open request until its streamed body is dropped.
+fn attach_guard(response: Response, guard: OpenRequestGuard) -> Response {
     use futures_util::StreamExt;
     let (parts, body) = response.into_parts();
     let stream = body.into_bytes_stream().map(move |bytes| {
-        let _ = &open;
+        let _ = &guard;
         bytes
     });
     Response::from_parts(parts, Body::from_bytes_stream(stream))
 }
 
-pub(super) fn bearer(request: &Request) -> String {
+pub(super) fn bearer_token(request: &Request) -> String {
     let header = request.header("authorization").unwrap_or_default();
     header
         .strip_prefix("Bearer ")
@@ -240,7 +240,7 @@
         .filter(|key| !key.is_empty())
 }
 
-pub(super) fn class_header(request: &Request) -> Result<Option<PriorityClass>, CallerError> {
+pub(super) fn priority_header(request: &Request) -> Result<Option<PriorityClass>, CallerError> {
     let Some(text) = request.header("x-priority") else {
         return Ok(None);
     };
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,4 +1,7 @@
-//! The callers' interface: OpenAI-compatible HTTP, plain services, idempotency tokens, health.
+//! HTTP interface for callers.
+//!
+//! Serves OpenAI-compatible completions, calls of plain services, idempotency tokens and health checks. Each accepted
+//! request gets one [`CallDriver`], which routes it to a target's holder, retries or resumes it and ends its answer.
 
 mod acceptor;
 mod answer;
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Handler for calls of plain services (`/services/NAME/...`).
 
 use crate::{
     app::{Admission, AdmitRequest, AdmitSubject, AppEvent},
@@ -7,7 +7,7 @@
         CallerError, GatewayContext,
         answer::end_error,
         body::read_body,
-        http::{bearer, class_header, idempotency_header},
+        http::{OpenRequestGuard, bearer_token, idempotency_header, priority_header},
     },
     peers::{CallReader, ReadEvent},
     targets::is_hop_by_hop_header,
@@ -21,8 +21,8 @@
 };
 use std::{io, sync::Arc};
 
-/// Headers of ours that a service does not see.
-const OWN_HEADERS: [&str; 4] = [
+/// Request headers that the gateway consumes and does not forward.
+const GATEWAY_HEADERS: [&str; 4] = [
     "authorization",
     "idempotency-key",
     "x-priority",
@@ -39,11 +39,11 @@
     let limits = &context.settings.limits;
     let bytes = read_body(body, limits.max_body_bytes, limits.body_timeout).await?;
     let prefix = format!("/services/{service}");
-    let full = request
+    let path_and_query = request
         .original_uri()
         .path_and_query()
         .map_or("/", |path| path.as_str());
-    let path = full
+    let path = path_and_query
         .strip_prefix(prefix.as_str())
         .filter(|path| !path.is_empty())
         .unwrap_or("/");
@@ -51,7 +51,7 @@
     let method = request.method().as_str().to_owned();
     let admission = admit(&context, request, &service, &method, path).await?;
     let headers = request.headers().iter().filter(|(name, _)| {
-        !is_hop_by_hop_header(name.as_str()) && !OWN_HEADERS.contains(&name.as_str())
+        !is_hop_by_hop_header(name.as_str()) && !GATEWAY_HEADERS.contains(&name.as_str())
     });
     let headers = headers
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())));
@@ -70,8 +70,8 @@
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Service(work),
     };
-    let (reader, guard) = context.submit(submit).await;
-    answer(reader, guard).await
+    let (reader, open_request) = context.submit(submit).await;
+    relay_answer(reader, open_request).await
 }
 
 async fn admit(
@@ -82,17 +82,17 @@
     path: &str,
 ) -> Result<Admission, CallerError> {
     let admit = AdmitRequest {
-        bearer: bearer(request),
+        bearer: bearer_token(request),
         subject: AdmitSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
-        class: class_header(request)?,
+        class: priority_header(request)?,
     };
     let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
-    Ok(answer.ok_or_else(CallerError::ending)??)
+    Ok(answer.ok_or_else(CallerError::stopping)??)
 }
 
-async fn answer(
+async fn relay_answer(
     mut reader: CallReader,
-    guard: super::http::OpenRequest,
+    open_request: OpenRequestGuard,
 ) -> Result<Response, CallerError> {
     let mut target = String::new();
     let (status, headers) = loop {
@@ -110,13 +110,13 @@
         builder = builder.header(name, value);
     }
     builder = builder.header("x-hoplanding-target", target);
-    // An answer that breaks off ends its connection with an error, so that it can't be taken for a shorter one.
-    let bytes = stream::unfold(Some((reader, guard)), |state| async move {
-        let (mut reader, guard) = state?;
+    // An interrupted answer ends the connection with an error, so that the caller can't mistake it for a complete one.
+    let bytes = stream::unfold(Some((reader, open_request)), |state| async move {
+        let (mut reader, open_request) = state?;
         loop {
             let end = match reader.next().await {
                 ReadEvent::Frame(CallFrame::Body(bytes)) => {
-                    return Some((Ok(bytes), Some((reader, guard))));
+                    return Some((Ok(bytes), Some((reader, open_request))));
                 }
                 ReadEvent::Frame(CallFrame::End(CallEnd::Complete)) => return None,
                 ReadEvent::Frame(CallFrame::End(end)) => end,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -115,7 +115,7 @@
         let context = Arc::new(GatewayContext {
             app: app.clone(),
             settings: Arc::clone(&settings),
-            answers: AtomicU64::new(1),
+            next_answer_number: AtomicU64::new(1),
         });
         let acceptor = NoDelayAcceptor::new(listener)?;
         let state = AppState::new(Arc::clone(&settings), me.clone(), workers);
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: one text in, a table or a change out.
+//! HTTP interface for operators: a statement as text in, a table or an accepted change as JSON out.
 
 use crate::{
     app::{AppEvent, OperatorAnswer, OperatorError, OperatorRequest},
@@ -12,15 +12,15 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Answers one statement of an operator.
+/// Handles one operator statement.
 #[handler]
-pub async fn statement(
+pub async fn handle_statement(
     request: &Request,
     text: String,
     context: Data<&Arc<GatewayContext>>,
 ) -> Response {
     let header = request.header("authorization").unwrap_or_default();
-    let question = OperatorRequest {
+    let operator_request = OperatorRequest {
         bearer: header
             .strip_prefix("Bearer ")
             .unwrap_or_default()
@@ -30,15 +30,15 @@
     };
     match context
         .app
-        .ask(|reply| AppEvent::Operator(question, reply))
+        .ask(|reply| AppEvent::Operator(operator_request, reply))
         .await
     {
-        None => refuse(
+        None => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "stopping",
             "the daemon is stopping: ask another one",
         ),
-        Some(Err(error)) => refuse(status_of(&error), tag_of(&error), &error.to_string()),
+        Some(Err(error)) => error_response(status_of(&error), code_of(&error), &error.to_string()),
         Some(Ok(OperatorAnswer::Table(table))) => Json(json!({ "table": table })).into_response(),
         Some(Ok(OperatorAnswer::Accepted(id, offset))) => {
             Json(json!({ "accepted": { "id": id, "offset": offset } })).into_response()
@@ -46,7 +46,7 @@
     }
 }
 
-fn refuse(status: StatusCode, code: &str, message: &str) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str) -> Response {
     Json(json!({ "error": { "code": code, "message": message } }))
         .with_status(status)
         .into_response()
@@ -64,7 +64,7 @@
     }
 }
 
-fn tag_of(error: &OperatorError) -> &'static str {
+fn code_of(error: &OperatorError) -> &'static str {
     match error {
         OperatorError::UnknownOperator => "unknown_operator",
         OperatorError::Role { .. } => "role",
--- a/crates/daemon/src/options/mod.rs
+++ b/crates/daemon/src/options/mod.rs
@@ -1,4 +1,6 @@
-//! Arguments and settings.
+//! Command-line arguments and the settings file.
+//!
+//! The file is JSON. All faults are collected in one pass and reported together, each with its key, value and remedy.
 
 mod args;
 mod mode;
--- a/crates/daemon/src/options/mode.rs
+++ b/crates/daemon/src/options/mode.rs
@@ -1,21 +1,21 @@
-//! The settings of either mode, by the file's own word.
+//! Settings of either mode of the daemon, selected by the key `mode` of the settings file.
 
 use crate::{
     direct::settings::DirectSettings,
     options::{LogSettings, Settings, SettingsError},
 };
 
-/// Settings of a daemon.
+/// Settings of the daemon in either mode.
 #[derive(Clone, Debug)]
 pub enum DaemonSettings {
-    /// Requests go by way of the holder of a target.
+    /// Gateways send requests through the daemon that holds the target.
     ViaHolder(Box<Settings>),
-    /// Gateways send straight to targets.
+    /// Gateways send requests directly to targets.
     Direct(Box<DirectSettings>),
 }
 
 impl DaemonSettings {
-    /// Reads settings from JSON; `"mode": "direct"` asks for the direct mode.
+    /// Parses settings from JSON; `"mode": "direct"` selects the direct mode.
     ///
     /// # Errors
     /// Lists every fault with its key, value and remedy.
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Where logs go.
+    /// Returns the log settings.
     #[must_use]
     pub fn log(&self) -> &LogSettings {
         match self {
--- a/crates/daemon/src/options/reader.rs
+++ b/crates/daemon/src/options/reader.rs
@@ -1,19 +1,19 @@
-//! Reading settings so that every fault is found in one pass.
+//! Settings reader that finds all faults in one pass.
 //!
-//! A section hands out its keys one by one; what is wrong is noted and a default goes on in its place. At the end the
-//! keys that nobody asked for are noted as unknown.
+//! Each key is read from its section by name. An invalid value is recorded as a fault and replaced by a default, so that
+//! reading goes on. When a section is finished, keys that were never read are recorded as unknown.
 
 use serde_json::{Map, Value};
 use std::{cell::RefCell, collections::BTreeSet, fmt, fs, net::SocketAddr, time::Duration};
 
-/// One fault of the settings.
+/// One fault in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsFault {
-    /// The key, with its sections.
+    /// Key, prefixed with its sections.
     pub key: String,
-    /// The value as found.
+    /// Value as found, or `missing`.
     pub value: String,
-    /// What to do about it.
+    /// How to correct the value.
     pub remedy: String,
 }
 
@@ -23,26 +23,26 @@
     }
 }
 
-/// Why settings can't be used.
+/// Why the settings can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
     #[error("settings {path} can't be read ({source}): name the file with --config")]
     Unreadable {
-        /// The path.
+        /// Path of the file.
         path: String,
-        /// The error of the system.
+        /// I/O error of the read.
         source: std::io::Error,
     },
-    /// The file is no JSON.
-    #[error("settings are no JSON ({0}): compare them with docs/hoplandingd.sample.json")]
+    /// The file is not valid JSON.
+    #[error("settings are not valid JSON ({0}): compare them with docs/hoplandingd.sample.json")]
     InvalidJson(#[from] serde_json::Error),
-    /// Keys are wrong.
-    #[error("{} faults in the settings:\n{}", .0.len(), list(.0))]
+    /// Some keys or values are invalid.
+    #[error("{} faults in the settings:\n{}", .0.len(), format_faults(.0))]
     Faults(Vec<SettingsFault>),
 }
 
-fn list(faults: &[SettingsFault]) -> String {
+fn format_faults(faults: &[SettingsFault]) -> String {
     faults
         .iter()
         .map(|fault| format!("  {fault}"))
@@ -50,10 +50,10 @@
         .join("\n")
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
-/// When it can't be read.
+/// Returns [`SettingsError::Unreadable`] if the file can't be read.
 pub fn read_settings_file(path: &str) -> Result<String, SettingsError> {
     fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
         path: path.to_owned(),
@@ -61,7 +61,7 @@
     })
 }
 
-/// Reads settings from JSON, and notes every fault of theirs.
+/// Parses settings from JSON, collecting all faults.
 pub(crate) fn parse_settings<T>(
     text: &str,
     read: impl FnOnce(&SectionReader<'_>) -> T,
@@ -79,11 +79,11 @@
     }
 }
 
-/// One section of the settings.
+/// Reader of one section of the settings.
 pub(crate) struct SectionReader<'a> {
     path: String,
     map: Option<&'a Map<String, Value>>,
-    used: RefCell<BTreeSet<&'static str>>,
+    read_keys: RefCell<BTreeSet<&'static str>>,
     faults: &'a RefCell<Vec<SettingsFault>>,
 }
 
@@ -101,11 +101,11 @@
         let section = Self {
             path,
             map,
-            used: RefCell::default(),
+            read_keys: RefCell::default(),
             faults,
         };
         if let (Some(value), None) = (value, map) {
-            section.note_at(&section.path, Some(value), "write an object in braces");
+            section.add_fault_at(&section.path, Some(value), "write an object in braces");
         }
         section
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    fn note_at(&self, key: &str, value: Option<&Value>, remedy: &str) {
+    fn add_fault_at(&self, key: &str, value: Option<&Value>, remedy: &str) {
         self.faults.borrow_mut().push(SettingsFault {
             key: key.to_owned(),
             value: value.map_or_else(|| "missing".to_owned(), Value::to_string),
@@ -126,8 +126,8 @@
         });
     }
 
-    fn note(&self, name: &str, remedy: &str) {
-        self.note_at(&self.key(name), self.peek(name), remedy);
+    fn add_fault(&self, name: &str, remedy: &str) {
+        self.add_fault_at(&self.key(name), self.peek(name), remedy);
     }
 
     fn peek(&self, name: &str) -> Option<&'a Value> {
@@ -135,46 +135,46 @@
     }
 
     fn get(&self, name: &'static str) -> Option<&'a Value> {
-        self.used.borrow_mut().insert(name);
+        self.read_keys.borrow_mut().insert(name);
         self.peek(name)
     }
 
-    /// A text that must be there.
+    /// Reads a required text.
     pub(crate) fn text(&self, name: &'static str, remedy: &str) -> String {
         match self.get(name).and_then(Value::as_str) {
             Some(text) if !text.is_empty() => text.to_owned(),
             _ => {
-                self.note(name, remedy);
+                self.add_fault(name, remedy);
                 String::new()
             }
         }
     }
 
-    /// A text that may be missing.
+    /// Reads an optional text.
     pub(crate) fn optional_text(&self, name: &'static str, remedy: &str) -> Option<String> {
         match self.get(name) {
             None | Some(Value::Null) => None,
             Some(Value::String(text)) if !text.is_empty() => Some(text.clone()),
             Some(_) => {
-                self.note(name, remedy);
+                self.add_fault(name, remedy);
                 None
             }
         }
     }
 
-    /// An `IP:port` that must be there.
+    /// Reads a required `IP:port`.
     pub(crate) fn address(&self, name: &'static str) -> SocketAddr {
         let parsed = self
             .get(name)
             .and_then(Value::as_str)
             .and_then(|text| text.parse().ok());
         parsed.unwrap_or_else(|| {
-            self.note(name, "write IP:port, such as 10.0.0.7:7400");
+            self.add_fault(name, "write IP:port, such as 10.0.0.7:7400");
             SocketAddr::from(([127, 0, 0, 1], 0))
         })
     }
 
-    /// An `IP:port` that may be missing.
+    /// Reads an optional `IP:port`.
     pub(crate) fn optional_address(&self, name: &'static str) -> Option<SocketAddr> {
         match self.peek(name) {
             None | Some(Value::Null) => {
@@ -185,26 +185,26 @@
         }
     }
 
-    /// A whole number within bounds.
+    /// Reads a whole number from `low` to `high`.
     pub(crate) fn number(&self, name: &'static str, default: u64, low: u64, high: u64) -> u64 {
         match self.get(name) {
             None => default,
             Some(value) => match value.as_u64() {
                 Some(number) if (low..=high).contains(&number) => number,
                 _ => {
-                    self.note(name, &format!("write a whole number from {low} to {high}, or leave it out for {default}"));
+                    self.add_fault(name, &format!("write a whole number from {low} to {high}, or leave it out for {default}"));
                     default
                 }
             },
         }
     }
 
-    /// A span in milliseconds within bounds.
+    /// Reads a duration in whole milliseconds from `low` to `high`.
     pub(crate) fn millis(&self, name: &'static str, default: u64, low: u64, high: u64) -> Duration {
         Duration::from_millis(self.number(name, default, low, high))
     }
 
-    /// A span in milliseconds that may have a fraction, within bounds.
+    /// Reads a duration in milliseconds, possibly with a fraction, from `low` to `high`.
     pub(crate) fn fractional_millis(
         &self,
         name: &'static str,
@@ -216,14 +216,14 @@
         Duration::from_secs_f64(millis / 1e3)
     }
 
-    /// A number that may have a fraction, within bounds; `null` is the same as leaving it out.
+    /// Reads a number, possibly with a fraction, from `low` to `high`; `null` stands for the default.
     pub(crate) fn fraction(&self, name: &'static str, default: f64, low: f64, high: f64) -> f64 {
         match self.get(name) {
             None | Some(Value::Null) => default,
             Some(value) => match value.as_f64() {
                 Some(number) if (low..=high).contains(&number) => number,
                 _ => {
-                    self.note(
+                    self.add_fault(
                         name,
                         &format!(
                             "write a number from {low} to {high}, or leave it out for {default}"
@@ -235,7 +235,7 @@
         }
     }
 
-    /// A list of texts that must not be empty.
+    /// Reads a required, non-empty list of texts.
     pub(crate) fn text_list(&self, name: &'static str, remedy: &str) -> Vec<String> {
         let texts: Vec<_> = self
             .get(name)
@@ -246,36 +246,36 @@
             .map(str::to_owned)
             .collect();
         if texts.is_empty() {
-            self.note(name, remedy);
+            self.add_fault(name, remedy);
         }
         texts
     }
 
-    /// A yes or no; no if it is missing.
+    /// Reads a boolean; false if it is missing.
     pub(crate) fn boolean(&self, name: &'static str) -> bool {
         match self.get(name) {
             None => false,
             Some(Value::Bool(flag)) => *flag,
             Some(_) => {
-                self.note(name, "write true or false, or leave it out for false");
+                self.add_fault(name, "write true or false, or leave it out for false");
                 false
             }
         }
     }
 
-    /// One word of several.
-    pub(crate) fn choice(&self, name: &'static str, default: &str, words: &[&str]) -> String {
+    /// Reads one of several words.
+    pub(crate) fn choice(&self, name: &'static str, default: &str, choices: &[&str]) -> String {
         match self.get(name) {
             None => default.to_owned(),
-            Some(Value::String(text)) if words.contains(&text.as_str()) => text.clone(),
+            Some(Value::String(text)) if choices.contains(&text.as_str()) => text.clone(),
             Some(_) => {
-                self.note(name, &format!("write one of {}", words.join(", ")));
+                self.add_fault(name, &format!("write one of {}", choices.join(", ")));
                 default.to_owned()
             }
         }
     }
 
-    /// A section of its own; an empty one if it is missing.
+    /// Reads a subsection; a missing one is read as empty.
     pub(crate) fn section<T>(
         &self,
         name: &'static str,
@@ -287,7 +287,7 @@
         result
     }
 
-    /// A list of sections; empty if it is missing.
+    /// Reads a list of sections; a missing one is empty.
     pub(crate) fn sections<T>(
         &self,
         name: &'static str,
@@ -297,7 +297,7 @@
             return Vec::new();
         };
         let Some(items) = value.as_array() else {
-            self.note(name, "write a list in brackets");
+            self.add_fault(name, "write a list in brackets");
             return Vec::new();
         };
         let sections = items.iter().enumerate().map(|(index, item)| {
@@ -313,16 +313,16 @@
         sections.collect()
     }
 
-    /// Notes the keys that nobody asked for.
+    /// Records the keys that were not read as unknown.
     pub(crate) fn finish(&self) {
-        let used = self.used.borrow();
+        let read_keys = self.read_keys.borrow();
         for (name, value) in self.map.into_iter().flatten() {
-            if !used.contains(name.as_str()) {
-                let known = used.iter().copied().collect::<Vec<_>>().join(", ");
-                self.note_at(
+            if !read_keys.contains(name.as_str()) {
+                let known_keys = read_keys.iter().copied().collect::<Vec<_>>().join(", ");
+                self.add_fault_at(
                     &self.key(name),
                     Some(value),
-                    &format!("unknown key: remove it, or use one of {known}"),
+                    &format!("unknown key: remove it, or use one of {known_keys}"),
                 );
             }
         }
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,131 +1,131 @@
-//! The settings, their defaults and their bounds.
+//! Settings of the mode in which requests go through the target's holder, with defaults and bounds.
 
 use crate::options::reader::{SectionReader, SettingsError, parse_settings, read_settings_file};
 use hoplanding_core::{config::OperatorRole, membership::MembershipTimes};
 use std::{net::SocketAddr, time::Duration};
 
-/// Settings of a daemon.
+/// Settings of a daemon in this mode.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Name of this VM.
+    /// Name of this VM, as the platform lists it.
     pub vm: String,
-    /// Its availability zone.
+    /// Availability zone of this VM.
     pub zone: String,
-    /// Where callers and operators connect.
+    /// Listening address for callers and operators.
     pub caller_address: SocketAddr,
-    /// Where other daemons connect.
+    /// Listening address for other daemons.
     pub peer_address: SocketAddr,
-    /// Address that other daemons are told, if it differs from where it listens.
+    /// Address that other daemons dial, if it differs from the listening address.
     pub advertised_peer_address: Option<SocketAddr>,
     /// Secret that all daemons of the fleet share.
     pub peer_secret: String,
-    /// The platform.
+    /// Access to the platform.
     pub platform: PlatformSettings,
-    /// Daemons to begin with.
+    /// Peers known before the VM list is read.
     pub seeds: Vec<SeedSettings>,
-    /// Operators that may sign on before the configuration names any.
+    /// Operators that may sign on before the configuration lists any.
     pub operators: Vec<OperatorSettings>,
-    /// Callers beside those of the configuration: name and bearer token.
+    /// Callers in addition to those of the configuration.
     pub callers: Vec<CallerSettings>,
-    /// Bounds on work.
+    /// Limits on requests and loads.
     pub limits: LimitSettings,
-    /// Heartbeats and suspicion.
+    /// Heartbeats and failure detection.
     pub membership: MembershipSettings,
-    /// Records after which a snapshot is appended.
+    /// Number of records between two snapshots in the log.
     pub snapshot_record_interval: u64,
-    /// Planned stops.
+    /// Delays of a planned stop.
     pub stop: StopSettings,
-    /// Logs.
+    /// Log output.
     pub log: LogSettings,
-    /// Where metrics go by statsd; none for nowhere.
+    /// Address of the statsd server; `None` disables metrics.
     pub statsd: Option<SocketAddr>,
 }
 
-/// The platform's address and pace.
+/// Address and timing of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// `IP:port` of the log service and the VM list.
     pub address: SocketAddr,
-    /// Time after which an answer counts as lost.
+    /// Time limit for an answer; after it the answer counts as lost.
     pub timeout: Duration,
-    /// Pause between two reads of the VM list.
+    /// Interval between two reads of the VM list.
     pub vm_list_interval: Duration,
 }
 
-/// A daemon to begin with.
+/// A peer known before the VM list is read.
 #[derive(Clone, Debug)]
 pub struct SeedSettings {
-    /// Its VM.
+    /// Name of the peer's VM.
     pub vm: String,
-    /// Its zone.
+    /// Availability zone of the peer.
     pub zone: String,
-    /// `IP:port` of its peer interface.
+    /// `IP:port` of the peer interface.
     pub peer_address: SocketAddr,
 }
 
-/// An operator that may sign on from the start.
+/// An operator known without the configuration.
 #[derive(Clone, Debug)]
 pub struct OperatorSettings {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its bearer token.
+    /// Bearer token.
     pub token: String,
-    /// What it may do.
+    /// Role that grants its rights.
     pub role: OperatorRole,
 }
 
-/// A caller known from the start.
+/// A caller known without the configuration.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its bearer token.
+    /// Bearer token.
     pub token: String,
 }
 
-/// Bounds on work.
+/// Limits on requests and loads.
 #[derive(Clone, Debug)]
 pub struct LimitSettings {
-    /// Bytes of a request's body.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Requests that may wait at one target.
+    /// Largest number of requests waiting for one target.
     pub max_waiting_per_target: usize,
-    /// Requests that may be open at this daemon.
+    /// Largest number of open requests at this daemon.
     pub max_open_requests: usize,
-    /// Time that a request may take.
+    /// Time limit for a request; callers may ask for less.
     pub max_request_time: Duration,
-    /// Time that a caller may take to send a body.
+    /// Time limit for receiving a request body.
     pub body_timeout: Duration,
-    /// Answers to requests with a token that are kept for a repeated call.
+    /// Largest number of answers kept for repeated calls with an idempotency token.
     pub max_kept_answers: usize,
-    /// Loads from the weight store at once.
+    /// Largest number of concurrent adapter loads from the weight store.
     pub max_concurrent_loads: u32,
 }
 
-/// Heartbeats and suspicion.
+/// Heartbeats and failure detection.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// Shortest pause between two heartbeats.
+    /// Shortest interval between two heartbeats.
     pub heartbeat_interval: Duration,
-    /// Spans of silence.
+    /// Timeouts of failure detection.
     pub times: MembershipTimes,
 }
 
-/// Planned stops.
+/// Delays of a planned stop.
 #[derive(Clone, Debug)]
 pub struct StopSettings {
-    /// Time for the balancer to see `readyz` fail.
+    /// Time for the load balancer to see `/readyz` fail.
     pub drain_delay: Duration,
-    /// Time after which the daemon exits with work left.
+    /// Time after which the daemon exits even if requests are still open.
     pub timeout: Duration,
 }
 
-/// Logs.
+/// Log output.
 #[derive(Clone, Debug)]
 pub struct LogSettings {
-    /// Least level that is written.
+    /// Lowest level that is written.
     pub level: String,
-    /// File; standard error if none.
+    /// Log file; `None` for standard output.
     pub file: Option<String>,
 }
 
@@ -138,7 +138,7 @@
         Self::parse(&read_settings_file(path)?)
     }
 
-    /// Reads settings from JSON.
+    /// Parses settings from JSON.
     ///
     /// # Errors
     /// Lists every fault with its key, value and remedy.
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -1,4 +1,4 @@
-//! The dialling side of a link.
+//! Dialling side of a link, with reconnection.
 
 use crate::{
     app::AppEvent,
@@ -25,18 +25,18 @@
     tungstenite::{Message, protocol::WebSocketConfig},
 };
 
-/// Messages that wait for the socket.
-const OUTBOUND: usize = 1024;
-/// Messages that go in one write.
-const WRITE_MOST: usize = 64;
-/// Largest message: a snapshot of the folded state.
-const MESSAGE_BYTES: usize = 256 << 20;
-/// Time for a connection and both hellos.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
-/// Pause between two tries.
-const REDIAL_AFTER: Duration = Duration::from_millis(150);
+/// Capacity of the outbound queue, in messages.
+const OUTBOUND_CAPACITY: usize = 1024;
+/// Largest number of messages sent in one write.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// Largest WebSocket message, in bytes; the largest ones carry a snapshot of the folded state.
+const MAX_MESSAGE_BYTES: usize = 256 << 20;
+/// Time limit for the connection and both hellos.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two connection attempts.
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// What a taker of an answer is told.
+/// Event for the reader of an answer.
 #[derive(Debug)]
 pub(super) enum LinkEvent {
     Frame(NumberedFrame),
@@ -44,7 +44,7 @@
     Lost,
 }
 
-/// Answers that are taken over one link.
+/// Answers being read over one link.
 #[derive(Debug, Default)]
 pub struct LinkCalls {
     calls: Mutex<HashMap<CallId, mpsc::UnboundedSender<LinkEvent>>>,
@@ -55,46 +55,46 @@
         self.calls.lock().expect("no holder of the lock panics")
     }
 
-    // Unbounded here is bounded by the maker: it never sends more than its window without an acknowledgement.
+    // The channel needs no bound of its own: the sender keeps at most `FRAME_WINDOW` frames unacknowledged.
     pub(super) fn register(&self, call: CallId) -> mpsc::UnboundedReceiver<LinkEvent> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.lock().insert(call, sender);
         receiver
     }
 
-    pub(super) fn forget(&self, call: CallId) {
+    pub(super) fn unregister(&self, call: CallId) {
         self.lock().remove(&call);
     }
 
     fn deliver(&self, call: CallId, event: LinkEvent) {
         if let Some(sender) = self.lock().get(&call) {
-            // A taker that ended between two frames needs neither.
+            // The reader may have been dropped since the lookup.
             let _ = sender.send(event);
         }
     }
 
-    fn lose_all(&self) {
+    fn notify_lost(&self) {
         for sender in self.lock().values() {
             let _ = sender.send(LinkEvent::Lost);
         }
     }
 }
 
-/// A link to one peer; it redials until it is dropped.
+/// Link to one peer; reconnects until it is dropped.
 #[derive(Clone, Debug)]
 pub struct PeerLink {
-    /// The peer.
+    /// VM of the peer.
     pub vm: VmName,
     pub(super) outbound: mpsc::Sender<PeerMessage>,
     pub(super) calls: Arc<LinkCalls>,
     pub(super) connected: watch::Receiver<bool>,
-    /// Whether the peer has fallen silent though the connection stands.
-    suspect: Arc<watch::Sender<bool>>,
+    /// Whether the peer is suspected: connected, but without heartbeats.
+    is_suspect: Arc<watch::Sender<bool>>,
     address: Arc<Mutex<String>>,
 }
 
 impl PeerLink {
-    /// Starts to dial a peer. The link ends once every clone of it is dropped.
+    /// Starts dialling a peer. The link ends once all its clones are dropped.
     #[must_use]
     pub fn start(
         vm: VmName,
@@ -102,7 +102,7 @@
         hello: PeerHello,
         events: mpsc::Sender<AppEvent>,
     ) -> Self {
-        let (outbound, outbound_receiver) = mpsc::channel(OUTBOUND);
+        let (outbound, outbound_receiver) = mpsc::channel(OUTBOUND_CAPACITY);
         let (connected_sender, connected) = watch::channel(false);
         let calls = Arc::new(LinkCalls::default());
         let address = Arc::new(Mutex::new(address.to_owned()));
@@ -121,53 +121,56 @@
             outbound,
             calls,
             connected,
-            suspect: Arc::new(watch::channel(false).0),
+            is_suspect: Arc::new(watch::channel(false).0),
             address,
         }
     }
 
-    /// Says whether the peer has fallen silent: a frozen connection counts as broken until it is heard again.
-    pub fn set_suspect(&self, suspect: bool) {
-        if self.suspect.send_replace(suspect) != suspect && suspect {
-            self.calls.lose_all();
+    /// Marks the peer as suspected or not. The connection of a suspected peer counts as broken until it is heard again.
+    pub fn set_suspect(&self, is_suspect: bool) {
+        if self.is_suspect.send_replace(is_suspect) != is_suspect && is_suspect {
+            self.calls.notify_lost();
         }
     }
 
-    /// Changes the address that the next try dials.
+    /// Changes the address for the next connection attempt.
     pub fn set_address(&self, address: &str) {
         address.clone_into(&mut self.address.lock().expect("no holder of the lock panics"));
     }
 
-    /// Sends a message if there is room for it now.
+    /// Queues a message if the link is connected and the queue has room; returns whether it did.
     pub fn try_send(&self, message: PeerMessage) -> bool {
         *self.connected.borrow() && self.outbound.try_send(message).is_ok()
     }
 
-    /// Sends a message, waiting for room.
+    /// Queues a message, waiting for room; returns false if the link has ended.
     pub async fn send(&self, message: PeerMessage) -> bool {
         self.outbound.send(message).await.is_ok()
     }
 
-    /// Whether the link is up.
+    /// Whether the link is connected and the peer not suspected.
     #[must_use]
     pub fn is_connected(&self) -> bool {
-        *self.connected.borrow() && !*self.suspect.borrow()
+        *self.connected.borrow() && !*self.is_suspect.borrow()
     }
 
-    /// Waits until the link is up and the peer is heard.
-    pub async fn wait_connected(&self, most: Duration) -> bool {
+    /// Waits up to `max_wait` until the link is connected and the peer not suspected; returns whether it is.
+    pub async fn wait_connected(&self, max_wait: Duration) -> bool {
         let mut connected = self.connected.clone();
-        let mut suspect = self.suspect.subscribe();
-        let up = async {
+        let mut is_suspect = self.is_suspect.subscribe();
+        let until_up = async {
             while !self.is_connected() {
-                let is_up = connected.wait_for(|up| *up).await.is_ok();
-                let is_heard = suspect.wait_for(|suspect| !*suspect).await.is_ok();
+                let is_up = connected
+                    .wait_for(|is_connected| *is_connected)
+                    .await
+                    .is_ok();
+                let is_heard = is_suspect.wait_for(|is_suspect| !*is_suspect).await.is_ok();
                 if !is_up || !is_heard {
                     return;
                 }
             }
         };
-        timeout(most, up).await.is_ok() && self.is_connected()
+        timeout(max_wait, until_up).await.is_ok() && self.is_connected()
     }
 }
 
@@ -191,17 +194,17 @@
                 .lock()
                 .expect("no holder of the lock panics")
                 .clone();
-            let dialled = timeout(CONNECT_WITHIN, dial(&address, &self.hello)).await;
+            let dialled = timeout(CONNECT_TIMEOUT, dial(&address, &self.hello)).await;
             match dialled {
                 Ok(Ok(socket)) => {
                     event!(Event::LinkUp, "{}", self.vm);
-                    self.drop_stale();
+                    self.drop_stale_messages();
                     self.connected.send_replace(true);
                     let _ = self.events.send(AppEvent::LinkUp(self.vm.clone())).await;
-                    let ended = self.pass(socket).await;
+                    let is_dropped = self.exchange(socket).await;
                     self.connected.send_replace(false);
-                    self.calls.lose_all();
-                    if ended {
+                    self.calls.notify_lost();
+                    if is_dropped {
                         return;
                     }
                     event!(Event::LinkBroken, "{}", self.vm);
@@ -217,22 +220,22 @@
             if self.outbound.is_closed() && self.outbound.is_empty() {
                 return;
             }
-            tokio::time::sleep(REDIAL_AFTER).await;
+            tokio::time::sleep(RECONNECT_INTERVAL).await;
         }
     }
 
-    /// Drops messages that were meant for a connection that ended; takers attach anew.
-    fn drop_stale(&mut self) {
+    /// Drops messages queued for the previous connection; readers re-attach their calls.
+    fn drop_stale_messages(&mut self) {
         while self.outbound.try_recv().is_ok() {}
     }
 
-    /// Passes messages until the connection breaks (false) or the link is dropped (true).
-    async fn pass(&mut self, socket: Socket) -> bool {
+    /// Exchanges messages until the connection breaks (false) or the link is dropped (true).
+    async fn exchange(&mut self, socket: Socket) -> bool {
         let (mut sink, mut stream) = socket.split();
-        let mut batch = Vec::with_capacity(WRITE_MOST);
+        let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
         loop {
             tokio::select! {
-                count = self.outbound.recv_many(&mut batch, WRITE_MOST) => {
+                count = self.outbound.recv_many(&mut batch, MAX_BATCH_MESSAGES) => {
                     if count == 0 {
                         return true;
                     }
@@ -250,7 +253,7 @@
                             return false;
                         };
                         for message in messages {
-                            self.take(message).await;
+                            self.handle_message(message).await;
                         }
                     }
                 }
@@ -258,7 +261,7 @@
         }
     }
 
-    async fn take(&self, message: PeerMessage) {
+    async fn handle_message(&self, message: PeerMessage) {
         match message {
             PeerMessage::Frame(call, frame) => self.calls.deliver(call, LinkEvent::Frame(frame)),
             PeerMessage::Gone(call) => self.calls.deliver(call, LinkEvent::Gone),
@@ -282,18 +285,18 @@
     let message = Message::Binary(encode(&[PeerMessage::Hello(hello.clone())]));
     socket.send(message).await.map_err(io::Error::other)?;
     match read_hello(&mut socket).await? {
-        theirs if theirs.version == PROTOCOL_VERSION => Ok(socket),
-        theirs => Err(io::Error::other(format!(
-            "peer speaks version {}",
-            theirs.version
+        peer_hello if peer_hello.version == PROTOCOL_VERSION => Ok(socket),
+        peer_hello => Err(io::Error::other(format!(
+            "peer uses protocol version {}, this daemon version {PROTOCOL_VERSION}",
+            peer_hello.version
         ))),
     }
 }
 
 pub(super) fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MESSAGE_BYTES))
-        .max_frame_size(Some(MESSAGE_BYTES))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 pub(super) async fn read_hello(socket: &mut Socket) -> io::Result<PeerHello> {
@@ -303,10 +306,10 @@
         .ok_or(io::ErrorKind::UnexpectedEof)?
         .map_err(io::Error::other)?;
     let Message::Binary(bytes) = message else {
-        return Err(io::Error::other("the first message is no hello"));
+        return Err(io::Error::other("the first message is not a hello"));
     };
     match decode(&bytes)?.into_iter().next() {
         Some(PeerMessage::Hello(hello)) => Ok(hello),
-        _ => Err(io::Error::other("the first message is no hello")),
+        _ => Err(io::Error::other("the first message is not a hello")),
     }
 }
--- a/crates/daemon/src/peers/message.rs
+++ b/crates/daemon/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons.
+//! Messages exchanged between daemons.
 
 use crate::calls::{CallId, ExecuteRequest, NumberedFrame, SubmitRequest};
 use hoplanding_core::{
@@ -11,74 +11,74 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Version of the messages; daemons of different versions do not link.
+/// Version of the message format; daemons of different versions refuse to link.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// First message in each direction.
+/// First message in each direction of a link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// Version of the messages.
+    /// Protocol version of the sender.
     pub version: u32,
-    /// The daemon that speaks.
+    /// Daemon run that sends the message.
     pub daemon: DaemonRef,
-    /// Its zone.
+    /// Availability zone of the sender.
     pub zone: AvailabilityZone,
-    /// The fleet's secret.
+    /// Secret shared by all daemons of the fleet.
     pub secret: String,
 }
 
-/// Sign of life, with what gateways need to know.
+/// Heartbeat, with the state that other gateways route by.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The daemon that speaks.
+    /// Daemon run that sends the message.
     pub daemon: DaemonRef,
-    /// Its zone.
+    /// Availability zone of the sender.
     pub zone: AvailabilityZone,
-    /// Offset of the log that it has folded.
+    /// Offset up to which the sender has applied the log.
     pub applied: LogOffset,
-    /// Whether it is about to stop.
+    /// Whether the sender is in a planned stop.
     pub leaving: bool,
-    /// VMs of its zone that it calls silent.
+    /// VMs of its zone from which the sender receives no heartbeats.
     pub silent: Vec<VmName>,
-    /// Its targets.
+    /// Digests of the targets that the sender holds.
     pub targets: Vec<TargetDigest>,
-    /// Its loads.
+    /// Adapter loads of the sender.
     pub loads: LoadNotice,
 }
 
 /// A message between daemons.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The first message.
+    /// Opens the link in each direction.
     Hello(PeerHello),
-    /// A sign of life.
+    /// Periodic state of the sender.
     Heartbeat(Box<Heartbeat>),
-    /// Run a request on a target that the receiver holds.
+    /// Runs a request on a target that the receiver holds.
     Execute(Box<ExecuteRequest>),
-    /// Serve a caller's request in the sender's place.
+    /// Serves a caller's request on behalf of the sender.
     Submit(CallId, Box<SubmitRequest>),
-    /// Send the frames of a call again, from a number on.
+    /// Sends the frames of a call again, starting at a sequence number.
     Attach(CallId, u64),
     /// A frame of an answer.
     Frame(CallId, NumberedFrame),
-    /// The call is not known.
+    /// The call is unknown to the sender.
     Gone(CallId),
-    /// Frames below this number were taken.
+    /// Frames below this sequence number were received.
     Acknowledge(CallId, u64),
-    /// Nobody wants the answer any more.
+    /// The answer is no longer needed.
     Cancel(CallId),
-    /// Send the folded state if it reaches beyond this offset.
+    /// Requests the folded state if it is newer than this offset.
     SnapshotWanted(LogOffset),
-    /// The folded state.
+    /// State folded from the log.
     Snapshot(Box<FoldedState>),
-    /// Answer a query from the receiver's own state.
+    /// Queries the receiver's own state; the number pairs query and answer.
     Ask(u64, String),
-    /// The answer to a query.
+    /// Answer to [`PeerMessage::Ask`].
     Answer(u64, Result<DataTable, String>),
-    /// Take over the idempotency tokens of a daemon that stops.
+    /// Hands the idempotency tokens of a stopping daemon to the receiver.
     HandTokens(BTreeMap<DaemonRef, HandedTokens>),
-    /// They were taken over.
+    /// Confirms [`PeerMessage::HandTokens`].
     TokensTaken,
-    /// Tokens of these runs now belong to a daemon.
+    /// Announces that the tokens of these daemon runs now belong to the given VM.
     TokenHeir(Vec<DaemonRef>, VmName),
 }
--- a/crates/daemon/src/peers/mod.rs
+++ b/crates/daemon/src/peers/mod.rs
@@ -1,7 +1,8 @@
-//! Links between daemons: WebSocket, with CBOR messages of a version that both name at the start.
+//! Links between daemons: CBOR messages over WebSocket.
 //!
-//! Each daemon dials every peer that it sends calls to, and answers come back on the same link. A message of the
-//! socket carries whatever is ready to go, so that many small frames cost one write.
+//! Both sides state the protocol version in their hello. Each daemon dials every peer that it sends calls to, and the
+//! answers come back on the same link. Messages that wait are sent together in one WebSocket message, so that many small
+//! frames cost one write.
 
 mod link;
 mod message;
--- a/crates/daemon/src/peers/reader.rs
+++ b/crates/daemon/src/peers/reader.rs
@@ -1,4 +1,4 @@
-//! Taking an answer, from this daemon or over a link.
+//! Reading an answer, from a local buffer or over a link.
 
 use crate::{
     calls::{CallBuffer, CallFrame, CallId, FRAME_WINDOW},
@@ -7,25 +7,25 @@
 use std::{sync::Arc, time::Duration};
 use tokio::sync::mpsc;
 
-/// Frames after which an acknowledgement is sent.
-const ACKNOWLEDGE_EVERY: u64 = FRAME_WINDOW as u64 / 4;
+/// Frames between two acknowledgements; well below the window, so that the sender is not blocked by a late one.
+const FRAMES_PER_ACKNOWLEDGEMENT: u64 = FRAME_WINDOW as u64 / 4;
 
-/// What came of the next read.
+/// Result of reading the next frame.
 #[derive(Debug)]
 pub enum ReadEvent {
-    /// A frame, in order and without a gap.
+    /// The next frame, in order and without gaps.
     Frame(CallFrame),
-    /// The link broke and did not come back in time, or the maker forgot the call.
+    /// The link broke and did not reconnect in time, or the sender has discarded the call.
     Lost(&'static str),
 }
 
-/// One taker of one answer; dropping it says that nobody wants the rest.
+/// Reader of one answer; dropping it before the end cancels the call.
 #[derive(Debug)]
 pub struct CallReader {
     source: FrameSource,
     next: u64,
     acknowledged: u64,
-    ended: bool,
+    has_ended: bool,
 }
 
 #[derive(Debug)]
@@ -35,37 +35,38 @@
         link: PeerLink,
         call: CallId,
         events: mpsc::UnboundedReceiver<LinkEvent>,
-        patience: Duration,
+        reconnect_timeout: Duration,
     },
 }
 
 impl CallReader {
-    /// Takes an answer that this daemon makes.
+    /// Reads an answer that this daemon produces.
     #[must_use]
     pub fn local(buffer: Arc<CallBuffer>) -> Self {
         Self::new(FrameSource::Local(buffer))
     }
 
-    /// Sends a call over a link and takes its answer; a broken link is re-attached within `patience`.
+    /// Sends a call over a link and reads its answer; re-attaches if a broken link reconnects within
+    /// `reconnect_timeout`.
     ///
-    /// Returns `None` if the link is down, so that the call was certainly not sent.
+    /// Returns `None` if the link is down: the call was certainly not sent.
     pub async fn over_link(
         link: &PeerLink,
         call: CallId,
         message: PeerMessage,
-        patience: Duration,
+        reconnect_timeout: Duration,
     ) -> Option<Self> {
         if !link.is_connected() {
             return None;
         }
         let events = link.calls.register(call);
-        // From here on the call counts as handed over: the message may go out even if the link breaks now.
+        // From here on the call counts as handed over: the queued message may be sent even if the link breaks now.
         let _ = link.send(message).await;
         Some(Self::new(FrameSource::Peer {
             link: link.clone(),
             call,
             events,
-            patience,
+            reconnect_timeout,
         }))
     }
 
@@ -74,33 +75,33 @@
             source,
             next: 0,
             acknowledged: 0,
-            ended: false,
+            has_ended: false,
         }
     }
 
-    /// Takes the next frame.
+    /// Waits for the next frame.
     pub async fn next(&mut self) -> ReadEvent {
         let event = match &self.source {
             FrameSource::Local(buffer) => match buffer.next(self.next).await {
                 Some(numbered) => ReadEvent::Frame(numbered.frame),
                 None => ReadEvent::Lost("the answer was dropped"),
             },
-            FrameSource::Peer { .. } => self.next_over_link().await,
+            FrameSource::Peer { .. } => self.read_from_link().await,
         };
         if let ReadEvent::Frame(frame) = &event {
             self.next += 1;
-            self.ended = matches!(frame, CallFrame::End(_));
+            self.has_ended = matches!(frame, CallFrame::End(_));
             self.acknowledge();
         }
         event
     }
 
-    async fn next_over_link(&mut self) -> ReadEvent {
+    async fn read_from_link(&mut self) -> ReadEvent {
         let FrameSource::Peer {
             link,
             call,
             events,
-            patience,
+            reconnect_timeout,
         } = &mut self.source
         else {
             unreachable!("only called for a peer");
@@ -116,8 +117,8 @@
                     return ReadEvent::Lost("the holder no longer has the answer");
                 }
                 Some(LinkEvent::Lost) => {
-                    let back = link.wait_connected(*patience).await;
-                    if !back || !link.send(PeerMessage::Attach(*call, self.next)).await {
+                    let is_reconnected = link.wait_connected(*reconnect_timeout).await;
+                    if !is_reconnected || !link.send(PeerMessage::Attach(*call, self.next)).await {
                         return ReadEvent::Lost("the link to the holder broke");
                     }
                 }
@@ -130,7 +131,7 @@
         match &self.source {
             FrameSource::Local(buffer) => buffer.acknowledge(self.next),
             FrameSource::Peer { link, call, .. } => {
-                if self.ended || self.next >= self.acknowledged + ACKNOWLEDGE_EVERY {
+                if self.has_ended || self.next >= self.acknowledged + FRAMES_PER_ACKNOWLEDGEMENT {
                     self.acknowledged = self.next;
                     link.try_send(PeerMessage::Acknowledge(*call, self.next));
                 }
@@ -142,11 +143,11 @@
 impl Drop for CallReader {
     fn drop(&mut self) {
         match &self.source {
-            FrameSource::Local(buffer) if !self.ended => buffer.abandon(),
+            FrameSource::Local(buffer) if !self.has_ended => buffer.abandon(),
             FrameSource::Local(_) => {}
             FrameSource::Peer { link, call, .. } => {
-                link.calls.forget(*call);
-                if !self.ended {
+                link.calls.unregister(*call);
+                if !self.has_ended {
                     link.try_send(PeerMessage::Cancel(*call));
                 }
             }
--- a/crates/daemon/src/peers/server.rs
+++ b/crates/daemon/src/peers/server.rs
@@ -1,4 +1,4 @@
-//! The accepting side of links.
+//! Accepting side of links.
 
 use crate::{
     app::AppEvent,
@@ -20,14 +20,14 @@
 };
 use tokio_tungstenite::{accept_async_with_config, tungstenite::Message};
 
-/// Messages that wait for a socket.
-const OUTBOUND: usize = 1024;
-/// Messages that go in one write.
-const WRITE_MOST: usize = 64;
-/// Time for the handshake and the peer's hello.
-const HELLO_WITHIN: Duration = Duration::from_secs(2);
+/// Capacity of a link's outbound queue, in messages.
+const OUTBOUND_CAPACITY: usize = 1024;
+/// Largest number of messages sent in one write.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// Time limit for the handshake and the peer's hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepts peers' links.
+/// Server that accepts links from peers.
 pub struct PeerServer {
     listener: TcpListener,
     hello: PeerHello,
@@ -36,10 +36,10 @@
 }
 
 impl PeerServer {
-    /// Listens on an address.
+    /// Binds the listener.
     ///
     /// # Errors
-    /// Returns the error of the system when the address can't be had.
+    /// Returns the I/O error if the address can't be bound.
     pub async fn bind(
         address: SocketAddr,
         hello: PeerHello,
@@ -55,10 +55,10 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the bound address.
     ///
     /// # Errors
-    /// Returns the error of the system.
+    /// Returns the I/O error of the query.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
@@ -71,7 +71,7 @@
                 () = self.events.closed() => return,
             };
             let Ok((stream, from)) = accepted else {
-                // Out of descriptors, most likely: give others time to close some.
+                // Most likely out of file descriptors: wait until some are closed.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
@@ -102,29 +102,33 @@
             let mut socket = accept_async_with_config(stream, Some(socket_config()))
                 .await
                 .map_err(io::Error::other)?;
-            let theirs = read_hello(&mut socket).await?;
-            let ours = Message::Binary(encode(&[PeerMessage::Hello(self.hello.clone())]));
-            socket.send(ours).await.map_err(io::Error::other)?;
-            Ok::<_, io::Error>((socket, theirs))
+            let peer_hello = read_hello(&mut socket).await?;
+            let own_hello = Message::Binary(encode(&[PeerMessage::Hello(self.hello.clone())]));
+            socket.send(own_hello).await.map_err(io::Error::other)?;
+            Ok::<_, io::Error>((socket, peer_hello))
         };
-        let (socket, theirs) = timeout(HELLO_WITHIN, handshake).await??;
-        if theirs.version != PROTOCOL_VERSION {
+        let (socket, peer_hello) = timeout(HELLO_TIMEOUT, handshake).await??;
+        if peer_hello.version != PROTOCOL_VERSION {
             return Err(io::Error::other(format!(
-                "{} speaks version {}",
-                theirs.daemon, theirs.version
+                "{} uses protocol version {}, this daemon version {PROTOCOL_VERSION}",
+                peer_hello.daemon, peer_hello.version
             )));
         }
-        if theirs.secret != self.hello.secret {
+        if peer_hello.secret != self.hello.secret {
             return Err(io::Error::other(format!(
-                "{} has another peer_secret: use one for the fleet",
-                theirs.daemon
+                "{} has a different peer_secret: use one secret for the fleet",
+                peer_hello.daemon
             )));
         }
         let (mut sink, mut stream) = socket.split();
-        let (outbound, mut outbound_receiver) = mpsc::channel::<PeerMessage>(OUTBOUND);
+        let (outbound, mut outbound_receiver) = mpsc::channel::<PeerMessage>(OUTBOUND_CAPACITY);
         let writer = tokio::spawn(async move {
-            let mut batch = Vec::with_capacity(WRITE_MOST);
-            while outbound_receiver.recv_many(&mut batch, WRITE_MOST).await > 0 {
+            let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
+            while outbound_receiver
+                .recv_many(&mut batch, MAX_BATCH_MESSAGES)
+                .await
+                > 0
+            {
                 if sink.send(Message::Binary(encode(&batch))).await.is_err() {
                     return;
                 }
@@ -137,7 +141,7 @@
             };
             for message in decode(&bytes)? {
                 if self
-                    .take(&theirs.daemon.vm, message, &outbound)
+                    .handle_message(&peer_hello.daemon.vm, message, &outbound)
                     .await
                     .is_none()
                 {
@@ -150,8 +154,8 @@
         Ok(())
     }
 
-    /// Takes one message; none if the event loop has ended.
-    async fn take(
+    /// Handles one message; returns `None` if the event loop has ended.
+    async fn handle_message(
         &self,
         from: &VmName,
         message: PeerMessage,
@@ -160,14 +164,14 @@
         match message {
             PeerMessage::Execute(request) => {
                 let call = request.call;
-                let buffer = self.open(call, outbound);
+                let buffer = self.open_call(call, outbound);
                 self.events
                     .send(AppEvent::Execute(request, buffer))
                     .await
                     .ok()
             }
             PeerMessage::Submit(call, request) => {
-                let buffer = self.open(call, outbound);
+                let buffer = self.open_call(call, outbound);
                 self.events
                     .send(AppEvent::Submit(request, buffer))
                     .await
@@ -175,7 +179,7 @@
             }
             PeerMessage::Attach(call, from) => {
                 match self.calls.get(call) {
-                    Some(buffer) => forward(call, buffer, from, outbound.clone()),
+                    Some(buffer) => send_frames(call, buffer, from, outbound.clone()),
                     None => {
                         let _ = outbound.send(PeerMessage::Gone(call)).await;
                     }
@@ -202,16 +206,21 @@
         }
     }
 
-    fn open(&self, call: CallId, outbound: &mpsc::Sender<PeerMessage>) -> Arc<CallBuffer> {
+    fn open_call(&self, call: CallId, outbound: &mpsc::Sender<PeerMessage>) -> Arc<CallBuffer> {
         let buffer = CallBuffer::new();
         self.calls.insert(call, &buffer);
-        forward(call, Arc::clone(&buffer), 0, outbound.clone());
+        send_frames(call, Arc::clone(&buffer), 0, outbound.clone());
         buffer
     }
 }
 
-/// Sends the frames of an answer until its end or the link's.
-fn forward(call: CallId, buffer: Arc<CallBuffer>, from: u64, outbound: mpsc::Sender<PeerMessage>) {
+/// Sends the frames of an answer, starting at `from`, until the answer or the link ends.
+fn send_frames(
+    call: CallId,
+    buffer: Arc<CallBuffer>,
+    from: u64,
+    outbound: mpsc::Sender<PeerMessage>,
+) {
     buffer.set_attached(true);
     tokio::spawn(async move {
         let mut next = from;
@@ -224,12 +233,12 @@
                 }
             };
             let Some(numbered) = frame else {
-                let lost = CallEnd::Unknown("the answer was dropped".to_owned());
+                let dropped_end = CallEnd::Unknown("the answer was dropped".to_owned());
                 let _ = outbound.send(PeerMessage::Gone(call)).await;
-                buffer.end(lost);
+                buffer.end(dropped_end);
                 return;
             };
-            let last = matches!(numbered.frame, CallFrame::End(_));
+            let is_last = matches!(numbered.frame, CallFrame::End(_));
             next = numbered.seq + 1;
             if outbound
                 .send(PeerMessage::Frame(call, numbered))
@@ -239,10 +248,10 @@
                 buffer.set_attached(false);
                 return;
             }
-            if last {
-                // Until it is acknowledged the frames stay, in case the link breaks with them under way.
+            if is_last {
+                // Keeps the frames until they are acknowledged, in case the link breaks while they are in transit.
                 tokio::select! {
-                    () = buffer.taken() => {}
+                    () = buffer.wait_drained() => {}
                     () = outbound.closed() => buffer.set_attached(false),
                 }
                 return;
--- a/crates/daemon/src/peers/wire.rs
+++ b/crates/daemon/src/peers/wire.rs
@@ -1,4 +1,4 @@
-//! Messages as CBOR.
+//! CBOR encoding of messages.
 
 use crate::peers::PeerMessage;
 use bytes::Bytes;
@@ -7,15 +7,15 @@
     sync::atomic::{AtomicU64, Ordering},
 };
 
-static ENCODED: AtomicU64 = AtomicU64::new(0);
+static ENCODED_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes that this process has encoded, for measurements.
+/// Returns the number of bytes that this process has encoded so far, for measurements.
 #[must_use]
 pub fn encoded_bytes() -> u64 {
-    ENCODED.load(Ordering::Relaxed)
+    ENCODED_BYTES.load(Ordering::Relaxed)
 }
 
-/// Encodes messages that go in one write.
+/// Encodes a batch of messages.
 ///
 /// # Panics
 /// Never: every message has a CBOR form.
@@ -23,14 +23,14 @@
 pub fn encode(messages: &[PeerMessage]) -> Bytes {
     let mut bytes = Vec::with_capacity(messages.len() * 64);
     ciborium::into_writer(messages, &mut bytes).expect("every message has a CBOR form");
-    ENCODED.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+    ENCODED_BYTES.fetch_add(bytes.len() as u64, Ordering::Relaxed);
     bytes.into()
 }
 
-/// Decodes messages.
+/// Decodes a batch of messages.
 ///
 /// # Errors
-/// Returns an error for bytes that are no messages of this version.
+/// Returns `InvalidData` if the bytes are not messages of this version.
 pub fn decode(bytes: &[u8]) -> io::Result<Vec<PeerMessage>> {
     ciborium::from_reader(bytes)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()))
--- a/crates/daemon/src/platform/appender.rs
+++ b/crates/daemon/src/platform/appender.rs
@@ -1,4 +1,4 @@
-//! The one worker that appends to the log, in batches.
+//! Worker that appends records to the log in batches.
 
 use crate::{
     app::AppEvent,
@@ -9,60 +9,60 @@
 use hoplanding_core::log::LogRecord;
 use tokio::sync::mpsc;
 
-/// Jobs that wait.
-const JOBS: usize = 4096;
-/// Jobs that go in one append.
-const BATCH: usize = 512;
+/// Capacity of the job queue.
+const QUEUE_CAPACITY: usize = 4096;
+/// Largest number of jobs in one append.
+const MAX_BATCH_JOBS: usize = 512;
 
 /// Records to append.
 #[derive(Clone, Debug)]
 pub struct AppendJob {
-    /// Number by which the event loop knows the job; zero for one that it does not wait for.
+    /// Number that the event loop matches with the outcome; zero if it does not wait for one.
     pub ticket: u64,
-    /// The records.
+    /// Records in log order.
     pub records: Vec<LogRecord>,
 }
 
-/// What became of a job.
+/// Outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// Its records are in the log.
+    /// The records are in the log.
     Appended,
-    /// They are not.
+    /// The records are not in the log.
     NotAppended,
-    /// Nobody knows: the log, read forward, will tell.
+    /// The answer was lost; reading the log forward shows whether the records are in it.
     Unknown,
 }
 
-/// Hands records to the worker that appends them.
+/// Handle for queueing records to the append worker.
 #[derive(Clone, Debug)]
 pub struct LogAppender {
     jobs: mpsc::Sender<AppendJob>,
 }
 
 impl LogAppender {
-    /// Starts the worker. It ends once every clone of the appender is dropped.
+    /// Starts the worker. It ends once all clones of the handle are dropped.
     #[must_use]
     pub fn start(client: PlatformClient, events: mpsc::Sender<AppEvent>) -> Self {
-        let (jobs, receiver) = mpsc::channel(JOBS);
-        tokio::spawn(run(client, receiver, events));
+        let (jobs, receiver) = mpsc::channel(QUEUE_CAPACITY);
+        tokio::spawn(run_appender(client, receiver, events));
         Self { jobs }
     }
 
-    /// Queues records; false if too many wait.
+    /// Queues records; returns false if the queue is full.
     #[must_use]
     pub fn append(&self, ticket: u64, records: Vec<LogRecord>) -> bool {
         self.jobs.try_send(AppendJob { ticket, records }).is_ok()
     }
 }
 
-async fn run(
+async fn run_appender(
     client: PlatformClient,
     mut jobs: mpsc::Receiver<AppendJob>,
     events: mpsc::Sender<AppEvent>,
 ) {
-    let mut batch = Vec::with_capacity(BATCH);
-    while jobs.recv_many(&mut batch, BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_BATCH_JOBS);
+    while jobs.recv_many(&mut batch, MAX_BATCH_JOBS).await > 0 {
         let records: Vec<_> = batch
             .iter()
             .flat_map(|job| job.records.iter().cloned())
--- a/crates/daemon/src/platform/client.rs
+++ b/crates/daemon/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! The platform's wire: HTTP with JSON.
+//! Client of the platform: HTTP with JSON.
 
 use crate::options::PlatformSettings;
 use hoplanding_core::{
@@ -14,10 +14,10 @@
 /// Why an append did not return an offset.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AppendError {
-    /// The platform refused it, or no connection was made: it has no effect.
+    /// The platform refused the append, or no connection was made: it has no effect.
     #[error("the log refused the append ({0}): try again")]
     NotAppended(String),
-    /// The answer was lost: it may have taken effect.
+    /// The answer was lost: the append may have taken effect.
     #[error("the answer to the append was lost ({0}): read the log forward before trying again")]
     Unknown(String),
 }
@@ -28,38 +28,38 @@
     /// The platform can't be reached.
     #[error("the log is out of reach ({0}): try again")]
     Unreachable(String),
-    /// The records expired.
+    /// The records have expired; the offset is the earliest one still in the log.
     #[error("records before {0} have expired: take a snapshot")]
     Expired(LogOffset),
 }
 
-/// Records of one read.
+/// Result of one read.
 #[derive(Clone, Debug)]
 pub struct LogBatch {
-    /// Where the read began; every record from there on is in `records`.
+    /// First offset of the read; `records` holds every record from there to `next`.
     pub from: LogOffset,
-    /// Offsets and records; none in place of one that can't be decoded.
+    /// Offsets and records; `None` for a record that can't be decoded.
     pub records: Vec<(LogOffset, Option<LogRecord>)>,
-    /// Where the next read begins.
+    /// Offset at which the next read starts.
     pub next: LogOffset,
 }
 
-/// Client of the platform.
+/// HTTP client of the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: Client,
-    base: String,
+    base_url: String,
     vm: String,
     timeout: Duration,
 }
 
 #[derive(Deserialize)]
-struct AppendAnswer {
+struct AppendResponse {
     first: LogOffset,
 }
 
 #[derive(Deserialize)]
-struct ReadAnswer {
+struct ReadResponse {
     records: Vec<ReadRecord>,
     next: LogOffset,
 }
@@ -71,7 +71,7 @@
 }
 
 #[derive(Deserialize)]
-struct ExpiredAnswer {
+struct ExpiredResponse {
     earliest: LogOffset,
 }
 
@@ -84,12 +84,12 @@
 }
 
 impl PlatformClient {
-    /// A client that names its VM in each request.
+    /// Creates a client that names its VM in the `x-vm` header of each request.
     #[must_use]
     pub fn new(settings: &PlatformSettings, vm: &str) -> Self {
         Self {
             http: Client::new(),
-            base: format!("http://{}", settings.address),
+            base_url: format!("http://{}", settings.address),
             vm: vm.to_owned(),
             timeout: settings.timeout,
         }
@@ -98,11 +98,11 @@
     /// Appends records; returns the offset of the first.
     ///
     /// # Errors
-    /// Tells an append without effect from one whose effect is unknown.
+    /// Distinguishes an append without effect from one whose effect is unknown.
     pub async fn append(&self, records: &[LogRecord]) -> Result<LogOffset, AppendError> {
         let request = self
             .http
-            .post(format!("{}/log/append", self.base))
+            .post(format!("{}/log/append", self.base_url))
             .header("x-vm", &self.vm);
         let sent = request
             .json(&json!({ "records": records }))
@@ -118,7 +118,7 @@
         };
         match response.status() {
             StatusCode::OK => {
-                let answer: AppendAnswer = response
+                let answer: AppendResponse = response
                     .json()
                     .await
                     .map_err(|error| AppendError::Unknown(error.to_string()))?;
@@ -131,14 +131,14 @@
         }
     }
 
-    /// Reads records from an offset on, waiting for at most `wait` for the log to grow.
+    /// Reads records starting at `from`, waiting at most `wait` for new ones (long poll).
     ///
     /// # Errors
-    /// Tells an outage from records that expired.
+    /// Distinguishes an unreachable platform from expired records.
     pub async fn read(&self, from: LogOffset, wait: Duration) -> Result<LogBatch, ReadError> {
         let url = format!(
             "{}/log/read?from={from}&wait_ms={}",
-            self.base,
+            self.base_url,
             wait.as_millis()
         );
         let sent = self
@@ -148,10 +148,10 @@
             .timeout(wait + self.timeout)
             .send()
             .await;
-        let response = sent.map_err(out)?;
+        let response = sent.map_err(unreachable_error)?;
         match response.status() {
             StatusCode::OK => {
-                let answer: ReadAnswer = response.json().await.map_err(out)?;
+                let answer: ReadResponse = response.json().await.map_err(unreachable_error)?;
                 let records = answer
                     .records
                     .into_iter()
@@ -163,7 +163,7 @@
                 })
             }
             StatusCode::GONE => {
-                let answer: ExpiredAnswer = response.json().await.map_err(out)?;
+                let answer: ExpiredResponse = response.json().await.map_err(unreachable_error)?;
                 Err(ReadError::Expired(answer.earliest))
             }
             status => Err(ReadError::Unreachable(status.to_string())),
@@ -173,19 +173,23 @@
     /// Reads the list of VMs.
     ///
     /// # Errors
-    /// Returns an error when the platform can't be reached.
+    /// Returns [`ReadError::Unreachable`] if the platform can't be reached or its answer can't be parsed.
     pub async fn list_vms(&self) -> Result<Vec<ListedVm>, ReadError> {
         let request = self
             .http
-            .get(format!("{}/vms", self.base))
+            .get(format!("{}/vms", self.base_url))
             .header("x-vm", &self.vm);
-        let response = request.timeout(self.timeout).send().await.map_err(out)?;
+        let response = request
+            .timeout(self.timeout)
+            .send()
+            .await
+            .map_err(unreachable_error)?;
         let entries: Vec<VmEntry> = response
             .error_for_status()
-            .map_err(out)?
+            .map_err(unreachable_error)?
             .json()
             .await
-            .map_err(out)?;
+            .map_err(unreachable_error)?;
         let vms = entries.into_iter().map(|entry| ListedVm {
             vm: entry.vm,
             zone: entry.zone,
@@ -196,8 +200,8 @@
     }
 }
 
-// By value, so that it can stand in `map_err`.
+// Takes the error by value for use with `map_err`.
 #[allow(clippy::needless_pass_by_value)]
-fn out(error: reqwest::Error) -> ReadError {
+fn unreachable_error(error: reqwest::Error) -> ReadError {
     ReadError::Unreachable(error.to_string())
 }
--- a/crates/daemon/src/platform/mod.rs
+++ b/crates/daemon/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The platform: its log and its list of VMs.
+//! Access to the platform's log and its list of VMs.
 //!
-//! [`PlatformClient`] is the only place that knows the platform's wire. The workers round it read, append and list,
-//! and feed the event loop.
+//! [`PlatformClient`] is the only type that knows the platform's HTTP protocol. The workers append to the log, read it and
+//! poll the VM list, and send the results to the event loop.
 
 mod appender;
 mod client;
--- a/crates/daemon/src/platform/reader.rs
+++ b/crates/daemon/src/platform/reader.rs
@@ -1,4 +1,4 @@
-//! The workers that read the log and the list of VMs.
+//! Workers that read the log and poll the list of VMs.
 
 use crate::{
     app::AppEvent,
@@ -9,18 +9,18 @@
 use tokio::sync::{mpsc, watch};
 
 /// Pause after a failed read.
-const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Time for which a read waits for the log to grow.
-const READ_WAIT: Duration = Duration::from_secs(5);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Time that a read waits for new records (long poll).
+const LONG_POLL_WAIT: Duration = Duration::from_secs(5);
 
-/// Reads the log from `from` on; the event loop moves `from` when it took a snapshot over.
+/// Reads the log starting at `from`; the event loop changes `from` after it has adopted a snapshot.
 pub async fn run_log_reader(
     client: PlatformClient,
     mut from: watch::Receiver<LogOffset>,
     events: mpsc::Sender<AppEvent>,
 ) {
     let mut next = *from.borrow_and_update();
-    // The first read after a start or an outage returns at once, so that the event loop learns what the end is.
+    // The first read after a start or an outage returns at once, so that the event loop learns where the log ends.
     let mut wait = Duration::ZERO;
     loop {
         let read = tokio::select! {
@@ -37,7 +37,7 @@
         let event = match read {
             Ok(batch) => {
                 next = batch.next;
-                wait = READ_WAIT;
+                wait = LONG_POLL_WAIT;
                 AppEvent::LogRead(batch)
             }
             Err(ReadError::Expired(earliest)) => {
@@ -46,7 +46,7 @@
             }
             Err(ReadError::Unreachable(cause)) => {
                 wait = Duration::ZERO;
-                tokio::time::sleep(RETRY_AFTER).await;
+                tokio::time::sleep(RETRY_INTERVAL).await;
                 AppEvent::LogOut(cause)
             }
         };
@@ -56,10 +56,10 @@
     }
 }
 
-/// Reads the list of VMs again and again.
+/// Polls the list of VMs every `interval`; failed reads are skipped.
 pub async fn run_vm_list_reader(
     client: PlatformClient,
-    every: Duration,
+    interval: Duration,
     events: mpsc::Sender<AppEvent>,
 ) {
     loop {
@@ -69,7 +69,7 @@
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(every) => {}
+            () = tokio::time::sleep(interval) => {}
             () = events.closed() => return,
         }
     }
--- a/crates/daemon/src/targets/engine.rs
+++ b/crates/daemon/src/targets/engine.rs
@@ -1,4 +1,7 @@
-//! The engines' wire: OpenAI-compatible HTTP, orders with a fencing header, streams that can be asked for again.
+//! HTTP protocol of the model engines.
+//!
+//! Requests use the OpenAI-compatible interface. Orders (load, unload, fence) carry a fencing token in a header, so that
+//! an engine can refuse a daemon that no longer holds it. A broken stream can be resumed from a given token.
 
 use crate::calls::EngineWork;
 use bytes::Bytes;
@@ -13,50 +16,50 @@
 use serde_json::{Value, json};
 use std::{pin::Pin, time::Duration};
 
-/// Time for a connection.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
-/// Time for an order other than a load.
-const ORDER_WITHIN: Duration = Duration::from_secs(5);
-/// Time for a load.
-const LOAD_WITHIN: Duration = Duration::from_secs(30);
-/// Time without a byte after which a stream counts as broken.
-const SILENT_FOR: Duration = Duration::from_secs(30);
-/// Header that names the engine's run.
+/// Time limit for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for an order other than a load.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit for an adapter load.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time without an event after which a stream counts as broken.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Response header with the number of the engine's run.
 const BOOT_HEADER: &str = "x-engine-boot";
 
 /// Client of one engine.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: Client,
-    base: String,
+    base_url: String,
 }
 
-/// What an engine says of itself.
+/// State reported by an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineListing {
-    /// Number of its run.
+    /// Number of the engine's run; changes with each restart.
     pub boot: u64,
     /// Loaded adapters.
     pub loaded: Vec<AdapterVersion>,
-    /// Names of the streams that run or wait there.
+    /// Names of the streams that run or wait at the engine.
     pub running: Vec<String>,
-    /// Whether it is about to leave.
+    /// Whether the engine is about to stop.
     pub leaving: bool,
 }
 
-/// Why an order was not carried out.
+/// Why an order was not executed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OrderError {
-    /// The engine refused it for an old fencing token.
+    /// The engine refused the fencing token because it has seen a newer one.
     #[error("the target refused the fencing token: another daemon holds it")]
     Stale,
-    /// The engine refused it.
+    /// The engine refused the order.
     #[error("the target refused the order ({0}): list its adapters before the next one")]
     Refused(String),
     /// No connection was made.
     #[error("the target can't be reached ({0}): try again later")]
     Unreachable(String),
-    /// The answer was lost.
+    /// The answer was lost, so the order may have taken effect.
     #[error("the answer to the order was lost ({0}): ask the target for its state before going on")]
     Unknown(String),
 }
@@ -66,45 +69,45 @@
 pub enum SendError {
     /// No connection was made: the request is still unsent.
     NotConnected(RequestCall<Unsent>, String),
-    /// The target states that it did not run it.
+    /// The target reports that it did not run the request.
     Refused(RequestCall<HandedOver>, String),
-    /// The target states that it failed.
+    /// The target reports that the request failed.
     Failed(RequestCall<HandedOver>, String),
-    /// Nobody knows.
+    /// The answer was lost; the request may be running.
     Unknown(RequestCall<HandedOver>, String),
 }
 
-/// One item of an engine's stream.
+/// Item of an engine's stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// A token.
+    /// One token of the answer.
     Token {
-        /// The model as the engine names it.
+        /// Model name as reported by the engine.
         model: String,
-        /// Its index.
+        /// Index of the token in the answer, from zero.
         offset: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
-        /// Why the answer ends here, if it does.
+        /// Finish reason, on the last token.
         finish: Option<String>,
     },
     /// The stream is complete.
     Done,
-    /// The stream broke off.
+    /// The stream was interrupted, for the given cause.
     Broken(String),
 }
 
-/// A stream of an engine.
+/// Open answer stream of an engine.
 pub struct EngineStream {
-    /// The engine's run.
+    /// Number of the engine's run.
     pub boot: u64,
     items: Pin<Box<dyn Stream<Item = StreamItem> + Send>>,
 }
 
 impl EngineStream {
-    /// The next item; a silent stream counts as broken.
+    /// Waits for the next item; after 30 s without one the stream counts as broken.
     pub async fn next(&mut self) -> StreamItem {
-        match tokio::time::timeout(SILENT_FOR, self.items.next()).await {
+        match tokio::time::timeout(IDLE_TIMEOUT, self.items.next()).await {
             Ok(Some(item)) => item,
             Ok(None) => StreamItem::Broken("the stream ended without its end mark".to_owned()),
             Err(_) => StreamItem::Broken("the stream fell silent".to_owned()),
@@ -113,7 +116,7 @@
 }
 
 #[derive(Deserialize)]
-struct ListAnswer {
+struct ListResponse {
     loaded: Vec<String>,
     running: Vec<String>,
     #[serde(default)]
@@ -121,7 +124,7 @@
 }
 
 #[derive(Deserialize)]
-struct ChunkAnswer {
+struct ChunkEvent {
     model: String,
     offset: u64,
     choices: Vec<ChunkChoice>,
@@ -136,33 +139,33 @@
 }
 
 impl EngineClient {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address` (`IP:port`).
     #[must_use]
     pub fn new(http: &Client, address: &str) -> Self {
         Self {
             http: http.clone(),
-            base: format!("http://{address}"),
+            base_url: format!("http://{address}"),
         }
     }
 
-    /// The HTTP client that all targets share.
+    /// Creates the HTTP client shared by all targets.
     ///
     /// # Panics
-    /// Only if the system has no HTTP client to give.
+    /// Panics if the HTTP client can't be built.
     #[must_use]
     pub fn shared_http() -> Client {
         Client::builder()
-            .connect_timeout(CONNECT_WITHIN)
+            .connect_timeout(CONNECT_TIMEOUT)
             .pool_max_idle_per_host(256)
             .tcp_nodelay(true)
             .build()
             .expect("a client without TLS needs nothing from the system")
     }
 
-    /// Sends a request; its life goes on as handed over unless no connection was made.
+    /// Sends a request. It counts as handed over unless no connection was made.
     ///
     /// # Errors
-    /// Tells an unsent request from one that the target refused, failed, or may be running.
+    /// Distinguishes a request that was not sent from one that the target refused, failed or may be running.
     pub async fn start(
         &self,
         call: RequestCall<Unsent>,
@@ -195,7 +198,7 @@
         };
         let call = call.hand_over();
         match response.status() {
-            StatusCode::OK => Ok((call, take_stream(response))),
+            StatusCode::OK => Ok((call, open_stream(response))),
             StatusCode::NOT_FOUND | StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS => Err(
                 Box::new(SendError::Refused(call, error_text(response).await)),
             ),
@@ -206,12 +209,12 @@
         }
     }
 
-    /// Asks for the rest of a stream; runs nothing.
+    /// Requests the rest of a stream from token `from` on; does not run anything.
     ///
     /// # Errors
-    /// Returns the cause when the stream can't be had.
+    /// Returns the cause if the stream can't be resumed; it starts with the HTTP status if there is one.
     pub async fn resume(&self, stream: &str, from: u64) -> Result<EngineStream, String> {
-        let url = format!("{}/v1/streams/{stream}?from={from}", self.base);
+        let url = format!("{}/v1/streams/{stream}?from={from}", self.base_url);
         let response = self
             .http
             .get(url)
@@ -219,15 +222,15 @@
             .await
             .map_err(|error| error.to_string())?;
         match response.status() {
-            StatusCode::OK => Ok(take_stream(response)),
+            StatusCode::OK => Ok(open_stream(response)),
             status => Err(status.to_string()),
         }
     }
 
-    /// Loads an adapter; repeating it does no harm.
+    /// Loads an adapter (idempotent); returns the number of the engine's run.
     ///
     /// # Errors
-    /// Tells a refusal from a lost answer.
+    /// Distinguishes a refusal from a lost answer.
     pub async fn load(
         &self,
         model: &AdapterVersion,
@@ -236,13 +239,13 @@
         let request = self
             .order("/v1/load_lora_adapter", token)
             .json(&json!({ "lora_name": model.to_string() }));
-        send_order(request.timeout(LOAD_WITHIN)).await
+        send_order(request.timeout(LOAD_TIMEOUT)).await
     }
 
-    /// Unloads an adapter.
+    /// Unloads an adapter; returns the number of the engine's run.
     ///
     /// # Errors
-    /// Tells a refusal from a lost answer.
+    /// Distinguishes a refusal from a lost answer.
     pub async fn unload(
         &self,
         model: &AdapterVersion,
@@ -251,32 +254,32 @@
         let request = self
             .order("/v1/unload_lora_adapter", token)
             .json(&json!({ "lora_name": model.to_string() }));
-        send_order(request.timeout(ORDER_WITHIN)).await
+        send_order(request.timeout(ORDER_TIMEOUT)).await
     }
 
-    /// Presents a fencing token; older ones are refused once it is acknowledged.
+    /// Presents a fencing token; once acknowledged, the engine refuses older tokens.
     ///
     /// # Errors
-    /// Tells a refusal from a lost answer.
+    /// Distinguishes a refusal from a lost answer.
     pub async fn present_token(&self, token: FencingToken) -> Result<u64, OrderError> {
-        send_order(self.order("/v1/fence", token).timeout(ORDER_WITHIN)).await
+        send_order(self.order("/v1/fence", token).timeout(ORDER_TIMEOUT)).await
     }
 
-    /// Asks for loaded adapters and running streams.
+    /// Lists loaded adapters and running streams.
     ///
     /// # Errors
-    /// Returns an error when the engine can't be reached or answers nonsense.
+    /// Returns an error if the engine can't be reached or its answer can't be parsed.
     pub async fn list(&self) -> Result<EngineListing, OrderError> {
         let request = self
             .http
-            .get(format!("{}/v1/adapters", self.base))
-            .timeout(ORDER_WITHIN);
+            .get(format!("{}/v1/adapters", self.base_url))
+            .timeout(ORDER_TIMEOUT);
         let response = request
             .send()
             .await
             .map_err(|error| OrderError::Unreachable(error.to_string()))?;
-        let boot = boot_of(&response);
-        let answer: ListAnswer = response
+        let boot = boot_number(&response);
+        let answer: ListResponse = response
             .json()
             .await
             .map_err(|error| OrderError::Refused(error.to_string()))?;
@@ -292,19 +295,19 @@
         })
     }
 
-    /// Cancels a stream.
+    /// Cancels a stream; failures are ignored.
     pub async fn cancel(&self, stream: &str) {
         let request = self
             .http
-            .post(format!("{}/v1/cancel", self.base))
+            .post(format!("{}/v1/cancel", self.base_url))
             .json(&json!({ "request_id": stream }));
-        // If this is lost the engine works for nobody until the stream ends; nothing else depends on it.
-        let _ = request.timeout(ORDER_WITHIN).send().await;
+        // If the cancellation is lost, the engine only wastes work until the stream ends.
+        let _ = request.timeout(ORDER_TIMEOUT).send().await;
     }
 
     fn order(&self, path: &str, token: FencingToken) -> RequestBuilder {
         self.http
-            .post(format!("{}{path}", self.base))
+            .post(format!("{}{path}", self.base_url))
             .header("x-fencing-token", token.0.0)
     }
 }
@@ -315,7 +318,7 @@
         Err(error) if error.is_connect() => return Err(OrderError::Unreachable(error.to_string())),
         Err(error) => return Err(OrderError::Unknown(error.to_string())),
     };
-    let boot = boot_of(&response);
+    let boot = boot_number(&response);
     match response.status() {
         StatusCode::OK => Ok(boot),
         StatusCode::CONFLICT => {
@@ -330,7 +333,7 @@
     }
 }
 
-fn boot_of(response: &Response) -> u64 {
+fn boot_number(response: &Response) -> u64 {
     let header = response.headers().get(BOOT_HEADER);
     header
         .and_then(|value| value.to_str().ok())
@@ -356,8 +359,8 @@
     body.to_string()
 }
 
-fn take_stream(response: Response) -> EngineStream {
-    let boot = boot_of(&response);
+fn open_stream(response: Response) -> EngineStream {
+    let boot = boot_number(&response);
     let events = response
         .bytes_stream()
         .map(|bytes: reqwest::Result<Bytes>| bytes)
@@ -374,7 +377,7 @@
 }
 
 fn parse_chunk(data: &str) -> StreamItem {
-    let parsed: Result<ChunkAnswer, _> = serde_json::from_str(data);
+    let parsed: Result<ChunkEvent, _> = serde_json::from_str(data);
     let Ok(mut chunk) = parsed else {
         return StreamItem::Broken("the target sent an event that is no chunk".to_owned());
     };
--- a/crates/daemon/src/targets/mod.rs
+++ b/crates/daemon/src/targets/mod.rs
@@ -1,6 +1,7 @@
-//! Targets: the wire of engines and plain services, and the workers that carry streams.
+//! Clients of targets (model engines and plain services), and the workers that run streams on them.
 //!
-//! [`EngineClient`] is the only place that knows the engines' wire.
+//! [`EngineClient`] is the only type that knows the HTTP protocol of the engines. The workers report the end of each
+//! stream to the event loop and write its frames to a call buffer.
 
 mod engine;
 mod service;
--- a/crates/daemon/src/targets/service.rs
+++ b/crates/daemon/src/targets/service.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service.
+//! Worker for one call of a plain service.
 
 use crate::{
     app::{AppEvent, StreamEnd},
@@ -14,29 +14,29 @@
 use tokio::sync::mpsc;
 
 /// Time without a byte after which a call counts as broken.
-const SILENT_FOR: Duration = Duration::from_secs(60);
-/// Bytes of one frame.
-const FRAME_BYTES: usize = 64 * 1024;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Largest body part in one frame, in bytes.
+const MAX_FRAME_BYTES: usize = 64 * 1024;
 
-/// A call to run.
+/// Input of [`run_service_call`].
 pub struct ServiceJob {
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
-    /// The target.
+    /// Target that runs the call.
     pub target: TargetName,
     /// `IP:port` of the target.
     pub address: String,
-    /// What is to be done.
+    /// Request to the service.
     pub work: ServiceWork,
-    /// The request, not handed over yet.
+    /// State of the request, not handed over yet.
     pub request: RequestCall<Unsent>,
-    /// Where the frames go.
+    /// Buffer for the answer's frames.
     pub buffer: Arc<CallBuffer>,
-    /// The event loop.
+    /// Queue of the event loop.
     pub events: mpsc::Sender<AppEvent>,
 }
 
-/// Runs a call to its end and reports it.
+/// Runs a call to its end, reports the end to the event loop and then ends the answer.
 pub async fn run_service_call(http: Client, job: ServiceJob) {
     let (call, target, events, buffer) = (
         job.call,
@@ -44,14 +44,14 @@
         job.events.clone(),
         Arc::clone(&job.buffer),
     );
-    let (end, report) = carry(&http, job).await;
+    let (end, report) = send_and_relay(&http, job).await;
     let _ = events
         .send(AppEvent::StreamEnded(call, target, report))
         .await;
     buffer.end(end);
 }
 
-async fn carry(http: &Client, job: ServiceJob) -> (CallEnd, StreamEnd) {
+async fn send_and_relay(http: &Client, job: ServiceJob) -> (CallEnd, StreamEnd) {
     let Ok(method) = Method::from_bytes(job.work.method.as_bytes()) else {
         return (
             CallEnd::NotRun(job.request.refuse(NotRunReason::Cancelled)),
@@ -62,7 +62,7 @@
     for (name, value) in &job.work.headers {
         request = request.header(name, value);
     }
-    let sent = tokio::time::timeout(SILENT_FOR, request.body(job.work.body.clone()).send()).await;
+    let sent = tokio::time::timeout(IDLE_TIMEOUT, request.body(job.work.body.clone()).send()).await;
     let response = match sent {
         Ok(Ok(response)) => response,
         Ok(Err(error)) if error.is_connect() => {
@@ -86,18 +86,20 @@
         model: None,
         load_stall_ms: 0,
     };
-    if job.buffer.push(started).await.is_err() || job.buffer.push(head(&response)).await.is_err() {
+    if job.buffer.push(started).await.is_err()
+        || job.buffer.push(response_head(&response)).await.is_err()
+    {
         return (CallEnd::Unknown("abandoned".to_owned()), StreamEnd::Ended);
     }
     let mut body = response.bytes_stream();
     loop {
-        match tokio::time::timeout(SILENT_FOR, body.next()).await {
+        match tokio::time::timeout(IDLE_TIMEOUT, body.next()).await {
             Ok(None) => return (CallEnd::Complete, StreamEnd::Ended),
             Ok(Some(Ok(bytes))) => {
-                for piece in bytes.chunks(FRAME_BYTES) {
+                for part in bytes.chunks(MAX_FRAME_BYTES) {
                     if job
                         .buffer
-                        .push(CallFrame::Body(piece.to_vec()))
+                        .push(CallFrame::Body(part.to_vec()))
                         .await
                         .is_err()
                     {
@@ -116,7 +118,7 @@
     }
 }
 
-fn head(response: &Response) -> CallFrame {
+fn response_head(response: &Response) -> CallFrame {
     let headers = response
         .headers()
         .iter()
@@ -129,7 +131,7 @@
     }
 }
 
-/// Whether a header belongs to one connection only (RFC 9110, section 7.6.1).
+/// Whether a header applies to one connection only (RFC 9110, section 7.6.1), or is set anew for each request.
 pub fn is_hop_by_hop_header(name: &str) -> bool {
     matches!(
         name,
--- a/crates/daemon/src/targets/stream.rs
+++ b/crates/daemon/src/targets/stream.rs
@@ -1,7 +1,7 @@
-//! One engine stream, from dispatch to its end.
+//! Worker for one engine stream, from dispatch to its end.
 //!
-//! Tokens are passed on in order and without a gap; a stream that breaks is asked for again from the first missing
-//! token. Each token's model is checked against the one asked for.
+//! Tokens are relayed in order and without gaps; a broken stream is resumed from the first missing token. The model
+//! reported with each token is checked against the requested one.
 
 use crate::{
     app::{AppEvent, StreamEnd},
@@ -23,54 +23,54 @@
 };
 use tokio::sync::mpsc;
 
-/// Times that a stream is asked for again.
-const RESUMES: u32 = 5;
-/// Pause before the first of them; doubles.
-const RESUME_AFTER: Duration = Duration::from_millis(50);
+/// Largest number of resume attempts of a stream.
+const MAX_RESUME_ATTEMPTS: u32 = 5;
+/// Pause before the first resume attempt; doubles with each further one.
+const INITIAL_RESUME_BACKOFF: Duration = Duration::from_millis(50);
 
-/// A stream to run or to take up again.
+/// Input of [`run_stream`]: a stream to start or to resume.
 pub struct StreamJob {
-    /// The call.
+    /// Id of the call.
     pub call: CallId,
-    /// The target.
+    /// Target that runs the stream.
     pub target: TargetName,
-    /// Its client.
+    /// Client of the target.
     pub client: EngineClient,
-    /// The holder's token.
+    /// Fencing token of the holder.
     pub token: FencingToken,
-    /// The request's class.
+    /// Priority class of the request.
     pub class: PriorityClass,
-    /// What is to be done.
+    /// Request to the engine.
     pub work: EngineWork,
     /// Name of the stream at the target.
     pub stream: String,
-    /// First token that is wanted.
+    /// Index of the first token to relay.
     pub from: u64,
-    /// Whether it is to be started, or only asked for again.
+    /// Request to start; `None` to resume a stream that was started before.
     pub start: Option<RequestCall<Unsent>>,
-    /// How long the request waited for its adapter.
+    /// Time that the request waited for its adapter to load.
     pub load_stall: Duration,
-    /// Counts the target's tokens.
+    /// Counter of tokens from the target.
     pub tokens: Arc<AtomicU64>,
-    /// Where the frames go.
+    /// Buffer for the answer's frames.
     pub buffer: Arc<CallBuffer>,
-    /// The event loop.
+    /// Queue of the event loop.
     pub events: mpsc::Sender<AppEvent>,
 }
 
-/// Runs a stream to its end and reports it.
+/// Runs a stream to its end, reports the end to the event loop and then ends the answer.
 pub async fn run_stream(mut job: StreamJob) {
     let (end, report) = match job.begin().await {
-        Ok((call, stream)) => job.carry(call, stream).await,
-        Err(ended) => *ended,
+        Ok((call, stream)) => job.relay_tokens(call, stream).await,
+        Err(ending) => *ending,
     };
-    let abandoned = job.buffer.is_abandoned();
-    if abandoned || matches!(end, CallEnd::Failed(_)) {
+    let is_abandoned = job.buffer.is_abandoned();
+    if is_abandoned || matches!(end, CallEnd::Failed(_)) {
         job.client.cancel(&job.stream).await;
     }
-    let ended = AppEvent::StreamEnded(job.call, job.target.clone(), report);
-    // The scheduler hears of the free seat before the caller of the end, so that a follow-up finds it.
-    let _ = job.events.send(ended).await;
+    let end_event = AppEvent::StreamEnded(job.call, job.target.clone(), report);
+    // Reports to the scheduler before the caller sees the end, so that a follow-up request finds the slot free.
+    let _ = job.events.send(end_event).await;
     job.buffer.end(end);
 }
 
@@ -87,7 +87,7 @@
             load_stall_ms: self.load_stall.as_millis() as u32,
         };
         let Some(call) = self.start.take() else {
-            // Room is certain: it is the first frame.
+            // The first frame always fits into the window.
             let _ = self.buffer.push(started).await;
             let resumed = self.client.resume(&self.stream, self.from).await;
             return match resumed {
@@ -104,31 +104,33 @@
                 let _ = self.buffer.push(started).await;
                 Ok((Some(call), stream))
             }
-            Err(error) => Err(Box::new(not_started(*error))),
+            Err(error) => Err(Box::new(start_error_end(*error))),
         }
     }
 
-    async fn carry(
+    async fn relay_tokens(
         &mut self,
         call: Option<RequestCall<HandedOver>>,
         mut stream: EngineStream,
     ) -> StreamEnding {
         let boot = stream.boot;
         let mut next = self.from;
-        let mut resumes = 0;
-        let mut finished = false;
+        let mut resume_attempts = 0;
+        let mut has_finished = false;
         loop {
             let item = tokio::select! {
                 item = stream.next() => item,
-                () = self.buffer.abandoned() => return (CallEnd::Unknown("abandoned".to_owned()), StreamEnd::Ended),
+                () = self.buffer.wait_abandoned() => return (CallEnd::Unknown("abandoned".to_owned()), StreamEnd::Ended),
             };
             let cause = match item {
-                StreamItem::Done if finished => {
+                StreamItem::Done if has_finished => {
                     drop(call.map(RequestCall::answered));
                     return (CallEnd::Complete, StreamEnd::Complete { boot });
                 }
                 StreamItem::Done => "the stream ended before its last token".to_owned(),
-                StreamItem::Token { model, .. } if !is_model(&self.work.model, &model) => {
+                StreamItem::Token { model, .. }
+                    if !is_requested_model(&self.work.model, &model) =>
+                {
                     event!(
                         Event::WrongAdapter,
                         "{} answered {model} for {}",
@@ -159,7 +161,7 @@
                     }
                     next += 1;
                     self.tokens.fetch_add(1, Ordering::Relaxed);
-                    finished = finish.is_some();
+                    has_finished = finish.is_some();
                     if self
                         .buffer
                         .push(CallFrame::Text {
@@ -176,24 +178,24 @@
                 }
                 StreamItem::Broken(cause) => cause,
             };
-            match self.take_up(next, &mut resumes, cause).await {
-                Ok(again) => stream = again,
+            match self.resume_broken(next, &mut resume_attempts, cause).await {
+                Ok(resumed) => stream = resumed,
                 Err(cause) => return (CallEnd::Broken(cause), StreamEnd::Broken),
             }
         }
     }
 
-    /// Asks for the rest of a broken stream.
-    async fn take_up(
+    /// Resumes a broken stream, with exponential backoff.
+    async fn resume_broken(
         &self,
         next: u64,
-        resumes: &mut u32,
+        resume_attempts: &mut u32,
         cause: String,
     ) -> Result<EngineStream, String> {
         let mut cause = cause;
-        while *resumes < RESUMES {
-            tokio::time::sleep(RESUME_AFTER * (1 << *resumes)).await;
-            *resumes += 1;
+        while *resume_attempts < MAX_RESUME_ATTEMPTS {
+            tokio::time::sleep(INITIAL_RESUME_BACKOFF * (1 << *resume_attempts)).await;
+            *resume_attempts += 1;
             match self.client.resume(&self.stream, next).await {
                 Ok(stream) => {
                     event!(
@@ -203,7 +205,7 @@
                     );
                     return Ok(stream);
                 }
-                // The target does not know the stream: it restarted, or never had it.
+                // The target does not know the stream: it has restarted, or never received the request.
                 Err(status) if status.starts_with("404") => {
                     return Err(format!("{cause}; the target no longer has it"));
                 }
@@ -214,13 +216,13 @@
     }
 }
 
-fn not_started(error: SendError) -> StreamEnding {
+fn start_error_end(error: SendError) -> StreamEnding {
     match error {
         SendError::NotConnected(call, _) => (
             CallEnd::NotRun(call.refuse(NotRunReason::NotConnected)),
             StreamEnd::Unreachable,
         ),
-        // The target's own statement that it did not run it is as good as never having sent it.
+        // The target's statement that it did not run the request proves as much as not having sent it.
         SendError::Refused(call, cause) => (
             CallEnd::NotRun(call.refused_by_target(NotRunReason::TargetRefused { cause })),
             StreamEnd::Refused,
@@ -230,8 +232,8 @@
     }
 }
 
-fn is_model(asked: &AdapterVersion, answered: &str) -> bool {
-    answered.split_once('@').is_some_and(|(name, version)| {
-        name == asked.adapter.as_str() && version == asked.version.as_str()
+fn is_requested_model(requested: &AdapterVersion, reported: &str) -> bool {
+    reported.split_once('@').is_some_and(|(name, version)| {
+        name == requested.adapter.as_str() && version == requested.version.as_str()
     })
 }
