--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,7 +1,8 @@
-//! The daemon's clocks. The core is only ever given their readings.
+//! Clocks of the daemon. The core never reads a clock itself; it is given readings.
 //!
-//! Leases, proofs, quotas and quarantines are aged by [`now`], so it goes on while the VM is suspended. The timers of
-//! the runtime do not: they may fire late, and whatever a rule depends on is compared with [`now`] when they do.
+//! [`now`] determines the age of leases, proofs, quotas and quarantines, so it keeps running while the VM is suspended.
+//! The timers of the async runtime stop during a suspension and may fire late; code that depends on a time compares it
+//! with [`now`] when a timer fires.
 
 use hoplanding_core::ids::Instant;
 use nix::time::{ClockId, clock_gettime};
@@ -13,39 +14,40 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-/// Counts the time for which the VM is suspended, where the system has such a clock.
+/// Clock that includes the time for which the VM is suspended, where the operating system has one.
 #[cfg(target_os = "linux")]
-const SOURCE: ClockId = ClockId::CLOCK_BOOTTIME;
+const CLOCK_ID: ClockId = ClockId::CLOCK_BOOTTIME;
 #[cfg(not(target_os = "linux"))]
-const SOURCE: ClockId = ClockId::CLOCK_MONOTONIC;
+const CLOCK_ID: ClockId = ClockId::CLOCK_MONOTONIC;
 
-static ORIGIN: LazyLock<Duration> = LazyLock::new(read_source);
-/// Microseconds that were skipped.
-static SKIPPED: AtomicU64 = AtomicU64::new(0);
+static FIRST_READING: LazyLock<Duration> = LazyLock::new(read_clock);
+/// Simulated suspensions, in microseconds.
+static SIMULATED_SUSPENSION_US: AtomicU64 = AtomicU64::new(0);
 
-fn read_source() -> Duration {
-    Duration::from(clock_gettime(SOURCE).expect("the system has this clock"))
+fn read_clock() -> Duration {
+    Duration::from(clock_gettime(CLOCK_ID).expect("the operating system has this clock"))
 }
 
-/// Time since the process began to look at it, suspensions included; never goes back.
+/// Returns the monotonic time since the first reading, including suspensions of the VM.
 #[must_use]
 pub fn now() -> Instant {
-    let elapsed = read_source().saturating_sub(*ORIGIN);
+    let elapsed = read_clock().saturating_sub(*FIRST_READING);
     let micros = u64::try_from(elapsed.as_micros()).unwrap_or(u64::MAX >> 1);
-    // One second is added so that spans before the first reading can be expressed.
-    Instant(micros + SKIPPED.load(Ordering::Relaxed) + 1_000_000)
+    // Starts at one second, so that instants shortly before the first reading can be expressed.
+    Instant(micros + SIMULATED_SUSPENSION_US.load(Ordering::Relaxed) + 1_000_000)
 }
 
-/// Moves [`now`] ahead as a suspension of the VM does: the runtime's timers stay behind.
-pub fn simulate_suspension(span: Duration) {
-    let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX >> 1);
-    SKIPPED.fetch_add(micros, Ordering::Relaxed);
+/// Advances [`now`] but not the runtime's timers, like a suspension of the VM; for tests.
+pub fn simulate_suspension(duration: Duration) {
+    let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX >> 1);
+    SIMULATED_SUSPENSION_US.fetch_add(micros, Ordering::Relaxed);
 }
 
-/// By how much the times of day of two VMs may differ.
+/// Largest difference between the wall clocks of two VMs.
 pub const MAX_CLOCK_SKEW: Duration = Duration::from_secs(15);
 
-/// Wall-clock time in milliseconds since 1970; for people, and for spans that are long beside [`CLOCK_ERROR`].
+/// Returns the wall-clock time in milliseconds since the Unix epoch; only for display, and for durations much longer
+/// than [`MAX_CLOCK_SKEW`].
 #[must_use]
 pub fn wall_ms() -> u64 {
     let elapsed = SystemTime::now()
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/events.rs
@@ -1,10 +1,10 @@
-//! Numbered events of the log. docs/EVENTS.md lists them, and a test holds that list against this one.
+//! Numbered log events. docs/EVENTS.md lists them, and a test compares that list with this one.
 
 use log::Level;
 
 macro_rules! events {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// A numbered event.
+        /// A numbered log event.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Event {
             $($(#[$doc])* $name,)*
@@ -14,19 +14,19 @@
             /// Every event.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// Its number.
+            /// Number in the log and in docs/EVENTS.md.
             #[must_use]
             pub fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Its level.
+            /// Log level.
             #[must_use]
             pub fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level,)* }
             }
 
-            /// What it says.
+            /// Fixed start of the log message.
             #[must_use]
             pub fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
@@ -36,193 +36,193 @@
 }
 
 events! {
-    /// The daemon started.
+    /// The daemon has started.
     Started = 100, Info, "daemon started";
-    /// The daemon folded what it needs.
+    /// The daemon has applied the log and is ready to serve.
     Ready = 101, Info, "ready to serve";
-    /// A planned stop began.
+    /// A planned stop has begun.
     Stopping = 102, Info, "planned stop began";
-    /// The daemon ended.
+    /// The daemon has ended.
     Stopped = 103, Info, "daemon ended";
-    /// A planned stop ran into its bound.
+    /// A planned stop reached its timeout.
     StopTimedOut = 104, Warn, "planned stop reached its bound with work left";
-    /// The settings are wrong.
+    /// The settings are invalid.
     SettingsInvalid = 105, Error, "settings refused";
-    /// A hang-up signal came.
+    /// SIGHUP was received.
     HangupReceived = 106, Info, "hang-up signal";
-    /// Changed settings are in force.
+    /// Changed settings are in effect.
     SettingsReloaded = 109, Info, "changed settings taken over";
-    /// Changed settings are wrong, and the ones before stay in force.
+    /// Changed settings are invalid; the previous ones stay in effect.
     ReloadRejected = 110, Error, "changed settings refused, the old ones stay";
-    /// Log lines were dropped.
+    /// The log queue was full and lines were dropped.
     LogLinesDropped = 107, Warn, "log lines dropped";
     /// The metrics page could not be written.
     MetricsWriteFailed = 108, Warn, "metrics page not written";
-    /// The log can't be reached.
+    /// The platform's log can't be reached.
     LogUnreachable = 200, Warn, "platform log out of reach";
-    /// The log can be reached again.
+    /// The platform's log can be reached again.
     LogReachable = 201, Info, "platform log back";
-    /// Records expired before they were read.
+    /// Log records expired before they were read.
     LogExpired = 202, Warn, "log records expired before they were read";
-    /// A snapshot was taken over.
+    /// A snapshot of the folded state was adopted.
     SnapshotAdopted = 203, Info, "snapshot adopted";
-    /// A snapshot was appended.
+    /// A snapshot of the folded state was appended to the log.
     SnapshotWritten = 204, Info, "snapshot appended";
-    /// A record can't be decoded.
+    /// A log record can't be decoded.
     RecordSkipped = 205, Error, "log record passed over";
-    /// An append's answer was lost.
+    /// The answer to an append was lost.
     AppendOutcomeUnknown = 206, Warn, "answer to an append lost";
-    /// A change is in force.
+    /// A configuration change is in effect.
     ChangeAccepted = 300, Info, "configuration change accepted";
-    /// A change was refused.
+    /// A configuration change was refused.
     ChangeRefused = 301, Warn, "configuration change refused";
-    /// The belief about a peer changed.
+    /// The membership state of a peer has changed.
     PeerStateChanged = 400, Info, "peer state changed";
-    /// A peer's link broke.
+    /// The link to a peer is broken.
     LinkBroken = 401, Warn, "peer link broken";
-    /// A peer's link is up.
+    /// The link to a peer is connected.
     LinkUp = 402, Info, "peer link up";
-    /// A peer was refused.
+    /// A peer's link was refused.
     PeerRejected = 403, Warn, "peer refused";
-    /// A target was taken over.
+    /// This daemon has taken a target over.
     TargetTakenOver = 500, Info, "target taken over";
-    /// A target was lost to another holder.
+    /// Another holder has taken a target over.
     TargetLost = 501, Info, "target lost to another holder";
-    /// A target is served.
+    /// A target is ready to serve.
     TargetReady = 502, Info, "target ready";
-    /// A target restarted.
+    /// A target has restarted without its adapters.
     TargetRestarted = 503, Warn, "target restarted empty";
     /// A target can't be reached.
     TargetUnreachable = 504, Warn, "target out of reach";
-    /// A target answered with another adapter.
+    /// A target answered with a different adapter than requested.
     WrongAdapter = 505, Error, "target answered with another adapter; taken out of use";
-    /// A predecessor is settled.
+    /// No request of a target's previous holder can still be running.
     PredecessorSettled = 506, Info, "predecessor settled";
-    /// An unload was refused by a rule.
+    /// A rule forbids the unload of an adapter.
     UnloadRefused = 507, Debug, "unload refused by a rule";
-    /// A late intent was voided.
+    /// An unload intent came too late and was voided.
     IntentVoided = 508, Warn, "late unload announcement voided";
-    /// A load failed.
+    /// An adapter load failed.
     LoadFailed = 509, Warn, "adapter load failed";
-    /// An order's answer was lost.
+    /// The answer to an order was lost.
     OrderOutcomeUnknown = 510, Warn, "answer to an order lost";
-    /// A stream broke and was asked for again.
+    /// A broken stream was resumed.
     StreamResumed = 600, Info, "stream resumed";
     /// An answer could not be completed.
     AnswerIncomplete = 601, Warn, "answer could not be completed";
-    /// The outcome of a request is unknown.
+    /// It is unknown whether a request ran.
     OutcomeUnknown = 602, Warn, "outcome of a request unknown";
-    /// Idempotency tokens were handed over.
+    /// Idempotency tokens were handed to another daemon.
     TokensHandedOver = 603, Info, "idempotency tokens handed over";
-    /// A configuration is in force.
+    /// A configuration is in effect.
     ConfigInForce = 302, Info, "configuration in force";
-    /// A configuration that the log holds is older than the one in force.
+    /// The configuration in the log is older than the one in effect.
     ConfigOutdated = 303, Warn, "older configuration passed over";
-    /// The record of this VM was not written.
+    /// The record of this VM could not be written.
     VmRecordFailed = 207, Warn, "record of this VM not written";
-    /// All keys of a topic are known.
+    /// All keys of a log topic have been read.
     TopicLoaded = 208, Info, "topic of the platform's log known";
-    /// The log has come back from a copy.
+    /// The platform's log was restored from a copy, so its history has changed.
     HistoryChanged = 209, Warn, "history of the platform's log changed";
-    /// An answer of the log is of an era that is over.
+    /// An answer of the log belongs to a previous history.
     StaleHistoryAnswer = 210, Warn, "answer of an earlier history of the platform's log passed over";
     /// A call went on before the end of its target was recorded.
     EndRecordLate = 211, Warn, "end of a target not recorded in time";
-    /// A zone's holder was read from the log.
+    /// The log names the holder of a zone's lease.
     LeaseRecorded = 700, Info, "holder of a zone recorded";
-    /// This VM appended a claim.
+    /// This VM has appended a claim to a zone's lease.
     LeaseClaimed = 701, Info, "zone claimed";
-    /// A claim or release was not appended.
+    /// A claim or release of a lease could not be appended.
     ClaimFailed = 702, Warn, "claim or release of a zone not recorded";
-    /// This VM gives a zone's orders.
+    /// This VM holds a zone's lease and sends its orders.
     LeaseHeld = 703, Info, "zone held";
-    /// This VM gives a zone's orders no more.
+    /// This VM no longer holds a zone's lease.
     LeaseLost = 704, Info, "zone no longer held";
-    /// A target refused this VM's token.
+    /// A target refused this VM's fencing token.
     LeaseFenced = 705, Warn, "orders refused in favour of a newer holder";
     /// This VM asks a weaker holder for the lease.
     LeaseRequested = 706, Info, "lease asked for";
-    /// This VM gives a zone up for a stronger one.
+    /// This VM gives the lease up to a stronger one.
     LeaseYielded = 707, Info, "lease given up for a stronger VM";
-    /// This VM holds its zone by a new record of its lease.
+    /// This VM holds its lease under a new record.
     LeaseRenewed = 708, Info, "lease claimed again";
-    /// A target takes no new work any more.
+    /// A target accepts no new work.
     TargetClosed = 720, Info, "target takes no new work";
-    /// The removal of a target's entry may be a lapse.
+    /// The removal of a target's entry may be an error.
     RemovalUncertain = 721, Info, "removal of a target in doubt";
-    /// A target has started again under its name.
+    /// A target has started again under the same name.
     TargetReplaced = 722, Info, "target started again";
-    /// An entry is of a life of its target that is over.
+    /// An entry belongs to a previous incarnation of its target.
     StaleEntry = 723, Info, "entry of an earlier life passed over";
-    /// An entry can't be used.
+    /// An entry of the target list can't be used.
     InvalidEntry = 724, Warn, "entry of the target list can't be used";
-    /// A target says in its answers that it is about to leave.
+    /// A target announces in its answers that it will stop.
     TargetLeaving = 725, Info, "target says that it leaves";
-    /// A target wants nothing from this VM for a while.
+    /// A target asks this VM to send nothing for a while.
     BackoffRequested = 726, Info, "target asks for rest";
-    /// A header in which a target tells of itself can't be read.
+    /// A header with which a target describes itself can't be parsed.
     InvalidNotice = 727, Warn, "what a target says of itself can't be read";
-    /// An order was taken.
+    /// An order was accepted.
     OrderAccepted = 710, Info, "order taken";
-    /// An order came to nothing.
+    /// An order was not accepted.
     OrderFailed = 711, Warn, "order not taken";
-    /// A report could not be read.
+    /// An engine's report could not be read.
     ReportMissing = 712, Warn, "report of an engine not read";
-    /// An order was answered by a life of its target that is over.
+    /// The answer to an order belongs to a previous incarnation of its target.
     StaleOrderAnswer = 713, Info, "answer to an order of an earlier life passed over";
-    /// What is learned of the weight store has changed.
+    /// The estimated load rate of the weight store has changed.
     LoadLimitChanged = 714, Info, "loads from the weight store";
-    /// An engine could take prompt parts from another one.
+    /// An engine could fetch the KV cache of a prompt from another one.
     KvFetchOffered = 715, Debug, "memory of a prompt may move";
-    /// A request was refused as not run.
+    /// A request was refused and not run.
     CallRefused = 800, Info, "request refused as not run";
     /// A request failed.
     CallFailed = 801, Info, "request failed";
-    /// A request has no route.
+    /// No route matches a request.
     NoRoute = 802, Info, "no route for a request";
-    /// A request has no key that is in force.
+    /// A request carries no valid API key.
     KeyRefused = 806, Info, "key refused";
-    /// Keys may have been taken away that this VM does not know of.
+    /// API keys may have been revoked without this VM knowing.
     KeysUncertain = 807, Info, "request refused as not run, keys uncertain";
-    /// An organisation's quota is used up.
+    /// An organisation has used up its quota.
     QuotaUsedUp = 808, Info, "request refused as not run, quota used up";
-    /// A target ended while a request ran there.
+    /// A target ended while a request ran on it.
     TargetEndedDuringRequest = 816, Info, "target ended under a request";
-    /// A holder heard of a target that ended under a request.
+    /// The holder learned that a target ended while running a request.
     RequestSuspected = 716, Warn, "request suspected";
-    /// A suspect was answered well.
+    /// A suspected request was answered correctly.
     SuspicionCleared = 717, Info, "suspicion of a request cleared";
-    /// A target broke a call off, and nothing showed that it had ended.
+    /// A target interrupted a call, and there is no evidence that it ended.
     TargetEndUnconfirmed = 817, Info, "no end shown of a target that broke a call off";
-    /// A target named a limit, another one or none any more.
+    /// A target announced, changed or removed a limit.
     LimitNamed = 818, Info, "limit of a target";
-    /// A request was given a target.
+    /// A request was assigned to a target.
     CallPlaced = 803, Debug, "request placed";
-    /// A stream's first event went out.
+    /// The first event of a stream was sent to the caller.
     StreamAnswered = 804, Info, "stream answered";
-    /// A stream whose target took prompt parts from another one has begun.
+    /// A stream has begun on a target that fetched the KV cache from another one.
     KvFetchUsed = 805, Debug, "stream begun with moved memory";
-    /// A target could not be reached for a request.
+    /// A request could not connect to its target.
     TargetConnectFailed = 810, Info, "target out of reach for a request";
-    /// A target answered nothing.
+    /// A target sent no answer.
     NoAnswer = 811, Info, "no answer from a target";
-    /// A target turned a request away.
+    /// A target refused a request.
     RequestTurnedAway = 812, Info, "request turned away by a target";
-    /// An answer belongs to another request, or is no proper one.
+    /// An answer belongs to another request or is malformed.
     MismatchedAnswer = 813, Warn, "answer that is not this request's";
-    /// An answer broke off.
+    /// A target interrupted an answer.
     AnswerBroken = 814, Info, "answer broken off by a target";
-    /// A stream broke off.
+    /// A target interrupted a stream.
     StreamBroken = 815, Info, "stream broken off by a target";
-    /// The retry budget paid for a repeat.
+    /// The retry budget allowed a retry.
     RetryAllowed = 830, Info, "repeat allowed";
-    /// The retry budget did not pay for a repeat.
+    /// The retry budget denied a retry.
     RetryDenied = 831, Info, "repeat denied";
     /// A connection could not be accepted.
     AcceptFailed = 820, Warn, "connection not accepted";
 }
 
-/// Writes a numbered event: its number, its text, the request that it is about and what decided it.
+/// Logs a numbered [`Event`](events::Event), optionally with the id of the request concerned and a formatted detail.
 #[macro_export]
 macro_rules! event {
     ($event:expr) => {{
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,17 +1,21 @@
 //! The hoplanding daemon.
 //!
-//! | module | job |
+//! Every VM runs one daemon. It accepts callers' requests and sends them to targets (model engines and plain services),
+//! in one of two modes: through the daemon that holds the target ([`RunningDaemon`]), or directly
+//! ([`direct::daemon::DirectDaemon`]).
+//!
+//! | module | contents |
 //! |---|---|
-//! | [`app`] | the event loop: the one place where state changes |
-//! | [`gateway`] | the callers' HTTP interface, and one driver a request |
-//! | [`operators`] | the operators' HTTP interface |
+//! | [`app`] | the event loop, which owns all state of the daemon |
+//! | [`gateway`] | HTTP interface for callers, and the driver of each request |
+//! | [`operators`] | HTTP interface for operators |
 //! | [`peers`] | links between daemons |
-//! | [`targets`] | engines and plain services |
+//! | [`targets`] | clients of engines and plain services |
 //! | [`platform`] | the platform's log and list of VMs |
-//! | [`direct`] | the mode in which gateways send straight to targets: its own map |
-//! | [`calls`] | frames of answers, between daemons or within one |
-//! | [`options`] | arguments and settings |
-//! | [`events`], [`logging`], [`metrics`], [`clock`] | numbered log events, where they go, statsd, time |
+//! | [`direct`] | the mode in which gateways send directly to targets, with a module table of its own |
+//! | [`calls`] | requests and answer frames, between daemons or within one |
+//! | [`options`] | command-line arguments and settings |
+//! | [`events`], [`logging`], [`metrics`], [`clock`] | numbered log events, log output, statsd metrics, clocks |
 
 pub mod app;
 pub mod calls;
@@ -51,39 +55,39 @@
     task::JoinHandle,
 };
 
-/// Events that wait for the loop.
-const EVENTS: usize = 16 * 1024;
+/// Capacity of the event loop's queue.
+const EVENT_QUEUE_CAPACITY: usize = 16 * 1024;
 
-/// A running daemon.
+/// A running daemon of the mode in which requests go through the target's holder.
 pub struct RunningDaemon {
-    /// Where callers and operators connect.
+    /// Bound address for callers and operators.
     pub caller_address: SocketAddr,
-    /// Where peers connect.
+    /// Bound address for peers.
     pub peer_address: SocketAddr,
-    /// Its VM and run.
-    pub me: DaemonRef,
+    /// VM and incarnation of the daemon.
+    pub daemon: DaemonRef,
     app: AppHandle,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl RunningDaemon {
-    /// Starts a daemon.
+    /// Binds the addresses and starts the workers.
     ///
     /// # Errors
-    /// Returns the error of the system when an address can't be had.
+    /// Returns the I/O error if an address can't be bound.
     pub async fn start(settings: Settings) -> io::Result<Self> {
         let settings = Arc::new(settings);
-        let me = DaemonRef {
+        let daemon = DaemonRef {
             vm: VmName::new(&settings.vm),
             incarnation: Incarnation(rand::random::<u64>() >> 16),
         };
         let hello = PeerHello {
             version: PROTOCOL_VERSION,
-            daemon: me.clone(),
+            daemon: daemon.clone(),
             zone: AvailabilityZone::new(&settings.zone),
             secret: settings.peer_secret.clone(),
         };
-        let (events, receiver) = mpsc::channel(EVENTS);
+        let (events, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let calls = Arc::new(CallTable::default());
         let server = PeerServer::bind(
             settings.peer_address,
@@ -97,7 +101,7 @@
         let peer_address = server.address()?;
         event!(
             Event::Started,
-            "{me} in {}: callers {caller_address}, peers {peer_address}",
+            "{daemon} in {}: callers {caller_address}, peers {peer_address}",
             settings.zone
         );
         let platform = PlatformClient::new(&settings.platform, &settings.vm);
@@ -118,7 +122,7 @@
             next_answer_number: AtomicU64::new(1),
         });
         let acceptor = NoDelayAcceptor::new(listener)?;
-        let state = AppState::new(Arc::clone(&settings), me.clone(), workers);
+        let state = AppState::new(Arc::clone(&settings), daemon.clone(), workers);
         let vm_list_interval = settings.platform.vm_list_interval;
         let tasks = vec![
             tokio::spawn(server.run()),
@@ -129,7 +133,7 @@
             )),
             tokio::spawn(run_vm_list_reader(platform, vm_list_interval, events)),
             tokio::spawn(async move {
-                // The server ends with the daemon; an error here means the same.
+                // The server runs until the daemon stops, so its result is not needed.
                 let _ = Server::new_with_acceptor(acceptor)
                     .run(routes(context))
                     .await;
@@ -139,18 +143,18 @@
         Ok(Self {
             caller_address,
             peer_address,
-            me,
+            daemon,
             app,
             tasks,
         })
     }
 
-    /// Whether it may serve.
+    /// Whether the daemon is ready to serve requests.
     pub async fn is_ready(&self) -> bool {
         self.app.ask(AppEvent::IsReady).await.unwrap_or(false)
     }
 
-    /// A planned stop: interrupts nothing and reports what was left at its bound.
+    /// Stops the daemon as planned, without interrupting requests; reports what was left at the timeout.
     pub async fn stop(self) -> StopReport {
         let report = self.app.ask(AppEvent::Stop).await.unwrap_or_default();
         event!(
@@ -162,7 +166,7 @@
         report
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once, like a crash.
     pub fn kill(self) {
         drop(self);
     }
--- a/crates/daemon/src/logging.rs
+++ b/crates/daemon/src/logging.rs
@@ -1,7 +1,7 @@
-//! Where log lines go: one JSON object a line, by a bounded queue that never holds the daemon up.
+//! Log output: one JSON object per line, written by a thread of its own behind a bounded queue.
 //!
-//! Lines that do not fit into the queue are dropped and counted. The count goes out as an event of its own, and stands
-//! among the metrics.
+//! A blocked output never blocks the daemon: lines that do not fit into the queue are dropped and counted. The count is
+//! reported as a log event and as a metric.
 
 use crate::{event, events::Event, options::LogSettings};
 use std::{
@@ -12,21 +12,21 @@
 use structured_logger::{Builder, json::new_writer};
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that wait to be written: fourteen seconds of the most that a VM wrote in one second of four bad days (147 lines
-/// of some 190 bytes, kettleby-reels-grown scale-1).
-const WAITING_LINES: usize = 2_048;
-static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
+/// Capacity of the queue in lines of about 190 bytes: 14 s at 147 lines/s, the peak rate of one VM on days with many
+/// faults.
+const QUEUE_CAPACITY_LINES: usize = 2_048;
+static DROPPED_LINES: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// The writer of the log; what waits is written when it is dropped.
+/// Log writer; flushes the queued lines when dropped.
 pub struct LogWriter {
     _guard: WorkerGuard,
 }
 
 impl LogWriter {
-    /// Sends the log to where the settings say.
+    /// Starts logging to the file of the settings, or to standard output.
     ///
     /// # Errors
-    /// When the file can't be opened.
+    /// Returns the I/O error if the file can't be opened.
     pub fn start(settings: &LogSettings) -> io::Result<Self> {
         match &settings.file {
             Some(path) => {
@@ -37,46 +37,46 @@
         }
     }
 
-    /// Sends the log to an output that may block.
+    /// Starts logging to an output that may block.
     pub fn to(level: &str, output: impl Write + Send + 'static) -> Self {
         let (writer, guard) = NonBlockingBuilder::default()
             .lossy(true)
-            .buffered_lines_limit(WAITING_LINES)
+            .buffered_lines_limit(QUEUE_CAPACITY_LINES)
             .thread_name("log")
             .finish(output);
-        // Only one writer starts in a process.
-        let _ = DROPPED.set(writer.error_counter());
+        // There is only one writer per process.
+        let _ = DROPPED_LINES.set(writer.error_counter());
         let logger = Builder::with_level("trace")
-            // Libraries' lines are theirs: only numbered events go out.
+            // Discards the lines of libraries; only numbered events are written.
             .with_default_writer(new_writer(io::sink()))
             .with_target_writer("hoplanding", new_writer(writer))
             .try_init();
-        // A second logger can't be set, and there is none before this one.
+        // Fails only if the process has a logger already.
         debug_assert!(logger.is_ok());
         set_level(level);
         Self { _guard: guard }
     }
 }
 
-/// Sets the least level that is written.
+/// Sets the lowest level that is written; an invalid level means `info`.
 pub fn set_level(level: &str) {
     log::set_max_level(level.parse().unwrap_or(log::LevelFilter::Info));
 }
 
-/// Lines that were dropped since the start.
+/// Returns the number of lines dropped since the start.
 #[must_use]
 pub fn dropped_lines() -> usize {
-    DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
+    DROPPED_LINES.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
-/// Says so when lines were dropped since the last look, given the count then; returns the count now.
-pub fn report_dropped_lines(seen: usize) -> usize {
+/// Logs an event if lines were dropped since `previous`, the count of the last report; returns the current count.
+pub fn report_dropped_lines(previous: usize) -> usize {
     let dropped = dropped_lines();
-    if dropped > seen {
+    if dropped > previous {
         event!(
             Event::LogLinesDropped,
-            "{} since the last look",
-            dropped - seen
+            "{} since the last report",
+            dropped - previous
         );
     }
     dropped
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry of the daemon.
+//! Entry point of `hoplandingd`.
 
 use gumdrop::Options;
 use hoplandingd::{
@@ -12,10 +12,10 @@
 use std::{io, process::ExitCode};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Exit code for settings that can't be used.
-const EXIT_SETTINGS: u8 = 2;
-/// Exit code for a planned stop that left work.
-const EXIT_WORK_LEFT: u8 = 3;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
+/// Exit code for a planned stop that timed out with requests open.
+const EXIT_REQUESTS_LEFT: u8 = 3;
 
 fn main() -> ExitCode {
     let args = DaemonArgs::parse_args_default_or_exit();
@@ -23,17 +23,17 @@
         println!("hoplandingd {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let opened = SettingsFile::open(args.config_path())
+    let loaded = SettingsFile::open(args.config_path())
         .and_then(|file| Ok((DaemonSettings::parse(file.text())?, file)));
-    let (settings, file) = match opened {
-        Ok(opened) => opened,
+    let (settings, file) = match loaded {
+        Ok(loaded) => loaded,
         Err(error) => {
             eprintln!(
                 "E{} {}: {error}",
                 Event::SettingsInvalid.number(),
                 Event::SettingsInvalid.text()
             );
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
@@ -44,7 +44,7 @@
         Ok(log) => log,
         Err(error) => {
             eprintln!("the log file can't be opened ({error}): change log.file");
-            return ExitCode::from(EXIT_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     let code = match run(settings, file) {
@@ -52,12 +52,12 @@
         Err(error) => {
             event!(
                 Event::SettingsInvalid,
-                "the system refuses what the daemon needs ({error}): change the addresses in the settings, or its limits"
+                "the operating system refused a resource ({error}): change the addresses in the settings, or raise the limits of the system"
             );
-            ExitCode::from(EXIT_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
     };
-    // Writes the lines that wait.
+    // Flushes the queued log lines.
     drop(log);
     code
 }
@@ -69,7 +69,7 @@
             .enable_all()
             .build()?
             .block_on(run_via_holder(*settings)),
-        // One thread: a small VM has a part of one core.
+        // One thread, as a small VM has only a fraction of a core.
         DaemonSettings::Direct(settings) => tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?
@@ -79,32 +79,32 @@
 
 async fn run_direct(settings: DirectSettings, file: SettingsFile) -> io::Result<ExitCode> {
     let daemon = DirectDaemon::start(settings).await?;
-    let hang_up = signal(SignalKind::hangup())?;
+    let hangup = signal(SignalKind::hangup())?;
     tokio::select! {
-        () = daemon.watch_settings(file, hang_up) => {}
+        () = daemon.watch_settings(file, hangup) => {}
         stopped = stop_signal() => stopped?,
     }
-    let left = daemon.stop().await;
-    Ok(exit_code(left > 0))
+    let open_requests = daemon.stop().await;
+    Ok(exit_code(open_requests > 0))
 }
 
 async fn run_via_holder(settings: Settings) -> io::Result<ExitCode> {
     let daemon = RunningDaemon::start(settings).await?;
-    tokio::spawn(note_hang_ups(signal(SignalKind::hangup())?));
+    tokio::spawn(log_hangups(signal(SignalKind::hangup())?));
     stop_signal().await?;
     let report = daemon.stop().await;
     Ok(exit_code(report.open_requests > 0))
 }
 
-fn exit_code(is_work_left: bool) -> ExitCode {
-    if is_work_left {
-        ExitCode::from(EXIT_WORK_LEFT)
+fn exit_code(has_open_requests: bool) -> ExitCode {
+    if has_open_requests {
+        ExitCode::from(EXIT_REQUESTS_LEFT)
     } else {
         ExitCode::SUCCESS
     }
 }
 
-/// Waits for a signal to stop.
+/// Waits for SIGTERM or SIGINT.
 async fn stop_signal() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -115,9 +115,9 @@
     Ok(())
 }
 
-/// Says that a hang-up came, which changes nothing in this mode: its settings are read at the start.
-async fn note_hang_ups(mut hang_up: Signal) {
-    while hang_up.recv().await.is_some() {
+/// Logs each SIGHUP. It has no effect in this mode, in which settings are only read at the start.
+async fn log_hangups(mut hangup: Signal) {
+    while hangup.recv().await.is_some() {
         event!(Event::HangupReceived);
     }
 }
--- a/crates/daemon/src/metrics.rs
+++ b/crates/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by statsd over UDP; off unless the settings name an address.
+//! Metrics sent by statsd over UDP; disabled unless the settings name an address.
 
 use cadence::{
     CountedExt, Gauged, MetricSink, NopMetricSink, QueuingMetricSink, StatsdClient, Timed,
@@ -14,14 +14,14 @@
 /// Prefix of every metric.
 const PREFIX: &str = "hoplanding";
 
-/// Counts, gauges and timers of a daemon.
+/// Client for counters, gauges and timers.
 #[derive(Clone, Debug)]
 pub struct DaemonMetrics {
     client: Arc<StatsdClient>,
 }
 
 impl DaemonMetrics {
-    /// Metrics that go to `address`, or nowhere.
+    /// Creates a client that sends to `address`; without an address, or if no socket can be opened, metrics are discarded.
     #[must_use]
     pub fn new(address: Option<SocketAddr>) -> Self {
         let client = match address.and_then(udp_sink) {
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Counts one.
+    /// Increments a counter.
     pub fn count(&self, key: &str) {
-        // A lost metric is no reason to disturb a request.
+        // A lost metric must not fail a request.
         let _ = self.client.incr(key);
     }
 
@@ -44,9 +44,9 @@
         let _ = self.client.gauge(key, value);
     }
 
-    /// Records a span.
-    pub fn time(&self, key: &str, span: Duration) {
-        let _ = self.client.time(key, span);
+    /// Records a duration in a timer.
+    pub fn time(&self, key: &str, duration: Duration) {
+        let _ = self.client.time(key, duration);
     }
 }
 
