--- a/crates/daemon/tests/binary.rs
+++ b/crates/daemon/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The real binary: settings, and a planned stop by signal.
+//! Tests of the `hoplandingd` binary: settings check, planned stop by signal, reload of settings.
 
 use hoplanding_standins::{keyed_log::KeyedLog, platform::PlatformStandin};
 use std::{
@@ -8,9 +8,9 @@
     time::Duration,
 };
 
-fn daemon(name: &str, settings: &str, args: &[&str]) -> (Command, PathBuf) {
+fn daemon_command(name: &str, settings: &str, args: &[&str]) -> (Command, PathBuf) {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
-    fs::write(&path, settings).expect("the folder is ours");
+    fs::write(&path, settings).expect("the target folder is writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_hoplandingd"));
     command
         .arg("--config")
@@ -21,7 +21,7 @@
     (command, path)
 }
 
-fn text(output: &Output) -> String {
+fn combined_output(output: &Output) -> String {
     format!(
         "{}{}",
         String::from_utf8_lossy(&output.stdout),
@@ -29,36 +29,38 @@
     )
 }
 
-/// What a daemon wrote that ended as it should.
-async fn text_of_success(child: Child) -> String {
-    let ended = tokio::task::spawn_blocking(move || child.wait_with_output())
+/// Waits for a daemon to exit, checks that it succeeded and returns its output.
+async fn successful_output(child: Child) -> String {
+    let exited = tokio::task::spawn_blocking(move || child.wait_with_output())
         .await
         .expect("no panic")
-        .expect("it ends");
-    let text = text(&ended);
-    assert!(ended.status.success(), "{text}");
+        .expect("the daemon exits");
+    let text = combined_output(&exited);
+    assert!(exited.status.success(), "{text}");
     text
 }
 
+// Guards against a sample file that the daemon refuses, for instance after a settings key was changed.
 #[test]
-fn the_sample_settings_are_in_order() {
-    let (mut command, _) = daemon(
+fn sample_settings_pass_the_check() {
+    let (mut command, _) = daemon_command(
         "sample",
         include_str!("../../../docs/hoplandingd.sample.json"),
         &["--check"],
     );
     let output = command.output().expect("the binary runs");
-    assert!(output.status.success(), "{}", text(&output));
+    assert!(output.status.success(), "{}", combined_output(&output));
 }
 
+// Guards against a check that stops at the first fault or does not name key, value and remedy.
 #[test]
-fn every_fault_of_the_settings_is_reported_at_once() {
+fn settings_check_reports_all_faults_at_once() {
     let wrong = r#"{ "vm": "", "zone": "z", "caller_address": "here", "peer_address": "127.0.0.1:0", "peer_secret": "s",
         "platform": { "address": "127.0.0.1:1", "timeout_ms": 0 }, "limits": { "body_byte": 5 }, "colour": "red" }"#;
-    let (mut command, _) = daemon("wrong", wrong, &["--check"]);
+    let (mut command, _) = daemon_command("wrong", wrong, &["--check"]);
     let output = command.output().expect("the binary runs");
     assert_eq!(output.status.code(), Some(2));
-    let text = text(&output);
+    let text = combined_output(&output);
     for part in [
         "5 faults",
         "vm: \"\": write the name of this VM",
@@ -71,15 +73,17 @@
     }
 }
 
+// Guards against a daemon that is killed by SIGTERM instead of stopping as planned: exit code 0, and the start, ready and
+// stop events in the log, each line being one JSON object.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_signal_is_a_planned_stop() {
+async fn sigterm_causes_a_planned_stop() {
     let platform = PlatformStandin::start(100).await.expect("a port");
     let settings = format!(
         r#"{{ "vm": "a1", "zone": "z", "caller_address": "127.0.0.1:0", "peer_address": "127.0.0.1:0", "peer_secret": "s",
             "platform": {{ "address": "{}" }}, "stop": {{ "grace_ms": 50 }} }}"#,
         platform.address()
     );
-    let (mut command, _) = daemon("signal", &settings, &[]);
+    let (mut command, _) = daemon_command("signal", &settings, &[]);
     let child = command.spawn().expect("the binary runs");
     tokio::time::sleep(Duration::from_millis(700)).await;
     let pid = child.id().to_string();
@@ -88,7 +92,7 @@
         .status()
         .expect("kill runs");
     assert!(sent.success());
-    let text = text_of_success(child).await;
+    let text = successful_output(child).await;
     let events: Vec<_> = text
         .lines()
         .map(|line| {
@@ -106,8 +110,10 @@
     }
 }
 
+// Guards against a reload that applies invalid settings, or that does not apply valid ones. SIGHUP is sent with an invalid
+// log level, which must be refused, and then with a valid one and a changed zone, which can't change without a restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_changed_settings_file_is_taken_over_and_a_wrong_one_is_not() {
+async fn reload_applies_valid_settings_and_refuses_invalid_ones() {
     let log = KeyedLog::start().await.expect("a port");
     let settings = |level: &str, zone: &str| {
         format!(
@@ -117,7 +123,7 @@
             log.address()
         )
     };
-    let (mut command, path) = daemon("reload", &settings("info", "z"), &[]);
+    let (mut command, path) = daemon_command("reload", &settings("info", "z"), &[]);
     let child = command.spawn().expect("the binary runs");
     let pid = child.id().to_string();
     let signal = async |name: &str| {
@@ -132,7 +138,7 @@
     fs::write(&path, settings("warn", "other")).expect("a file");
     signal("-HUP").await;
     signal("-TERM").await;
-    let text = text_of_success(child).await;
+    let text = successful_output(child).await;
     let line = |event: &str| {
         let mut lines = text.lines().filter(|line| line.contains(event));
         lines.next().unwrap_or_default()
--- a/crates/daemon/tests/events.rs
+++ b/crates/daemon/tests/events.rs
@@ -1,10 +1,11 @@
-//! The catalogue of events in docs/EVENTS.md against the code.
+//! Compares the catalogue of events in docs/EVENTS.md with the code.
 
 use hoplandingd::events::Event;
 use std::collections::BTreeSet;
 
+// Guards against events that are missing from the catalogue, share a number, or differ from it in level or text.
 #[test]
-fn the_catalogue_lists_every_event_as_it_is() {
+fn catalogue_matches_the_events_of_the_code() {
     let catalogue = include_str!("../../../docs/EVENTS.md");
     let rows: BTreeSet<_> = catalogue
         .lines()
@@ -15,7 +16,7 @@
     for event in Event::ALL {
         assert!(
             numbers.insert(event.number()),
-            "E{} stands twice",
+            "E{} is used twice",
             event.number()
         );
         let level = event.level().to_string().to_lowercase();
--- a/crates/daemon/tests/logging.rs
+++ b/crates/daemon/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log's writer before an output that takes nothing.
+//! Test of the log writer with a blocked output.
 
 use hoplandingd::{
     event,
@@ -10,12 +10,12 @@
     sync::mpsc::{Receiver, channel},
 };
 
-/// Blocks until its sender is dropped.
-struct StuckOutput(Receiver<()>);
+/// Output whose writes block until the sender is dropped.
+struct BlockedOutput(Receiver<()>);
 
-impl Write for StuckOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error is the end of the wait.
+        // An error means that the sender was dropped.
         let _ = self.0.recv();
         Ok(bytes.len())
     }
@@ -25,10 +25,12 @@
     }
 }
 
+// Guards against a blocked log output that blocks the daemon, or whose lost lines are not counted: 5,000 lines are logged
+// while the output accepts none, more than the queue holds.
 #[test]
-fn an_output_that_takes_nothing_holds_nobody_up_and_what_is_lost_is_counted() {
-    let (release, stuck) = channel();
-    let writer = LogWriter::to("info", StuckOutput(stuck));
+fn blocked_output_does_not_block_logging_and_dropped_lines_are_counted() {
+    let (release, blocked) = channel();
+    let writer = LogWriter::to("info", BlockedOutput(blocked));
     for number in 0..5_000 {
         event!(Event::CallRefused, request = number; "not run");
     }
--- a/crates/daemon/tests/suspension.rs
+++ b/crates/daemon/tests/suspension.rs
@@ -1,6 +1,6 @@
-//! A VM that is suspended for seconds: its clock has gone on, the runtime's timers have not.
+//! Tests of a VM that is suspended for seconds: the clock advances, but the timers of the async runtime do not.
 //!
-//! The tests run one after the other, as the clock is the process's.
+//! The clock belongs to the whole process, so the tests run one at a time.
 
 #[path = "direct/support.rs"]
 #[expect(dead_code, reason = "shared with the tests of the direct mode")]
@@ -21,42 +21,48 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-static CLOCK: Mutex<()> = Mutex::const_new(());
-const SUSPENDED: Duration = Duration::from_secs(8);
+/// Serialises the tests that advance the process's clock.
+static CLOCK_LOCK: Mutex<()> = Mutex::const_new(());
+/// Simulated suspension, longer than the 5 s of the revocation rule.
+const SUSPENSION: Duration = Duration::from_secs(8);
 
-async fn plain_site() -> (KeyedLog, RawTarget, DirectDaemon) {
+async fn start_site() -> (KeyedLog, RawTarget, DirectDaemon) {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     (log, target, daemon)
 }
 
-fn scans(target: &RawTarget) -> Vec<RawRequest> {
-    let seen = target.requests().into_iter();
-    seen.filter(|request| request.line().contains("/scan/"))
+fn scan_requests(target: &RawTarget) -> Vec<RawRequest> {
+    let requests = target.requests().into_iter();
+    requests
+        .filter(|request| request.line().contains("/scan/"))
         .collect()
 }
 
+// Guards against a call that may run only once being sent over a connection that was idle during a suspension. The target
+// may have closed the connection meanwhile, and the call could not be repeated. A new connection must be opened.
 #[tokio::test]
-async fn a_connection_that_rested_through_a_suspension_is_not_trusted_with_a_call_that_may_run_once()
- {
-    let _clock = CLOCK.lock().await;
-    let (_log, target, daemon) = plain_site().await;
+async fn non_repeatable_call_does_not_reuse_a_connection_idle_during_a_suspension() {
+    let _clock = CLOCK_LOCK.lock().await;
+    let (_log, target, daemon) = start_site().await;
     let scan = async |id: &str| {
         let answer = send_request(daemon.caller_address, &post_request("/scan/1", id, "")).await;
         assert_eq!(answer.status, 200);
         target.connections()
     };
     let before = scan("r1").await;
-    clock::simulate_suspension(SUSPENDED);
+    clock::simulate_suspension(SUSPENSION);
     assert_eq!(scan("r2").await, before + 1);
 }
 
+// Guards against a deadline that ignores the time of a suspension. The VM is suspended for 3 s between the head and the
+// body of a request with a timeout of 4 s, so the target may be given at most 1 s.
 #[tokio::test]
-async fn a_target_is_given_no_time_that_passed_in_a_suspension() {
-    let _clock = CLOCK.lock().await;
-    let (_log, target, daemon) = plain_site().await;
-    // Its head has come; its body comes after the suspension.
+async fn target_deadline_excludes_the_time_of_a_suspension() {
+    let _clock = CLOCK_LOCK.lock().await;
+    let (_log, target, daemon) = start_site().await;
+    // Sends the head now and the body after the suspension.
     let request = post_request("/scan/1", "r1", "");
     let (head, body) = request.split_at(request.len() - 4);
     let mut caller = tokio::net::TcpStream::connect(daemon.caller_address)
@@ -64,14 +70,14 @@
         .expect("a connection");
     tokio::io::AsyncWriteExt::write_all(&mut caller, head.as_bytes())
         .await
-        .expect("it reads");
+        .expect("the daemon reads");
     tokio::time::sleep(Duration::from_millis(200)).await;
     clock::simulate_suspension(Duration::from_secs(3));
     tokio::io::AsyncWriteExt::write_all(&mut caller, body.as_bytes())
         .await
-        .expect("it reads");
-    wait_for("the call", async || !scans(&target).is_empty()).await;
-    let deadline = scans(&target)[0]
+        .expect("the daemon reads");
+    wait_for("the call", async || !scan_requests(&target).is_empty()).await;
+    let deadline = scan_requests(&target)[0]
         .header("hoplanding-deadline-ms")
         .and_then(|text| text.parse::<u64>().ok())
         .expect("a deadline");
@@ -81,9 +87,11 @@
     );
 }
 
+// Guards against API keys being accepted after a suspension in which they may have been revoked. The log is out of reach
+// when the VM resumes, so it can't learn of a revocation within the bound of 5 s and must answer 503.
 #[tokio::test]
-async fn a_vm_that_wakes_does_not_trust_keys_that_may_have_been_taken_away() {
-    let _clock = CLOCK.lock().await;
+async fn api_keys_that_may_have_been_revoked_during_a_suspension_are_refused() {
+    let _clock = CLOCK_LOCK.lock().await;
     let log = KeyedLog::start().await.expect("a log");
     let relay = LinkRelay::start().await.expect("a relay");
     relay.set_target(log.address());
@@ -106,6 +114,6 @@
     })
     .await;
     relay.set(LinkState::Frozen);
-    clock::simulate_suspension(SUSPENDED);
+    clock::simulate_suspension(SUSPENSION);
     assert_eq!(call("r2").await, 503);
 }
