--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -227,14 +227,14 @@
             self.note_silent(&heartbeat.daemon.vm, &heartbeat.silent);
         }
         self.arbiter
-            .observe(&heartbeat.daemon.vm, heartbeat.loads, now);
+            .record_notice(&heartbeat.daemon.vm, heartbeat.loads, now);
         let mut told = BTreeSet::new();
         for digest in &heartbeat.targets {
             let is_holder = self
                 .folded
                 .ownership
                 .holder(digest.target.as_str())
-                .is_some_and(|lease| lease.is_of(&heartbeat.daemon));
+                .is_some_and(|lease| lease.is_held_by(&heartbeat.daemon));
             if !is_holder
                 || !self
                     .links
@@ -245,8 +245,8 @@
             }
             told.insert(digest.target.clone());
             match self.is_engine(digest.target.as_str()) {
-                Some(true) => self.engines.observe(&heartbeat.zone, digest),
-                Some(false) => self.services.observe(&heartbeat.zone, digest),
+                Some(true) => self.engines.update_digest(&heartbeat.zone, digest),
+                Some(false) => self.services.update_digest(&heartbeat.zone, digest),
                 None => {}
             }
             if self.is_closed(&digest.target) {
@@ -262,12 +262,12 @@
             let is_theirs = ownership
                 .holder
                 .as_ref()
-                .is_some_and(|lease| lease.is_of(daemon));
+                .is_some_and(|lease| lease.is_held_by(daemon));
             is_theirs && !told.contains(*target)
         });
         for (target, _) in held {
-            self.engines.confirm(target.as_str());
-            self.services.confirm(target.as_str());
+            self.engines.mark_unchanged(target.as_str());
+            self.services.mark_unchanged(target.as_str());
         }
     }
 
@@ -281,7 +281,7 @@
                 reporters.remove(reporter);
             }
             self.members
-                .observe_silent_to(vm.as_str(), reporters.len() as u32);
+                .observe_silence_reports(vm.as_str(), reporters.len() as u32);
         }
     }
 
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     app::{
-        AppEvent, ClaimAnswer, changes::PendingChange, held::HeldRuntime, log_feed::LogFeed,
+        AppEvent, KeyClaimResult, changes::PendingChange, held::HeldRuntime, log_feed::LogFeed,
         queries::FleetQuery, stopping::StopState,
     },
     calls::{CallFrame, CallTable},
@@ -12,7 +12,7 @@
     platform::LogAppender,
 };
 use hoplanding_core::{
-    config::{ConfigState, ReadyAdapter, TargetRole},
+    config::{ConfigState, LoadPolicy, TargetRole},
     ids::{
         AdapterVersion, AvailabilityZone, CallerName, ChangeId, DaemonRef, Instant, LogOffset,
         TargetName, TokenHash, VmName,
@@ -22,7 +22,7 @@
     policy::{
         CallerLimits, LoadArbiter, PolicyWeights, PopularityTracker, TargetDigest, TargetRouter,
     },
-    request::{KeyClaim, KeyHash, RepeatKey, TokenRegistry},
+    request::{DedupKey, KeyClaim, KeyHash, TokenRegistry},
 };
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -31,7 +31,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 /// An answer that is kept for a repeated call.
-pub type KeptAnswer = Arc<Vec<CallFrame>>;
+pub type StoredAnswer = Arc<Vec<CallFrame>>;
 
 /// What the event loop hands work to.
 #[derive(Clone)]
@@ -72,9 +72,9 @@
     /// Current versions of the adapters that operators want kept loaded.
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
-    pub(super) repeats: TokenRegistry<KeptAnswer>,
-    pub(super) joins: HashMap<RepeatKey, Vec<oneshot::Sender<Option<KeptAnswer>>>>,
-    pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<ClaimAnswer>)>>,
+    pub(super) repeats: TokenRegistry<StoredAnswer>,
+    pub(super) joins: HashMap<DedupKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
+    pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
     pub(super) claim_batch: Vec<KeyClaim>,
     pub(super) pending_changes: HashMap<ChangeId, PendingChange>,
     pub(super) tickets: HashMap<u64, Vec<ChangeId>>,
@@ -185,7 +185,7 @@
             .config
             .adapters
             .iter()
-            .filter(|(_, config)| config.ready == ReadyAdapter::Kept);
+            .filter(|(_, config)| config.load_policy == LoadPolicy::Kept);
         let models = kept.filter_map(|(adapter, config)| {
             Some(AdapterVersion {
                 adapter: adapter.clone(),
--- a/crates/daemon/src/calls/request.rs
+++ b/crates/daemon/src/calls/request.rs
@@ -1,7 +1,7 @@
 //! Requests to a holder or to another gateway.
 
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{AdapterVersion, CallerName, PriorityClass, RequestId, ServiceName, TargetName},
 };
 use serde::{Deserialize, Serialize};
@@ -106,7 +106,7 @@
     /// Priority class.
     pub class: PriorityClass,
     /// Whether the request may be repeated.
-    pub rule: RequestRule,
+    pub rule: RequestRepeatability,
     /// Idempotency token or key of the caller.
     pub idempotency: Option<String>,
     /// Remaining time until the deadline, in milliseconds.
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -1,8 +1,9 @@
-//! Eras of the platform's log.
+//! Eras (epochs) of the platform's log.
 //!
-//! The log may come back from a copy that is some seconds old. What was written since is gone, offsets are given out again, and its
-//! era rises. Of what this VM knows, that which has an order of its own stays in force: versions, and lives of targets that
-//! leave. Everything else is listed anew. VMs tell each other of the era with every position that they pass on.
+//! The log may be restored from a copy that is some seconds old. Records written after the copy are lost, offsets are
+//! reused, and the era number increases. State that has an order independent of the log stays in force on this VM:
+//! versions, and the lives of targets that are leaving. Everything else is listed again. Every log position contains
+//! its era, so VMs learn of a new era from the positions that they send to each other.
 
 use crate::{
     clock::{self, MAX_CLOCK_SKEW},
@@ -21,17 +22,17 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The record of an era of the log, for VMs that start in it.
+/// Record of when an era was first seen, for VMs that start during that era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EraRecord {
     /// The era.
     pub era: StoreEra,
-    /// When it was first seen: wall-clock time in milliseconds since 1970.
+    /// When the era was first seen: wall-clock time in milliseconds since 1970.
     pub seen_ms: u64,
 }
 
 impl EraRecord {
-    /// The record of an era that was just seen for the first time.
+    /// Creates the record of an era that is seen for the first time now.
     #[must_use]
     pub fn of(era: StoreEra) -> Self {
         Self {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Whether operators have had the time to write again what the copy lacked.
+    /// Whether operators have had enough time to write the records again that the restored copy lacked.
     fn is_settled(&self, rule: RewriteRule) -> bool {
         let age = Duration::from_millis(clock::wall_ms().saturating_sub(self.seen_ms));
         age >= rule.rewrite_time + MAX_CLOCK_SKEW
@@ -48,7 +49,8 @@
 }
 
 impl FleetTables {
-    /// Takes in what the log says of its era. One that names an earlier era came with the copy.
+    /// Applies the log's era record. A record of an earlier era was restored with the copy and is ignored by the
+    /// restore guard.
     pub(super) fn apply_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
         if Some(record.era) == self.store_era && record.is_settled(rule) {
@@ -56,7 +58,8 @@
         }
     }
 
-    /// The record of the present era, if the log has none; eras in which it never came back from a copy need none.
+    /// The record of the current era, if the log lacks it. The first era needs none, as the log was never restored in
+    /// it.
     pub(super) fn missing_era_record(&self) -> Option<EraRecord> {
         let era = self.store_era.filter(|era| !era.is_first())?;
         let is_recorded = self.era_record.is_some_and(|record| record.era == era);
@@ -65,8 +68,8 @@
         (is_listed && !is_recorded).then(|| EraRecord::of(era))
     }
 
-    /// Begins to doubt what the log holds, unless this VM knew the newest shortly before.
-    fn doubt_copy(&mut self, era: StoreEra, rule: RewriteRule) {
+    /// Treats the restored log as possibly incomplete, unless this VM had a recent proof of the newest state.
+    fn guard_restored_log(&mut self, era: StoreEra, rule: RewriteRule) {
         let now = clock::now();
         let proven = self.proof.age(now);
         self.copy_doubt.enter_era(era, proven, rule, now);
@@ -77,25 +80,28 @@
 }
 
 impl FleetState {
-    /// Takes in the era that an answer of the log names; says whether the answer is of the newest history that is known.
+    /// Learns the era of a response of the log; returns whether it is the newest known era.
     pub fn observe_era(&self, era: StoreEra) -> bool {
-        self.learn_era(era);
+        self.advance_era(era);
         let known = self.tables().store_era;
         let is_newest = known <= Some(era);
         if !is_newest {
-            event!(Event::StaleHistoryAnswer, "era {era}, known {known:?}");
+            event!(
+                Event::StaleHistoryAnswer,
+                "era {era}, newest known {known:?}"
+            );
         }
         is_newest
     }
 
-    /// Takes in the eras of positions that another VM tells of.
+    /// Learns the newest era of positions received from another VM.
     pub fn observe_positions(&self, positions: impl Iterator<Item = LogPosition>) {
         if let Some(position) = positions.max() {
-            self.learn_era(position.era());
+            self.advance_era(position.era());
         }
     }
 
-    /// Whether a position is of the newest history that is known.
+    /// Whether a position is of the newest known era.
     #[must_use]
     pub fn is_current_era(&self, position: LogPosition) -> bool {
         self.tables()
@@ -103,19 +109,19 @@
             .is_none_or(|era| position.era() >= era)
     }
 
-    /// The newest era that is known, as it changes.
+    /// A receiver of the newest known era.
     #[must_use]
     pub fn watch_eras(&self) -> watch::Receiver<StoreEra> {
         self.eras.subscribe()
     }
 
-    fn learn_era(&self, era: StoreEra) {
+    fn advance_era(&self, era: StoreEra) {
         {
             let mut tables = self.tables();
             let Some(known) = tables.store_era else {
                 tables.store_era = Some(era);
                 if !self.is_first_start {
-                    tables.doubt_copy(era, self.rewrites);
+                    tables.guard_restored_log(era, self.rewrites);
                 }
                 self.eras.send_replace(era);
                 return;
@@ -126,7 +132,7 @@
             event!(Event::HistoryChanged, "era {era} after {known}");
             tables.store_era = Some(era);
             tables.stored_version = 0;
-            tables.doubt_copy(era, self.rewrites);
+            tables.guard_restored_log(era, self.rewrites);
             for run in tables.catalog.note_log_restored(clock::now()) {
                 tables.leaving.push(run);
             }
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -5,7 +5,8 @@
 
 use crate::{
     app::{
-        AppEvent, AppHandle, ClaimAnswer, RepeatAnswer, RouteAnswer, RouteRequest, RouteVia, UseEnd,
+        AppEvent, AppHandle, IdempotencyDecision, IdempotentOutcome, KeyClaimResult, RouteRequest,
+        RouteVia, SelectedRoute,
     },
     calls::{
         CallBuffer, CallEnd, CallFrame, CallId, CallWork, ExecuteRequest, PushError, RunMode,
@@ -18,11 +19,11 @@
     peers::{CallReader, PeerLink, PeerMessage, ReadEvent},
 };
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{Instant, RequestId, TargetName},
     request::{
-        AttemptEnd, HandedOver, IdempotencyToken, KeyHash, NotRunReason, RepeatKey, RequestCall,
-        RetryBudget, RetryDecision, RetryInput, RetryLimits, Unsent, decide_retry,
+        AttemptEnd, DedupKey, IdempotencyToken, KeyHash, NotRunReason, RequestCall, RetryBudget,
+        RetryDecision, RetryInput, RetryLimits, Sent, Unsent, decide_retry,
     },
 };
 use rand::Rng;
@@ -100,7 +101,7 @@
     /// The request has its final end.
     Final(CallEnd),
     /// The attempt was handed over and may have run; a retry or resume may follow.
-    Interrupted(RequestCall<HandedOver>, AttemptEnd, String),
+    Interrupted(RequestCall<Sent>, AttemptEnd, String),
     /// The attempt provably did not run.
     NotRun(RequestCall<Unsent>, NotRunReason),
 }
@@ -149,24 +150,24 @@
     async fn run_with_key(&mut self, text: &str) -> CallEnd {
         let fingerprint = self.request.fingerprint();
         let key = match IdempotencyToken::parse(text) {
-            Some(token) => RepeatKey::Token(token),
+            Some(token) => DedupKey::Token(token),
             None => {
                 let key = KeyHash::of(&self.request.caller, text);
                 let claim = self
                     .context
                     .app
-                    .ask(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
+                    .request(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
                     .await;
                 match claim {
-                    Some(ClaimAnswer::Won) => RepeatKey::Key(key),
-                    Some(ClaimAnswer::Forward(link)) => return self.forward(&link).await,
-                    Some(ClaimAnswer::Unknown(daemon)) => {
+                    Some(KeyClaimResult::Won) => DedupKey::Key(key),
+                    Some(KeyClaimResult::Forward(link)) => return self.forward(&link).await,
+                    Some(KeyClaimResult::HolderGone(daemon)) => {
                         return CallEnd::Unknown(format!(
                             "{daemon}, which ran the request with this key, can't be reached"
                         ));
                     }
-                    Some(ClaimAnswer::OtherRequest) => return key_reused_end(),
-                    Some(ClaimAnswer::NotClaimed) | None => {
+                    Some(KeyClaimResult::KeyReused) => return key_reused_end(),
+                    Some(KeyClaimResult::NotClaimed) | None => {
                         return self.end_refused(NotRunReason::KeyNotClaimed);
                     }
                 }
@@ -175,22 +176,22 @@
         let answer = self
             .context
             .app
-            .ask(|reply| AppEvent::BeginRepeat(key.clone(), fingerprint, reply))
+            .request(|reply| AppEvent::BeginIdempotent(key.clone(), fingerprint, reply))
             .await;
         match answer {
             None => self.end_refused(NotRunReason::Stopping),
-            Some(RepeatAnswer::Run) => self.run_recorded(key).await,
-            Some(RepeatAnswer::Replay(frames)) => self.replay(&frames).await,
-            Some(RepeatAnswer::Join(answer)) => match answer.await {
+            Some(IdempotencyDecision::Run) => self.run_recorded(key).await,
+            Some(IdempotencyDecision::Replay(frames)) => self.replay(&frames).await,
+            Some(IdempotencyDecision::Join(answer)) => match answer.await {
                 Ok(Some(frames)) => self.replay(&frames).await,
                 _ => CallEnd::Unknown(
                     "the first call with this token ended without an answer that is kept"
                         .to_owned(),
                 ),
             },
-            Some(RepeatAnswer::Unknown(cause)) => CallEnd::Unknown(cause),
-            Some(RepeatAnswer::Forward(link)) => self.forward(&link).await,
-            Some(RepeatAnswer::Wrong(error)) => token_refusal(&error),
+            Some(IdempotencyDecision::Unknown(cause)) => CallEnd::Unknown(cause),
+            Some(IdempotencyDecision::Forward(link)) => self.forward(&link).await,
+            Some(IdempotencyDecision::InvalidToken(error)) => token_refusal(&error),
         }
     }
 
@@ -198,17 +199,17 @@
         CallEnd::NotRun(RequestCall::new(self.id).refuse(reason))
     }
 
-    async fn run_recorded(&mut self, key: RepeatKey) -> CallEnd {
+    async fn run_recorded(&mut self, key: DedupKey) -> CallEnd {
         self.recorded = Some(Vec::new());
         let end = self.run_attempts().await;
         let recorded_end = match (&end, self.recorded.take()) {
-            (CallEnd::NotRun(_), _) => UseEnd::NotRun,
-            (CallEnd::Complete, Some(frames)) => UseEnd::Answered(Arc::new(frames)),
-            _ => UseEnd::Spent,
+            (CallEnd::NotRun(_), _) => IdempotentOutcome::NotRun,
+            (CallEnd::Complete, Some(frames)) => IdempotentOutcome::Answered(Arc::new(frames)),
+            _ => IdempotentOutcome::AnswerLost,
         };
         self.context
             .app
-            .tell(AppEvent::EndRepeat(key, recorded_end))
+            .notify(AppEvent::EndIdempotent(key, recorded_end))
             .await;
         end
     }
@@ -357,8 +358,8 @@
     fn give_up(&self, reason: &str) -> CallEnd {
         event!(Event::AnswerIncomplete, "{}: {reason}", self.id);
         match self.request.rule {
-            RequestRule::Repeatable => CallEnd::Failed(reason.to_owned()),
-            RequestRule::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
+            RequestRepeatability::Repeatable => CallEnd::Failed(reason.to_owned()),
+            RequestRepeatability::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
         }
     }
 
@@ -378,7 +379,7 @@
         match self
             .context
             .app
-            .ask(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route, reply))
             .await
         {
             None => AttemptOutcome::NotRun(call, NotRunReason::Stopping),
@@ -392,7 +393,7 @@
     }
 
     async fn resume_attempt(&mut self, call: RequestCall<Unsent>) -> AttemptOutcome {
-        let handed_over = call.hand_over();
+        let handed_over = call.mark_sent();
         let Some(started) = &self.stream else {
             return AttemptOutcome::Interrupted(
                 handed_over,
@@ -415,7 +416,7 @@
         match self
             .context
             .app
-            .ask(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route, reply))
             .await
         {
             Some(Ok(answer)) => match self.execute(RequestCall::new(self.id), answer, mode).await {
@@ -436,7 +437,7 @@
     async fn execute(
         &mut self,
         call: RequestCall<Unsent>,
-        answer: RouteAnswer,
+        answer: SelectedRoute,
         mode: RunMode,
     ) -> AttemptOutcome {
         let call_id = CallId {
@@ -457,7 +458,7 @@
                 let buffer = CallBuffer::new();
                 self.context
                     .app
-                    .tell(AppEvent::Execute(request, Arc::clone(&buffer)))
+                    .notify(AppEvent::Execute(request, Arc::clone(&buffer)))
                     .await;
                 CallReader::local(buffer)
             }
@@ -469,14 +470,14 @@
                 }
             }
         };
-        self.relay_frames(call.hand_over(), reader, answer.target)
+        self.relay_frames(call.mark_sent(), reader, answer.target)
             .await
     }
 
     /// Relays frames until the attempt ends, the caller disconnects or the deadline passes.
     async fn relay_frames(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         mut reader: CallReader,
         target: TargetName,
     ) -> AttemptOutcome {
@@ -512,7 +513,7 @@
 
     fn handle_attempt_end(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         end: CallEnd,
         target: TargetName,
     ) -> AttemptOutcome {
--- a/crates/daemon/src/gateway/errors.rs
+++ b/crates/daemon/src/gateway/errors.rs
@@ -3,7 +3,7 @@
 //! Bodies have the OpenAI shape. The error code distinguishes requests that were not run, that failed, and whose outcome
 //! is unknown, so that a caller knows whether sending a request again is safe.
 
-use crate::{app::AdmitRefusal, calls::CallEnd};
+use crate::{app::AdmissionError, calls::CallEnd};
 use hoplanding_core::{
     config::ResolveError,
     request::{NotRunReason, TokenError},
@@ -156,28 +156,27 @@
     }
 }
 
-impl From<AdmitRefusal> for CallerError {
-    fn from(refusal: AdmitRefusal) -> Self {
+impl From<AdmissionError> for CallerError {
+    fn from(refusal: AdmissionError) -> Self {
         let message = refusal.to_string();
         let (status, reason) = match &refusal {
-            AdmitRefusal::NotRun(reason) => return Self::not_run(reason),
-            AdmitRefusal::UnknownCaller => (StatusCode::UNAUTHORIZED, "unknown_caller"),
-            AdmitRefusal::Model(ResolveError::NoRight(..)) | AdmitRefusal::NoService(..) => {
-                (StatusCode::FORBIDDEN, "no_right")
-            }
-            AdmitRefusal::Model(ResolveError::UnknownAdapter(_)) => {
+            AdmissionError::NotRun(reason) => return Self::not_run(reason),
+            AdmissionError::UnknownCaller => (StatusCode::UNAUTHORIZED, "unknown_caller"),
+            AdmissionError::Model(ResolveError::NoRight(..))
+            | AdmissionError::NoServiceRight(..) => (StatusCode::FORBIDDEN, "no_right"),
+            AdmissionError::Model(ResolveError::UnknownAdapter(_)) => {
                 (StatusCode::NOT_FOUND, "unknown_adapter")
             }
-            AdmitRefusal::Model(ResolveError::UnknownVersion(..)) => {
+            AdmissionError::Model(ResolveError::UnknownVersion(..)) => {
                 (StatusCode::NOT_FOUND, "unknown_version")
             }
-            AdmitRefusal::Model(ResolveError::RetiredVersion(..)) => {
+            AdmissionError::Model(ResolveError::RetiredVersion(..)) => {
                 (StatusCode::NOT_FOUND, "retired_version")
             }
-            AdmitRefusal::Model(ResolveError::NoCurrentVersion(_)) => {
+            AdmissionError::Model(ResolveError::NoCurrentVersion(_)) => {
                 (StatusCode::NOT_FOUND, "no_current_version")
             }
-            AdmitRefusal::UnknownService(_) => (StatusCode::NOT_FOUND, "unknown_service"),
+            AdmissionError::UnknownService(_) => (StatusCode::NOT_FOUND, "unknown_service"),
         };
         Self::invalid(status, reason, message)
     }
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -1,7 +1,7 @@
 //! Routes and handlers of the callers' HTTP interface.
 
 use crate::{
-    app::{AdmitRequest, AdmitSubject, AppEvent, AppHandle},
+    app::{AdmissionRequest, AdmissionSubject, AppEvent, AppHandle},
     calls::{CallBuffer, CallWork, SubmitRequest},
     clock,
     gateway::{
@@ -55,7 +55,7 @@
         let buffer = CallBuffer::new();
         let reader = CallReader::local(Arc::clone(&buffer));
         self.app
-            .tell(AppEvent::Submit(Box::new(request), buffer))
+            .notify(AppEvent::Submit(Box::new(request), buffer))
             .await;
         (reader, guard)
     }
@@ -70,7 +70,7 @@
 impl Drop for OpenRequestGuard {
     fn drop(&mut self) {
         let (app, caller) = (self.app.clone(), self.caller.clone());
-        tokio::spawn(async move { app.tell(AppEvent::RequestEnded(caller)).await });
+        tokio::spawn(async move { app.notify(AppEvent::RequestEnded(caller)).await });
     }
 }
 
@@ -105,7 +105,7 @@
 
 #[handler]
 async fn readyz(context: Data<&Arc<GatewayContext>>) -> Response {
-    match context.app.ask(AppEvent::IsReady).await {
+    match context.app.request(AppEvent::IsReady).await {
         Some(true) => "ready".into_response(),
         _ => "not ready"
             .with_status(StatusCode::SERVICE_UNAVAILABLE)
@@ -121,7 +121,7 @@
     let bearer_token = bearer_token(request);
     let answer = context
         .app
-        .ask(|reply| AppEvent::ListModels(bearer_token, reply))
+        .request(|reply| AppEvent::ListModels(bearer_token, reply))
         .await;
     let models = answer.ok_or_else(CallerError::stopping)??;
     Ok(Json(models_body(&models)).into_response())
@@ -139,7 +139,7 @@
 async fn new_token(context: &GatewayContext, bearer_token: String) -> Result<String, CallerError> {
     let answer = context
         .app
-        .ask(|reply| AppEvent::IssueToken(bearer_token, reply))
+        .request(|reply| AppEvent::IssueToken(bearer_token, reply))
         .await;
     Ok(answer.ok_or_else(CallerError::stopping)??.to_string())
 }
@@ -175,12 +175,15 @@
         Some(class) => Some(class),
         None => priority_header(request)?,
     };
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer_token(request),
-        subject: AdmitSubject::Model(parsed.model.clone()),
+        subject: AdmissionSubject::Model(parsed.model.clone()),
         class,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     let admission = answer.ok_or_else(CallerError::stopping)??;
     let is_streamed = parsed.stream;
     let work = parsed.into_work(admission.resolved.model, interface);
@@ -188,7 +191,7 @@
     let submit = SubmitRequest {
         caller: admission.caller,
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Engine(work),
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -1,7 +1,7 @@
 //! Handler for calls of plain services (`/services/NAME/...`).
 
 use crate::{
-    app::{Admission, AdmitRequest, AdmitSubject, AppEvent},
+    app::{Admission, AdmissionRequest, AdmissionSubject, AppEvent},
     calls::{CallEnd, CallFrame, CallWork, ServiceWork, SubmitRequest},
     gateway::{
         CallerError, GatewayContext,
@@ -65,7 +65,7 @@
     let submit = SubmitRequest {
         caller: admission.caller.clone(),
         class: admission.class,
-        rule: admission.resolved.rule,
+        rule: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Service(work),
@@ -81,12 +81,15 @@
     method: &str,
     path: &str,
 ) -> Result<Admission, CallerError> {
-    let admit = AdmitRequest {
+    let admit = AdmissionRequest {
         bearer: bearer_token(request),
-        subject: AdmitSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
+        subject: AdmissionSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
         class: priority_header(request)?,
     };
-    let answer = context.app.ask(|reply| AppEvent::Admit(admit, reply)).await;
+    let answer = context
+        .app
+        .request(|reply| AppEvent::Admit(admit, reply))
+        .await;
     Ok(answer.ok_or_else(CallerError::stopping)??)
 }
 
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP interface for operators: a statement as text in, a table or an accepted change as JSON out.
 
 use crate::{
-    app::{AppEvent, OperatorAnswer, OperatorError, OperatorRequest},
+    app::{AppEvent, OperatorError, OperatorRequest, OperatorResponse},
     gateway::GatewayContext,
 };
 use poem::{
@@ -30,7 +30,7 @@
     };
     match context
         .app
-        .ask(|reply| AppEvent::Operator(operator_request, reply))
+        .request(|reply| AppEvent::Operator(operator_request, reply))
         .await
     {
         None => error_response(
@@ -39,8 +39,8 @@
             "the daemon is stopping: ask another one",
         ),
         Some(Err(error)) => error_response(status_of(&error), code_of(&error), &error.to_string()),
-        Some(Ok(OperatorAnswer::Table(table))) => Json(json!({ "table": table })).into_response(),
-        Some(Ok(OperatorAnswer::Accepted(id, offset))) => {
+        Some(Ok(OperatorResponse::Table(table))) => Json(json!({ "table": table })).into_response(),
+        Some(Ok(OperatorResponse::Accepted(id, offset))) => {
             Json(json!({ "accepted": { "id": id, "offset": offset } })).into_response()
         }
     }
@@ -55,11 +55,11 @@
 fn status_of(error: &OperatorError) -> StatusCode {
     match error {
         OperatorError::UnknownOperator => StatusCode::UNAUTHORIZED,
-        OperatorError::Role { .. } => StatusCode::FORBIDDEN,
+        OperatorError::InsufficientRole { .. } => StatusCode::FORBIDDEN,
         OperatorError::Parse(_) | OperatorError::Query(_) => StatusCode::BAD_REQUEST,
         OperatorError::Conflict(..) => StatusCode::CONFLICT,
-        OperatorError::LogOut => StatusCode::SERVICE_UNAVAILABLE,
-        OperatorError::Unknown(_) => StatusCode::GATEWAY_TIMEOUT,
+        OperatorError::LogUnavailable => StatusCode::SERVICE_UNAVAILABLE,
+        OperatorError::OutcomeUnknown(_) => StatusCode::GATEWAY_TIMEOUT,
         OperatorError::NotFound(_) => StatusCode::NOT_FOUND,
     }
 }
@@ -67,12 +67,12 @@
 fn code_of(error: &OperatorError) -> &'static str {
     match error {
         OperatorError::UnknownOperator => "unknown_operator",
-        OperatorError::Role { .. } => "role",
+        OperatorError::InsufficientRole { .. } => "role",
         OperatorError::Parse(_) => "parse",
         OperatorError::Query(_) => "query",
         OperatorError::Conflict(..) => "conflict",
-        OperatorError::LogOut => "log_out",
-        OperatorError::Unknown(_) => "outcome_unknown",
+        OperatorError::LogUnavailable => "log_out",
+        OperatorError::OutcomeUnknown(_) => "outcome_unknown",
         OperatorError::NotFound(_) => "not_found",
     }
 }
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the mode in which requests go through the target's holder, with defaults and bounds.
 
 use crate::options::reader::{SectionReader, SettingsError, parse_settings, read_settings_file};
-use hoplanding_core::{config::OperatorRole, membership::MembershipTimes};
+use hoplanding_core::{config::OperatorRole, membership::MembershipTimeouts};
 use std::{net::SocketAddr, time::Duration};
 
 /// Settings of a daemon in this mode.
@@ -108,7 +108,7 @@
     /// Shortest interval between two heartbeats.
     pub heartbeat_interval: Duration,
     /// Timeouts of failure detection.
-    pub times: MembershipTimes,
+    pub times: MembershipTimeouts,
 }
 
 /// Delays of a planned stop.
@@ -222,7 +222,7 @@
 fn read_membership(section: &SectionReader<'_>) -> MembershipSettings {
     MembershipSettings {
         heartbeat_interval: section.millis("heartbeat_ms", 200, 10, 10_000),
-        times: MembershipTimes {
+        times: MembershipTimeouts {
             suspect_after: section.millis("suspect_after_ms", 1200, 50, 60_000),
             take_over_after: section.millis("take_over_after_ms", 6000, 100, 600_000),
             delivery_bound: section.millis("delivery_bound_ms", 5000, 100, 600_000),
--- a/crates/daemon/src/peers/message.rs
+++ b/crates/daemon/src/peers/message.rs
@@ -6,7 +6,7 @@
     language::DataTable,
     log::FoldedState,
     policy::{LoadNotice, TargetDigest},
-    request::HandedTokens,
+    request::TransferredTokens,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -76,7 +76,7 @@
     /// Answer to [`PeerMessage::Ask`].
     Answer(u64, Result<DataTable, String>),
     /// Hands the idempotency tokens of a stopping daemon to the receiver.
-    HandTokens(BTreeMap<DaemonRef, HandedTokens>),
+    HandTokens(BTreeMap<DaemonRef, TransferredTokens>),
     /// Confirms [`PeerMessage::HandTokens`].
     TokensTaken,
     /// Announces that the tokens of these daemon runs now belong to the given VM.
--- a/crates/daemon/src/targets/engine.rs
+++ b/crates/daemon/src/targets/engine.rs
@@ -9,7 +9,7 @@
 use futures_util::{Stream, StreamExt};
 use hoplanding_core::{
     ids::{AdapterVersion, FencingToken, PriorityClass},
-    request::{HandedOver, RequestCall, Unsent},
+    request::{RequestCall, Sent, Unsent},
 };
 use reqwest::{Client, RequestBuilder, Response, StatusCode, header::CONTENT_TYPE};
 use serde::Deserialize;
@@ -70,11 +70,11 @@
     /// No connection was made: the request is still unsent.
     NotConnected(RequestCall<Unsent>, String),
     /// The target reports that it did not run the request.
-    Refused(RequestCall<HandedOver>, String),
+    Refused(RequestCall<Sent>, String),
     /// The target reports that the request failed.
-    Failed(RequestCall<HandedOver>, String),
+    Failed(RequestCall<Sent>, String),
     /// The answer was lost; the request may be running.
-    Unknown(RequestCall<HandedOver>, String),
+    Unknown(RequestCall<Sent>, String),
 }
 
 /// Item of an engine's stream.
@@ -173,7 +173,7 @@
         token: FencingToken,
         class: PriorityClass,
         work: &EngineWork,
-    ) -> Result<(RequestCall<HandedOver>, EngineStream), Box<SendError>> {
+    ) -> Result<(RequestCall<Sent>, EngineStream), Box<SendError>> {
         let path = if work.chat {
             "/v1/chat/completions"
         } else {
@@ -190,13 +190,13 @@
             }
             Err(error) => {
                 return Err(Box::new(SendError::Unknown(
-                    call.hand_over(),
+                    call.mark_sent(),
                     error.to_string(),
                 )));
             }
             Ok(response) => response,
         };
-        let call = call.hand_over();
+        let call = call.mark_sent();
         match response.status() {
             StatusCode::OK => Ok((call, open_stream(response))),
             StatusCode::NOT_FOUND | StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS => Err(
--- a/crates/daemon/src/targets/stream.rs
+++ b/crates/daemon/src/targets/stream.rs
@@ -12,7 +12,7 @@
 };
 use hoplanding_core::{
     ids::{AdapterVersion, FencingToken, PriorityClass, TargetName},
-    request::{HandedOver, NotRunReason, RequestCall, Unsent},
+    request::{NotRunReason, RequestCall, Sent, Unsent},
 };
 use std::{
     sync::{
@@ -79,7 +79,7 @@
 impl StreamJob {
     async fn begin(
         &mut self,
-    ) -> Result<(Option<RequestCall<HandedOver>>, EngineStream), Box<StreamEnding>> {
+    ) -> Result<(Option<RequestCall<Sent>>, EngineStream), Box<StreamEnding>> {
         let started = CallFrame::Started {
             target: self.target.clone(),
             stream: self.stream.clone(),
@@ -110,7 +110,7 @@
 
     async fn relay_tokens(
         &mut self,
-        call: Option<RequestCall<HandedOver>>,
+        call: Option<RequestCall<Sent>>,
         mut stream: EngineStream,
     ) -> StreamEnding {
         let boot = stream.boot;
