--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -93,14 +93,14 @@
 /// Location of a started stream.
 struct StreamLocation {
     target: TargetName,
-    stream: String,
+    name: String,
 }
 
 /// How one attempt ended.
 enum AttemptOutcome {
     /// The request has its final end.
     Final(CallEnd),
-    /// The attempt was handed over and may have run; a retry or resume may follow.
+    /// The attempt was sent and may have run; a retry or resume may follow.
     Interrupted(RequestCall<Sent>, AttemptEnd, String),
     /// The attempt provably did not run.
     NotRun(RequestCall<Unsent>, NotRunReason),
@@ -202,14 +202,14 @@
     async fn run_recorded(&mut self, key: DedupKey) -> CallEnd {
         self.recorded = Some(Vec::new());
         let end = self.run_attempts().await;
-        let recorded_end = match (&end, self.recorded.take()) {
+        let idempotent_outcome = match (&end, self.recorded.take()) {
             (CallEnd::NotRun(_), _) => IdempotentOutcome::NotRun,
             (CallEnd::Complete, Some(frames)) => IdempotentOutcome::Answered(Arc::new(frames)),
             _ => IdempotentOutcome::AnswerLost,
         };
         self.context
             .app
-            .notify(AppEvent::EndIdempotent(key, recorded_end))
+            .notify(AppEvent::EndIdempotent(key, idempotent_outcome))
             .await;
         end
     }
@@ -254,7 +254,7 @@
         let mut call = RequestCall::new(self.id);
         let mut broken_since = None;
         let mut resume = false;
-        // A later attempt that was not run does not prove the same for an earlier one that was handed over.
+        // A later attempt that was not run does not prove the same for an earlier one that was sent.
         let mut may_have_run = false;
         loop {
             let outcome = if resume {
@@ -281,14 +281,15 @@
                     call = unsent;
                     continue;
                 }
-                AttemptOutcome::Interrupted(handed_over, end, reason) => {
-                    // The next attempt starts as unsent; `may_have_run` records that an earlier one was handed over.
+                AttemptOutcome::Interrupted(sent, end, reason) => {
+                    // The next attempt starts as unsent; `may_have_run` records that an earlier one was sent.
                     may_have_run = true;
-                    call = RequestCall::new(handed_over.id());
+                    call = RequestCall::new(sent.id());
                     (end, reason)
                 }
             };
             let since = *broken_since.get_or_insert_with(clock::now);
+            // Without a started stream there is nothing to resume.
             let end = if self.stream.is_none() && end == AttemptEnd::Broken {
                 AttemptEnd::TargetFailed
             } else {
@@ -330,8 +331,8 @@
     /// Discards a stream that can't be resumed, before the request runs again from the beginning.
     async fn reset_stream(&mut self) {
         self.context.metrics.count("gateway.retried");
-        if let Some(started) = self.stream.take() {
-            self.excluded_targets.push(started.target);
+        if let Some(location) = self.stream.take() {
+            self.excluded_targets.push(location.target);
         }
         self.next_token = 0;
         if let Some(recorded) = &mut self.recorded {
@@ -339,7 +340,7 @@
         }
     }
 
-    /// Ends a request whose last attempt was not run: "not run" only if no earlier attempt was handed over.
+    /// Ends a request whose last attempt was not run: "not run" only if no earlier attempt was sent.
     fn end_not_run(
         &self,
         unsent: RequestCall<Unsent>,
@@ -355,6 +356,7 @@
         }
     }
 
+    /// Ends a request that may have run: as failed if it is repeatable, else with an unknown outcome.
     fn give_up(&self, reason: &str) -> CallEnd {
         event!(Event::AnswerIncomplete, "{}: {reason}", self.id);
         match self.request.rule {
@@ -368,7 +370,7 @@
             CallWork::Engine(work) => (Some(work.model.clone()), None),
             CallWork::Service(work) => (None, Some(work.service.clone())),
         };
-        let route = RouteRequest {
+        let route_request = RouteRequest {
             model,
             service,
             target: None,
@@ -379,7 +381,7 @@
         match self
             .context
             .app
-            .request(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route_request, reply))
             .await
         {
             None => AttemptOutcome::NotRun(call, NotRunReason::Stopping),
@@ -388,27 +390,27 @@
                 self.excluded_targets.clear();
                 AttemptOutcome::NotRun(call, reason)
             }
-            Some(Ok(answer)) => self.execute(call, answer, RunMode::Run).await,
+            Some(Ok(route)) => self.execute(call, route, RunMode::Run).await,
         }
     }
 
     async fn resume_attempt(&mut self, call: RequestCall<Unsent>) -> AttemptOutcome {
-        let handed_over = call.mark_sent();
-        let Some(started) = &self.stream else {
+        let sent = call.mark_sent();
+        let Some(location) = &self.stream else {
             return AttemptOutcome::Interrupted(
-                handed_over,
+                sent,
                 AttemptEnd::TargetFailed,
                 "the stream never started".to_owned(),
             );
         };
         let mode = RunMode::Resume {
-            stream: started.stream.clone(),
+            stream: location.name.clone(),
             from: self.next_token,
         };
-        let route = RouteRequest {
+        let route_request = RouteRequest {
             model: None,
             service: None,
-            target: Some(started.target.clone()),
+            target: Some(location.target.clone()),
             class: self.request.class,
             output_tokens: 0,
             avoid: Vec::new(),
@@ -416,18 +418,18 @@
         match self
             .context
             .app
-            .request(|reply| AppEvent::Route(route, reply))
+            .request(|reply| AppEvent::Route(route_request, reply))
             .await
         {
-            Some(Ok(answer)) => match self.execute(RequestCall::new(self.id), answer, mode).await {
+            Some(Ok(route)) => match self.execute(RequestCall::new(self.id), route, mode).await {
                 // Only the resume was refused; the request itself may still be running.
                 AttemptOutcome::NotRun(_, reason) => {
-                    AttemptOutcome::Interrupted(handed_over, AttemptEnd::Broken, reason.to_string())
+                    AttemptOutcome::Interrupted(sent, AttemptEnd::Broken, reason.to_string())
                 }
                 outcome => outcome,
             },
             _ => AttemptOutcome::Interrupted(
-                handed_over,
+                sent,
                 AttemptEnd::Broken,
                 "the target has no holder that can be reached".to_owned(),
             ),
@@ -437,7 +439,7 @@
     async fn execute(
         &mut self,
         call: RequestCall<Unsent>,
-        answer: SelectedRoute,
+        route: SelectedRoute,
         mode: RunMode,
     ) -> AttemptOutcome {
         let call_id = CallId {
@@ -446,14 +448,14 @@
         };
         let request = Box::new(ExecuteRequest {
             call: call_id,
-            target: answer.target.clone(),
+            target: route.target.clone(),
             mode,
             class: self.request.class,
             caller: self.request.caller.clone(),
             deadline_ms: self.deadline.since(clock::now()).as_millis() as u64,
             work: self.request.work.clone(),
         });
-        let reader = match answer.via {
+        let reader = match route.via {
             RouteVia::Local => {
                 let buffer = CallBuffer::new();
                 self.context
@@ -470,7 +472,7 @@
                 }
             }
         };
-        self.relay_frames(call.mark_sent(), reader, answer.target)
+        self.relay_frames(call.mark_sent(), reader, route.target)
             .await
     }
 
@@ -568,7 +570,7 @@
                 if model.is_some() {
                     self.stream = Some(StreamLocation {
                         target: target.clone(),
-                        stream: stream.clone(),
+                        name: stream.clone(),
                     });
                 }
                 if is_restarted {
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -175,14 +175,14 @@
         Some(class) => Some(class),
         None => priority_header(request)?,
     };
-    let admit = AdmissionRequest {
+    let admission_request = AdmissionRequest {
         bearer: bearer_token(request),
         subject: AdmissionSubject::Model(parsed.model.clone()),
         class,
     };
     let answer = context
         .app
-        .request(|reply| AppEvent::Admit(admit, reply))
+        .request(|reply| AppEvent::Admit(admission_request, reply))
         .await;
     let admission = answer.ok_or_else(CallerError::stopping)??;
     let is_streamed = parsed.stream;
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -81,14 +81,14 @@
     method: &str,
     path: &str,
 ) -> Result<Admission, CallerError> {
-    let admit = AdmissionRequest {
+    let admission_request = AdmissionRequest {
         bearer: bearer_token(request),
         subject: AdmissionSubject::Service(service.clone(), method.to_owned(), path.to_owned()),
         class: priority_header(request)?,
     };
     let answer = context
         .app
-        .request(|reply| AppEvent::Admit(admit, reply))
+        .request(|reply| AppEvent::Admit(admission_request, reply))
         .await;
     Ok(answer.ok_or_else(CallerError::stopping)??)
 }
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -68,7 +68,7 @@
 
     fn deliver(&self, call: CallId, event: LinkEvent) {
         if let Some(sender) = self.lock().get(&call) {
-            // The reader may have been dropped since the lookup.
+            // A reader that is being dropped no longer needs the event.
             let _ = sender.send(event);
         }
     }
@@ -158,7 +158,7 @@
     pub async fn wait_connected(&self, max_wait: Duration) -> bool {
         let mut connected = self.connected.clone();
         let mut is_suspect = self.is_suspect.subscribe();
-        let until_up = async {
+        let wait = async {
             while !self.is_connected() {
                 let is_up = connected
                     .wait_for(|is_connected| *is_connected)
@@ -170,7 +170,7 @@
                 }
             }
         };
-        timeout(max_wait, until_up).await.is_ok() && self.is_connected()
+        timeout(max_wait, wait).await.is_ok() && self.is_connected()
     }
 }
 
--- a/crates/daemon/src/peers/reader.rs
+++ b/crates/daemon/src/peers/reader.rs
@@ -60,7 +60,7 @@
             return None;
         }
         let events = link.calls.register(call);
-        // From here on the call counts as handed over: the queued message may be sent even if the link breaks now.
+        // From here on the call counts as sent: the queued message may be sent even if the link breaks now.
         let _ = link.send(message).await;
         Some(Self::new(FrameSource::Peer {
             link: link.clone(),
--- a/crates/daemon/src/targets/engine.rs
+++ b/crates/daemon/src/targets/engine.rs
@@ -162,7 +162,7 @@
             .expect("a client without TLS needs nothing from the system")
     }
 
-    /// Sends a request. It counts as handed over unless no connection was made.
+    /// Sends a request. It counts as sent unless no connection was made.
     ///
     /// # Errors
     /// Distinguishes a request that was not sent from one that the target refused, failed or may be running.
--- a/crates/daemon/src/targets/service.rs
+++ b/crates/daemon/src/targets/service.rs
@@ -28,7 +28,7 @@
     pub address: String,
     /// Request to the service.
     pub work: ServiceWork,
-    /// State of the request, not handed over yet.
+    /// Life cycle of the request, not sent yet.
     pub request: RequestCall<Unsent>,
     /// Buffer for the answer's frames.
     pub buffer: Arc<CallBuffer>,
