--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -1,9 +1,12 @@
-//! Admitting requests and choosing their targets.
+//! Admission of requests and selection of their targets.
+//!
+//! A gateway authenticates the caller, resolves the model, applies quotas and limits, and asks for a target for each
+//! attempt.
 
 use crate::{
     app::{
         Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppState, RouteRequest,
-        RouteVia, SelectedRoute, held::HeldPhase,
+        RouteVia, SelectedRoute, target_runtime::TargetPhase,
     },
     calls::{CallBuffer, CallEnd, SubmitRequest},
     gateway::{CallDriver, DriverContext},
@@ -16,12 +19,12 @@
 };
 use std::sync::Arc;
 
-/// Choices that are tried before a request is refused for want of a target.
-const ROUTE_TRIES: usize = 8;
-/// When to come back if no target is there, in milliseconds.
-const NO_TARGET_MS: u64 = 1000;
-/// When to come back if too many requests are open, in milliseconds.
-const OVERLOADED_MS: u64 = 1000;
+/// Maximum number of target choices per routing attempt before the request is refused.
+const MAX_ROUTE_ATTEMPTS: usize = 8;
+/// Suggested retry delay, in milliseconds, when no target can take the request.
+const NO_TARGET_RETRY_MS: u64 = 1000;
+/// Suggested retry delay, in milliseconds, when too many requests are open.
+const OVERLOADED_RETRY_MS: u64 = 1000;
 
 impl AppState {
     pub(super) fn caller_of(&self, bearer: &str) -> Result<CallerName, AdmissionError> {
@@ -39,19 +42,19 @@
         if self
             .stopping
             .as_ref()
-            .is_some_and(super::stopping::StopState::refuses_new)
+            .is_some_and(super::stopping::StopState::refuses_requests)
         {
             return Err(NotRunReason::Stopping.into());
         }
         if self.open_requests >= self.settings.limits.open_requests {
             return Err(NotRunReason::Overloaded {
-                retry_after_ms: OVERLOADED_MS,
+                retry_after_ms: OVERLOADED_RETRY_MS,
             }
             .into());
         }
         let configured = self.config().callers.get(&caller);
         let quota = configured.map_or_else(CallerQuota::default, |config| config.quota);
-        self.limits.admit(&caller, &quota, now)?;
+        self.caller_limits.admit(&caller, &quota, now)?;
         self.open_requests += 1;
         self.workers.metrics.count("gateway.admitted");
         let class = request
@@ -121,7 +124,7 @@
         Ok(models)
     }
 
-    /// Serves an admitted request to its end, in a task of its own.
+    /// Spawns a task that runs an admitted request to its end.
     pub(super) fn submit(&mut self, request: SubmitRequest, buffer: Arc<CallBuffer>) {
         let id = RequestId {
             gateway: self.me.incarnation,
@@ -130,7 +133,7 @@
         if self
             .stopping
             .as_ref()
-            .is_some_and(super::stopping::StopState::refuses_new)
+            .is_some_and(super::stopping::StopState::refuses_requests)
             && request.idempotency.is_none()
         {
             let call = RequestCall::new(id);
@@ -143,27 +146,27 @@
 
     pub(super) fn request_ended(&mut self, caller: &CallerName) {
         self.open_requests = self.open_requests.saturating_sub(1);
-        self.limits.finish(caller.as_str());
+        self.caller_limits.finish(caller.as_str());
     }
 
     pub(super) fn route(&mut self, request: &RouteRequest) -> Result<SelectedRoute, NotRunReason> {
         if let Some(target) = &request.target {
-            return self.way_to(target).ok_or(NotRunReason::NoTarget {
-                retry_after_ms: NO_TARGET_MS,
+            return self.route_to(target).ok_or(NotRunReason::NoTarget {
+                retry_after_ms: NO_TARGET_RETRY_MS,
             });
         }
-        for _ in 0..ROUTE_TRIES {
+        for _ in 0..MAX_ROUTE_ATTEMPTS {
             let Some(choice) = self.choose(request) else {
                 break;
             };
-            if let Some(answer) = self.way_to(&choice.target) {
+            if let Some(answer) = self.route_to(&choice.target) {
                 return Ok(answer);
             }
             self.engines.set_reachable(choice.target.as_str(), false);
             self.services.set_reachable(choice.target.as_str(), false);
         }
         Err(NotRunReason::NoTarget {
-            retry_after_ms: NO_TARGET_MS,
+            retry_after_ms: NO_TARGET_RETRY_MS,
         })
     }
 
@@ -189,7 +192,7 @@
             .choose_service(&query, &self.weights, is_service)
     }
 
-    fn way_to(&self, target: &TargetName) -> Option<SelectedRoute> {
+    fn route_to(&self, target: &TargetName) -> Option<SelectedRoute> {
         let lease = self.folded.ownership.holder(target.as_str())?;
         let via = if lease.is_of(&self.me) {
             RouteVia::Local
@@ -206,7 +209,7 @@
         })
     }
 
-    /// Whether a target gets no new work, by any witness.
+    /// Whether the configuration or the VM list excludes a target from new work.
     pub(super) fn is_closed(&self, target: &TargetName) -> bool {
         let draining = self
             .config()
@@ -221,7 +224,7 @@
         self.services.close(target.as_str());
     }
 
-    /// Opens and closes targets as configuration, list and the targets themselves say.
+    /// Opens and closes targets according to the configuration, the VM list and the targets' own state.
     pub(super) fn apply_targets(&mut self) {
         let closed: Vec<_> = self
             .config()
@@ -247,16 +250,16 @@
             }
             let open = !is_closed
                 && !held.is_quarantined
-                && !held.says_leaving
-                && held.phase != HeldPhase::Lost;
+                && !held.is_leaving
+                && held.phase != TargetPhase::Lost;
             held.scheduler.set_open(open);
             if !open {
                 let reason = NotRunReason::NoTarget {
-                    retry_after_ms: NO_TARGET_MS,
+                    retry_after_ms: NO_TARGET_RETRY_MS,
                 };
-                self.give_back_waiting(&target, &reason);
+                self.refuse_waiting(&target, &reason);
             }
-            self.observe_own(&target);
+            self.observe_own_target(&target);
         }
     }
 }
--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -15,9 +15,9 @@
 use tokio::sync::oneshot;
 
 /// Time after which an operator is told that nobody can say yet.
-const ANSWER_WITHIN: Duration = Duration::from_secs(12);
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time for a record whose answer was lost to turn up, before it is appended again.
-const TURN_UP_WITHIN: Duration = Duration::from_secs(2);
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 type ChangeReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
@@ -26,7 +26,7 @@
     record: ChangeRecord,
     reply: Option<ChangeReply>,
     began: Instant,
-    append_again_at: Option<Instant>,
+    reappend_at: Option<Instant>,
     may_have_effect: bool,
 }
 
@@ -55,7 +55,7 @@
             record,
             reply: Some(reply),
             began: now,
-            append_again_at: None,
+            reappend_at: None,
             may_have_effect: false,
         };
         self.pending_changes.insert(id.clone(), pending);
@@ -67,10 +67,10 @@
         let Some(pending) = self.pending_changes.get_mut(id) else {
             return;
         };
-        pending.append_again_at = None;
+        pending.reappend_at = None;
         let record = LogRecord::Change(pending.record.clone());
         if self.workers.appender.append(ticket, vec![record]) {
-            self.tickets.insert(ticket, vec![id.clone()]);
+            self.change_tickets.insert(ticket, vec![id.clone()]);
         } else {
             self.fail_change(id, |_| OperatorError::LogUnavailable);
         }
@@ -79,7 +79,7 @@
     pub(super) fn appended(&mut self, tickets: &[u64], outcome: AppendOutcome, now: Instant) {
         let ids: Vec<_> = tickets
             .iter()
-            .filter_map(|ticket| self.tickets.remove(ticket))
+            .filter_map(|ticket| self.change_tickets.remove(ticket))
             .flatten()
             .collect();
         for id in ids {
@@ -90,10 +90,10 @@
                 AppendOutcome::Appended => pending.may_have_effect = true,
                 AppendOutcome::Unknown => {
                     pending.may_have_effect = true;
-                    pending.append_again_at = Some(now.after(TURN_UP_WITHIN));
+                    pending.reappend_at = Some(now.after(READ_BACK_TIMEOUT));
                 }
                 AppendOutcome::NotAppended if pending.may_have_effect => {
-                    pending.append_again_at = Some(now.after(TURN_UP_WITHIN));
+                    pending.reappend_at = Some(now.after(READ_BACK_TIMEOUT));
                 }
                 AppendOutcome::NotAppended => {
                     self.fail_change(&id, |_| OperatorError::LogUnavailable)
@@ -106,7 +106,7 @@
     }
 
     /// The fold has decided about a change.
-    pub(super) fn settle_change(&mut self, id: &ChangeId, outcome: FoldOutcome) {
+    pub(super) fn resolve_change(&mut self, id: &ChangeId, outcome: FoldOutcome) {
         let Some(pending) = self.pending_changes.remove(id) else {
             return;
         };
@@ -133,7 +133,7 @@
         let again = self
             .pending_changes
             .iter()
-            .filter(|(_, pending)| pending.append_again_at.is_some_and(|at| at <= now));
+            .filter(|(_, pending)| pending.reappend_at.is_some_and(|at| at <= now));
         let again: Vec<_> = again.map(|(id, _)| id.clone()).collect();
         for id in again {
             // The log was read forward for a while and the change did not turn up; a second copy has no second effect.
@@ -142,7 +142,7 @@
         let late = self
             .pending_changes
             .iter()
-            .filter(|(_, pending)| now.since(pending.began) > ANSWER_WITHIN);
+            .filter(|(_, pending)| now.since(pending.began) > CHANGE_TIMEOUT);
         let late: Vec<_> = late.map(|(id, _)| id.clone()).collect();
         for id in late {
             self.fail_change(&id, OperatorError::OutcomeUnknown);
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -1,4 +1,6 @@
-//! What the event loop is told, and what it answers.
+//! Events of the event loop, and the requests and replies that they carry.
+//!
+//! Events that expect an answer carry a oneshot sender for it.
 
 use crate::{
     calls::{CallBuffer, CallFrame, CallId, ExecuteRequest, SubmitRequest},
@@ -19,128 +21,128 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// Something that the event loop is told.
+/// An event for the event loop.
 pub enum AppEvent {
-    /// Time has passed.
+    /// The tick interval passed.
     Tick,
-    /// Records were read.
+    /// A batch of records was read from the log.
     LogRead(LogBatch),
-    /// Records expired before they were read; the earliest that is kept.
+    /// Records expired before they were read; carries the earliest offset that the log still has.
     LogExpired(LogOffset),
-    /// The log is out of reach.
+    /// The log can't be read; carries the cause.
     LogUnavailable(String),
-    /// What became of appends.
+    /// Outcome of the appends with the given tickets.
     Appended(Vec<u64>, AppendOutcome),
-    /// The platform's list of VMs.
+    /// The platform's list of VMs was read.
     VmsListed(Vec<ListedVm>),
-    /// A link that this daemon dialled is up.
+    /// A link that this daemon dialled is connected.
     LinkUp(VmName),
-    /// Nobody listens at a peer's address.
+    /// A peer's address refused the connection.
     LinkRefused(VmName),
-    /// A message on a link that this daemon dialled.
+    /// A message from a peer on a link that this daemon dialled.
     PeerReply(VmName, Box<PeerMessage>),
-    /// A message on a link that a peer dialled, and the way back.
+    /// A message on a link that a peer dialled, with the sender for replies.
     PeerRequest(VmName, Box<PeerMessage>, mpsc::Sender<PeerMessage>),
-    /// Who sends a request, and what does its model mean?
+    /// Authenticate a request, resolve its subject and apply the limits.
     Admit(
         AdmissionRequest,
         oneshot::Sender<Result<Admission, AdmissionError>>,
     ),
-    /// The adapters that a caller may ask for.
+    /// List the versions that a caller has a right to, each with whether it is the current one; takes a bearer token.
     ListModels(
         String,
         oneshot::Sender<Result<Vec<(AdapterVersion, bool)>, AdmissionError>>,
     ),
-    /// Issue a token.
+    /// Issue an idempotency token; takes a bearer token.
     IssueToken(
         String,
         oneshot::Sender<Result<IdempotencyToken, AdmissionError>>,
     ),
-    /// Serve a request to its end.
+    /// Run an admitted request to its end and write the response to the buffer.
     Submit(Box<SubmitRequest>, Arc<CallBuffer>),
-    /// Where does a request go?
+    /// Select a target for a request.
     Route(
         RouteRequest,
         oneshot::Sender<Result<SelectedRoute, NotRunReason>>,
     ),
-    /// May a request with a token or key run?
+    /// Ask whether a request with an idempotency token or key may run; carries its fingerprint.
     BeginIdempotent(RepeatKey, u64, oneshot::Sender<IdempotencyDecision>),
-    /// A request with a token or key ended.
+    /// A request with an idempotency token or key ended.
     EndIdempotent(RepeatKey, IdempotentOutcome),
-    /// Claim a caller's own key.
+    /// Claim an idempotency key that the caller chose; carries the request's fingerprint.
     ClaimKey(KeyHash, u64, oneshot::Sender<KeyClaimResult>),
-    /// A request that this gateway admitted ended.
+    /// A request that this daemon admitted as gateway ended.
     RequestEnded(CallerName),
     /// Run a request on a target that this daemon holds.
     Execute(Box<ExecuteRequest>, Arc<CallBuffer>),
-    /// Nobody wants the answer of a call any more.
+    /// The receiver of a call's answer is gone.
     CallAbandoned(CallId),
-    /// The first token of a call came.
+    /// The first token of a call arrived.
     FirstToken(CallId, TargetName),
     /// A call's stream ended.
     StreamEnded(CallId, TargetName, StreamEnd),
-    /// An order to a target ended.
+    /// An order to an engine was answered or failed.
     OrderDone(OrderReport),
-    /// A query or command.
+    /// Run a statement of an operator.
     Operator(
         OperatorRequest,
         oneshot::Sender<Result<OperatorResponse, OperatorError>>,
     ),
-    /// Whether the daemon is ready for work.
+    /// Ask whether the daemon is ready to serve.
     IsReady(oneshot::Sender<bool>),
-    /// Begin a planned stop; answered when it is over.
+    /// Begin a planned stop; answered once it is complete.
     Stop(oneshot::Sender<StopReport>),
 }
 
-/// What a planned stop left.
+/// Work left at the end of a planned stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that were still open.
+    /// Requests still open.
     pub open_requests: usize,
-    /// Targets that were not handed over.
+    /// Targets not handed over.
     pub remaining_targets: usize,
 }
 
-/// A caller's request before it is understood.
+/// A caller's request before authentication and resolution.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
-    /// The bearer token.
+    /// Bearer token of the caller.
     pub bearer: String,
-    /// What is asked for.
+    /// Requested adapter or service.
     pub subject: AdmissionSubject,
-    /// Class that the caller asks for.
+    /// Priority class that the caller requests.
     pub class: Option<PriorityClass>,
 }
 
-/// What a request asks for.
+/// Subject of a request.
 #[derive(Clone, Debug)]
 pub enum AdmissionSubject {
-    /// An adapter, with or without version.
+    /// Model name: an adapter with an optional version.
     Model(String),
-    /// A call of a plain service: service, method, path.
+    /// Call of a plain service, by service, method and path.
     Service(ServiceName, String, String),
 }
 
-/// A request that is understood.
+/// An authenticated and resolved request.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// The caller.
+    /// Authenticated caller.
     pub caller: CallerName,
-    /// Its class.
+    /// Priority class in force.
     pub class: PriorityClass,
-    /// The adapter and version, with its rule; for a service only the rule counts.
+    /// Adapter version and retry rule; only the rule applies to a service.
     pub resolved: ResolvedModel,
 }
 
-/// Why a request is not admitted.
+/// Error that keeps a request from being admitted.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum AdmissionError {
-    /// Nobody knows the token.
+    /// The bearer token is missing or unknown.
     #[error(
         "the bearer token is missing or unknown: send `Authorization: Bearer TOKEN` with the token of your service"
     )]
     UnknownCaller,
-    /// The model can't be had.
+    /// The model name can't be resolved for the caller.
     #[error(transparent)]
     Model(#[from] ResolveError),
     /// The caller has no right to the service.
@@ -148,202 +150,204 @@
         "caller `{0}` has no right to service `{1}`: ask an operator for `allow {0} on service {1}`"
     )]
     NoServiceRight(CallerName, ServiceName),
-    /// There is no such service.
+    /// No target serves the service.
     #[error("service `{0}` does not exist: ask an operator which services there are")]
     UnknownService(ServiceName),
-    /// It is not run.
+    /// The request is refused as not run.
     #[error(transparent)]
     NotRun(#[from] NotRunReason),
 }
 
-/// A request that looks for a target.
+/// Request for a route to a target.
 #[derive(Clone, Debug)]
 pub struct RouteRequest {
-    /// The adapter and version; none for a plain service.
+    /// Adapter version; none for a plain service.
     pub model: Option<AdapterVersion>,
-    /// The service; none for an engine.
+    /// Service; none for an engine.
     pub service: Option<ServiceName>,
-    /// A target that it must be; for the rest of a stream.
+    /// The only target allowed, if the rest of a stream is requested.
     pub target: Option<TargetName>,
-    /// Its class.
+    /// Priority class.
     pub class: PriorityClass,
-    /// Output tokens that it may generate.
+    /// Maximum number of output tokens.
     pub output_tokens: u32,
-    /// Targets that were tried in vain.
+    /// Targets that already failed this request.
     pub avoid: Vec<TargetName>,
 }
 
-/// Where a request goes.
+/// A target selected for a request.
 #[derive(Clone, Debug)]
 pub struct SelectedRoute {
-    /// The target.
+    /// Selected target.
     pub target: TargetName,
-    /// The way to its holder.
+    /// Connection to its holder.
     pub via: RouteVia,
 }
 
-/// The way to a holder.
+/// Connection to the holder of a target.
 #[derive(Clone, Debug)]
 pub enum RouteVia {
     /// This daemon is the holder.
     Local,
-    /// Over a link.
+    /// The holder is a peer, reached over its link.
     Link(PeerLink),
 }
 
-/// Whether a request with a token or key may run.
+/// Whether a request with an idempotency token or key may run.
 #[derive(Debug)]
 pub enum IdempotencyDecision {
-    /// It may.
+    /// The request may run.
     Run,
-    /// It ran; its answer.
+    /// The request already ran; carries its stored answer.
     Replay(Arc<Vec<CallFrame>>),
-    /// It runs; the answer comes here, or never if it could not be kept.
+    /// The request is running; the receiver yields its answer, or none if no answer is stored.
     Join(oneshot::Receiver<Option<Arc<Vec<CallFrame>>>>),
-    /// It ran, or may have, and nobody can say with what outcome.
+    /// The request ran or may have run with an unknown outcome; carries the cause.
     Unknown(String),
-    /// Another daemon has to be asked.
+    /// Another daemon decides; the request is forwarded over its link.
     Forward(PeerLink),
-    /// The token is wrong.
+    /// The token is not valid for this request.
     InvalidToken(TokenError),
 }
 
-/// How the use of a token or key ended.
+/// Outcome of a request with an idempotency token or key.
 #[derive(Clone, Debug)]
 pub enum IdempotentOutcome {
-    /// It was proved not run: the token may be used again.
+    /// The request certainly did not run, so the token or key may be used again.
     NotRun,
-    /// It was answered, with frames to be kept.
+    /// The request was answered; carries the frames to store.
     Answered(Arc<Vec<CallFrame>>),
-    /// Nobody knows, or the answer is too large to be kept.
+    /// The outcome is unknown, or the answer is too large to store.
     AnswerLost,
 }
 
-/// What became of a claim.
+/// Result of claiming an idempotency key.
 #[derive(Debug)]
 pub enum KeyClaimResult {
-    /// This daemon runs the request.
+    /// This daemon holds the key and runs the request.
     Won,
-    /// Another daemon has to be asked.
+    /// Another daemon holds the key; the request is forwarded over its link.
     Forward(PeerLink),
-    /// The daemon that runs it, or ran it, is gone.
+    /// The daemon that holds the key is gone or not connected.
     HolderGone(DaemonRef),
-    /// The key stands for another request.
+    /// The key was claimed for a request with another fingerprint.
     KeyReused,
-    /// The log is out.
+    /// The log is unavailable, so the key was not claimed.
     NotClaimed,
 }
 
-/// How a stream ended, for the scheduler.
+/// End of a stream or service call, as reported to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// With all its tokens, from this run of the engine.
+    /// All tokens of the stream arrived.
     Complete {
-        /// The engine's run.
+        /// Boot number of the engine that sent them.
         boot: u64,
     },
-    /// Otherwise.
+    /// Any other end, including each end of a service call that reached the target.
     Ended,
-    /// It broke off.
+    /// The stream broke and was not resumed.
     Broken,
-    /// The target refused to run it.
+    /// The target refused the request.
     Refused,
-    /// No connection could be made.
+    /// The connection to the target failed.
     Unreachable,
     /// The target answered with another adapter.
     WrongModel,
 }
 
-/// An order to a target.
+/// Kind of an order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Present the token.
-    Present,
-    /// List adapters and streams.
+    /// Present the fencing token.
+    PresentToken,
+    /// List loaded adapters and running streams.
     List,
     /// Load an adapter.
     Load(AdapterVersion),
     /// Unload an adapter.
     Unload(AdapterVersion),
-    /// Ask for the streams of a predecessor.
-    AskSettled(FencingToken),
+    /// List running streams to settle the lease of a predecessor.
+    SettleQuery(FencingToken),
 }
 
-/// What became of an order.
+/// Result of an order.
 #[derive(Debug)]
 pub struct OrderReport {
-    /// The target.
+    /// Target of the order.
     pub target: TargetName,
-    /// Token under which it was sent.
+    /// Fencing token under which the order was sent.
     pub token: FencingToken,
-    /// The order.
+    /// Kind of the order.
     pub kind: OrderKind,
-    /// Orders that had been sent before it.
+    /// Target's epoch when the order was sent.
     pub epoch: u64,
-    /// How long it took.
-    pub took: std::time::Duration,
-    /// The target's run, and its listing where asked for.
+    /// Time until the answer or failure.
+    pub elapsed: std::time::Duration,
+    /// Boot number of the engine, with its listing if one was requested.
     pub result: Result<(u64, Option<EngineListing>), OrderError>,
 }
 
-/// A query or command of an operator.
+/// A statement of an operator.
 #[derive(Clone, Debug)]
 pub struct OperatorRequest {
-    /// The bearer token.
+    /// Bearer token of the operator.
     pub bearer: String,
-    /// The text.
+    /// Text of the statement.
     pub text: String,
 }
 
-/// The answer to an operator.
+/// Result of a statement.
 #[derive(Clone, Debug)]
 pub enum OperatorResponse {
-    /// Rows.
+    /// Result table of a query.
     Table(DataTable),
-    /// A change is in force at this daemon since this offset.
+    /// A change is in force at this daemon from this log offset on.
     Accepted(ChangeId, LogOffset),
 }
 
-/// Why an operator gets no answer.
+/// Error of a statement.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// Nobody knows the token.
+    /// The bearer token is missing or unknown.
     #[error("the operator's token is missing or unknown: set HOPLANDING_TOKEN or --token")]
     UnknownOperator,
-    /// The role does not suffice.
+    /// The operator's role does not permit the statement.
     #[error("operator `{operator}` has the role {role}, and this needs {needed}: ask an admin")]
     InsufficientRole {
-        /// The operator.
+        /// Name of the operator.
         operator: String,
-        /// Its role.
+        /// Role of the operator.
         role: String,
-        /// The role that is needed.
+        /// Role that the statement requires.
         needed: String,
     },
-    /// The text is no statement.
+    /// The text can't be parsed.
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// The query can't be answered.
+    /// The query can't be applied to its table.
     #[error(transparent)]
     Query(#[from] QueryError),
-    /// The change was refused.
+    /// The change conflicts with the configuration.
     #[error("change {0} refused: {1}")]
     Conflict(ChangeId, ChangeConflict),
-    /// The log is out.
+    /// The log is unavailable and nothing was changed.
     #[error("the platform's log is out of reach, so nothing was changed: try again later")]
     LogUnavailable,
-    /// The answer was lost and the log does not show the change yet.
+    /// The change was not read back from the log within the time limit.
     #[error(
         "nobody can say yet whether change {0} took effect: ask `show changes where id = \"{0}\"` before repeating it"
     )]
     OutcomeUnknown(ChangeId),
-    /// There is no such thing.
+    /// The named object does not exist.
     #[error("{0}")]
     NotFound(String),
 }
 
 impl AppEvent {
-    /// The scheduler's id of one attempt of a request: attempts of one request may meet at one target.
+    /// Scheduler's id of one attempt of a request.
+    ///
+    /// Attempts of one request can be at the same target at once, so the request's id would not be unique.
     #[must_use]
     pub fn scheduler_id(call: CallId) -> RequestId {
         RequestId {
--- a/crates/daemon/src/app/event_loop.rs
+++ b/crates/daemon/src/app/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop itself.
+//! The event loop: receives events and ticks, and dispatches them to [`AppState`].
 
 use crate::{
     app::{AppEvent, AppState},
@@ -10,29 +10,29 @@
     time::{MissedTickBehavior, interval},
 };
 
-/// Pause between two ticks.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval between ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A way to tell the event loop things and to ask it.
+/// Handle for sending events to the event loop.
 #[derive(Clone)]
 pub struct AppHandle {
     events: mpsc::Sender<AppEvent>,
 }
 
 impl AppHandle {
-    /// A handle on the loop that reads the other end of `events`.
+    /// Creates a handle for the loop that receives from `events`.
     #[must_use]
     pub fn new(events: mpsc::Sender<AppEvent>) -> Self {
         Self { events }
     }
 
-    /// Tells the loop something.
+    /// Sends an event that expects no reply.
     pub async fn notify(&self, event: AppEvent) {
-        // After the loop's end nobody is left to care.
+        // The send fails only after the event loop has ended.
         let _ = self.events.send(event).await;
     }
 
-    /// Asks the loop; none once it has ended.
+    /// Sends an event and waits for its reply; none if the event loop has ended.
     pub async fn request<T>(
         &self,
         question: impl FnOnce(oneshot::Sender<T>) -> AppEvent,
@@ -42,18 +42,18 @@
         receiver.await.ok()
     }
 
-    /// The channel itself, for workers.
+    /// Returns the channel, for workers.
     #[must_use]
     pub fn sender(&self) -> mpsc::Sender<AppEvent> {
         self.events.clone()
     }
 }
 
-/// Runs the loop until a planned stop is over.
+/// Runs the event loop until a planned stop is complete or all senders are gone.
 pub async fn run_app(mut state: AppState, mut events: mpsc::Receiver<AppEvent>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    state.begin();
+    state.start();
     while !state.is_stopped() {
         let event = tokio::select! {
             event = events.recv() => match event {
@@ -67,7 +67,7 @@
 }
 
 impl AppState {
-    /// Carries out what follows from one event.
+    /// Handles one event.
     pub fn handle(&mut self, event: AppEvent) {
         let now = clock::now();
         match event {
@@ -89,9 +89,9 @@
             AppEvent::Submit(request, buffer) => self.submit(*request, buffer),
             AppEvent::Route(request, reply) => answer(reply, self.route(&request)),
             AppEvent::BeginIdempotent(key, fingerprint, reply) => {
-                answer(reply, self.begin_repeat(&key, fingerprint))
+                answer(reply, self.begin_idempotent(&key, fingerprint))
             }
-            AppEvent::EndIdempotent(key, end) => self.end_repeat(&key, end),
+            AppEvent::EndIdempotent(key, end) => self.end_idempotent(&key, end),
             AppEvent::ClaimKey(key, fingerprint, reply) => {
                 self.claim_key(key, fingerprint, reply, now)
             }
@@ -100,7 +100,7 @@
             AppEvent::CallAbandoned(call) => self.call_abandoned(call),
             AppEvent::FirstToken(call, target) => self.first_token(call, &target),
             AppEvent::StreamEnded(call, target, end) => self.stream_ended(call, &target, end, now),
-            AppEvent::OrderDone(report) => self.order_done(&report, now),
+            AppEvent::OrderDone(report) => self.order_finished(&report, now),
             AppEvent::Operator(request, reply) => self.operator(&request, reply, now),
             AppEvent::IsReady(reply) => answer(reply, self.is_ready()),
             AppEvent::Stop(reply) => self.begin_stop(reply, now),
@@ -110,7 +110,7 @@
     fn tick(&mut self, now: hoplanding_core::ids::Instant) {
         self.tick_membership(now);
         self.tick_ownership(now);
-        self.refresh_evictions(now);
+        self.update_evictions(now);
         self.tick_holder(now);
         self.tick_orders(now);
         self.tick_heartbeat(now);
@@ -123,6 +123,6 @@
 }
 
 fn answer<T>(reply: oneshot::Sender<T>, value: T) {
-    // Whoever asked may have gone away.
+    // The requester may no longer wait for the reply.
     let _ = reply.send(value);
 }
--- a/crates/daemon/src/app/explain.rs
+++ b/crates/daemon/src/app/explain.rs
@@ -131,7 +131,11 @@
         )))
     }
 
-    fn wait_reason(&self, held: &crate::app::held::HeldRuntime, model: &AdapterVersion) -> String {
+    fn wait_reason(
+        &self,
+        held: &crate::app::target_runtime::TargetRuntime,
+        model: &AdapterVersion,
+    ) -> String {
         if !held.is_serving() {
             return "the target is being prepared after a takeover or a restart".to_owned();
         }
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -1,9 +1,12 @@
-//! Serving requests on held targets.
+//! Request execution on held targets.
+//!
+//! A daemon that holds a target queues the requests sent to it, dispatches them as the scheduler allows, and tracks their
+//! streams until the target no longer runs them.
 
 use crate::{
     app::{
         AppEvent, AppState, OrderKind, StreamEnd,
-        held::{HeldPhase, HeldRuntime, PendingCall},
+        target_runtime::{PendingCall, TargetPhase, TargetRuntime},
     },
     calls::{CallBuffer, CallEnd, CallId, CallWork, ExecuteRequest, RunMode},
     event,
@@ -18,12 +21,12 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Pause between two looks at held targets.
-const SECOND: Duration = Duration::from_secs(1);
-/// Time for which an answer is kept for a taker whose link broke.
-const REATTACH_WITHIN: Duration = Duration::from_secs(10);
-/// When to come back if no target is there, in milliseconds.
-const NO_TARGET_MS: u64 = 1000;
+/// Interval at which held targets are checked.
+const HOLDER_TICK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for which an answer is kept for a gateway whose link broke.
+const REATTACH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Suggested retry delay, in milliseconds, when no target can take the request.
+const NO_TARGET_RETRY_MS: u64 = 1000;
 
 impl AppState {
     pub(super) fn execute(
@@ -36,7 +39,7 @@
         let Some(held) = self
             .held
             .get_mut(&request.target)
-            .filter(|held| held.phase != HeldPhase::Lost)
+            .filter(|held| held.phase != TargetPhase::Lost)
         else {
             buffer.end(CallEnd::NotRun(call.refuse(NotRunReason::NotHolder)));
             return;
@@ -57,7 +60,7 @@
             return;
         }
         let target = request.target.clone();
-        held.waiting.insert(
+        held.pending_calls.insert(
             id,
             PendingCall {
                 request,
@@ -65,11 +68,11 @@
                 call,
             },
         );
-        self.pump(&target, now);
-        self.run_bids(now);
+        self.dispatch_ready(&target, now);
+        self.start_best_load(now);
     }
 
-    /// Asks the target for the rest of a stream, which may have been started by an earlier holder.
+    /// Requests the rest of a stream from the target; an earlier holder may have started the stream.
     fn resume(
         &mut self,
         request: ExecuteRequest,
@@ -82,23 +85,24 @@
         };
         let CallWork::Engine(work) = request.work else {
             buffer.end(CallEnd::Unknown(
-                "a plain service's answer can't be asked for again".to_owned(),
+                "a plain service's answer can't be resumed".to_owned(),
             ));
             return;
         };
         let id = AppEvent::scheduler_id(request.call);
-        // The seat of the attempt that broke passes to this one.
-        held.doubtful.retain(|_, (name, _)| *name != stream);
-        let earlier: Vec<_> = held
+        // The seat of the broken attempt passes to this one.
+        held.unconfirmed_streams
+            .retain(|_, (name, _)| *name != stream);
+        let previous: Vec<_> = held
             .streams
             .iter()
             .filter(|(_, name)| **name == stream)
             .map(|(id, _)| *id)
             .collect();
         held.scheduler.adopt_running(id, &work.model, request.class);
-        for earlier in earlier {
-            held.streams.remove(&earlier);
-            held.scheduler.finished(earlier, crate::clock::now());
+        for previous in previous {
+            held.streams.remove(&previous);
+            held.scheduler.finished(previous, crate::clock::now());
         }
         held.streams.insert(id, stream.clone());
         let job = StreamJob {
@@ -112,15 +116,15 @@
             from,
             start: None,
             load_stall: Duration::ZERO,
-            tokens: Arc::clone(&held.tokens),
+            tokens: Arc::clone(&held.streamed_tokens),
             buffer,
             events: self.workers.events.clone(),
         };
         tokio::spawn(run_stream(job));
     }
 
-    /// Dispatches what can go out at a target now.
-    pub(super) fn pump(&mut self, target: &TargetName, now: Instant) {
+    /// Starts the queued requests that a target can take now.
+    pub(super) fn dispatch_ready(&mut self, target: &TargetName, now: Instant) {
         let Some(held) = self.held.get_mut(target).filter(|held| held.is_serving()) else {
             return;
         };
@@ -135,7 +139,7 @@
             let Some(order) = next else {
                 break;
             };
-            let Some(pending) = held.waiting.remove(&order.request.id) else {
+            let Some(pending) = held.pending_calls.remove(&order.request.id) else {
                 held.scheduler.finished(order.request.id, now);
                 continue;
             };
@@ -146,13 +150,13 @@
             self.workers
                 .metrics
                 .time("holder.load_stall", order.load_stall);
-            dispatch(held, pending, &order, &self.workers);
+            start_call(held, pending, &order, &self.workers);
         }
-        self.observe_own(target);
+        self.observe_own_target(target);
     }
 
-    /// Tells this daemon's own router about a held target.
-    pub(super) fn observe_own(&mut self, target: &TargetName) {
+    /// Updates this daemon's own router with the state of a held target.
+    pub(super) fn observe_own_target(&mut self, target: &TargetName) {
         let Some(held) = self.held.get(target).filter(|held| held.is_serving()) else {
             return;
         };
@@ -170,7 +174,7 @@
     pub(super) fn call_abandoned(&mut self, call: CallId) {
         let id = AppEvent::scheduler_id(call);
         for held in self.held.values_mut() {
-            if let Some(pending) = held.waiting.remove(&id) {
+            if let Some(pending) = held.pending_calls.remove(&id) {
                 let model = model_of(&pending.request);
                 held.scheduler.cancel_waiting(&model, id);
                 pending.refuse(NotRunReason::Cancelled);
@@ -217,26 +221,26 @@
             }
             StreamEnd::WrongModel => {
                 held.is_quarantined = true;
-                keep_in_doubt(held, id, stream);
+                mark_unconfirmed(held, id, stream);
                 self.apply_targets();
             }
             StreamEnd::Ended | StreamEnd::Broken if is_engine => {
-                keep_in_doubt(held, id, stream);
+                mark_unconfirmed(held, id, stream);
                 self.send_order(target, OrderKind::List);
             }
             StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finished(id, now),
         }
-        self.pump(target, now);
-        self.run_bids(now);
-        self.settle_if_lost(target);
+        self.dispatch_ready(target, now);
+        self.start_best_load(now);
+        self.expedite_settlement(target);
     }
 
-    fn settle_if_lost(&mut self, target: &TargetName) {
-        // The next look at ownership settles it at once rather than after its pause.
+    fn expedite_settlement(&mut self, target: &TargetName) {
+        // Resetting the timer lets the next tick settle the lease without waiting for the interval.
         if self
             .held
             .get(target)
-            .is_some_and(|held| held.phase == HeldPhase::Lost && held.is_idle())
+            .is_some_and(|held| held.phase == TargetPhase::Lost && held.is_idle())
         {
             self.last.ownership = Instant::default();
         }
@@ -249,26 +253,26 @@
         if std::mem::take(&mut held.is_reachable) {
             event!(Event::TargetUnreachable, "{target}");
         }
-        let was_serving = held.phase == HeldPhase::Serving;
+        let was_serving = held.phase == TargetPhase::Serving;
         if was_serving && held.is_engine() {
-            held.phase = HeldPhase::Preparing;
+            held.phase = TargetPhase::Preparing;
         }
         self.engines.set_reachable(target.as_str(), false);
         self.services.set_reachable(target.as_str(), false);
-        self.give_back_waiting(
+        self.refuse_waiting(
             target,
             &NotRunReason::NoTarget {
-                retry_after_ms: NO_TARGET_MS,
+                retry_after_ms: NO_TARGET_RETRY_MS,
             },
         );
     }
 
     pub(super) fn tick_holder(&mut self, now: Instant) {
-        if now.since(self.last.second) < SECOND {
+        if now.since(self.last.holder_tick) < HOLDER_TICK_INTERVAL {
             return;
         }
-        self.last.second = now;
-        self.workers.calls.sweep(REATTACH_WITHIN);
+        self.last.holder_tick = now;
+        self.workers.calls.sweep(REATTACH_TIMEOUT);
         self.refuse_overdue(now);
         let targets: Vec<_> = self.held.keys().cloned().collect();
         for target in &targets {
@@ -277,13 +281,13 @@
             };
             held.measure_speed(now);
             held.scheduler.force_room(&self.popularity, now);
-            // A former holder too has to learn which of its streams are over, or it would never be settled.
-            let asks = match held.phase {
-                HeldPhase::Serving => true,
-                HeldPhase::Lost => !held.doubtful.is_empty(),
-                HeldPhase::Preparing => false,
+            // A former holder has to learn which of its streams ended, otherwise its lease would never be settled.
+            let needs_listing = match held.phase {
+                TargetPhase::Serving => true,
+                TargetPhase::Lost => !held.unconfirmed_streams.is_empty(),
+                TargetPhase::Preparing => false,
             };
-            if held.is_engine() && asks {
+            if held.is_engine() && needs_listing {
                 self.send_order(target, OrderKind::List);
             }
             if self
@@ -291,56 +295,57 @@
                 .get(target)
                 .is_some_and(|held| !held.is_engine() && !held.is_reachable)
             {
-                self.revive_service(target);
+                self.retry_service(target);
             }
-            self.give_back_unloadable(target);
-            self.pump(target, now);
+            self.refuse_unloadable(target);
+            self.dispatch_ready(target, now);
         }
         self.report_gauges();
     }
 
-    /// Work that waits for an adapter which can't come here goes back, for another target to take.
-    fn give_back_unloadable(&mut self, target: &TargetName) {
+    /// Refuses queued requests whose adapter can't be loaded here, so that another target takes them.
+    fn refuse_unloadable(&mut self, target: &TargetName) {
         let Some(held) = self.held.get_mut(target).filter(|held| held.is_serving()) else {
             return;
         };
         for queued in held.scheduler.drain_unloadable() {
-            if let Some(pending) = held.waiting.remove(&queued.id) {
+            if let Some(pending) = held.pending_calls.remove(&queued.id) {
                 let reason = NotRunReason::NoTarget {
-                    retry_after_ms: NO_TARGET_MS,
+                    retry_after_ms: NO_TARGET_RETRY_MS,
                 };
                 pending.refuse(reason);
             }
         }
     }
 
-    /// Tells the scheduler whether ownership lets anything be unloaded.
-    pub(super) fn refresh_evictions(&mut self, now: Instant) {
+    /// Updates whether the scheduler may evict adapters under the current ownership of each target.
+    pub(super) fn update_evictions(&mut self, now: Instant) {
         for (target, held) in &mut self.held {
             let ownership = self.folded.ownership.target(target.as_str());
-            let planned =
+            let may_plan =
                 ownership.is_some_and(|ownership| held.lease.may_plan_unload(ownership, 0).is_ok());
-            // Without the log there is no unload on a target that does not check tokens.
-            let announced = held.lease.fence == FenceState::Acknowledged || self.feed.is_up;
-            held.scheduler.set_may_evict(planned && announced);
+            // An unload on a target that does not check fencing tokens needs an intent in the log.
+            let can_announce =
+                held.lease.fence == FenceState::Acknowledged || self.feed.is_available;
+            held.scheduler.set_may_evict(may_plan && can_announce);
             held.scheduler.refresh_victim(&self.popularity, now);
         }
     }
 
-    /// A plain service is tried again a second after it could not be reached.
-    fn revive_service(&mut self, target: &TargetName) {
+    /// Makes an unreachable plain service eligible again after one tick of a second.
+    fn retry_service(&mut self, target: &TargetName) {
         if let Some(held) = self.held.get_mut(target) {
             held.is_reachable = true;
         }
-        self.observe_own(target);
+        self.observe_own_target(target);
     }
 
     fn refuse_overdue(&mut self, now: Instant) {
         for held in self.held.values_mut() {
             for overdue in held.scheduler.remove_overdue(&self.weights, now) {
-                if let Some(pending) = held.waiting.remove(&overdue.id) {
+                if let Some(pending) = held.pending_calls.remove(&overdue.id) {
                     let reason = NotRunReason::DeadlinePassed {
-                        retry_after_ms: NO_TARGET_MS,
+                        retry_after_ms: NO_TARGET_RETRY_MS,
                     };
                     pending.refuse(reason);
                 }
@@ -369,15 +374,15 @@
             .gauge("log.applied", self.folded.applied.0);
     }
 
-    /// Refuses requests whose adapter could not be loaded.
-    pub(super) fn refuse_for_load(&mut self, target: &TargetName, refused: &[QueuedRequest]) {
+    /// Refuses requests whose adapter failed to load.
+    pub(super) fn refuse_load_failed(&mut self, target: &TargetName, refused: &[QueuedRequest]) {
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
         for queued in refused {
-            if let Some(pending) = held.waiting.remove(&queued.id) {
+            if let Some(pending) = held.pending_calls.remove(&queued.id) {
                 let reason = NotRunReason::LoadFailed {
-                    retry_after_ms: NO_TARGET_MS,
+                    retry_after_ms: NO_TARGET_RETRY_MS,
                 };
                 pending.refuse(reason);
             }
@@ -385,18 +390,18 @@
     }
 }
 
-/// Keeps the seat of a stream whose end at the target is not certain.
-fn keep_in_doubt(held: &mut HeldRuntime, id: RequestId, stream: Option<String>) {
+/// Keeps the seat of a stream until a listing confirms that it ended at the target.
+fn mark_unconfirmed(held: &mut TargetRuntime, id: RequestId, stream: Option<String>) {
     match stream {
         Some(stream) => {
-            held.doubtful.insert(id, (stream, held.epoch));
+            held.unconfirmed_streams.insert(id, (stream, held.epoch));
         }
         None => held.scheduler.finished(id, crate::clock::now()),
     }
 }
 
-fn dispatch(
-    held: &mut HeldRuntime,
+fn start_call(
+    held: &mut TargetRuntime,
     pending: PendingCall,
     order: &DispatchOrder,
     workers: &crate::app::AppWorkers,
@@ -421,7 +426,7 @@
                 from: 0,
                 start: Some(call),
                 load_stall: order.load_stall,
-                tokens: Arc::clone(&held.tokens),
+                tokens: Arc::clone(&held.streamed_tokens),
                 buffer,
                 events: workers.events.clone(),
             };
@@ -459,7 +464,7 @@
     }
 }
 
-/// The adapter of a request; a plain service counts as one adapter that is always there.
+/// Returns the adapter of a request; a plain service counts as one adapter that is always loaded.
 fn model_of(request: &ExecuteRequest) -> AdapterVersion {
     match &request.work {
         CallWork::Engine(work) => work.model.clone(),
@@ -467,7 +472,6 @@
     }
 }
 
-/// Whether a scheduler has an adapter loaded.
 pub(super) fn has_loaded(scheduler: &TargetScheduler, model: &AdapterVersion) -> bool {
     scheduler
         .residents()
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -1,4 +1,7 @@
-//! Tokens and keys: who may run a request that must not run twice.
+//! Idempotency tokens and keys of requests that must run at most once.
+//!
+//! A token names the daemon that issued it, and that daemon decides whether its request runs. A key is chosen by the
+//! caller; the first daemon whose claim is in the log decides. Other daemons forward their requests to it.
 
 use crate::{
     app::{AdmissionError, AppState, IdempotencyDecision, IdempotentOutcome, KeyClaimResult},
@@ -14,38 +17,41 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time for a claim to be read back before it is appended again.
-const CLAIM_AGAIN_AFTER: Duration = Duration::from_secs(2);
-/// Time after which a claim counts as not made.
-const CLAIM_WITHIN: Duration = Duration::from_secs(10);
+/// Time for a claim to be read back from the log before it is appended again.
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after which a request stops waiting for its claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl AppState {
     pub(super) fn issue_token(&mut self, bearer: &str) -> Result<IdempotencyToken, AdmissionError> {
         if !bearer.is_empty() {
             self.caller_of(bearer)?;
         }
-        Ok(self.repeats.issue())
+        Ok(self.idempotency.issue())
     }
 
-    pub(super) fn begin_repeat(
+    pub(super) fn begin_idempotent(
         &mut self,
         key: &RepeatKey,
         fingerprint: u64,
     ) -> IdempotencyDecision {
-        match self.repeats.begin(key, fingerprint) {
+        match self.idempotency.begin(key, fingerprint) {
             Ok(TokenDecision::Run) => IdempotencyDecision::Run,
             Ok(TokenDecision::Replay(answer)) => IdempotencyDecision::Replay(answer),
             Ok(TokenDecision::Join) => {
                 let (sender, receiver) = oneshot::channel();
-                self.joins.entry(key.clone()).or_default().push(sender);
+                self.answer_waiters
+                    .entry(key.clone())
+                    .or_default()
+                    .push(sender);
                 IdempotencyDecision::Join(receiver)
             }
             Ok(TokenDecision::Unknown) => {
                 IdempotencyDecision::Unknown("its answer is no longer kept".to_owned())
             }
             Err(TokenError::Elsewhere(issuer)) => self.forward_token(&issuer),
-            Err(TokenError::HandedOver(heir)) => self.forward_to(
-                &heir,
+            Err(TokenError::HandedOver(successor)) => self.forward_to(
+                &successor,
                 "the daemon that took the token over can't be reached",
             ),
             Err(TokenError::IssuerEnded) => IdempotencyDecision::Unknown(
@@ -56,9 +62,9 @@
     }
 
     fn forward_token(&self, issuer: &DaemonRef) -> IdempotencyDecision {
-        // A planned stop told everyone who took the tokens over.
-        if let Some(heir) = self.token_heirs.get(issuer)
-            && let Some(link) = self.links.get(heir).filter(|link| link.is_connected())
+        // A daemon announces the successor of its tokens to all peers during a planned stop.
+        if let Some(successor) = self.token_successors.get(issuer)
+            && let Some(link) = self.links.get(successor).filter(|link| link.is_connected())
         {
             return IdempotencyDecision::Forward(link.clone());
         }
@@ -82,23 +88,23 @@
         }
     }
 
-    pub(super) fn end_repeat(&mut self, key: &RepeatKey, end: IdempotentOutcome) {
+    pub(super) fn end_idempotent(&mut self, key: &RepeatKey, end: IdempotentOutcome) {
         let answer = match end {
             IdempotentOutcome::NotRun => {
-                self.repeats.release(key);
+                self.idempotency.release(key);
                 None
             }
             IdempotentOutcome::Answered(answer) => {
-                self.repeats.finish(key, Some(answer.clone()));
+                self.idempotency.finish(key, Some(answer.clone()));
                 Some(answer)
             }
             IdempotentOutcome::AnswerLost => {
-                self.repeats.finish(key, None);
+                self.idempotency.finish(key, None);
                 None
             }
         };
-        for join in self.joins.remove(key).into_iter().flatten() {
-            // The one who waited may have gone away.
+        for join in self.answer_waiters.remove(key).into_iter().flatten() {
+            // The waiting request may have been abandoned.
             let _ = join.send(answer.clone());
         }
     }
@@ -114,11 +120,11 @@
             let _ = reply.send(answer);
             return;
         }
-        if !self.feed.is_up {
+        if !self.feed.is_available {
             let _ = reply.send(KeyClaimResult::NotClaimed);
             return;
         }
-        let waiting = self.claims.entry(key).or_default();
+        let waiting = self.pending_claims.entry(key).or_default();
         waiting.push((fingerprint, now, reply));
         if waiting.len() == 1 {
             self.claim_batch.push(KeyClaim { key, fingerprint });
@@ -149,16 +155,16 @@
         Some(answer)
     }
 
-    /// Claims were folded: tells those who wait for them.
-    pub(super) fn keys_folded(&mut self) {
+    /// Answers the requests whose claims are decided by the folded log.
+    pub(super) fn resolve_claims(&mut self) {
         let decided: Vec<_> = self
-            .claims
+            .pending_claims
             .keys()
             .filter(|key| self.folded.keys.outcome(key, &self.me).is_some())
             .copied()
             .collect();
         for key in decided {
-            for (fingerprint, _, reply) in self.claims.remove(&key).into_iter().flatten() {
+            for (fingerprint, _, reply) in self.pending_claims.remove(&key).into_iter().flatten() {
                 let answer = self
                     .claim_answer(&key, fingerprint)
                     .unwrap_or(KeyClaimResult::NotClaimed);
@@ -167,18 +173,18 @@
         }
     }
 
-    /// Appends the claims that came since the last tick, in one record.
+    /// Appends the claims made since the last tick, in one record.
     pub(super) fn tick_claims(&mut self, now: Instant) {
         let mut stale = Vec::new();
-        for (key, waiting) in &mut self.claims {
-            waiting.retain(|(_, since, _)| now.since(*since) < CLAIM_WITHIN);
+        for (key, waiting) in &mut self.pending_claims {
+            waiting.retain(|(_, since, _)| now.since(*since) < CLAIM_TIMEOUT);
             match waiting.first() {
                 None => stale.push(*key),
                 Some((fingerprint, since, _)) => {
-                    let again = now.since(*since) > CLAIM_AGAIN_AFTER
+                    let again = now.since(*since) > CLAIM_RETRY_INTERVAL
                         && !self.claim_batch.iter().any(|claim| claim.key == *key);
-                    if again && now.since(self.last.second).is_zero() {
-                        // A second claim of the same daemon changes nothing.
+                    if again && now.since(self.last.holder_tick).is_zero() {
+                        // A repeated claim of the same daemon has no effect.
                         self.claim_batch.push(KeyClaim {
                             key: *key,
                             fingerprint: *fingerprint,
@@ -188,7 +194,7 @@
             }
         }
         for key in stale {
-            self.claims.remove(&key);
+            self.pending_claims.remove(&key);
         }
         if self.claim_batch.is_empty() {
             return;
@@ -203,12 +209,12 @@
             .append(0, vec![LogRecord::KeyClaims(record)]);
     }
 
-    /// An append failed: claims that certainly are not in the log are answered at once.
+    /// Answers pending claims after an append that certainly failed while the log is unavailable.
     pub(super) fn claims_not_appended(&mut self, outcome: AppendOutcome) {
-        if outcome != AppendOutcome::NotAppended || self.feed.is_up {
+        if outcome != AppendOutcome::NotAppended || self.feed.is_available {
             return;
         }
-        for (_, _, reply) in self.claims.drain().flat_map(|(_, waiting)| waiting) {
+        for (_, _, reply) in self.pending_claims.drain().flat_map(|(_, waiting)| waiting) {
             let _ = reply.send(KeyClaimResult::NotClaimed);
         }
     }
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -13,15 +13,15 @@
 use std::time::Duration;
 
 /// Pause before another daemon may write the snapshot that is due, for each daemon that comes first.
-const SNAPSHOT_TURN: Duration = Duration::from_secs(5);
+const SNAPSHOT_STAGGER: Duration = Duration::from_secs(5);
 /// A batch with fewer records than this reached the end of the log.
-const FULL_BATCH: usize = 1000;
+const FULL_BATCH_RECORDS: usize = 1000;
 
 /// What is known of the log beside its fold.
 #[derive(Debug, Default)]
 pub struct LogFeed {
     /// Whether the last read succeeded.
-    pub(super) is_up: bool,
+    pub(super) is_available: bool,
     /// Whether the end of the log was reached once, or a peer's snapshot taken over.
     pub(super) is_caught_up: bool,
     /// Earliest offset that the log still has.
@@ -30,7 +30,7 @@
     pub(super) read_at: Option<Instant>,
     assembler: SnapshotAssembler,
     snapshot_due_since: Option<Instant>,
-    said_ready: bool,
+    has_logged_ready: bool,
 }
 
 impl AppState {
@@ -45,8 +45,8 @@
     }
 
     pub(super) fn log_read(&mut self, batch: LogBatch, now: Instant) {
-        if !self.feed.is_up {
-            self.feed.is_up = true;
+        if !self.feed.is_available {
+            self.feed.is_available = true;
             event!(Event::LogBack, "at offset {}", self.folded.applied);
         }
         self.feed.read_at = Some(now);
@@ -57,22 +57,22 @@
             return;
         }
         for (offset, record) in batch.records {
-            self.take_record(offset, record.as_ref(), now);
+            self.apply_record(offset, record.as_ref(), now);
             if had_gap && !self.has_gap() {
                 // The snapshot reaches less far than this batch: what lies between is read again.
                 return;
             }
         }
-        if count < FULL_BATCH && !self.has_gap() {
+        if count < FULL_BATCH_RECORDS && !self.has_gap() {
             self.feed.is_caught_up = true;
         }
-        self.say_ready();
+        self.log_readiness();
         self.reconcile_holders(now);
     }
 
-    pub(super) fn say_ready(&mut self) {
-        if self.is_ready() && !self.feed.said_ready {
-            self.feed.said_ready = true;
+    pub(super) fn log_readiness(&mut self) {
+        if self.is_ready() && !self.feed.has_logged_ready {
+            self.feed.has_logged_ready = true;
             event!(
                 Event::Ready,
                 "offset {}, {} adapters",
@@ -82,7 +82,7 @@
         }
     }
 
-    fn take_record(&mut self, offset: LogOffset, record: Option<&LogRecord>, now: Instant) {
+    fn apply_record(&mut self, offset: LogOffset, record: Option<&LogRecord>, now: Instant) {
         if self.has_gap() {
             if let Some(LogRecord::Snapshot(part)) = record
                 && let Some(state) = self.feed.assembler.add(part)
@@ -102,7 +102,7 @@
         match self.folded.apply(offset, record) {
             FoldEffect::Change(id, outcome) => self.change_folded(&id, outcome),
             FoldEffect::Ownership(effect) => self.ownership_folded(effect, now),
-            FoldEffect::Keys => self.keys_folded(),
+            FoldEffect::Keys => self.resolve_claims(),
             FoldEffect::Snapshot | FoldEffect::None => {}
         }
     }
@@ -135,14 +135,14 @@
         if matches!(outcome, FoldOutcome::Accepted(_)) {
             self.apply_config();
         }
-        self.settle_change(id, outcome);
+        self.resolve_change(id, outcome);
     }
 
     /// Puts the configuration in force where it is kept in another form.
     pub(super) fn apply_config(&mut self) {
         self.weights = self.config().policy_weights();
-        self.refresh_callers();
-        self.refresh_kept();
+        self.refresh_caller_index();
+        self.refresh_kept_models();
         self.apply_targets();
     }
 
@@ -151,7 +151,7 @@
             OwnershipEffect::NewHolder(target, lease) => self.holder_changed(&target, &lease, now),
             OwnershipEffect::IntentOpened(target, intent) => self.intent_opened(&target, &intent),
             OwnershipEffect::IntentClosed(target, _) | OwnershipEffect::Settled(target) => {
-                self.pump(&target, now)
+                self.dispatch_ready(&target, now)
             }
             OwnershipEffect::None => {}
         }
@@ -170,8 +170,8 @@
     }
 
     pub(super) fn log_out(&mut self, cause: &str) {
-        if self.feed.is_up {
-            self.feed.is_up = false;
+        if self.feed.is_available {
+            self.feed.is_available = false;
             event!(Event::LogOut, "{cause}");
         }
         if !self.feed.is_caught_up {
@@ -192,7 +192,7 @@
             return;
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
-        if !self.has_gap() && !self.feed.is_up {
+        if !self.has_gap() && !self.feed.is_available {
             // The log is out: a peer's state is the best there is, and `show lag` tells how old it may be.
             self.feed.is_caught_up = true;
         }
@@ -203,18 +203,18 @@
             .filter_map(|id| Some((id.clone(), self.config().outcome(id)?.clone())))
             .collect();
         for (id, outcome) in done {
-            self.settle_change(&id, outcome);
+            self.resolve_change(&id, outcome);
         }
-        self.keys_folded();
+        self.resolve_claims();
         self.workers.read_from.send_replace(LogOffset(offset.0 + 1));
-        self.say_ready();
+        self.log_readiness();
     }
 
     /// Appends a snapshot when enough records came since the last; the daemon with the lowest name goes first.
     pub(super) fn tick_snapshot(&mut self, now: Instant) {
         let grown =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
-        if grown < self.settings.snapshot_every || !self.feed.is_up || self.has_gap() {
+        if grown < self.settings.snapshot_every || !self.feed.is_available || self.has_gap() {
             self.feed.snapshot_due_since = None;
             return;
         }
@@ -222,9 +222,9 @@
         let earlier = self.members.iter().filter(|(vm, peer)| {
             **vm < self.me.vm && peer.state == hoplanding_core::membership::PeerState::Live
         });
-        let turn = SNAPSHOT_TURN * earlier.count() as u32;
+        let turn = SNAPSHOT_STAGGER * earlier.count() as u32;
         if now.since(due) < turn
-            || (self.last.snapshot.0 > 0 && now.since(self.last.snapshot) < SNAPSHOT_TURN)
+            || (self.last.snapshot.0 > 0 && now.since(self.last.snapshot) < SNAPSHOT_STAGGER)
         {
             return;
         }
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -1,4 +1,7 @@
-//! Links, heartbeats and the platform's list.
+//! Peer links, heartbeats and the platform's VM list.
+//!
+//! Daemons link with all peers of their zone and, in large fleets, with a few of each other zone. Heartbeats carry
+//! liveness and digests of the held targets; only changed digests are sent, and all of them at regular intervals.
 
 use crate::{
     app::AppState,
@@ -18,39 +21,43 @@
     time::Duration,
 };
 
-/// Daemons of other zones up to which all are linked; beyond, [`FAR_LINKS`] a zone.
-const FAR_MESH: usize = 24;
-/// Links to each other zone of a large fleet.
-const FAR_LINKS: usize = 2;
-/// Heartbeats within the zone for each one to another zone.
-const FAR_SHARE: u32 = 2;
-/// Pause between heartbeats for each peer of the zone, so that their bytes do not grow with its square.
-const PAUSE_A_PEER: Duration = Duration::from_millis(50);
-/// Heartbeats after which everything is told in full, should a part have been lost.
-const FULL_EVERY: u64 = 300;
-/// Shortest pause between two heartbeats when loads changed.
-const EAGER_PAUSE: Duration = Duration::from_millis(25);
+/// Number of daemons in other zones up to which all are linked; above, [`REMOTE_ZONE_LINKS`] per zone.
+const MAX_FULL_MESH_REMOTE_PEERS: usize = 24;
+/// Links per remote zone in a large fleet.
+const REMOTE_ZONE_LINKS: usize = 2;
+/// Ratio of the heartbeat interval to other zones to that within the zone.
+const REMOTE_HEARTBEAT_FACTOR: u32 = 2;
+/// Heartbeat interval per peer of the zone, so that heartbeat traffic does not grow with the square of the zone size.
+const HEARTBEAT_INTERVAL_PER_PEER: Duration = Duration::from_millis(50);
+/// Number of heartbeats after which all digests are sent in full, to repair lost updates.
+const FULL_DIGEST_HEARTBEATS: u64 = 300;
+/// Minimum interval between heartbeats when the loaded adapters changed.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(25);
 
 impl AppState {
-    /// Starts what needs no event.
-    pub(super) fn begin(&mut self) {
+    /// Performs the actions that do not wait for an event.
+    pub(super) fn start(&mut self) {
         self.dial_peers();
     }
 
-    /// Dials the peers that this daemon should be linked with.
+    /// Dials the peers that this daemon should be linked with, and updates the addresses of existing links.
     pub(super) fn dial_peers(&mut self) {
-        let far = self
+        let remote_peers = self
             .members
             .iter()
             .filter(|(_, peer)| peer.zone != self.zone)
             .count();
-        let wanted: Vec<_> = self
+        let peers: Vec<_> = self
             .members
             .iter()
-            .filter(|(vm, peer)| peer.zone == self.zone || far <= FAR_MESH || self.is_far_link(vm))
+            .filter(|(vm, peer)| {
+                peer.zone == self.zone
+                    || remote_peers <= MAX_FULL_MESH_REMOTE_PEERS
+                    || self.is_remote_link(vm)
+            })
             .map(|(vm, peer)| (vm.clone(), peer.address.clone()))
             .collect();
-        for (vm, address) in wanted {
+        for (vm, address) in peers {
             if let Some(link) = self.links.get(&vm) {
                 link.set_address(&address);
                 continue;
@@ -65,8 +72,8 @@
         }
     }
 
-    /// Whether a daemon of another zone is among the few that this one links with there.
-    fn is_far_link(&self, vm: &VmName) -> bool {
+    /// Whether a daemon of another zone is among those that rendezvous hashing selects for links from this daemon.
+    fn is_remote_link(&self, vm: &VmName) -> bool {
         let Some(peer) = self.members.peer(vm.as_str()) else {
             return false;
         };
@@ -75,12 +82,12 @@
             (&self.me.vm, other).hash(&mut hasher);
             hasher.finish()
         };
-        let mine = score(vm);
-        let better = self
+        let own_score = score(vm);
+        let higher_scores = self
             .members
             .iter()
-            .filter(|(other, record)| record.zone == peer.zone && score(other) > mine);
-        better.count() < FAR_LINKS
+            .filter(|(other, record)| record.zone == peer.zone && score(other) > own_score);
+        higher_scores.count() < REMOTE_ZONE_LINKS
     }
 
     pub(super) fn vms_listed(&mut self, list: &[ListedVm], now: Instant) {
@@ -116,41 +123,48 @@
     }
 
     pub(super) fn tick_heartbeat(&mut self, now: Instant) {
-        let near = self
+        let zone_peers = self
             .members
             .iter()
             .filter(|(_, peer)| peer.zone == self.zone)
             .count() as u32;
-        let pause = self.settings.membership.heartbeat.max(PAUSE_A_PEER * near);
-        let passed = now.since(self.last.heartbeat);
-        let revision = self.digest_revision();
-        let eager = revision != self.last.digest_revision && passed >= EAGER_PAUSE;
-        if passed < pause && !eager {
+        let heartbeat_interval = self
+            .settings
+            .membership
+            .heartbeat
+            .max(HEARTBEAT_INTERVAL_PER_PEER * zone_peers);
+        let elapsed = now.since(self.last.heartbeat);
+        let digest_revision = self.digest_revision();
+        let has_changed =
+            digest_revision != self.last.digest_revision && elapsed >= MIN_HEARTBEAT_INTERVAL;
+        if elapsed < heartbeat_interval && !has_changed {
             return;
         }
         self.last.heartbeat = now;
-        self.last.digest_revision = revision;
-        self.last.full_digest += 1;
-        let full =
-            std::mem::take(&mut self.last.tell_all) || self.last.full_digest % FULL_EVERY == 1;
+        self.last.digest_revision = digest_revision;
+        self.last.heartbeat_count += 1;
+        let full = std::mem::take(&mut self.last.send_full_digest)
+            || self.last.heartbeat_count % FULL_DIGEST_HEARTBEATS == 1;
         let heartbeat = PeerMessage::Heartbeat(Box::new(self.heartbeat(full)));
-        let far_due = eager || now.since(self.last.far_heartbeat) >= pause * FAR_SHARE;
-        if far_due {
-            self.last.far_heartbeat = now;
+        let is_remote_due = has_changed
+            || now.since(self.last.remote_heartbeat)
+                >= heartbeat_interval * REMOTE_HEARTBEAT_FACTOR;
+        if is_remote_due {
+            self.last.remote_heartbeat = now;
         }
         for (vm, link) in &self.links {
-            let is_near = self
+            let is_same_zone = self
                 .members
                 .peer(vm.as_str())
                 .is_some_and(|peer| peer.zone == self.zone);
-            let is_due = is_near || far_due;
-            // What a peer did not get now it gets in full with the next one.
-            self.last.tell_all |=
+            let is_due = is_same_zone || is_remote_due;
+            // A connected peer that misses this heartbeat gets all digests with the next one.
+            self.last.send_full_digest |=
                 link.is_connected() && !(is_due && link.try_send(heartbeat.clone()));
         }
     }
 
-    /// Changes whenever gateways should hear of it at once.
+    /// Revision that changes whenever gateways need an immediate heartbeat.
     fn digest_revision(&self) -> u64 {
         let residents = self
             .held
@@ -171,26 +185,26 @@
         }
     }
 
-    /// Digests of the targets that changed since the last heartbeat, or of all in full.
+    /// Digests of the targets that changed since the last heartbeat, or of all targets if `full`.
     fn own_digests(&mut self, full: bool) -> Vec<TargetDigest> {
         let mut digests = Vec::new();
         for (target, held) in self.held.iter().filter(|(_, held)| held.is_serving()) {
             let last = self.last.digests.get(target);
             let known = last.map(|digest| digest.residents_revision);
             let digest = held.scheduler.digest(if full { None } else { known });
-            let bare = TargetDigest {
+            let without_residents = TargetDigest {
                 residents: None,
                 ..digest.clone()
             };
-            if full || last != Some(&bare) {
-                self.last.digests.insert(target.clone(), bare);
+            if full || last != Some(&without_residents) {
+                self.last.digests.insert(target.clone(), without_residents);
                 digests.push(digest);
             }
         }
         digests
     }
 
-    pub(super) fn heartbeat_came(&mut self, heartbeat: &Heartbeat, now: Instant) {
+    pub(super) fn heartbeat_received(&mut self, heartbeat: &Heartbeat, now: Instant) {
         let before = self
             .members
             .peer(heartbeat.daemon.vm.as_str())
@@ -220,11 +234,11 @@
             link.set_suspect(false);
         }
         if heartbeat.zone == self.zone {
-            self.note_silent(&heartbeat.daemon.vm, &heartbeat.silent);
+            self.record_silent_peers(&heartbeat.daemon.vm, &heartbeat.silent);
         }
         self.arbiter
             .observe(&heartbeat.daemon.vm, heartbeat.loads, now);
-        let mut told = BTreeSet::new();
+        let mut reported = BTreeSet::new();
         for digest in &heartbeat.targets {
             let is_holder = self
                 .folded
@@ -239,7 +253,7 @@
             {
                 continue;
             }
-            told.insert(digest.target.clone());
+            reported.insert(digest.target.clone());
             match self.is_engine(digest.target.as_str()) {
                 Some(true) => self.engines.observe(&heartbeat.zone, digest),
                 Some(false) => self.services.observe(&heartbeat.zone, digest),
@@ -249,17 +263,17 @@
                 self.close_route(&digest.target);
             }
         }
-        self.confirm_targets(&heartbeat.daemon, &told);
+        self.confirm_targets(&heartbeat.daemon, &reported);
     }
 
-    /// Targets of a daemon whose heartbeat did not name them are as they were.
-    fn confirm_targets(&mut self, daemon: &DaemonRef, told: &BTreeSet<TargetName>) {
+    /// Confirms the targets of a daemon that its heartbeat omitted because they are unchanged.
+    fn confirm_targets(&mut self, daemon: &DaemonRef, reported: &BTreeSet<TargetName>) {
         let held = self.folded.ownership.iter().filter(|(target, ownership)| {
             let is_theirs = ownership
                 .holder
                 .as_ref()
                 .is_some_and(|lease| lease.is_of(daemon));
-            is_theirs && !told.contains(*target)
+            is_theirs && !reported.contains(*target)
         });
         for (target, _) in held {
             self.engines.confirm(target.as_str());
@@ -267,7 +281,7 @@
         }
     }
 
-    fn note_silent(&mut self, reporter: &VmName, silent: &[VmName]) {
+    fn record_silent_peers(&mut self, reporter: &VmName, silent: &[VmName]) {
         let peers: Vec<_> = self.members.iter().map(|(vm, _)| vm.clone()).collect();
         for vm in peers {
             let reporters = self.silent_reports.entry(vm.clone()).or_default();
@@ -281,7 +295,7 @@
         }
     }
 
-    /// Marks the targets of a peer as reachable or not.
+    /// Sets whether the targets of a peer are reachable.
     pub(super) fn set_peer_reachable(&mut self, vm: &VmName, reachable: bool) {
         let held = self.folded.ownership.iter().filter(|(_, ownership)| {
             ownership
--- a/crates/daemon/src/app/mod.rs
+++ b/crates/daemon/src/app/mod.rs
@@ -7,7 +7,6 @@
 mod event;
 mod event_loop;
 mod explain;
-mod held;
 mod holder;
 mod idempotency;
 mod log_feed;
@@ -19,6 +18,7 @@
 mod state;
 mod stopping;
 mod tables;
+mod target_runtime;
 
 pub use event::{
     Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppEvent, IdempotencyDecision,
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -1,10 +1,14 @@
-//! Orders to targets: loads, announced unloads, tokens and listings.
+//! Orders to engines: adapter loads and unloads, fencing tokens and listings.
+//!
+//! Each target has at most one load in progress, preceded by an unload if no slot is free. A target that does not check
+//! fencing tokens gets an unload only after its intent was appended to the log and read back. An order whose answer was
+//! lost is resolved by a listing after the delivery bound.
 
 use crate::{
     app::{
         AppEvent, AppState, OrderKind, OrderReport,
-        held::{HeldPhase, HeldRuntime, OrderStage, PendingOrder},
         holder::has_loaded,
+        target_runtime::{OrderStage, PendingOrder, TargetPhase, TargetRuntime},
     },
     clock, event,
     events::Event,
@@ -18,23 +22,23 @@
 };
 use std::{collections::HashSet, time::Duration};
 
-/// Time for an announcement to be read back before the unload is given up.
-const READ_BACK_WITHIN: Duration = Duration::from_secs(3);
-/// Pause between two looks for adapters worth loading without demand.
-const PRELOAD_EVERY: Duration = Duration::from_millis(500);
+/// Time for an unload intent to be read back before the unload is cancelled.
+const INTENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which adapters are considered for preloading.
+const PRELOAD_INTERVAL: Duration = Duration::from_millis(500);
 
 impl AppState {
-    /// What the other holders are told about this one's loads.
+    /// This holder's load activity, as announced to the other holders.
     pub(super) fn load_notice(&self) -> LoadNotice {
         LoadNotice {
-            loading: self.loads_under_way(),
+            loading: self.active_loads(),
             best_bid: self
                 .best_bid(false, clock::now())
                 .map_or(0.0, |bid| bid.benefit),
         }
     }
 
-    fn loads_under_way(&self) -> u32 {
+    fn active_loads(&self) -> u32 {
         self.held
             .values()
             .filter(|held| held.order.is_some())
@@ -52,7 +56,7 @@
     fn bid_of(
         &self,
         target: &TargetName,
-        held: &HeldRuntime,
+        held: &TargetRuntime,
         with_preloads: bool,
         now: Instant,
     ) -> Option<LoadBid> {
@@ -75,22 +79,22 @@
         })
     }
 
-    /// An adapter that operators want kept loaded and that is loaded nowhere.
-    fn kept_bid(&self, target: &TargetName, held: &HeldRuntime, now: Instant) -> Option<LoadBid> {
-        let mut missing = self.kept_models.iter().filter(|model| {
+    /// Bid for an adapter that operators want kept loaded and that is not loaded on any target.
+    fn kept_bid(&self, target: &TargetName, held: &TargetRuntime, now: Instant) -> Option<LoadBid> {
+        let mut candidates = self.kept_models.iter().filter(|model| {
             !self.engines.is_resident(model)
                 && !has_loaded(&held.scheduler, model)
                 && self.engines.is_home(model, target.as_str())
                 && held.scheduler.backoff().may_try(model, now)
         });
-        let model = missing.next()?.clone();
-        let free = held.scheduler.residents().len() < held.scheduler.limits().slots;
-        let evict = if free {
+        let model = candidates.next()?.clone();
+        let has_free_slot = held.scheduler.residents().len() < held.scheduler.limits().slots;
+        let evict = if has_free_slot {
             None
         } else {
             held.scheduler.idle_victim(&self.popularity, now)
         };
-        (free || evict.is_some()).then(|| LoadBid {
+        (has_free_slot || evict.is_some()).then(|| LoadBid {
             target: target.clone(),
             model,
             evict,
@@ -104,16 +108,16 @@
         config.is_some_and(|config| config.current.as_ref() == Some(&model.version))
     }
 
-    pub(super) fn run_bids(&mut self, now: Instant) {
-        self.run_bids_with(false, now);
+    pub(super) fn start_best_load(&mut self, now: Instant) {
+        self.start_best_load_with(false, now);
     }
 
-    fn run_bids_with(&mut self, with_preloads: bool, now: Instant) {
+    fn start_best_load_with(&mut self, with_preloads: bool, now: Instant) {
         let Some(bid) = self.best_bid(with_preloads, now) else {
             return;
         };
         let notice = LoadNotice {
-            loading: self.loads_under_way(),
+            loading: self.active_loads(),
             best_bid: bid.benefit,
         };
         if self.arbiter.may_start(
@@ -137,7 +141,12 @@
         let target = bid.target.clone();
         let Some(victim) = bid.evict.clone() else {
             held.scheduler.load_started(&bid.model, now);
-            held.order = Some(order(bid.model.clone(), None, OrderStage::Loading, now));
+            held.order = Some(pending_order(
+                bid.model.clone(),
+                None,
+                OrderStage::Loading,
+                now,
+            ));
             self.send_order(&target, OrderKind::Load(bid.model));
             return;
         };
@@ -149,10 +158,10 @@
                 token: held.lease.token,
                 number,
             };
-            held.order = Some(order(
+            held.order = Some(pending_order(
                 bid.model,
                 Some(victim),
-                OrderStage::Announced { number },
+                OrderStage::AwaitingIntent { number },
                 now,
             ));
             let _ = self
@@ -164,7 +173,7 @@
         match held.lease.permit_unload(ownership, &victim, None, 0) {
             Ok(permit) => {
                 let adapter = permit.adapter().clone();
-                held.order = Some(order(
+                held.order = Some(pending_order(
                     bid.model,
                     Some(victim),
                     OrderStage::Unloading { number: None },
@@ -179,7 +188,7 @@
         }
     }
 
-    /// An announced unload was read back.
+    /// Handles an unload intent that was read back from the log.
     pub(super) fn intent_opened(&mut self, target: &TargetName, intent: &OpenIntent) {
         let Some(held) = self
             .held
@@ -188,9 +197,9 @@
         else {
             return;
         };
-        let waits_for_it = held.order.as_ref().is_some_and(|pending| {
+        let is_awaited = held.order.as_ref().is_some_and(|pending| {
             pending.stage
-                == OrderStage::Announced {
+                == OrderStage::AwaitingIntent {
                     number: intent.number,
                 }
         });
@@ -210,7 +219,7 @@
                     .permit_unload(ownership, &intent.adapter, Some(intent.number), in_flight)
             });
         match permit {
-            Some(Ok(permit)) if waits_for_it => {
+            Some(Ok(permit)) if is_awaited => {
                 if let Some(pending) = &mut held.order {
                     pending.stage = OrderStage::Unloading {
                         number: Some(intent.number),
@@ -220,7 +229,7 @@
             }
             _ => {
                 event!(Event::IntentVoided, "{} of {target}", intent.adapter);
-                if waits_for_it {
+                if is_awaited {
                     self.cancel_order(target);
                 }
                 self.close_intent(target, intent.number);
@@ -254,46 +263,46 @@
 
     pub(super) fn tick_orders(&mut self, now: Instant) {
         let mut cancelled = Vec::new();
-        let mut doubtful = Vec::new();
+        let mut unconfirmed_streams = Vec::new();
         for (target, held) in &self.held {
             match &held.order {
                 Some(PendingOrder {
-                    stage: OrderStage::Announced { .. },
+                    stage: OrderStage::AwaitingIntent { .. },
                     since,
                     ..
-                }) if now.since(*since) > READ_BACK_WITHIN => {
+                }) if now.since(*since) > INTENT_TIMEOUT => {
                     cancelled.push(target.clone());
                 }
                 Some(PendingOrder {
-                    stage: OrderStage::InDoubt { until, .. },
+                    stage: OrderStage::OutcomeUnknown { until, .. },
                     ..
                 }) if *until <= now => {
-                    doubtful.push(target.clone());
+                    unconfirmed_streams.push(target.clone());
                 }
                 _ => {}
             }
         }
         for target in cancelled {
-            // Should the announcement turn up after all, it is closed and never acted on.
+            // An intent that is read back later is closed without an unload.
             self.cancel_order(&target);
-            self.pump(&target, now);
+            self.dispatch_ready(&target, now);
         }
-        for target in doubtful {
+        for target in unconfirmed_streams {
             self.send_order(&target, OrderKind::List);
         }
-        let with_preloads = now.since(self.last.preload) >= PRELOAD_EVERY;
+        let with_preloads = now.since(self.last.preload) >= PRELOAD_INTERVAL;
         if with_preloads {
             self.last.preload = now;
         }
-        self.run_bids_with(with_preloads, now);
+        self.start_best_load_with(with_preloads, now);
     }
 
-    /// Sends an order and reports what became of it; a second listing at the same time is left out.
+    /// Sends an order and reports its result as an event; at most one listing per target is in flight.
     pub(super) fn send_order(&mut self, target: &TargetName, kind: OrderKind) {
         let Some(held) = self.held.get_mut(target).filter(|held| held.is_engine()) else {
             return;
         };
-        if kind == OrderKind::List && std::mem::replace(&mut held.list_in_flight, true) {
+        if kind == OrderKind::List && std::mem::replace(&mut held.is_listing, true) {
             return;
         }
         if matches!(kind, OrderKind::Load(_) | OrderKind::Unload(_)) {
@@ -302,64 +311,64 @@
         let (client, token, epoch) = (held.client.clone(), held.lease.token, held.epoch);
         let (target, events) = (target.clone(), self.workers.events.clone());
         tokio::spawn(async move {
-            let began = std::time::Instant::now();
+            let started = std::time::Instant::now();
             let result = match &kind {
-                OrderKind::Present => client.present(token).await.map(|boot| (boot, None)),
+                OrderKind::PresentToken => client.present(token).await.map(|boot| (boot, None)),
                 OrderKind::Load(model) => client.load(model, token).await.map(|boot| (boot, None)),
                 OrderKind::Unload(model) => {
                     client.unload(model, token).await.map(|boot| (boot, None))
                 }
-                OrderKind::List | OrderKind::AskSettled(_) => client
+                OrderKind::List | OrderKind::SettleQuery(_) => client
                     .list()
                     .await
                     .map(|listing| (listing.boot, Some(listing))),
             };
-            let took = began.elapsed();
+            let elapsed = started.elapsed();
             let report = OrderReport {
                 target,
                 token,
                 kind,
                 epoch,
-                took,
+                elapsed,
                 result,
             };
-            // After the loop's end nobody is left to care.
+            // The send fails only after the event loop has ended.
             let _ = events.send(AppEvent::OrderDone(report)).await;
         });
     }
 
-    pub(super) fn order_done(&mut self, report: &OrderReport, now: Instant) {
+    pub(super) fn order_finished(&mut self, report: &OrderReport, now: Instant) {
         let Some(held) = self.held.get_mut(&report.target) else {
             return;
         };
-        // A load or unload under an earlier lease of this daemon still changes what is on the target.
-        let changes = matches!(report.kind, OrderKind::Load(_) | OrderKind::Unload(_));
-        if held.lease.token != report.token && !changes {
+        // A load or unload under an earlier lease of this daemon still changes the adapters on the target.
+        let changes_adapters = matches!(report.kind, OrderKind::Load(_) | OrderKind::Unload(_));
+        if held.lease.token != report.token && !changes_adapters {
             return;
         }
         if report.kind == OrderKind::List {
-            held.list_in_flight = false;
+            held.is_listing = false;
         }
         if matches!(report.result, Err(OrderError::Stale)) {
             event!(
                 Event::TargetLost,
-                "{}: the target knows a newer token",
+                "{}: the target refused the fencing token for a newer one",
                 report.target
             );
         }
         let target = report.target.clone();
         match &report.kind {
-            OrderKind::Present => self.presented(report),
-            OrderKind::List => self.listed(report, now),
+            OrderKind::PresentToken => self.token_presented(report),
+            OrderKind::List => self.listing_received(report, now),
             OrderKind::Load(model) => self.load_done(report, model, now),
             OrderKind::Unload(model) => self.unload_done(report, model, now),
-            OrderKind::AskSettled(predecessor) => self.settled_answered(report, *predecessor),
+            OrderKind::SettleQuery(predecessor) => self.settle_query_answered(report, *predecessor),
         }
-        self.pump(&target, now);
-        self.run_bids(now);
+        self.dispatch_ready(&target, now);
+        self.start_best_load(now);
     }
 
-    fn presented(&mut self, report: &OrderReport) {
+    fn token_presented(&mut self, report: &OrderReport) {
         if report.result.is_err() {
             return;
         }
@@ -378,15 +387,15 @@
             Ok(_) => {
                 held.order = None;
                 if has_loaded(&held.scheduler, model) {
-                    held.scheduler.load_succeeded(model, report.took, now);
+                    held.scheduler.load_succeeded(model, report.elapsed, now);
                 }
             }
-            Err(OrderError::Unknown(cause)) => self.order_in_doubt(target, cause, now),
+            Err(OrderError::Unknown(cause)) => self.mark_order_unknown(target, cause, now),
             Err(error) => {
                 event!(Event::LoadFailed, "{model} on {target}: {error}");
                 held.order = None;
                 let refused = held.scheduler.load_failed(model, now);
-                self.refuse_for_load(target, &refused);
+                self.refuse_load_failed(target, &refused);
                 if matches!(error, OrderError::Unreachable(_)) {
                     self.target_unreachable(target);
                 } else {
@@ -413,7 +422,7 @@
                 }
                 self.load_after_unload(target, now);
             }
-            Err(OrderError::Unknown(cause)) => self.order_in_doubt(target, cause, now),
+            Err(OrderError::Unknown(cause)) => self.mark_order_unknown(target, cause, now),
             Err(error) => {
                 event!(Event::UnloadRefused, "{victim} on {target}: {error}");
                 self.cancel_order(target);
@@ -432,7 +441,7 @@
         let Some(pending) = held
             .order
             .as_mut()
-            .filter(|_| held.phase != HeldPhase::Lost)
+            .filter(|_| held.phase != TargetPhase::Lost)
         else {
             held.order = None;
             return;
@@ -444,7 +453,7 @@
         self.send_order(target, OrderKind::Load(model));
     }
 
-    fn order_in_doubt(&mut self, target: &TargetName, cause: &str, now: Instant) {
+    fn mark_order_unknown(&mut self, target: &TargetName, cause: &str, now: Instant) {
         event!(Event::OrderUnknown, "{target}: {cause}");
         let until = now.after(self.settings.membership.times.delivery_bound);
         let Some(pending) = self
@@ -454,18 +463,18 @@
         else {
             return;
         };
-        let (number, was_load) = match &pending.stage {
+        let (number, is_load) = match &pending.stage {
             OrderStage::Unloading { number } => (*number, false),
             _ => (None, true),
         };
-        pending.stage = OrderStage::InDoubt {
+        pending.stage = OrderStage::OutcomeUnknown {
             until,
             number,
-            was_load,
+            is_load,
         };
     }
 
-    fn listed(&mut self, report: &OrderReport, now: Instant) {
+    fn listing_received(&mut self, report: &OrderReport, now: Instant) {
         let target = &report.target;
         let listing = match &report.result {
             Ok((_, Some(listing))) => listing,
@@ -473,12 +482,12 @@
             Err(OrderError::Unreachable(_)) => return self.target_unreachable(target),
             Err(_) => return,
         };
-        self.note_listing(target, listing, report.epoch, now);
-        self.resolve_doubt(target, listing, now);
+        self.apply_listing(target, listing, report.epoch, now);
+        self.resolve_unknown_order(target, listing, now);
         self.start_serving(target);
     }
 
-    fn note_listing(
+    fn apply_listing(
         &mut self,
         target: &TargetName,
         listing: &EngineListing,
@@ -494,33 +503,38 @@
         held.boot = listing.boot;
         if restarted {
             event!(Event::TargetRestarted, "{target}");
-            // An order under way keeps its place: it may still arrive, and its answer or the doubt ends it.
-            if held.phase != HeldPhase::Lost {
+            // An open order stays: it may still arrive, and ends by its answer or by the delivery bound.
+            if held.phase != TargetPhase::Lost {
                 held.lease = HeldTarget::new(held.lease.token, held.config.checks_fencing);
-                held.phase = HeldPhase::Preparing;
+                held.phase = TargetPhase::Preparing;
             }
         }
-        free_ended(held, listing, epoch, now);
+        release_ended_streams(held, listing, epoch, now);
         let is_stale = epoch < held.epoch || held.order.is_some();
-        if restarted || (!is_stale && differs(held, &listing.loaded)) {
+        if restarted || (!is_stale && residents_differ(held, &listing.loaded)) {
             held.scheduler.replace_residents(&listing.loaded, now);
         }
-        if listing.leaving != held.says_leaving {
-            held.says_leaving = listing.leaving;
+        if listing.leaving != held.is_leaving {
+            held.is_leaving = listing.leaving;
             self.apply_targets();
         }
         if restarted
             && self
                 .held
                 .get(target)
-                .is_some_and(|held| held.phase == HeldPhase::Preparing)
+                .is_some_and(|held| held.phase == TargetPhase::Preparing)
         {
             self.prepare_target(target, now);
         }
     }
 
-    /// An order whose answer was lost: the listing tells, once nothing of it can still arrive.
-    fn resolve_doubt(&mut self, target: &TargetName, listing: &EngineListing, now: Instant) {
+    /// Resolves an order whose answer was lost from a listing taken after the delivery bound.
+    fn resolve_unknown_order(
+        &mut self,
+        target: &TargetName,
+        listing: &EngineListing,
+        now: Instant,
+    ) {
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
@@ -528,10 +542,10 @@
             load,
             evict,
             stage:
-                OrderStage::InDoubt {
+                OrderStage::OutcomeUnknown {
                     until,
                     number,
-                    was_load,
+                    is_load,
                 },
             ..
         }) = held.order.clone()
@@ -543,12 +557,12 @@
         }
         held.order = None;
         let is_loaded = |model: &AdapterVersion| listing.loaded.contains(model);
-        if was_load && is_loaded(&load) {
+        if is_load && is_loaded(&load) {
             held.scheduler
                 .load_succeeded(&load, Duration::from_secs(1), now);
-        } else if was_load {
+        } else if is_load {
             let refused = held.scheduler.load_failed(&load, now);
-            self.refuse_for_load(target, &refused);
+            self.refuse_load_failed(target, &refused);
         } else if let Some(victim) = evict {
             if is_loaded(&victim) {
                 held.scheduler.unload_cancelled(&victim);
@@ -565,10 +579,10 @@
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
-        if held.phase != HeldPhase::Preparing || held.lease.fence == FenceState::Presented {
+        if held.phase != TargetPhase::Preparing || held.lease.fence == FenceState::Presented {
             return;
         }
-        held.phase = HeldPhase::Serving;
+        held.phase = TargetPhase::Serving;
         event!(
             Event::TargetReady,
             "{target} with {} adapters",
@@ -578,7 +592,7 @@
     }
 }
 
-fn order(
+fn pending_order(
     load: AdapterVersion,
     evict: Option<AdapterVersion>,
     stage: OrderStage,
@@ -592,20 +606,25 @@
     }
 }
 
-/// Frees the seats of streams that the target no longer runs, if it was asked after they ended here.
-fn free_ended(held: &mut HeldRuntime, listing: &EngineListing, epoch: u64, now: Instant) {
+/// Frees the seats of streams that the target no longer runs, if the listing was requested after they ended here.
+fn release_ended_streams(
+    held: &mut TargetRuntime,
+    listing: &EngineListing,
+    epoch: u64,
+    now: Instant,
+) {
     let ended = held
-        .doubtful
+        .unconfirmed_streams
         .iter()
         .filter(|(_, (stream, since))| *since <= epoch && !listing.running.contains(stream));
     let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
     for id in ended {
-        held.doubtful.remove(&id);
+        held.unconfirmed_streams.remove(&id);
         held.scheduler.finished(id, now);
     }
 }
 
-fn differs(held: &HeldRuntime, loaded: &[AdapterVersion]) -> bool {
+fn residents_differ(held: &TargetRuntime, loaded: &[AdapterVersion]) -> bool {
     let known: HashSet<_> = held
         .scheduler
         .residents()
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -1,9 +1,13 @@
-//! Taking targets over, and settling predecessors.
+//! Takeover of targets and settlement of earlier leases.
+//!
+//! A daemon takes targets over by appending to the log and becomes the holder once the record is read back. Earlier
+//! leases of a target stay open until their holder, or a successor on its behalf, records that nothing of them is running
+//! or in flight.
 
 use crate::{
     app::{
         AppState, OrderKind, OrderReport,
-        held::{HeldPhase, HeldRuntime},
+        target_runtime::{TargetPhase, TargetRuntime},
     },
     event,
     events::Event,
@@ -20,29 +24,32 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Pause between two looks at who should hold what.
-const OWNERSHIP_EVERY: Duration = Duration::from_millis(100);
-/// Pause after an append of takeovers, so that they are read back before the next.
-const TAKEOVER_PAUSE: Duration = Duration::from_millis(700);
-/// Pause between two questions about a predecessor.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// Pause between two tries to prepare a target.
-const PREPARE_EVERY: Duration = Duration::from_millis(500);
+/// Interval at which target assignments are checked.
+const OWNERSHIP_INTERVAL: Duration = Duration::from_millis(100);
+/// Pause after an append of takeovers or settlements, so that the records are read back before the next append.
+const READ_BACK_PAUSE: Duration = Duration::from_millis(700);
+/// Interval at which the settlement of predecessors is checked.
+const SETTLE_QUERY_INTERVAL: Duration = Duration::from_millis(500);
+/// Retry interval for preparing a target.
+const PREPARE_INTERVAL: Duration = Duration::from_millis(500);
 
 impl AppState {
     pub(super) fn tick_ownership(&mut self, now: Instant) {
-        if now.since(self.last.ownership) < OWNERSHIP_EVERY {
+        if now.since(self.last.ownership) < OWNERSHIP_INTERVAL {
             return;
         }
         self.last.ownership = now;
         self.take_over_targets(now);
-        self.settle_own_past(now);
+        self.settle_own_leases(now);
         self.settle_predecessors(now);
         self.prepare_targets(now);
     }
 
     fn take_over_targets(&mut self, now: Instant) {
-        if !self.feed.is_up || !self.is_ready() || now.since(self.last.takeover) < TAKEOVER_PAUSE {
+        if !self.feed.is_available
+            || !self.is_ready()
+            || now.since(self.last.takeover) < READ_BACK_PAUSE
+        {
             return;
         }
         let able = self.members.able_daemons();
@@ -59,18 +66,18 @@
             targets: &targets,
             ownership: &self.folded.ownership,
         };
-        let wanted = takeovers_wanted(&input, |daemon| self.members.is_replaceable(daemon, now));
-        if wanted.is_empty() {
+        let takeovers = takeovers_wanted(&input, |daemon| self.members.is_replaceable(daemon, now));
+        if takeovers.is_empty() {
             return;
         }
-        // Survivors of a rack append one batch each, spread a little so that later ones see the earlier.
-        let spread = rand::rng().random_range(0..50);
-        self.last.takeover = now.after(Duration::from_millis(spread));
-        let records = wanted.into_iter().map(LogRecord::Takeover).collect();
+        // Jitter of up to 50 ms: after the loss of a rack, each survivor appends a batch, and later ones should see earlier ones.
+        let jitter = rand::rng().random_range(0..50);
+        self.last.takeover = now.after(Duration::from_millis(jitter));
+        let records = takeovers.into_iter().map(LogRecord::Takeover).collect();
         let _ = self.workers.appender.append(0, records);
     }
 
-    /// The fold named a new holder of a target.
+    /// Handles a new holder of a target, as folded from the log.
     pub(super) fn holder_changed(
         &mut self,
         target: &TargetName,
@@ -78,24 +85,30 @@
         now: Instant,
     ) {
         if lease.daemon == self.me {
-            self.hold_target(target, lease.token, now);
+            self.acquire_target(target, lease.token, now);
         } else {
-            self.lose_target(target, now);
+            self.target_lost(target, now);
         }
     }
 
-    fn hold_target(&mut self, target: &TargetName, token: FencingToken, now: Instant) {
+    fn acquire_target(&mut self, target: &TargetName, token: FencingToken, now: Instant) {
         let Some(config) = self.folded.config.targets.get(target) else {
             return;
         };
         event!(Event::TargetTaken, "{target} with token {}", token.0);
         match self.held.get_mut(target) {
-            // It was this daemon's before, and something of that time may still run: all of it stays on the books.
-            Some(held) => held.take_again(token),
+            // Requests and orders of an earlier lease may still be open on the target, so the runtime state is kept.
+            Some(held) => held.renew_lease(token),
             None => {
                 let waiting_most = self.settings.limits.waiting_per_target;
-                let runtime =
-                    HeldRuntime::new(target, token, config, waiting_most, &self.workers.http, now);
+                let runtime = TargetRuntime::new(
+                    target,
+                    token,
+                    config,
+                    waiting_most,
+                    &self.workers.http,
+                    now,
+                );
                 self.held.insert(target.clone(), runtime);
             }
         }
@@ -103,48 +116,48 @@
         self.prepare_target(target, now);
     }
 
-    fn lose_target(&mut self, target: &TargetName, now: Instant) {
+    fn target_lost(&mut self, target: &TargetName, now: Instant) {
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
-        if held.phase == HeldPhase::Lost {
+        if held.phase == TargetPhase::Lost {
             return;
         }
         event!(Event::TargetLost, "{target}");
-        held.phase = HeldPhase::Lost;
+        held.phase = TargetPhase::Lost;
         held.scheduler.set_open(false);
-        self.give_back_waiting(target, &NotRunReason::NotHolder);
-        self.settle_own_past(now);
+        self.refuse_waiting(target, &NotRunReason::NotHolder);
+        self.settle_own_leases(now);
     }
 
-    /// Ends everything that waits at a target as not run.
-    pub(super) fn give_back_waiting(&mut self, target: &TargetName, reason: &NotRunReason) {
+    /// Ends all queued requests of a target as not run.
+    pub(super) fn refuse_waiting(&mut self, target: &TargetName, reason: &NotRunReason) {
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
         for queued in held.scheduler.drain_waiting() {
-            if let Some(pending) = held.waiting.remove(&queued.id) {
+            if let Some(pending) = held.pending_calls.remove(&queued.id) {
                 pending.refuse(reason.clone());
             }
         }
     }
 
-    /// Makes the held targets fit the fold, after records or a snapshot.
+    /// Aligns the held targets with the folded ownership after records or a snapshot were applied.
     pub(super) fn reconcile_holders(&mut self, now: Instant) {
-        let mine: Vec<_> = self
+        let own_leases: Vec<_> = self
             .folded
             .ownership
             .iter()
             .filter_map(|(target, ownership)| Some((target.clone(), ownership.holder.clone()?)))
             .filter(|(_, lease)| lease.is_of(&self.me))
             .collect();
-        for (target, lease) in &mine {
+        for (target, lease) in &own_leases {
             let known = self
                 .held
                 .get(target)
                 .is_some_and(|held| held.lease.token == lease.token);
             if !known && self.config().targets.contains_key(target) {
-                self.hold_target(target, lease.token, now);
+                self.acquire_target(target, lease.token, now);
             }
         }
         let lost: Vec<_> = self
@@ -152,34 +165,38 @@
             .iter()
             .filter(|(target, held)| {
                 let ownership = self.folded.ownership.target(target.as_str());
-                held.phase != HeldPhase::Lost
+                held.phase != TargetPhase::Lost
                     && !ownership.is_some_and(|ownership| held.lease.is_holder(ownership))
             })
             .map(|(target, _)| target.clone())
             .collect();
         for target in lost {
-            self.lose_target(&target, now);
+            self.target_lost(&target, now);
         }
     }
 
-    /// As a former holder: says so in the log once nothing of ours is sent or running.
+    /// Records this daemon's own earlier leases as settled once nothing of them is running or in flight.
     ///
-    /// A daemon that holds the target again has what still runs on its books, so its own past is settled at once.
-    fn settle_own_past(&mut self, now: Instant) {
+    /// A daemon that holds the target again still tracks the requests of its earlier lease, so only an open order delays
+    /// the settlement. Runtime state of lost targets is dropped once it is idle and settled.
+    fn settle_own_leases(&mut self, now: Instant) {
         let mut records = Vec::new();
         for (target, ownership) in self.folded.ownership.iter() {
-            let mut own = ownership
+            let mut own_predecessors = ownership
                 .predecessors
                 .iter()
                 .filter(|lease| lease.is_of(&self.me))
                 .peekable();
-            let is_quiet = self.held.get(target).is_none_or(HeldRuntime::is_past_quiet);
+            let can_settle = self.held.get(target).is_none_or(TargetRuntime::can_settle);
             let last = self.last.settled.get(target).copied().unwrap_or_default();
-            if own.peek().is_none() || !is_quiet || now.since(last) <= TAKEOVER_PAUSE {
+            if own_predecessors.peek().is_none()
+                || !can_settle
+                || now.since(last) <= READ_BACK_PAUSE
+            {
                 continue;
             }
             self.last.settled.insert(target.clone(), now);
-            records.extend(own.map(|lease| settled(target, lease.token)));
+            records.extend(own_predecessors.map(|lease| settled_record(target, lease.token)));
         }
         if !records.is_empty() {
             let _ = self.workers.appender.append(0, records);
@@ -189,41 +206,43 @@
             let predecessors = ownership
                 .target(target.as_str())
                 .map(|target| target.predecessors.as_slice());
-            let is_open = predecessors
+            let has_open_lease = predecessors
                 .unwrap_or_default()
                 .iter()
                 .any(|lease| lease.is_of(&self.me));
-            held.phase != HeldPhase::Lost || !held.is_idle() || is_open
+            held.phase != TargetPhase::Lost || !held.is_idle() || has_open_lease
         });
     }
 
-    /// As a successor: looks for predecessors that can't say it themselves.
+    /// Settles predecessors that are gone and can't record the settlement themselves.
     fn settle_predecessors(&mut self, now: Instant) {
-        let mut asks = Vec::new();
+        let mut queries = Vec::new();
         for (target, held) in &mut self.held {
-            if held.phase == HeldPhase::Lost || now.since(held.asked_settled_at) < ASK_EVERY {
+            if held.phase == TargetPhase::Lost
+                || now.since(held.settle_query_at) < SETTLE_QUERY_INTERVAL
+            {
                 continue;
             }
             let Some(ownership) = self.folded.ownership.target(target.as_str()) else {
                 continue;
             };
-            held.asked_settled_at = now;
-            asks.extend(
+            held.settle_query_at = now;
+            queries.extend(
                 ownership
                     .predecessors
                     .iter()
                     .map(|lease| (target.clone(), lease.clone())),
             );
         }
-        for (target, lease) in asks {
-            if self.is_past(&lease.daemon, now) {
-                self.ask_settled(&target, &lease);
+        for (target, lease) in queries {
+            if self.is_certainly_gone(&lease.daemon, now) {
+                self.settle_predecessor(&target, &lease);
             }
         }
     }
 
-    /// Whether a daemon is gone for certain, and what it sent can't arrive any more.
-    fn is_past(&mut self, daemon: &DaemonRef, now: Instant) -> bool {
+    /// Whether a daemon is certainly gone and nothing that it sent can still arrive.
+    fn is_certainly_gone(&mut self, daemon: &DaemonRef, now: Instant) -> bool {
         if self.members.listed_gone(daemon.vm.as_str(), now) {
             return true;
         }
@@ -234,21 +253,25 @@
         now.since(since) >= self.settings.membership.times.delivery_bound
     }
 
-    fn ask_settled(&mut self, target: &TargetName, lease: &HolderLease) {
-        let is_engine = self.held.get(target).is_some_and(HeldRuntime::is_engine);
+    fn settle_predecessor(&mut self, target: &TargetName, lease: &HolderLease) {
+        let is_engine = self.held.get(target).is_some_and(TargetRuntime::is_engine);
         if is_engine {
-            self.send_order(target, OrderKind::AskSettled(lease.token));
+            self.send_order(target, OrderKind::SettleQuery(lease.token));
         } else {
-            // A plain service has nothing to unload, so nothing has to wait for its former holder.
+            // A plain service has no adapters to unload, so its predecessors settle without a query.
             let _ = self
                 .workers
                 .appender
-                .append(0, vec![settled(target, lease.token)]);
+                .append(0, vec![settled_record(target, lease.token)]);
         }
     }
 
-    /// The target, asked after the delivery bound, named its streams.
-    pub(super) fn settled_answered(&mut self, report: &OrderReport, predecessor: FencingToken) {
+    /// Settles a predecessor if a listing after the delivery bound shows none of its streams.
+    pub(super) fn settle_query_answered(
+        &mut self,
+        report: &OrderReport,
+        predecessor: FencingToken,
+    ) {
         let Ok((_, Some(listing))) = &report.result else {
             return;
         };
@@ -272,13 +295,14 @@
             let _ = self
                 .workers
                 .appender
-                .append(0, vec![settled(&report.target, predecessor)]);
+                .append(0, vec![settled_record(&report.target, predecessor)]);
         }
     }
 
     fn prepare_targets(&mut self, now: Instant) {
         let due = self.held.iter().filter(|(_, held)| {
-            held.phase == HeldPhase::Preparing && now.since(held.prepare_at) >= PREPARE_EVERY
+            held.phase == TargetPhase::Preparing
+                && now.since(held.last_prepare_at) >= PREPARE_INTERVAL
         });
         let due: Vec<_> = due.map(|(target, _)| target.clone()).collect();
         for target in due {
@@ -286,28 +310,28 @@
         }
     }
 
-    /// Presents the token, then lists the adapters; a plain service needs neither.
+    /// Presents the fencing token and lists the adapters; a plain service needs neither.
     pub(super) fn prepare_target(&mut self, target: &TargetName, now: Instant) {
         let Some(held) = self.held.get_mut(target) else {
             return;
         };
-        held.prepare_at = now;
+        held.last_prepare_at = now;
         if !held.is_engine() {
-            held.phase = HeldPhase::Serving;
+            held.phase = TargetPhase::Serving;
             event!(Event::TargetReady, "{target}");
             self.apply_targets();
-            self.pump(&target.clone(), now);
+            self.dispatch_ready(&target.clone(), now);
             return;
         }
         let kind = match held.lease.fence {
-            FenceState::Presented => OrderKind::Present,
+            FenceState::Presented => OrderKind::PresentToken,
             FenceState::NotChecked | FenceState::Acknowledged => OrderKind::List,
         };
         self.send_order(target, kind);
     }
 }
 
-pub(super) fn settled(target: &TargetName, token: FencingToken) -> LogRecord {
+pub(super) fn settled_record(target: &TargetName, token: FencingToken) -> LogRecord {
     LogRecord::Settled(SettledRecord {
         target: target.clone(),
         token,
--- a/crates/daemon/src/app/peers.rs
+++ b/crates/daemon/src/app/peers.rs
@@ -15,26 +15,26 @@
         now: Instant,
     ) {
         match message {
-            PeerMessage::Heartbeat(heartbeat) => self.heartbeat_came(&heartbeat, now),
+            PeerMessage::Heartbeat(heartbeat) => self.heartbeat_received(&heartbeat, now),
             PeerMessage::SnapshotWanted(above)
                 if self.folded.applied > above && !self.has_gap() =>
             {
                 let _ = back.try_send(PeerMessage::Snapshot(Box::new(self.folded.clone())));
             }
             PeerMessage::Ask(number, text) => {
-                let answer = self.answer_own_part(&text, now);
+                let answer = self.local_answer(&text, now);
                 let _ = back.try_send(PeerMessage::Answer(number, answer));
             }
             PeerMessage::HandTokens(handed) => {
                 let mine = handed.iter().all(|(issuer, _)| issuer.vm != self.me.vm);
                 if mine {
-                    self.repeats.inherit(&handed);
+                    self.idempotency.inherit(&handed);
                     let _ = back.try_send(PeerMessage::TokensTaken);
                 }
             }
-            PeerMessage::TokenHeir(issuers, heir) => {
+            PeerMessage::TokenHeir(issuers, successor) => {
                 for issuer in issuers {
-                    self.token_heirs.insert(issuer, heir.clone());
+                    self.token_successors.insert(issuer, successor.clone());
                 }
             }
             // Anything else does not come this way; a newer peer may know better.
@@ -57,7 +57,7 @@
         self.set_peer_reachable(vm, true);
         // The peer gets the residents of every target in full with the next heartbeat.
         self.last.digest_revision = 0;
-        self.last.tell_all = true;
+        self.last.send_full_digest = true;
         if let Some(link) = self.links.get(vm)
             && (!self.feed.is_caught_up || self.has_gap())
         {
@@ -66,10 +66,14 @@
     }
 
     /// Names of the daemons that a planned stop tells of its heir.
-    pub(super) fn tell_heir(&self, issuers: &[hoplanding_core::ids::DaemonRef], heir: &VmName) {
+    pub(super) fn announce_successor(
+        &self,
+        issuers: &[hoplanding_core::ids::DaemonRef],
+        successor: &VmName,
+    ) {
         let links: BTreeMap<_, _> = self.links.iter().collect();
         for link in links.values() {
-            link.try_send(PeerMessage::TokenHeir(issuers.to_vec(), heir.clone()));
+            link.try_send(PeerMessage::TokenHeir(issuers.to_vec(), successor.clone()));
         }
     }
 }
--- a/crates/daemon/src/app/queries.rs
+++ b/crates/daemon/src/app/queries.rs
@@ -13,7 +13,7 @@
 use tokio::sync::oneshot;
 
 /// Time for the other daemons to answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1500);
+const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 type QueryReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
@@ -82,7 +82,7 @@
     }
 
     fn show(&mut self, query: ShowQuery, text: &str, reply: QueryReply, now: Instant) {
-        let table = self.table(query.table, now);
+        let table = self.local_table(query.table, now);
         if query.scope == QueryScope::Here || !query.table.is_spread() {
             let _ = reply.send(
                 table
@@ -98,7 +98,7 @@
             table,
             waiting: BTreeSet::new(),
             reply,
-            until: now.after(ANSWER_WITHIN),
+            until: now.after(PEER_ANSWER_TIMEOUT),
         };
         for (vm, peer) in self.members.iter() {
             let link = self.links.get(vm);
@@ -110,18 +110,14 @@
                 fleet.table.missing.push(format!("{vm}: no link"));
             }
         }
-        self.queries.insert(number, fleet);
+        self.fleet_queries.insert(number, fleet);
         self.finish_query(number);
     }
 
     /// Answers another daemon's query from this one's own part; the asker filters.
-    pub(super) fn answer_own_part(
-        &mut self,
-        text: &str,
-        now: Instant,
-    ) -> Result<DataTable, String> {
+    pub(super) fn local_answer(&mut self, text: &str, now: Instant) -> Result<DataTable, String> {
         match parse(text) {
-            Ok(Statement::Show(query)) => Ok(self.table(query.table, now)),
+            Ok(Statement::Show(query)) => Ok(self.local_table(query.table, now)),
             Ok(_) => Err("only queries are answered for other daemons".to_owned()),
             Err(error) => Err(error.to_string()),
         }
@@ -133,7 +129,7 @@
         from: &VmName,
         answer: Result<DataTable, String>,
     ) {
-        let Some(fleet) = self.queries.get_mut(&number) else {
+        let Some(fleet) = self.fleet_queries.get_mut(&number) else {
             return;
         };
         if !fleet.waiting.remove(from) {
@@ -148,10 +144,10 @@
 
     fn finish_query(&mut self, number: u64) {
         if self
-            .queries
+            .fleet_queries
             .get(&number)
             .is_some_and(|fleet| fleet.waiting.is_empty())
-            && let Some(fleet) = self.queries.remove(&number)
+            && let Some(fleet) = self.fleet_queries.remove(&number)
         {
             let answer = fleet
                 .table
@@ -164,13 +160,13 @@
 
     pub(super) fn tick_queries(&mut self, now: Instant) {
         let late: Vec<_> = self
-            .queries
+            .fleet_queries
             .iter()
             .filter(|(_, fleet)| fleet.until <= now)
             .map(|(number, _)| *number)
             .collect();
         for number in late {
-            if let Some(fleet) = self.queries.get_mut(&number) {
+            if let Some(fleet) = self.fleet_queries.get_mut(&number) {
                 let silent = std::mem::take(&mut fleet.waiting);
                 fleet
                     .table
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -1,9 +1,9 @@
-//! The state of a daemon.
+//! State of a daemon, owned by the event loop.
 
 use crate::{
     app::{
-        AppEvent, KeyClaimResult, changes::PendingChange, held::HeldRuntime, log_feed::LogFeed,
-        queries::FleetQuery, stopping::StopState,
+        AppEvent, KeyClaimResult, changes::PendingChange, log_feed::LogFeed, queries::FleetQuery,
+        stopping::StopState, target_runtime::TargetRuntime,
     },
     calls::{CallFrame, CallTable},
     metrics::DaemonMetrics,
@@ -30,29 +30,29 @@
 };
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// An answer that is kept for a repeated call.
+/// Frames of an answer, stored for repeats of its request.
 pub type StoredAnswer = Arc<Vec<CallFrame>>;
 
-/// What the event loop hands work to.
+/// Handles and shared tables of the workers that carry out the event loop's decisions.
 #[derive(Clone)]
 pub struct AppWorkers {
-    /// The event loop itself, for workers to report to.
+    /// Channel for events from workers.
     pub events: mpsc::Sender<AppEvent>,
     /// Appends to the log.
     pub appender: LogAppender,
-    /// Where the log's reader goes on.
+    /// Offset at which the log reader continues.
     pub read_from: Arc<watch::Sender<LogOffset>>,
-    /// Client for targets.
+    /// HTTP client for targets.
     pub http: reqwest::Client,
-    /// Answers that peers take.
+    /// Calls whose answers peers receive over links.
     pub calls: Arc<CallTable>,
-    /// Metrics.
+    /// Metrics of this daemon.
     pub metrics: DaemonMetrics,
-    /// What this daemon says first on a link.
+    /// First message on each link.
     pub hello: PeerHello,
 }
 
-/// The state of a daemon.
+/// State of a daemon.
 pub struct AppState {
     pub(super) settings: Arc<Settings>,
     pub(super) me: DaemonRef,
@@ -64,53 +64,54 @@
     pub(super) links: BTreeMap<VmName, PeerLink>,
     pub(super) engines: TargetRouter,
     pub(super) services: TargetRouter,
-    pub(super) held: BTreeMap<TargetName, HeldRuntime>,
+    pub(super) held: BTreeMap<TargetName, TargetRuntime>,
     pub(super) popularity: PopularityTracker,
     pub(super) weights: PolicyWeights,
     pub(super) arbiter: LoadArbiter,
-    pub(super) limits: CallerLimits,
+    pub(super) caller_limits: CallerLimits,
     /// Current versions of the adapters that operators want kept loaded.
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
-    pub(super) repeats: TokenRegistry<StoredAnswer>,
-    pub(super) joins: HashMap<RepeatKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
-    pub(super) claims: HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
+    pub(super) idempotency: TokenRegistry<StoredAnswer>,
+    pub(super) answer_waiters: HashMap<RepeatKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
+    pub(super) pending_claims:
+        HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
     pub(super) claim_batch: Vec<KeyClaim>,
     pub(super) pending_changes: HashMap<ChangeId, PendingChange>,
-    pub(super) tickets: HashMap<u64, Vec<ChangeId>>,
+    pub(super) change_tickets: HashMap<u64, Vec<ChangeId>>,
     pub(super) next_number: u64,
-    pub(super) queries: HashMap<u64, FleetQuery>,
+    pub(super) fleet_queries: HashMap<u64, FleetQuery>,
     pub(super) open_requests: usize,
     pub(super) stopping: Option<StopState>,
     pub(super) leaving_targets: HashSet<TargetName>,
-    pub(super) token_heirs: HashMap<DaemonRef, VmName>,
+    pub(super) token_successors: HashMap<DaemonRef, VmName>,
     pub(super) superseded_since: HashMap<DaemonRef, Instant>,
     pub(super) silent_reports: HashMap<VmName, HashSet<VmName>>,
     pub(super) last: LastTimes,
 }
 
-/// When things were last done.
+/// Times and contents of the last periodic actions.
 #[derive(Debug, Default)]
 pub struct LastTimes {
     pub(super) heartbeat: Instant,
-    pub(super) far_heartbeat: Instant,
-    pub(super) full_digest: u64,
+    pub(super) remote_heartbeat: Instant,
+    pub(super) heartbeat_count: u64,
     pub(super) ownership: Instant,
-    pub(super) second: Instant,
+    pub(super) holder_tick: Instant,
     pub(super) preload: Instant,
     pub(super) snapshot: Instant,
     pub(super) digest_revision: u64,
     pub(super) takeover: Instant,
-    /// When this daemon last called its own past on a target settled.
+    /// Time of the last append that settles this daemon's own earlier leases, by target.
     pub(super) settled: HashMap<TargetName, Instant>,
-    /// Digests as last told, without residents.
+    /// Digests as last sent, without residents.
     pub(super) digests: HashMap<TargetName, TargetDigest>,
-    /// Whether the next heartbeat tells everything.
-    pub(super) tell_all: bool,
+    /// Whether the next heartbeat carries all digests.
+    pub(super) send_full_digest: bool,
 }
 
 impl AppState {
-    /// A state that knows the settings only.
+    /// Creates the state from the settings alone, before any record of the log is applied.
     #[must_use]
     pub fn new(settings: Arc<Settings>, me: DaemonRef, workers: AppWorkers) -> Self {
         let zone = AvailabilityZone::new(&settings.zone);
@@ -122,7 +123,7 @@
                 &seed.peer_address.to_string(),
             );
         }
-        let repeats = TokenRegistry::new(me.clone(), settings.limits.kept_answers);
+        let idempotency = TokenRegistry::new(me.clone(), settings.limits.kept_answers);
         let mut state = Self {
             settings,
             me,
@@ -138,48 +139,48 @@
             popularity: PopularityTracker::default(),
             weights: PolicyWeights::default(),
             arbiter: LoadArbiter::default(),
-            limits: CallerLimits::default(),
+            caller_limits: CallerLimits::default(),
             kept_models: Vec::new(),
             callers_by_token: HashMap::new(),
-            repeats,
-            joins: HashMap::new(),
-            claims: HashMap::new(),
+            idempotency,
+            answer_waiters: HashMap::new(),
+            pending_claims: HashMap::new(),
             claim_batch: Vec::new(),
             pending_changes: HashMap::new(),
-            tickets: HashMap::new(),
+            change_tickets: HashMap::new(),
             next_number: 0,
-            queries: HashMap::new(),
+            fleet_queries: HashMap::new(),
             open_requests: 0,
             stopping: None,
             leaving_targets: HashSet::new(),
-            token_heirs: HashMap::new(),
+            token_successors: HashMap::new(),
             superseded_since: HashMap::new(),
             silent_reports: HashMap::new(),
             last: LastTimes::default(),
         };
-        state.refresh_callers();
+        state.refresh_caller_index();
         state
     }
 
-    /// The configuration in force here.
+    /// Configuration in force at this daemon.
     pub(super) fn config(&self) -> &ConfigState {
         &self.folded.config
     }
 
-    /// A number that this run has not used before.
+    /// Returns a number that is unique within this run of the daemon.
     pub(super) fn next_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
-    /// Whether the configuration makes a target an engine; none if it does not know it.
+    /// Whether the configuration defines a target as an engine; none if the target is not configured.
     pub(super) fn is_engine(&self, target: &str) -> Option<bool> {
         let config = self.config().targets.get(target)?;
         Some(matches!(config.role, TargetRole::Engine { .. }))
     }
 
-    /// Rebuilds the list of adapters that are to be kept loaded.
-    pub(super) fn refresh_kept(&mut self) {
+    /// Rebuilds the list of adapters that operators want kept loaded.
+    pub(super) fn refresh_kept_models(&mut self) {
         let kept = self
             .folded
             .config
@@ -195,8 +196,8 @@
         self.kept_models = models.collect();
     }
 
-    /// Rebuilds the index of callers by token.
-    pub(super) fn refresh_callers(&mut self) {
+    /// Rebuilds the index of callers by token; callers of the settings override those of the configuration.
+    pub(super) fn refresh_caller_index(&mut self) {
         let configured = self.folded.config.callers.iter();
         let mut index: HashMap<_, _> = configured
             .map(|(name, caller)| (caller.token_hash.clone(), name.clone()))
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -1,7 +1,7 @@
 //! The planned stop: out of the balancer, hand over, finish, end.
 
 use crate::{
-    app::{AppState, StopReport, held::HeldPhase},
+    app::{AppState, StopReport, target_runtime::TargetPhase},
     event,
     events::Event,
     peers::PeerMessage,
@@ -14,15 +14,15 @@
 use tokio::sync::oneshot;
 
 /// Pause between two tries to hand over.
-const HAND_OVER_EVERY: Duration = Duration::from_millis(500);
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A planned stop under way.
 pub struct StopState {
     reply: Option<oneshot::Sender<StopReport>>,
     began: Instant,
     /// Whether new requests are refused; until then the balancer may still send some.
-    grace_over: bool,
-    tried_at: Instant,
+    is_grace_over: bool,
+    last_handover_at: Instant,
     tokens_sent_to: Option<VmName>,
     tokens_taken: bool,
     is_over: bool,
@@ -30,8 +30,8 @@
 
 impl StopState {
     /// Whether new requests are refused.
-    pub(super) fn refuses_new(&self) -> bool {
-        self.grace_over
+    pub(super) fn refuses_requests(&self) -> bool {
+        self.is_grace_over
     }
 }
 
@@ -49,8 +49,8 @@
         self.stopping = Some(StopState {
             reply: Some(reply),
             began: now,
-            grace_over: false,
-            tried_at: Instant::default(),
+            is_grace_over: false,
+            last_handover_at: Instant::default(),
             tokens_sent_to: None,
             tokens_taken: false,
             is_over: false,
@@ -73,10 +73,10 @@
         if passed < grace {
             return;
         }
-        stop.grace_over = true;
-        let due = now.since(stop.tried_at) >= HAND_OVER_EVERY;
+        stop.is_grace_over = true;
+        let due = now.since(stop.last_handover_at) >= HANDOVER_INTERVAL;
         if due {
-            stop.tried_at = now;
+            stop.last_handover_at = now;
             self.hand_over_targets();
             self.hand_over_tokens();
         }
@@ -89,12 +89,12 @@
                     .sum::<usize>(),
             remaining_targets: self.held.len(),
         };
-        let alone = self.heir().is_none();
+        let alone = self.successor().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
         // Alone, or without the log, nothing can be handed over; what runs is finished all the same.
-        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_up;
+        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_available;
         let finished = report.open_requests == 0 && self.workers.calls.is_empty();
         let tokens_safe = stop.tokens_taken || alone;
         if (finished && handed_over && tokens_safe) || passed >= bound {
@@ -114,7 +114,7 @@
     }
 
     /// A daemon of the zone that takes over; any other one for tokens if there is none.
-    fn heir(&self) -> Option<DaemonRef> {
+    fn successor(&self) -> Option<DaemonRef> {
         let mut able = self
             .members
             .able_daemons()
@@ -140,7 +140,7 @@
         let held = self
             .held
             .iter()
-            .filter(|(_, held)| held.phase != HeldPhase::Lost);
+            .filter(|(_, held)| held.phase != TargetPhase::Lost);
         let records = held.enumerate().map(|(index, (target, held))| {
             LogRecord::Takeover(TakeoverRecord {
                 target: target.clone(),
@@ -155,29 +155,29 @@
     }
 
     fn hand_over_tokens(&mut self) {
-        let heir = self.heir();
+        let successor = self.successor();
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        let (Some(heir), None) = (heir, &stop.tokens_sent_to) else {
+        let (Some(successor), None) = (successor, &stop.tokens_sent_to) else {
             return;
         };
-        let Some(link) = self.links.get(&heir.vm) else {
+        let Some(link) = self.links.get(&successor.vm) else {
             return;
         };
-        let handed = self.repeats.hand_over(&heir);
+        let handed = self.idempotency.hand_over(&successor);
         if link.try_send(PeerMessage::HandTokens(handed)) {
-            stop.tokens_sent_to = Some(heir.vm.clone());
+            stop.tokens_sent_to = Some(successor.vm.clone());
         }
     }
 
-    pub(super) fn tokens_taken(&mut self, heir: &VmName) {
+    pub(super) fn tokens_taken(&mut self, successor: &VmName) {
         let Some(stop) = &mut self.stopping else {
             return;
         };
         stop.tokens_taken = true;
-        event!(Event::TokensHandedOver, "to {heir}");
+        event!(Event::TokensHandedOver, "to {successor}");
         let issuers = [self.me.clone()];
-        self.tell_heir(&issuers, heir);
+        self.announce_successor(&issuers, successor);
     }
 }
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -1,6 +1,6 @@
 //! The tables that queries ask for.
 
-use crate::app::{AppState, held::HeldPhase};
+use crate::app::{AppState, target_runtime::TargetPhase};
 use hoplanding_core::{
     config::{AuditOutcome, ReadyAdapter, RequestRule, TargetRole, VersionStatus},
     ids::{Instant, PriorityClass},
@@ -10,7 +10,7 @@
 
 impl AppState {
     /// This daemon's part of a table.
-    pub(super) fn table(&mut self, name: TableName, now: Instant) -> DataTable {
+    pub(super) fn local_table(&mut self, name: TableName, now: Instant) -> DataTable {
         match name {
             TableName::Targets => self.targets_table(),
             TableName::Loaded => self.loaded_table(now),
@@ -52,9 +52,9 @@
             let held = self
                 .held
                 .get(name)
-                .filter(|held| held.phase != HeldPhase::Lost);
-            let is_orphan = holder.is_none() && config.zone == self.zone && self.comes_first();
-            if held.is_none() && !is_orphan {
+                .filter(|held| held.phase != TargetPhase::Lost);
+            let is_unheld = holder.is_none() && config.zone == self.zone && self.is_first_in_zone();
+            if held.is_none() && !is_unheld {
                 continue;
             }
             let (role, seats, slots) = match &config.role {
@@ -87,7 +87,7 @@
         table
     }
 
-    fn comes_first(&self) -> bool {
+    fn is_first_in_zone(&self) -> bool {
         self.members
             .able_daemons()
             .iter()
@@ -97,13 +97,13 @@
     fn target_state(
         &self,
         name: &hoplanding_core::ids::TargetName,
-        held: Option<&crate::app::held::HeldRuntime>,
+        held: Option<&crate::app::target_runtime::TargetRuntime>,
     ) -> &'static str {
         match held {
             None => "nobody holds it",
             Some(held) if held.is_quarantined => "quarantined",
             Some(held) if !held.is_reachable => "unreachable",
-            Some(held) if held.says_leaving || self.leaving_targets.contains(name) => "leaving",
+            Some(held) if held.is_leaving || self.leaving_targets.contains(name) => "leaving",
             Some(held) if held.config.draining => "draining",
             Some(held) if held.is_serving() => "serving",
             Some(_) => "preparing",
@@ -194,7 +194,7 @@
                 }
             }
             for id in held.scheduler.running_ids() {
-                let state = if held.doubtful.contains_key(&id) {
+                let state = if held.unconfirmed_streams.contains_key(&id) {
                     "ending"
                 } else {
                     "running"
@@ -273,7 +273,7 @@
                 CellValue::text(name),
                 CellValue::Number(caller.quota.requests_per_second),
                 CellValue::Number(f64::from(caller.quota.waiting)),
-                CellValue::Number(f64::from(self.limits.open(name.as_str()))),
+                CellValue::Number(f64::from(self.caller_limits.open(name.as_str()))),
                 CellValue::text(caller.revision),
             ]);
         }
@@ -387,7 +387,7 @@
             CellValue::text(&self.me.vm),
             CellValue::text(&self.zone),
             CellValue::Number(self.folded.applied.0 as f64),
-            CellValue::text(if self.feed.is_up { "up" } else { "out" }),
+            CellValue::text(if self.feed.is_available { "up" } else { "out" }),
             read,
             CellValue::Bool(self.is_ready()),
             CellValue::count(self.config().adapters.len()),
