--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -1,4 +1,7 @@
-//! Commands of operators: appended, read back, and only then called accepted.
+//! Configuration changes from operators' commands.
+//!
+//! A change is appended to the log and reported as accepted only after it was read back and applied. If the answer to
+//! the append is lost, the change is appended again under the same id, which has no second effect.
 
 use crate::{
     app::{AppState, OperatorError, OperatorResponse},
@@ -14,18 +17,18 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time after which an operator is told that nobody can say yet.
+/// Time after which an operator is told that the outcome of a change is unknown.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
-/// Time for a record whose answer was lost to turn up, before it is appended again.
+/// Time for a change whose append was not confirmed to be read back, before it is appended again.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 type ChangeReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
-/// A change that was appended and not read back yet.
+/// A change that was appended and is not read back yet.
 pub struct PendingChange {
     record: ChangeRecord,
     reply: Option<ChangeReply>,
-    began: Instant,
+    started_at: Instant,
     reappend_at: Option<Instant>,
     may_have_effect: bool,
 }
@@ -54,7 +57,7 @@
         let pending = PendingChange {
             record,
             reply: Some(reply),
-            began: now,
+            started_at: now,
             reappend_at: None,
             may_have_effect: false,
         };
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The fold has decided about a change.
+    /// Answers a change with the outcome of applying it.
     pub(super) fn resolve_change(&mut self, id: &ChangeId, outcome: FoldOutcome) {
         let Some(pending) = self.pending_changes.remove(id) else {
             return;
@@ -130,21 +133,21 @@
     }
 
     pub(super) fn tick_changes(&mut self, now: Instant) {
-        let again = self
+        let due = self
             .pending_changes
             .iter()
             .filter(|(_, pending)| pending.reappend_at.is_some_and(|at| at <= now));
-        let again: Vec<_> = again.map(|(id, _)| id.clone()).collect();
-        for id in again {
-            // The log was read forward for a while and the change did not turn up; a second copy has no second effect.
+        let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
+        for id in due {
+            // The change was not read back in time; a second record with the same id has no effect.
             self.append_change(&id);
         }
-        let late = self
+        let timed_out = self
             .pending_changes
             .iter()
-            .filter(|(_, pending)| now.since(pending.began) > CHANGE_TIMEOUT);
-        let late: Vec<_> = late.map(|(id, _)| id.clone()).collect();
-        for id in late {
+            .filter(|(_, pending)| now.since(pending.started_at) > CHANGE_TIMEOUT);
+        let timed_out: Vec<_> = timed_out.map(|(id, _)| id.clone()).collect();
+        for id in timed_out {
             self.fail_change(&id, OperatorError::OutcomeUnknown);
         }
     }
--- a/crates/daemon/src/app/explain.rs
+++ b/crates/daemon/src/app/explain.rs
@@ -1,4 +1,4 @@
-//! Why an adapter is where it is, and why a request waits.
+//! Answers to `explain` statements: where an adapter is loaded, and why a request waits.
 
 use crate::app::{AppState, OperatorError};
 use hoplanding_core::{
@@ -19,29 +19,29 @@
             )));
         };
         let mut table = DataTable::new(&["what", "answer"]);
-        let mut say = |what: &str, answer: String| {
+        let mut add_row = |what: &str, answer: String| {
             table
                 .rows
                 .push(vec![CellValue::text(what), CellValue::Text(answer)])
         };
         let Some(version) = &config.current else {
-            say("current version", "none: publish one".to_owned());
+            add_row("current version", "none: publish one".to_owned());
             return Ok(table);
         };
         let model = AdapterVersion {
             adapter: adapter.clone(),
             version: version.clone(),
         };
-        say("current version", version.to_string());
-        say(
+        add_row("current version", version.to_string());
+        add_row(
             "requests a second, as this daemon sees it",
             format!("{:.4}", self.popularity.rate(&model, now)),
         );
-        say(
+        add_row(
             "kept loaded by an operator",
             (self.kept_models.contains(&model)).to_string(),
         );
-        say(
+        add_row(
             "on some target",
             self.engines.is_resident(&model).to_string(),
         );
@@ -51,7 +51,7 @@
             .keys()
             .filter(|target| self.engines.is_home(&model, target.as_str()));
         let homes: Vec<_> = homes.map(ToString::to_string).collect();
-        say(
+        add_row(
             "home by rendezvous, where its first load goes",
             homes.join(", "),
         );
@@ -74,16 +74,16 @@
                     AdapterState::Loading => "its load is under way".to_owned(),
                     AdapterState::Unloading => "its unload is announced or under way".to_owned(),
                 };
-                say(&format!("on {name}"), state);
+                add_row(&format!("on {name}"), state);
             }
             if let Some(queue) = held.scheduler.waiting().adapter(&model) {
-                say(
+                add_row(
                     &format!("waiting at {name}"),
                     format!("{} requests", queue.len()),
                 );
             }
             if let Some(pause) = held.scheduler.backoff().pause_left(&model, now) {
-                say(
+                add_row(
                     &format!("failed to load on {name}"),
                     format!("next try in {:.1} s", pause.as_secs_f64()),
                 );
@@ -111,19 +111,19 @@
                 continue;
             };
             let reason = self.wait_reason(held, &request.model);
-            let mut say = |what: &str, answer: String| {
+            let mut add_row = |what: &str, answer: String| {
                 table
                     .rows
                     .push(vec![CellValue::text(what), CellValue::Text(answer)])
             };
-            say("target", name.to_string());
-            say("adapter", request.model.to_string());
-            say("class", request.class.to_string());
-            say(
+            add_row("target", name.to_string());
+            add_row("adapter", request.model.to_string());
+            add_row("class", request.class.to_string());
+            add_row(
                 "waited",
                 format!("{:.3} s", now.since(request.queued_at).as_secs_f64()),
             );
-            say("because", reason);
+            add_row("because", reason);
             return Ok(table);
         }
         Err(OperatorError::NotFound(format!(
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -1,7 +1,7 @@
 //! Request execution on held targets.
 //!
-//! A daemon that holds a target queues the requests sent to it, dispatches them as the scheduler allows, and tracks their
-//! streams until the target no longer runs them.
+//! A daemon that holds a target queues the requests sent to it, dispatches them as the scheduler allows, and tracks
+//! their streams until the target no longer runs them.
 
 use crate::{
     app::{
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -1,7 +1,7 @@
-//! Taking records and snapshots in, and writing snapshots.
+//! Application of log records and snapshots, and writing of snapshots.
 //!
-//! Records are folded in order of their offsets and never a second time. If records expired before they were read,
-//! nothing is folded until a snapshot closes the gap: from the log itself, or from a peer.
+//! Records are folded into the state in order of their offsets, each at most once. If records expired before they were
+//! read, nothing is folded until a snapshot from the log or from a peer closes the gap.
 
 use crate::{app::AppState, event, events::Event, peers::PeerMessage, platform::LogBatch};
 use hoplanding_core::{
@@ -12,21 +12,21 @@
 };
 use std::time::Duration;
 
-/// Pause before another daemon may write the snapshot that is due, for each daemon that comes first.
+/// Delay of a due snapshot for each live daemon with a lower name, and minimum interval between own snapshots.
 const SNAPSHOT_STAGGER: Duration = Duration::from_secs(5);
-/// A batch with fewer records than this reached the end of the log.
+/// Records in a full batch; a batch with fewer reached the end of the log.
 const FULL_BATCH_RECORDS: usize = 1000;
 
-/// What is known of the log beside its fold.
+/// Reading position and availability of the log, beside its folded state.
 #[derive(Debug, Default)]
 pub struct LogFeed {
     /// Whether the last read succeeded.
     pub(super) is_available: bool,
-    /// Whether the end of the log was reached once, or a peer's snapshot taken over.
+    /// Whether the end of the log was reached once, or a peer's snapshot was adopted while the log was unavailable.
     pub(super) is_caught_up: bool,
     /// Earliest offset that the log still has.
     pub(super) earliest: LogOffset,
-    /// When the log was last read, to say how old the configuration may be.
+    /// Time of the last read, which bounds the age of the configuration.
     pub(super) read_at: Option<Instant>,
     assembler: SnapshotAssembler,
     snapshot_due_since: Option<Instant>,
@@ -34,12 +34,12 @@
 }
 
 impl AppState {
-    /// Whether records are missing that no longer can be read.
+    /// Whether records that were not applied have expired from the log.
     pub(super) fn has_gap(&self) -> bool {
         self.folded.applied.0 + 1 < self.feed.earliest.0
     }
 
-    /// Whether this daemon may serve.
+    /// Whether this daemon may serve requests.
     pub(super) fn is_ready(&self) -> bool {
         self.feed.is_caught_up && !self.has_gap() && self.stopping.is_none()
     }
@@ -51,7 +51,8 @@
         }
         self.feed.read_at = Some(now);
         let count = batch.records.len();
-        // A batch that was asked for before a snapshot was taken over may begin behind it, or beyond what follows it.
+        // A batch requested before a snapshot was adopted may begin before the snapshot's offset, or leave a gap after
+        // it.
         let had_gap = self.has_gap();
         if !had_gap && batch.from.0 > self.folded.applied.0 + 1 {
             return;
@@ -59,7 +60,7 @@
         for (offset, record) in batch.records {
             self.apply_record(offset, record.as_ref(), now);
             if had_gap && !self.has_gap() {
-                // The snapshot reaches less far than this batch: what lies between is read again.
+                // The snapshot ends before this batch does, so the records after the snapshot are read again.
                 return;
             }
         }
@@ -138,7 +139,7 @@
         self.resolve_change(id, outcome);
     }
 
-    /// Puts the configuration in force where it is kept in another form.
+    /// Updates the state derived from the configuration.
     pub(super) fn apply_config(&mut self) {
         self.weights = self.config().policy_weights();
         self.refresh_caller_index();
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Takes a newer state over; never an older one.
+    /// Replaces the folded state by a newer one; an older one is ignored.
     pub(super) fn adopt_snapshot(&mut self, state: FoldedState, source: &str) {
         let offset = state.applied;
         if !self.folded.adopt(state) {
@@ -193,16 +194,16 @@
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
         if !self.has_gap() && !self.feed.is_available {
-            // The log is out: a peer's state is the best there is, and `show lag` tells how old it may be.
+            // Without the log, a peer's state is the newest available; `show lag` shows how old it may be.
             self.feed.is_caught_up = true;
         }
         self.apply_config();
-        let done: Vec<_> = self
+        let decided: Vec<_> = self
             .pending_changes
             .keys()
             .filter_map(|id| Some((id.clone(), self.config().outcome(id)?.clone())))
             .collect();
-        for (id, outcome) in done {
+        for (id, outcome) in decided {
             self.resolve_change(&id, outcome);
         }
         self.resolve_claims();
@@ -210,20 +211,23 @@
         self.log_readiness();
     }
 
-    /// Appends a snapshot when enough records came since the last; the daemon with the lowest name goes first.
+    /// Appends a snapshot once enough records were applied since the last one.
+    ///
+    /// The live daemon with the lowest name writes first; each further one waits longer, so that usually only one
+    /// writes.
     pub(super) fn tick_snapshot(&mut self, now: Instant) {
-        let grown =
+        let new_records =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
-        if grown < self.settings.snapshot_every || !self.feed.is_available || self.has_gap() {
+        if new_records < self.settings.snapshot_every || !self.feed.is_available || self.has_gap() {
             self.feed.snapshot_due_since = None;
             return;
         }
-        let due = *self.feed.snapshot_due_since.get_or_insert(now);
-        let earlier = self.members.iter().filter(|(vm, peer)| {
+        let due_since = *self.feed.snapshot_due_since.get_or_insert(now);
+        let preceding = self.members.iter().filter(|(vm, peer)| {
             **vm < self.me.vm && peer.state == hoplanding_core::membership::PeerState::Live
         });
-        let turn = SNAPSHOT_STAGGER * earlier.count() as u32;
-        if now.since(due) < turn
+        let delay = SNAPSHOT_STAGGER * preceding.count() as u32;
+        if now.since(due_since) < delay
             || (self.last.snapshot.0 > 0 && now.since(self.last.snapshot) < SNAPSHOT_STAGGER)
         {
             return;
--- a/crates/daemon/src/app/mod.rs
+++ b/crates/daemon/src/app/mod.rs
@@ -1,6 +1,7 @@
-//! The event loop: the one place where a daemon's state changes.
+//! The event loop, which owns and changes the state of a daemon.
 //!
-//! Workers feed it by channel and carry out what it decides. Nothing in here waits for a socket or a file.
+//! Workers send it events over a channel and carry out its decisions in tasks of their own. Event handlers never wait
+//! for a socket or a file.
 
 mod admission;
 mod changes;
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -1,8 +1,8 @@
 //! Takeover of targets and settlement of earlier leases.
 //!
 //! A daemon takes targets over by appending to the log and becomes the holder once the record is read back. Earlier
-//! leases of a target stay open until their holder, or a successor on its behalf, records that nothing of them is running
-//! or in flight.
+//! leases of a target stay open until their holder, or a successor on its behalf, records that nothing of them is
+//! running or in flight.
 
 use crate::{
     app::{
@@ -70,7 +70,8 @@
         if takeovers.is_empty() {
             return;
         }
-        // Jitter of up to 50 ms: after the loss of a rack, each survivor appends a batch, and later ones should see earlier ones.
+        // Jitter of up to 50 ms: after the loss of a rack, each survivor appends a batch, and later ones should see
+        // earlier ones.
         let jitter = rand::rng().random_range(0..50);
         self.last.takeover = now.after(Duration::from_millis(jitter));
         let records = takeovers.into_iter().map(LogRecord::Takeover).collect();
@@ -177,8 +178,8 @@
 
     /// Records this daemon's own earlier leases as settled once nothing of them is running or in flight.
     ///
-    /// A daemon that holds the target again still tracks the requests of its earlier lease, so only an open order delays
-    /// the settlement. Runtime state of lost targets is dropped once it is idle and settled.
+    /// A daemon that holds the target again still tracks the requests of its earlier lease, so only an open order
+    /// delays the settlement. Runtime state of lost targets is dropped once it is idle and settled.
     fn settle_own_leases(&mut self, now: Instant) {
         let mut records = Vec::new();
         for (target, ownership) in self.folded.ownership.iter() {
--- a/crates/daemon/src/app/peers.rs
+++ b/crates/daemon/src/app/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of peers.
+//! Handling of messages from peers.
 
 use crate::{app::AppState, peers::PeerMessage};
 use hoplanding_core::ids::{Instant, VmName};
@@ -6,12 +6,12 @@
 use tokio::sync::mpsc;
 
 impl AppState {
-    /// A message on a link that a peer dialled.
+    /// Handles a message on a link that a peer dialled; answers go to `replies`.
     pub(super) fn peer_request(
         &mut self,
         from: &VmName,
         message: PeerMessage,
-        back: &mpsc::Sender<PeerMessage>,
+        replies: &mpsc::Sender<PeerMessage>,
         now: Instant,
     ) {
         match message {
@@ -19,17 +19,17 @@
             PeerMessage::SnapshotWanted(above)
                 if self.folded.applied > above && !self.has_gap() =>
             {
-                let _ = back.try_send(PeerMessage::Snapshot(Box::new(self.folded.clone())));
+                let _ = replies.try_send(PeerMessage::Snapshot(Box::new(self.folded.clone())));
             }
             PeerMessage::Ask(number, text) => {
                 let answer = self.local_answer(&text, now);
-                let _ = back.try_send(PeerMessage::Answer(number, answer));
+                let _ = replies.try_send(PeerMessage::Answer(number, answer));
             }
-            PeerMessage::HandTokens(handed) => {
-                let mine = handed.iter().all(|(issuer, _)| issuer.vm != self.me.vm);
-                if mine {
-                    self.idempotency.inherit(&handed);
-                    let _ = back.try_send(PeerMessage::TokensTaken);
+            PeerMessage::HandTokens(tokens) => {
+                let is_foreign = tokens.iter().all(|(issuer, _)| issuer.vm != self.me.vm);
+                if is_foreign {
+                    self.idempotency.inherit(&tokens);
+                    let _ = replies.try_send(PeerMessage::TokensTaken);
                 }
             }
             PeerMessage::TokenHeir(issuers, successor) => {
@@ -37,25 +37,25 @@
                     self.token_successors.insert(issuer, successor.clone());
                 }
             }
-            // Anything else does not come this way; a newer peer may know better.
-            _ => log::debug!(target: "hoplanding", "message of {from} passed over"),
+            // Other messages are not sent in this direction, except perhaps by a newer version.
+            _ => log::debug!(target: "hoplanding", "unexpected message of peer {from} ignored"),
         }
     }
 
-    /// A message on a link that this daemon dialled.
+    /// Handles a message on a link that this daemon dialled.
     pub(super) fn peer_reply(&mut self, from: &VmName, message: PeerMessage) {
         match message {
             PeerMessage::Snapshot(state) => self.adopt_snapshot(*state, from.as_str()),
             PeerMessage::Answer(number, answer) => self.query_answered(number, from, answer),
             PeerMessage::TokensTaken => self.tokens_taken(from),
-            _ => log::debug!(target: "hoplanding", "message of {from} passed over"),
+            _ => log::debug!(target: "hoplanding", "unexpected message of peer {from} ignored"),
         }
     }
 
-    /// A link that this daemon dialled is up.
+    /// Handles a new connection of a link that this daemon dialled.
     pub(super) fn link_up(&mut self, vm: &VmName) {
         self.set_peer_reachable(vm, true);
-        // The peer gets the residents of every target in full with the next heartbeat.
+        // The next heartbeat, sent at once, carries all digests in full for the new connection.
         self.last.digest_revision = 0;
         self.last.send_full_digest = true;
         if let Some(link) = self.links.get(vm)
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Names of the daemons that a planned stop tells of its heir.
+    /// Announces to all peers which daemon took over the idempotency tokens of `issuers`.
     pub(super) fn announce_successor(
         &self,
         issuers: &[hoplanding_core::ids::DaemonRef],
--- a/crates/daemon/src/app/queries.rs
+++ b/crates/daemon/src/app/queries.rs
@@ -1,4 +1,7 @@
-//! Queries, over the fleet where each daemon knows only its part.
+//! Statements of operators, and queries over the fleet.
+//!
+//! For a table of which each daemon has only its own rows, the queried daemon asks its peers and merges their rows with
+//! its own. Peers that do not answer in time are listed as missing.
 
 use crate::{
     app::{AppState, OperatorError, OperatorRequest, OperatorResponse},
@@ -12,18 +15,18 @@
 use std::{collections::BTreeSet, time::Duration};
 use tokio::sync::oneshot;
 
-/// Time for the other daemons to answer.
+/// Time for peers to answer a query.
 const PEER_ANSWER_TIMEOUT: Duration = Duration::from_millis(1500);
 
 type QueryReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
-/// A query that waits for other daemons.
+/// A query that waits for answers of peers.
 pub struct FleetQuery {
     query: ShowQuery,
     table: DataTable,
-    waiting: BTreeSet<VmName>,
+    awaited_peers: BTreeSet<VmName>,
     reply: QueryReply,
-    until: Instant,
+    deadline: Instant,
 }
 
 impl AppState {
@@ -70,7 +73,7 @@
         Ok((operator, statement))
     }
 
-    /// Operators of the configuration go before those of the settings.
+    /// Looks up an operator by token, first in the configuration and then in the settings.
     fn operator_of(&self, bearer: &str) -> Option<(OperatorName, OperatorRole)> {
         let hash = TokenHash::of(bearer);
         if let Some((name, config)) = self.config().operator_by_token(&hash) {
@@ -93,28 +96,28 @@
             return;
         }
         let number = self.next_number();
-        let mut fleet = FleetQuery {
+        let mut fleet_query = FleetQuery {
             query,
             table,
-            waiting: BTreeSet::new(),
+            awaited_peers: BTreeSet::new(),
             reply,
-            until: now.after(PEER_ANSWER_TIMEOUT),
+            deadline: now.after(PEER_ANSWER_TIMEOUT),
         };
         for (vm, peer) in self.members.iter() {
             let link = self.links.get(vm);
             let asked =
                 link.is_some_and(|link| link.try_send(PeerMessage::Ask(number, text.to_owned())));
             if asked {
-                fleet.waiting.insert(vm.clone());
+                fleet_query.awaited_peers.insert(vm.clone());
             } else if !matches!(peer.state, hoplanding_core::membership::PeerState::Gone) {
-                fleet.table.missing.push(format!("{vm}: no link"));
+                fleet_query.table.missing.push(format!("{vm}: no link"));
             }
         }
-        self.fleet_queries.insert(number, fleet);
+        self.fleet_queries.insert(number, fleet_query);
         self.finish_query(number);
     }
 
-    /// Answers another daemon's query from this one's own part; the asker filters.
+    /// Returns this daemon's rows for a peer's query; the peer applies the filter.
     pub(super) fn local_answer(&mut self, text: &str, now: Instant) -> Result<DataTable, String> {
         match parse(text) {
             Ok(Statement::Show(query)) => Ok(self.local_table(query.table, now)),
@@ -129,15 +132,15 @@
         from: &VmName,
         answer: Result<DataTable, String>,
     ) {
-        let Some(fleet) = self.fleet_queries.get_mut(&number) else {
+        let Some(fleet_query) = self.fleet_queries.get_mut(&number) else {
             return;
         };
-        if !fleet.waiting.remove(from) {
+        if !fleet_query.awaited_peers.remove(from) {
             return;
         }
         match answer {
-            Ok(part) => fleet.table.merge(part),
-            Err(error) => fleet.table.missing.push(format!("{from}: {error}")),
+            Ok(part) => fleet_query.table.merge(part),
+            Err(error) => fleet_query.table.missing.push(format!("{from}: {error}")),
         }
         self.finish_query(number);
     }
@@ -146,32 +149,33 @@
         if self
             .fleet_queries
             .get(&number)
-            .is_some_and(|fleet| fleet.waiting.is_empty())
-            && let Some(fleet) = self.fleet_queries.remove(&number)
+            .is_some_and(|fleet_query| fleet_query.awaited_peers.is_empty())
+            && let Some(fleet_query) = self.fleet_queries.remove(&number)
         {
-            let answer = fleet
+            let answer = fleet_query
                 .table
-                .apply(&fleet.query)
+                .apply(&fleet_query.query)
                 .map(OperatorResponse::Table)
                 .map_err(OperatorError::from);
-            let _ = fleet.reply.send(answer);
+            let _ = fleet_query.reply.send(answer);
         }
     }
 
     pub(super) fn tick_queries(&mut self, now: Instant) {
-        let late: Vec<_> = self
+        let timed_out: Vec<_> = self
             .fleet_queries
             .iter()
-            .filter(|(_, fleet)| fleet.until <= now)
+            .filter(|(_, fleet_query)| fleet_query.deadline <= now)
             .map(|(number, _)| *number)
             .collect();
-        for number in late {
-            if let Some(fleet) = self.fleet_queries.get_mut(&number) {
-                let silent = std::mem::take(&mut fleet.waiting);
-                fleet
-                    .table
-                    .missing
-                    .extend(silent.iter().map(|vm| format!("{vm}: no answer in time")));
+        for number in timed_out {
+            if let Some(fleet_query) = self.fleet_queries.get_mut(&number) {
+                let unanswered = std::mem::take(&mut fleet_query.awaited_peers);
+                fleet_query.table.missing.extend(
+                    unanswered
+                        .iter()
+                        .map(|vm| format!("{vm}: no answer in time")),
+                );
             }
             self.finish_query(number);
         }
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -1,4 +1,8 @@
-//! The planned stop: out of the balancer, hand over, finish, end.
+//! Planned stop of the daemon.
+//!
+//! During the grace period the daemon reports itself as not ready, and still accepts requests until the load balancer
+//! has taken it out. Then it refuses new requests, hands its targets and idempotency tokens over to peers, and ends
+//! once all requests are finished or the bound of the stop is reached.
 
 use crate::{
     app::{AppState, StopReport, target_runtime::TargetPhase},
@@ -13,14 +17,14 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Pause between two tries to hand over.
+/// Retry interval for handing over targets and tokens.
 const HANDOVER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A planned stop under way.
+/// Progress of a planned stop.
 pub struct StopState {
     reply: Option<oneshot::Sender<StopReport>>,
-    began: Instant,
-    /// Whether new requests are refused; until then the balancer may still send some.
+    started_at: Instant,
+    /// Whether the grace period, in which the load balancer may still send requests, is over.
     is_grace_over: bool,
     last_handover_at: Instant,
     tokens_sent_to: Option<VmName>,
@@ -29,7 +33,7 @@
 }
 
 impl StopState {
-    /// Whether new requests are refused.
+    /// Whether new requests are refused, which they are after the grace period.
     pub(super) fn refuses_requests(&self) -> bool {
         self.is_grace_over
     }
@@ -48,18 +52,18 @@
         );
         self.stopping = Some(StopState {
             reply: Some(reply),
-            began: now,
+            started_at: now,
             is_grace_over: false,
             last_handover_at: Instant::default(),
             tokens_sent_to: None,
             tokens_taken: false,
             is_over: false,
         });
-        // Peers hear of it at once.
+        // Resetting the timer sends the next heartbeat, which announces the stop, at once.
         self.last.heartbeat = Instant::default();
     }
 
-    /// Whether the loop can end.
+    /// Whether the planned stop is complete, so that the event loop can end.
     pub(super) fn is_stopped(&self) -> bool {
         self.stopping.as_ref().is_some_and(|stop| stop.is_over)
     }
@@ -69,8 +73,8 @@
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        let passed = now.since(stop.began);
-        if passed < grace {
+        let elapsed = now.since(stop.started_at);
+        if elapsed < grace {
             return;
         }
         stop.is_grace_over = true;
@@ -89,15 +93,16 @@
                     .sum::<usize>(),
             remaining_targets: self.held.len(),
         };
-        let alone = self.successor().is_none();
+        let has_no_successor = self.successor().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        // Alone, or without the log, nothing can be handed over; what runs is finished all the same.
-        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_available;
+        // Without a peer or without the log, targets can't be handed over; running requests are still finished.
+        let handed_over =
+            report.remaining_targets == 0 || has_no_successor || !self.feed.is_available;
         let finished = report.open_requests == 0 && self.workers.calls.is_empty();
-        let tokens_safe = stop.tokens_taken || alone;
-        if (finished && handed_over && tokens_safe) || passed >= bound {
+        let tokens_handed_over = stop.tokens_taken || has_no_successor;
+        if (finished && handed_over && tokens_handed_over) || elapsed >= bound {
             if !finished || report.remaining_targets > 0 {
                 event!(
                     Event::StopBound,
@@ -113,14 +118,14 @@
         }
     }
 
-    /// A daemon of the zone that takes over; any other one for tokens if there is none.
+    /// Returns a connected daemon of the zone to hand over to, if there is one.
     fn successor(&self) -> Option<DaemonRef> {
-        let mut able = self
+        let mut peers = self
             .members
             .able_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm);
-        able.find(|daemon| {
+        peers.find(|daemon| {
             self.links
                 .get(&daemon.vm)
                 .is_some_and(crate::peers::PeerLink::is_connected)
@@ -128,13 +133,13 @@
     }
 
     fn hand_over_targets(&mut self) {
-        let able: Vec<_> = self
+        let peers: Vec<_> = self
             .members
             .able_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm)
             .collect();
-        if able.is_empty() {
+        if peers.is_empty() {
             return;
         }
         let held = self
@@ -145,7 +150,7 @@
             LogRecord::Takeover(TakeoverRecord {
                 target: target.clone(),
                 replaces: Some(held.lease.token),
-                holder: able[index % able.len()].clone(),
+                holder: peers[index % peers.len()].clone(),
             })
         });
         let records: Vec<_> = records.collect();
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that queries ask for.
+//! Tables of the operators' query language.
 
 use crate::app::{AppState, target_runtime::TargetPhase};
 use hoplanding_core::{
@@ -9,7 +9,7 @@
 };
 
 impl AppState {
-    /// This daemon's part of a table.
+    /// Returns this daemon's rows of a table.
     pub(super) fn local_table(&mut self, name: TableName, now: Instant) -> DataTable {
         match name {
             TableName::Targets => self.targets_table(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Targets that this daemon holds, and those that nobody holds if this daemon comes first in the zone.
+    /// Lists the targets that this daemon holds; the first daemon of a zone by name also lists those without a holder.
     fn targets_table(&self) -> DataTable {
         let mut table = DataTable::new(&[
             "target",
--- a/crates/daemon/src/app/target_runtime.rs
+++ b/crates/daemon/src/app/target_runtime.rs
@@ -93,7 +93,7 @@
     pub(super) pending_calls: HashMap<RequestId, PendingCall>,
     /// Streams whose end at the target is unconfirmed, each with the epoch of its end here.
     ///
-    /// They keep their seats until the target no longer lists them.
+    /// Each stream keeps its seat until the target no longer lists it.
     pub(super) unconfirmed_streams: HashMap<RequestId, (String, u64)>,
     pub(super) streams: HashMap<RequestId, String>,
     pub(super) order: Option<PendingOrder>,
@@ -174,7 +174,8 @@
         self.scheduler.running_len() == 0 && self.order.is_none()
     }
 
-    /// Samples the target's token rate, which is representative only while at least three quarters of the seats are taken.
+    /// Samples the target's token rate, which is representative only while at least three quarters of the seats are
+    /// taken.
     pub(super) fn measure_speed(&mut self, now: Instant) {
         let tokens = self.streamed_tokens.swap(0, Ordering::Relaxed);
         let seconds = now
