--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -85,7 +85,7 @@
         };
         let CallWork::Engine(work) = request.work else {
             buffer.end(CallEnd::Unknown(
-                "a plain service's answer can't be resumed".to_owned(),
+                "a plain service's answer can't be asked for again".to_owned(),
             ));
             return;
         };
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -1,4 +1,6 @@
-//! Failures over real sockets: kills, cuts, freezes, outages, lost answers. docs/FAILURES.md names the cells.
+//! Failure tests over real sockets: killed daemons, broken and frozen links, log outages and lost answers.
+//!
+//! docs/FAILURES.md lists the failure cases.
 
 use hoplanding_standins::{
     engine::{EngineModel, expected_answer},
@@ -28,7 +30,7 @@
     }
 }
 
-/// Holder of a target, by the answer of a daemon.
+/// Returns the VM that holds a target, as shown by the daemon on `vm`.
 async fn holder_of(site: &TestSite, vm: &str, target: &str) -> String {
     let shown = site
         .operate(vm, &format!("show targets where target = \"{target}\""))
@@ -38,6 +40,7 @@
     row[4].as_str().unwrap_or_default().to_owned()
 }
 
+/// Polls every 25 ms for up to 600 times, which is at least 15 s.
 async fn wait_for(what: &str, mut done: impl AsyncFnMut() -> bool) {
     for _ in 0..600 {
         if done().await {
@@ -45,11 +48,13 @@
         }
         sleep(Duration::from_millis(25)).await;
     }
-    panic!("{what} did not happen in time");
+    panic!("{what}: not reached within 600 polls of 25 ms");
 }
 
+/// A killed holder must not end the streams of its targets: gateways resume them under the next holder,
+/// and the leases of the killed daemon are settled.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dead_holders_streams_are_resumed_and_its_targets_served_again() {
+async fn killed_holder_streams_resume_and_targets_are_taken_over() {
     let mut config = SiteConfig::zones(1, 2, 2, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
@@ -57,7 +62,7 @@
     let holder = holder_of(&site, "a1", target).await;
     let gateway = if holder == "a1" { "a2" } else { "a1" };
     let caller = site.caller(gateway, NORMAL_TOKEN);
-    // Adapters whose home is the target that loses its holder.
+    // These adapters have their home on the target whose holder is killed.
     let mut streams = JoinSet::new();
     for number in 0..6 {
         let caller = caller.clone();
@@ -93,8 +98,10 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A link that breaks between gateway and holder must not lose or repeat tokens of a stream.
+/// The link is cut three times for 60 ms during one stream.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_peer_link_is_reattached() {
+async fn streams_survive_a_broken_peer_link() {
     let mut config = SiteConfig::zones(1, 2, 1, 4);
     config.relays = true;
     config.model = slow_steps();
@@ -119,8 +126,10 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A zone without links to the other zone and to the log must serve its own callers, refuse changes, and apply
+/// the changes that it missed once the partition ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_off_zone_goes_on_serving_and_heals() {
+async fn partitioned_zone_keeps_serving_and_recovers() {
     let mut config = SiteConfig::zones(2, 2, 2, 8);
     config.relays = true;
     let site = TestSite::start(config).await.expect("the site starts");
@@ -153,7 +162,7 @@
     assert!(refused.contains("log is out of reach"), "{refused}");
     site.operate("a1", "create adapter new-one version v1")
         .await
-        .expect("the rest goes on");
+        .expect("the connected zone accepts changes");
     site.set_zone_cut("zone-b", false);
     wait_for("the change in the healed zone", async || {
         let shown = site
@@ -171,8 +180,9 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// An outage of the log must neither fail requests nor move leases; changes work again after it.
 #[tokio::test(flavor = "multi_thread")]
-async fn with_the_log_out_work_goes_on_and_holders_stay() {
+async fn requests_and_leases_survive_a_log_outage() {
     let mut config = SiteConfig::zones(1, 2, 2, 30);
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
@@ -205,8 +215,9 @@
     .await;
 }
 
+/// A change whose append succeeded without an answer must be accepted and must take effect once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_append_answer_is_found_by_reading_forward() {
+async fn change_with_lost_append_answer_is_read_back_once() {
     let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
@@ -221,12 +232,13 @@
     assert_eq!(
         shown["table"]["rows"].as_array().map(Vec::len),
         Some(1),
-        "no second effect: {shown}"
+        "the change took effect more than once: {shown}"
     );
 }
 
+/// Two changes based on the same revision must not overwrite each other: the second one is refused with its reason.
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_race_and_the_loser_is_told() {
+async fn concurrent_conflicting_changes_report_the_conflict() {
     let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
@@ -237,7 +249,7 @@
     .await
     .expect("published");
     sleep(Duration::from_millis(200)).await;
-    // A slow log makes both read the same revision.
+    // Slow appends make both changes start from the same revision.
     site.platform
         .set_faults(|faults| faults.append_delay = Duration::from_millis(200));
     let (one, two) = tokio::join!(
@@ -253,7 +265,7 @@
     );
     site.platform
         .set_faults(|faults| faults.append_delay = Duration::ZERO);
-    wait_for("the same end everywhere", async || {
+    wait_for("the same current version on both daemons", async || {
         let mut currents = Vec::new();
         for vm in ["a1", "a2"] {
             let shown = site
@@ -267,8 +279,9 @@
     .await;
 }
 
+/// An engine loses its adapters by a restart. Holders must detect that, serve requests again and preload adapters.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_engine_is_found_empty_and_refilled() {
+async fn restarted_engine_is_detected_and_reloaded() {
     let mut config = SiteConfig::zones(1, 1, 2, 6);
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
@@ -284,8 +297,8 @@
             .values()
             .for_each(hoplanding_standins::engine::EngineStandin::restart);
     }
-    // Refilled by value, without a request that asks for it.
-    wait_for("refilling", async || {
+    // Adapters are preloaded without a request for them.
+    wait_for("preloading", async || {
         site.engines
             .values()
             .any(|engine| !engine.loaded().is_empty())
@@ -294,8 +307,9 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A failing load must refuse the waiting requests as not run, and must be retried after its backoff.
 #[tokio::test(flavor = "multi_thread")]
-async fn failing_loads_back_off_and_the_requests_are_refused_as_not_run() {
+async fn failed_loads_back_off_and_refuse_requests_as_not_run() {
     let site = TestSite::start(SiteConfig::zones(1, 1, 1, 3))
         .await
         .expect("the site starts");
@@ -317,7 +331,7 @@
         0,
         "a request refused as not run was not run"
     );
-    wait_for("the load after its pause", async || {
+    wait_for("the load after its backoff", async || {
         site.caller("a1", NORMAL_TOKEN)
             .complete(&call("adapter-0001", 3))
             .await
@@ -326,10 +340,12 @@
     .await;
 }
 
+/// A request whose engine restarts during its run is repeated. If the repeat is refused because loads fail,
+/// the request must be reported as failed, since its first attempt ran.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ran_once_is_never_called_not_run() {
+async fn request_that_ran_is_not_reported_as_not_run() {
     let mut config = SiteConfig::zones(1, 1, 1, 3);
-    // No token comes before the restart, so the request may be repeated.
+    // The first step takes 3 s, so that no token arrives before the restart and the request may be repeated.
     config.model = EngineModel {
         step_us: 3_000_000,
         ..EngineModel::default()
@@ -351,8 +367,9 @@
     );
 }
 
+/// A load whose answer is lost must not block its target: a later listing shows whether the adapter is loaded.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_to_orders_are_resolved_by_asking() {
+async fn lost_order_answers_are_resolved_by_a_listing() {
     let mut config = SiteConfig::zones(1, 1, 2, 10);
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
@@ -367,6 +384,7 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A stream that breaks between engine and holder must be resumed without lost or repeated tokens.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_streams_are_resumed_without_a_gap() {
     let site = TestSite::start(SiteConfig::zones(1, 2, 2, 4))
@@ -391,15 +409,17 @@
     }
 }
 
+/// A target must get no new requests once an operator drains it, the VM list marks it as leaving, or the target itself
+/// announces that it leaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_target_gets_no_new_work() {
+async fn leaving_target_gets_no_new_requests() {
     let site = TestSite::start(SiteConfig::zones(1, 2, 2, 6))
         .await
         .expect("the site starts");
     let caller = site.caller("a1", NORMAL_TOKEN);
-    // Three witnesses, one after the other: an operator, the platform's list, the target itself.
-    for witness in 0..3 {
-        match witness {
+    // Sources in turn: an operator, the VM list, the target itself.
+    for source in 0..3 {
+        match source {
             0 => {
                 site.operate("a2", "drain target engine-a1")
                     .await
@@ -428,7 +448,7 @@
             assert_eq!(result.target, "engine-a2", "{}", result.message);
         }
         assert_eq!(site.engines["engine-a1"].truth().ran, before);
-        match witness {
+        match source {
             0 => {
                 site.operate("a2", "undrain target engine-a1")
                     .await
@@ -441,8 +461,9 @@
     }
 }
 
+/// A planned stop must hand over all targets, and each open request must complete or be refused as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_interrupts_nothing() {
+async fn planned_stop_interrupts_no_request() {
     let mut config = SiteConfig::zones(1, 3, 3, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
@@ -460,9 +481,9 @@
     assert_eq!((report.open_requests, report.remaining_targets), (0, 0));
     while let Some(ended) = streams.join_next().await {
         let (model, result) = ended.expect("no task panics");
-        let told_to_go_elsewhere = result.error.as_deref() == Some("not_run");
+        let is_refused_as_not_run = result.error.as_deref() == Some("not_run");
         assert!(
-            told_to_go_elsewhere
+            is_refused_as_not_run
                 || result.text == expected_answer(&format!("{model}@v1"), "berthing plan", 100),
             "{:?} {}",
             result.error,
@@ -475,13 +496,15 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A holder that was isolated does not know of the takeover and still sends loads and requests.
+/// Targets must stay consistent while two daemons use them, and the old leases must settle afterwards.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_holder_wakes_and_does_no_harm() {
+async fn isolated_former_holder_does_not_violate_invariants() {
     let mut config = SiteConfig::zones(1, 2, 2, 16);
     config.relays = true;
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
-    // To the others a daemon whose links are frozen and which the log does not reach looks as if it were paused.
+    // Frozen links and no access to the log look to the peers like a paused daemon.
     let holder = holder_of(&site, "a1", "engine-a1").await;
     let other = if holder == "a1" { "a2" } else { "a1" };
     site.set_links("a1", "a2", LinkState::Frozen);
@@ -498,7 +521,7 @@
             .is_some_and(|rows| rows.len() >= 3)
     })
     .await;
-    // Both believe to hold the targets, and both serve and load.
+    // Both daemons act as holders of the same targets.
     let (one, two) = (
         site.caller(&holder, URGENT_TOKEN),
         site.caller(other, URGENT_TOKEN),
@@ -507,8 +530,8 @@
         let call = call(&format!("adapter-{number:04}"), 6);
         let (first, second) = tokio::join!(one.complete(&call), two.complete(&call));
         for result in [first, second] {
-            let fine = result.complete || result.error.as_deref() == Some("not_run");
-            assert!(fine, "adapter {number}: {result:?}");
+            let is_valid = result.complete || result.error.as_deref() == Some("not_run");
+            assert!(is_valid, "adapter {number}: {result:?}");
         }
     }
     site.set_links("a1", "a2", LinkState::Open);
@@ -527,12 +550,14 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// A daemon that starts after its records expired must recover from the snapshot of a peer, or from one in the log
+/// if no daemon is running.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_start_from_nothing_after_everything_expired() {
+async fn daemons_recover_from_snapshots_after_log_expiry() {
     let mut config = SiteConfig::zones(1, 2, 1, 40);
     config.overrides = json!({ "snapshot_every": 10 });
     let mut site = TestSite::start(config).await.expect("the site starts");
-    // By a peer alone: the log kept nothing.
+    // Recovery from a peer: the log has no records left.
     site.kill_daemon("a2");
     site.platform.expire_all();
     site.start_daemon("a2").await.expect("started");
@@ -544,7 +569,7 @@
         .await
         .expect("rows");
     assert_eq!(shown["table"]["rows"].as_array().map(Vec::len), Some(40));
-    // By the log alone: a snapshot is there, and every daemon goes.
+    // Recovery from the log: it has a snapshot, and no daemon is running.
     for number in 0..14 {
         site.operate("a1", &format!("create adapter later-{number} version v1"))
             .await
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -1,4 +1,4 @@
-//! Not repeatable calls: at most once, and never lost without a word.
+//! Calls that must run at most once, and whose outcome is reported as unknown where it can't be determined.
 
 use hoplanding_testbed::{SiteConfig, TestSite, site::URGENT_TOKEN};
 use std::time::Duration;
@@ -10,8 +10,10 @@
         .expect("the site starts")
 }
 
+/// A request repeated with its token at other daemons must get the first answer without a second run.
+/// A token used for another request must be refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_token_runs_once_whichever_daemon_is_asked() {
+async fn token_runs_once_on_any_daemon() {
     let site = site(2, 2).await;
     let token = site
         .caller("a1", URGENT_TOKEN)
@@ -42,8 +44,9 @@
     assert_eq!(site.runs_of("scan 2"), 0);
 }
 
+/// Concurrent calls at three daemons with one token or key must run once and all get the answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_at_once_with_one_token_or_key_run_once() {
+async fn concurrent_calls_with_one_token_or_key_run_once() {
     let site = site(1, 3).await;
     site.services
         .values()
@@ -67,8 +70,10 @@
     }
 }
 
+/// A key can only be claimed in the log. During an outage requests with keys must be refused as not run, with a hint
+/// at tokens, which need no log.
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_are_refused_with_the_log_out_and_tokens_work() {
+async fn without_the_log_keys_are_refused_and_tokens_work() {
     let site = site(1, 2).await;
     site.platform.set_faults(|faults| faults.out = true);
     sleep(Duration::from_millis(600)).await;
@@ -95,8 +100,10 @@
     assert_eq!(site.runs_of("by token"), 1);
 }
 
+/// Nobody knows whether a token of a killed daemon was used, so its request must not run, even after the daemon
+/// started again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_token_of_a_dead_daemon_is_never_run() {
+async fn token_of_a_killed_daemon_is_never_run() {
     let mut site = site(1, 2).await;
     let token = site
         .caller("a1", URGENT_TOKEN)
@@ -134,8 +141,9 @@
     assert_eq!(site.runs_of("scan"), 0);
 }
 
+/// After a planned stop, unused tokens of the stopped daemon must still run, and used ones must not run again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_hands_open_tokens_over() {
+async fn planned_stop_hands_over_unused_tokens() {
     let mut site = site(1, 3).await;
     let used = site
         .caller("a1", URGENT_TOKEN)
@@ -177,8 +185,9 @@
     assert_eq!((site.runs_of("open"), site.runs_of("used")), (1, 1));
 }
 
+/// A service that runs a call and drops its answer must not be called again for the same token.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_a_service_is_an_unknown_outcome_and_no_second_run() {
+async fn lost_service_answer_is_an_unknown_outcome_without_a_second_run() {
     let site = site(1, 2).await;
     site.services
         .values()
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path over real sockets, and what bad input is told.
+//! Request path over real sockets: completions, plain services, invalid requests, slow callers and quotas.
 
 use hoplanding_standins::engine::{EngineModel, expected_answer};
 use hoplanding_testbed::{
@@ -23,8 +23,9 @@
         .expect("the site starts")
 }
 
+/// Whole and streamed completions must come from the requested adapter, at each daemon.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_come_whole_and_streamed_from_the_named_adapter() {
+async fn completions_return_the_answer_of_the_requested_adapter() {
     let site = small_site().await;
     for vm in ["a1", "a2"] {
         for stream in [false, true] {
@@ -43,8 +44,10 @@
     }
 }
 
+/// Chat completions, the model list, and the selection of a version: publishing a version must not change the current
+/// one, and a version named in the request must be used.
 #[tokio::test(flavor = "multi_thread")]
-async fn chat_models_and_versions() {
+async fn chat_model_list_and_version_selection() {
     let site = small_site().await;
     let caller = site.caller("a1", NORMAL_TOKEN);
     let body = json!({ "model": "adapter-0001", "messages": [{ "role": "user", "content": "hi" }], "max_tokens": 4 });
@@ -73,16 +76,16 @@
     site.operate("a2", "publish version v2 of adapter-0001")
         .await
         .expect("published");
-    let bare = caller.complete(&call("adapter-0001", 3, false)).await;
+    let unversioned = caller.complete(&call("adapter-0001", 3, false)).await;
     assert_eq!(
-        bare.model, "adapter-0001@v1",
+        unversioned.model, "adapter-0001@v1",
         "publishing changes no current version"
     );
     site.operate("a1", "make current version v2 of adapter-0001")
         .await
         .expect("made current");
-    let bare = caller.complete(&call("adapter-0001", 3, false)).await;
-    assert_eq!(bare.model, "adapter-0001@v2");
+    let unversioned = caller.complete(&call("adapter-0001", 3, false)).await;
+    assert_eq!(unversioned.model, "adapter-0001@v2");
     let named = caller.complete(&call("adapter-0001@v1", 3, true)).await;
     assert_eq!(
         named.text,
@@ -91,6 +94,7 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// Calls of a plain service must arrive unchanged, and callers without a right must not reach it.
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_services_pass_method_headers_and_body_through() {
     let site = small_site().await;
@@ -114,11 +118,12 @@
     assert_eq!(site.runs_of("scan"), 0);
 }
 
+/// Each kind of invalid request must get its own status and reason, and a revoked right must affect its caller only.
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_told_what_to_do() {
+async fn invalid_requests_get_specific_errors() {
     let site = small_site().await;
     let caller = site.caller("a1", NORMAL_TOKEN);
-    let stranger = site.caller("a1", "no-such-token");
+    let unknown_caller = site.caller("a1", "no-such-token");
     let post = async |path: &str, body: String| {
         let response = caller
             .post(path)
@@ -182,7 +187,9 @@
         post("/nowhere", String::new()).await,
         refused(404, "unknown_path")
     );
-    let result = stranger.complete(&call("adapter-0001", 3, false)).await;
+    let result = unknown_caller
+        .complete(&call("adapter-0001", 3, false))
+        .await;
     assert_eq!(result.status, 401, "{}", result.message);
     site.operate("a1", "revoke normal-desk on all adapters")
         .await
@@ -193,25 +200,31 @@
         .caller("a1", URGENT_TOKEN)
         .complete(&call("adapter-0001", 3, false))
         .await;
-    assert_eq!(result.status, 200, "others go on: {}", result.message);
+    assert_eq!(
+        result.status, 200,
+        "other callers keep their rights: {}",
+        result.message
+    );
 }
 
+/// A request body that never ends must not keep its connection open beyond the body timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_body_ends_in_time() {
+async fn slow_request_body_times_out() {
     let mut config = SiteConfig::zones(1, 1, 1, 2);
     config.overrides = json!({ "limits": { "body_timeout_ms": 100 } });
     let site = TestSite::start(config).await.expect("the site starts");
-    let stuck = futures_util::stream::pending::<Result<Vec<u8>, std::io::Error>>();
+    let pending_body = futures_util::stream::pending::<Result<Vec<u8>, std::io::Error>>();
     let request = site
         .caller("a1", NORMAL_TOKEN)
         .post("/v1/completions")
-        .body(reqwest::Body::wrap_stream(stuck));
+        .body(reqwest::Body::wrap_stream(pending_body));
     let response = request.send().await.expect("an answer");
     assert_eq!(response.status().as_u16(), 408);
 }
 
+/// A caller that disconnects during a stream must not leave the engine generating tokens.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vanished_caller_frees_the_engine() {
+async fn disconnected_caller_cancels_its_stream() {
     let site = small_site().await;
     let caller = site.caller("a1", NORMAL_TOKEN);
     let body =
@@ -235,11 +248,12 @@
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(busy(), 0, "the engine works for nobody");
+    assert_eq!(busy(), 0, "the engines still run a stream without a caller");
 }
 
+/// A caller that does not read its stream fills its buffer; other streams must continue.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_caller_holds_up_nobody() {
+async fn slow_reader_does_not_block_other_callers() {
     let mut config = SiteConfig::zones(1, 2, 1, 4);
     config.model = EngineModel {
         step_us: 500,
@@ -247,8 +261,8 @@
         ..EngineModel::default()
     };
     let site = TestSite::start(config).await.expect("the site starts");
-    // This caller never reads; the engine is held by the other daemon or this one, so both ways are met.
-    let mut stuck = Vec::new();
+    // These responses are never read. One daemon holds the engine, so both the local and the remote path are covered.
+    let mut unread = Vec::new();
     for vm in ["a1", "a2"] {
         let body = json!({ "model": "adapter-0001", "prompt": "slow", "max_tokens": 20_000, "stream": true });
         let response = site
@@ -257,7 +271,7 @@
             .json(&body)
             .send()
             .await;
-        stuck.push(response.expect("an answer"));
+        unread.push(response.expect("an answer"));
     }
     for vm in ["a1", "a2"] {
         let result = site
@@ -269,11 +283,13 @@
             expected_answer("adapter-0001@v1", "held reel 4711", 300)
         );
     }
-    drop(stuck);
+    drop(unread);
 }
 
+/// A malformed stream must be resumed, and an engine that answers with another adapter must be quarantined, with the
+/// request answered by the other engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_answers_nonsense_or_another_adapter() {
+async fn malformed_stream_is_resumed_and_wrong_adapter_is_quarantined() {
     let site = TestSite::start(SiteConfig::zones(1, 1, 2, 8))
         .await
         .expect("the site starts");
@@ -282,7 +298,7 @@
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     let result = caller.complete(&call("adapter-0001", 5, false)).await;
-    // The stream can be asked for again, so the answer is complete all the same.
+    // The stream is resumed, so the answer is complete.
     assert_eq!(
         result.text,
         expected_answer("adapter-0001@v1", "held reel 4711", 5),
@@ -309,8 +325,9 @@
     );
 }
 
+/// Requests above the quota must be refused before they run, with status 429 and a retry delay.
 #[tokio::test(flavor = "multi_thread")]
-async fn quotas_refuse_early_as_not_run() {
+async fn requests_over_quota_are_refused_as_not_run() {
     let site = small_site().await;
     site.operate("a1", "set quota of normal-desk to 1 per second")
         .await
@@ -327,12 +344,13 @@
     }
     assert!(
         refused >= 2,
-        "{refused} of 6 requests refused at one a second"
+        "{refused} of 6 requests refused at a quota of one per second"
     );
 }
 
+/// A mixed load over two zones must cause no failed requests and no violated invariants.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_mixed_load_over_two_zones_is_clean() {
+async fn mixed_load_over_two_zones_has_no_violations() {
     let mut config = SiteConfig::zones(2, 2, 2, 40);
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
