--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -163,7 +163,7 @@
         if self.has_gap() {
             event!(
                 Event::LogExpired,
-                "have {}, the earliest is {earliest}",
+                "applied up to offset {}, the log starts at {earliest}",
                 self.folded.applied
             );
             self.ask_for_snapshots();
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -49,11 +49,11 @@
         let bids = self
             .held
             .iter()
-            .filter_map(|(target, held)| self.bid_of(target, held, with_preloads, now));
+            .filter_map(|(target, held)| self.target_bid(target, held, with_preloads, now));
         bids.max_by(|a, b| a.benefit.total_cmp(&b.benefit))
     }
 
-    fn bid_of(
+    fn target_bid(
         &self,
         target: &TargetName,
         held: &TargetRuntime,
@@ -109,10 +109,10 @@
     }
 
     pub(super) fn start_best_load(&mut self, now: Instant) {
-        self.start_best_load_with(false, now);
+        self.start_best_bid(false, now);
     }
 
-    fn start_best_load_with(&mut self, with_preloads: bool, now: Instant) {
+    fn start_best_bid(&mut self, with_preloads: bool, now: Instant) {
         let Some(bid) = self.best_bid(with_preloads, now) else {
             return;
         };
@@ -228,7 +228,7 @@
                 self.send_order(target, OrderKind::Unload(permit.adapter().clone()));
             }
             _ => {
-                event!(Event::IntentVoided, "{} of {target}", intent.adapter);
+                event!(Event::IntentVoided, "{} on {target}", intent.adapter);
                 if is_awaited {
                     self.cancel_order(target);
                 }
@@ -263,7 +263,7 @@
 
     pub(super) fn tick_orders(&mut self, now: Instant) {
         let mut cancelled = Vec::new();
-        let mut unconfirmed_streams = Vec::new();
+        let mut unresolved = Vec::new();
         for (target, held) in &self.held {
             match &held.order {
                 Some(PendingOrder {
@@ -277,7 +277,7 @@
                     stage: OrderStage::OutcomeUnknown { until, .. },
                     ..
                 }) if *until <= now => {
-                    unconfirmed_streams.push(target.clone());
+                    unresolved.push(target.clone());
                 }
                 _ => {}
             }
@@ -287,14 +287,14 @@
             self.cancel_order(&target);
             self.dispatch_ready(&target, now);
         }
-        for target in unconfirmed_streams {
+        for target in unresolved {
             self.send_order(&target, OrderKind::List);
         }
         let with_preloads = now.since(self.last.preload) >= PRELOAD_INTERVAL;
         if with_preloads {
             self.last.preload = now;
         }
-        self.start_best_load_with(with_preloads, now);
+        self.start_best_bid(with_preloads, now);
     }
 
     /// Sends an order and reports its result as an event; at most one listing per target is in flight.
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -289,7 +289,7 @@
         if predecessor_settled(evidence) {
             event!(
                 Event::PredecessorSettled,
-                "{} of {}",
+                "token {} on {}",
                 predecessor.0,
                 report.target
             );
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -106,7 +106,7 @@
             if !finished || report.remaining_targets > 0 {
                 event!(
                     Event::StopBound,
-                    "{} requests, {} targets",
+                    "{} requests open, {} targets not handed over",
                     report.open_requests,
                     report.remaining_targets
                 );
