--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -11,12 +11,12 @@
         PriorityClass, RequestId, TargetName, VmName,
     },
     log::{ChangePart, ChangeRecord, FoldedState, LogRecord, TakeoverRecord},
-    membership::{ListedState, ListedVm, MembershipTable, MembershipTimes},
+    membership::{ListedState, ListedVm, MembershipTable, MembershipTimeouts},
     policy::{
         LoadNotice, PolicyWeights, PopularityTracker, QueuedRequest, RouteQuery, SchedulerLimits,
         TargetRouter, TargetScheduler,
     },
-    request::{KeyClaim, KeyHash, KeyTable, RepeatKey, TokenRegistry},
+    request::{DedupKey, KeyClaim, KeyHash, KeyTable, TokenRegistry},
 };
 use hoplanding_testbed::{
     SiteConfig, TestSite,
@@ -267,7 +267,7 @@
     let mut router = TargetRouter::default();
     let zone = AvailabilityZone::new("zone-a");
     for number in 0..count {
-        router.observe(&zone, &scheduler(number).digest(None));
+        router.update_digest(&zone, &scheduler(number).digest(None));
     }
     router
 }
@@ -283,7 +283,7 @@
     let mut table = MembershipTable::new(
         daemon(1_000_000),
         AvailabilityZone::new("zone-0"),
-        MembershipTimes::default(),
+        MembershipTimeouts::default(),
     );
     let list: Vec<_> = (0..count)
         .map(|number| ListedVm {
@@ -300,7 +300,7 @@
 fn tokens(count: usize) -> TokenRegistry<()> {
     let mut registry = TokenRegistry::new(daemon(1), 0);
     for _ in 0..count {
-        let key = RepeatKey::Token(registry.issue());
+        let key = DedupKey::Token(registry.issue());
         registry.begin(&key, 7).expect("a fresh token");
         registry.finish(&key, None);
     }
@@ -412,7 +412,7 @@
                 class: PriorityClass::Normal,
                 output_tokens: 100,
                 zone: &zone,
-                avoid: &[],
+                excluded: &[],
             };
             let choice = router.choose(&query, &weights).expect("a target");
             let engine = names
@@ -438,9 +438,9 @@
             if scheduler.next_dispatch(&weights, now, |_| true).is_none() {
                 scheduler.cancel_waiting(model, id);
             }
-            scheduler.finished(id, now);
+            scheduler.finish_request(id, now);
             if counter % 16 == 0 {
-                router.observe(&zone, &scheduler.digest(Some(1)));
+                router.update_digest(&zone, &scheduler.digest(Some(1)));
             }
         },
         200_000,
@@ -514,7 +514,7 @@
                     heartbeat
                         .targets
                         .iter()
-                        .for_each(|digest| router.observe(&zone, digest));
+                        .for_each(|digest| router.update_digest(&zone, digest));
                 }
             },
             2_000,
--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -46,7 +46,7 @@
         {
             return Err(NotRunReason::Stopping.into());
         }
-        if self.open_requests >= self.settings.limits.open_requests {
+        if self.open_requests >= self.settings.limits.max_open_requests {
             return Err(NotRunReason::Overloaded {
                 retry_after_ms: OVERLOADED_RETRY_MS,
             }
@@ -92,7 +92,7 @@
                 })?;
                 Ok(ResolvedModel {
                     model: AdapterVersion::new(service.as_str(), "-"),
-                    rule: self.config().service_rule(service.as_str(), method, path),
+                    repeatability: self.config().service_rule(service.as_str(), method, path),
                     priority: right.priority,
                 })
             }
@@ -177,7 +177,7 @@
             class: request.class,
             output_tokens: request.output_tokens,
             zone: &self.zone,
-            avoid: &request.avoid,
+            excluded: &request.avoid,
         };
         let Some(service) = &request.service else {
             return self.engines.choose(&query, &self.weights);
@@ -194,7 +194,7 @@
 
     fn route_to(&self, target: &TargetName) -> Option<SelectedRoute> {
         let lease = self.folded.ownership.holder(target.as_str())?;
-        let via = if lease.is_of(&self.me) {
+        let via = if lease.is_held_by(&self.me) {
             RouteVia::Local
         } else {
             let link = self
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -16,7 +16,7 @@
     },
     language::{DataTable, ParseError, QueryError},
     membership::ListedVm,
-    request::{IdempotencyToken, KeyHash, NotRunReason, RepeatKey, TokenError},
+    request::{DedupKey, IdempotencyToken, KeyHash, NotRunReason, TokenError},
 };
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -66,9 +66,9 @@
         oneshot::Sender<Result<SelectedRoute, NotRunReason>>,
     ),
     /// Ask whether a request with an idempotency token or key may run; carries its fingerprint.
-    BeginIdempotent(RepeatKey, u64, oneshot::Sender<IdempotencyDecision>),
+    BeginIdempotent(DedupKey, u64, oneshot::Sender<IdempotencyDecision>),
     /// A request with an idempotency token or key ended.
-    EndIdempotent(RepeatKey, IdempotentOutcome),
+    EndIdempotent(DedupKey, IdempotentOutcome),
     /// Claim an idempotency key that the caller chose; carries the request's fingerprint.
     ClaimKey(KeyHash, u64, oneshot::Sender<KeyClaimResult>),
     /// A request that this daemon admitted as gateway ended.
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -102,7 +102,7 @@
         held.scheduler.adopt_running(id, &work.model, request.class);
         for previous in previous {
             held.streams.remove(&previous);
-            held.scheduler.finished(previous, crate::clock::now());
+            held.scheduler.finish_request(previous, crate::clock::now());
         }
         held.streams.insert(id, stream.clone());
         let job = StreamJob {
@@ -134,17 +134,17 @@
         loop {
             let lease = &held.lease;
             let next = held.scheduler.next_dispatch(&self.weights, now, |model| {
-                lease.may_dispatch(ownership, model)
+                lease.can_dispatch(ownership, model)
             });
             let Some(order) = next else {
                 break;
             };
             let Some(pending) = held.pending_calls.remove(&order.request.id) else {
-                held.scheduler.finished(order.request.id, now);
+                held.scheduler.finish_request(order.request.id, now);
                 continue;
             };
             if pending.buffer.is_abandoned() {
-                held.scheduler.finished(order.request.id, now);
+                held.scheduler.finish_request(order.request.id, now);
                 continue;
             }
             self.workers
@@ -167,8 +167,8 @@
         };
         let digest = held
             .scheduler
-            .digest(Some(router.known_revision(target.as_str())));
-        router.observe(&self.zone, &digest);
+            .digest(Some(router.known_residents_revision(target.as_str())));
+        router.update_digest(&self.zone, &digest);
     }
 
     pub(super) fn call_abandoned(&mut self, call: CallId) {
@@ -185,7 +185,7 @@
 
     pub(super) fn first_token(&mut self, call: CallId, target: &TargetName) {
         if let Some(held) = self.held.get_mut(target) {
-            held.scheduler.first_token(AppEvent::scheduler_id(call));
+            held.scheduler.finish_prefill(AppEvent::scheduler_id(call));
         }
     }
 
@@ -205,18 +205,18 @@
         let stream = held.streams.remove(&id);
         match end {
             StreamEnd::Complete { boot } => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 held.is_reachable = true;
                 if boot != held.boot {
                     self.send_order(target, OrderKind::List);
                 }
             }
             StreamEnd::Refused => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 self.send_order(target, OrderKind::List);
             }
             StreamEnd::Unreachable => {
-                held.scheduler.finished(id, now);
+                held.scheduler.finish_request(id, now);
                 self.target_unreachable(target);
             }
             StreamEnd::WrongModel => {
@@ -228,7 +228,7 @@
                 mark_unconfirmed(held, id, stream);
                 self.send_order(target, OrderKind::List);
             }
-            StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finished(id, now),
+            StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finish_request(id, now),
         }
         self.dispatch_ready(target, now);
         self.start_best_load(now);
@@ -272,15 +272,15 @@
             return;
         }
         self.last.holder_tick = now;
-        self.workers.calls.sweep(REATTACH_TIMEOUT);
+        self.workers.calls.remove_expired(REATTACH_TIMEOUT);
         self.refuse_overdue(now);
         let targets: Vec<_> = self.held.keys().cloned().collect();
         for target in &targets {
             let Some(held) = self.held.get_mut(target) else {
                 continue;
             };
-            held.measure_speed(now);
-            held.scheduler.force_room(&self.popularity, now);
+            held.sample_throughput(now);
+            held.scheduler.drain_for_starved_load(&self.popularity, now);
             // A former holder has to learn which of its streams ended, otherwise its lease would never be settled.
             let needs_listing = match held.phase {
                 TargetPhase::Serving => true,
@@ -323,12 +323,12 @@
         for (target, held) in &mut self.held {
             let ownership = self.folded.ownership.target(target.as_str());
             let may_plan =
-                ownership.is_some_and(|ownership| held.lease.may_plan_unload(ownership, 0).is_ok());
+                ownership.is_some_and(|ownership| held.lease.check_unload(ownership, 0).is_ok());
             // An unload on a target that does not check fencing tokens needs an intent in the log.
             let can_announce =
                 held.lease.fence == FenceState::Acknowledged || self.feed.is_available;
             held.scheduler.set_may_evict(may_plan && can_announce);
-            held.scheduler.refresh_victim(&self.popularity, now);
+            held.scheduler.update_victim_rate(&self.popularity, now);
         }
     }
 
@@ -396,7 +396,7 @@
         Some(stream) => {
             held.unconfirmed_streams.insert(id, (stream, held.epoch));
         }
-        None => held.scheduler.finished(id, crate::clock::now()),
+        None => held.scheduler.finish_request(id, crate::clock::now()),
     }
 }
 
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -11,7 +11,7 @@
     ids::{DaemonRef, Instant},
     log::{KeyClaimsRecord, LogRecord},
     request::{
-        ClaimOutcome, IdempotencyToken, KeyClaim, KeyHash, RepeatKey, TokenDecision, TokenError,
+        ClaimOutcome, DedupKey, IdempotencyToken, KeyClaim, KeyHash, TokenDecision, TokenError,
     },
 };
 use std::time::Duration;
@@ -32,7 +32,7 @@
 
     pub(super) fn begin_idempotent(
         &mut self,
-        key: &RepeatKey,
+        key: &DedupKey,
         fingerprint: u64,
     ) -> IdempotencyDecision {
         match self.idempotency.begin(key, fingerprint) {
@@ -49,8 +49,8 @@
             Ok(TokenDecision::Unknown) => {
                 IdempotencyDecision::Unknown("its answer is no longer kept".to_owned())
             }
-            Err(TokenError::Elsewhere(issuer)) => self.forward_token(&issuer),
-            Err(TokenError::HandedOver(successor)) => self.forward_to(
+            Err(TokenError::WrongDaemon(issuer)) => self.forward_token(&issuer),
+            Err(TokenError::Transferred(successor)) => self.forward_to(
                 &successor,
                 "the daemon that took the token over can't be reached",
             ),
@@ -88,7 +88,7 @@
         }
     }
 
-    pub(super) fn end_idempotent(&mut self, key: &RepeatKey, end: IdempotentOutcome) {
+    pub(super) fn end_idempotent(&mut self, key: &DedupKey, end: IdempotentOutcome) {
         let answer = match end {
             IdempotentOutcome::NotRun => {
                 self.idempotency.release(key);
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -5,7 +5,7 @@
 
 use crate::{app::AppState, event, events::Event, peers::PeerMessage, platform::LogBatch};
 use hoplanding_core::{
-    config::{AuditOutcome, FoldOutcome},
+    config::{AuditOutcome, ChangeOutcome},
     ids::{ChangeId, Instant, LogOffset},
     log::{FoldEffect, FoldedState, LogRecord, SnapshotAssembler},
     ownership::OwnershipEffect,
@@ -47,7 +47,7 @@
     pub(super) fn log_read(&mut self, batch: LogBatch, now: Instant) {
         if !self.feed.is_available {
             self.feed.is_available = true;
-            event!(Event::LogBack, "at offset {}", self.folded.applied);
+            event!(Event::LogReachable, "at offset {}", self.folded.applied);
         }
         self.feed.read_at = Some(now);
         let count = batch.records.len();
@@ -108,7 +108,7 @@
         }
     }
 
-    fn change_folded(&mut self, id: &ChangeId, outcome: FoldOutcome) {
+    fn change_folded(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
         if let Some(entry) = self.config().audit.back().filter(|entry| entry.id == *id) {
             match &entry.outcome {
                 AuditOutcome::Accepted => {
@@ -133,7 +133,7 @@
                 }
             }
         }
-        if matches!(outcome, FoldOutcome::Accepted(_)) {
+        if matches!(outcome, ChangeOutcome::Accepted(_)) {
             self.apply_config();
         }
         self.resolve_change(id, outcome);
@@ -173,7 +173,7 @@
     pub(super) fn log_out(&mut self, cause: &str) {
         if self.feed.is_available {
             self.feed.is_available = false;
-            event!(Event::LogOut, "{cause}");
+            event!(Event::LogUnreachable, "{cause}");
         }
         if !self.feed.is_caught_up {
             self.ask_for_snapshots();
@@ -189,7 +189,7 @@
     /// Replaces the folded state by a newer one; an older one is ignored.
     pub(super) fn adopt_snapshot(&mut self, state: FoldedState, source: &str) {
         let offset = state.applied;
-        if !self.folded.adopt(state) {
+        if !self.folded.replace_if_newer(state) {
             return;
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
@@ -218,7 +218,10 @@
     pub(super) fn tick_snapshot(&mut self, now: Instant) {
         let new_records =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
-        if new_records < self.settings.snapshot_every || !self.feed.is_available || self.has_gap() {
+        if new_records < self.settings.snapshot_record_interval
+            || !self.feed.is_available
+            || self.has_gap()
+        {
             self.feed.snapshot_due_since = None;
             return;
         }
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -107,7 +107,7 @@
     pub(super) fn tick_membership(&mut self, now: Instant) {
         for transition in self.members.tick(now) {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 transition.vm,
                 transition.from,
@@ -131,7 +131,7 @@
         let heartbeat_interval = self
             .settings
             .membership
-            .heartbeat
+            .heartbeat_interval
             .max(HEARTBEAT_INTERVAL_PER_PEER * zone_peers);
         let elapsed = now.since(self.last.heartbeat);
         let digest_revision = self.digest_revision();
@@ -223,7 +223,7 @@
             && before != after
         {
             event!(
-                Event::PeerState,
+                Event::PeerStateChanged,
                 "{} {} -> {}",
                 heartbeat.daemon,
                 before.0,
@@ -237,14 +237,14 @@
             self.record_silent_peers(&heartbeat.daemon.vm, &heartbeat.silent);
         }
         self.arbiter
-            .observe(&heartbeat.daemon.vm, heartbeat.loads, now);
+            .record_notice(&heartbeat.daemon.vm, heartbeat.loads, now);
         let mut reported = BTreeSet::new();
         for digest in &heartbeat.targets {
             let is_holder = self
                 .folded
                 .ownership
                 .holder(digest.target.as_str())
-                .is_some_and(|lease| lease.is_of(&heartbeat.daemon));
+                .is_some_and(|lease| lease.is_held_by(&heartbeat.daemon));
             if !is_holder
                 || !self
                     .links
@@ -255,8 +255,8 @@
             }
             reported.insert(digest.target.clone());
             match self.is_engine(digest.target.as_str()) {
-                Some(true) => self.engines.observe(&heartbeat.zone, digest),
-                Some(false) => self.services.observe(&heartbeat.zone, digest),
+                Some(true) => self.engines.update_digest(&heartbeat.zone, digest),
+                Some(false) => self.services.update_digest(&heartbeat.zone, digest),
                 None => {}
             }
             if self.is_closed(&digest.target) {
@@ -272,12 +272,12 @@
             let is_theirs = ownership
                 .holder
                 .as_ref()
-                .is_some_and(|lease| lease.is_of(daemon));
+                .is_some_and(|lease| lease.is_held_by(daemon));
             is_theirs && !reported.contains(*target)
         });
         for (target, _) in held {
-            self.engines.confirm(target.as_str());
-            self.services.confirm(target.as_str());
+            self.engines.mark_unchanged(target.as_str());
+            self.services.mark_unchanged(target.as_str());
         }
     }
 
@@ -291,7 +291,7 @@
                 reporters.remove(reporter);
             }
             self.members
-                .observe_silent_to(vm.as_str(), reporters.len() as u32);
+                .observe_silence_reports(vm.as_str(), reporters.len() as u32);
         }
     }
 
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -63,7 +63,9 @@
         if !held.is_serving() || held.order.is_some() || !held.is_engine() {
             return None;
         }
-        let demanded = held.scheduler.bid(&self.weights, &self.popularity, now);
+        let demanded = held
+            .scheduler
+            .demand_bid(&self.weights, &self.popularity, now);
         if demanded.is_some() || !with_preloads {
             return demanded;
         }
@@ -85,14 +87,14 @@
             !self.engines.is_resident(model)
                 && !has_loaded(&held.scheduler, model)
                 && self.engines.is_home(model, target.as_str())
-                && held.scheduler.backoff().may_try(model, now)
+                && held.scheduler.backoff().can_retry(model, now)
         });
         let model = candidates.next()?.clone();
         let has_free_slot = held.scheduler.residents().len() < held.scheduler.limits().slots;
         let evict = if has_free_slot {
             None
         } else {
-            held.scheduler.idle_victim(&self.popularity, now)
+            held.scheduler.eviction_candidate(&self.popularity, now)
         };
         (has_free_slot || evict.is_some()).then(|| LoadBid {
             target: target.clone(),
@@ -120,10 +122,10 @@
             loading: self.active_loads(),
             best_bid: bid.benefit,
         };
-        if self.arbiter.may_start(
+        if self.arbiter.may_start_load(
             &self.me.vm,
             &notice,
-            self.settings.limits.loads_at_once,
+            self.settings.limits.max_concurrent_loads,
             now,
         ) {
             self.start_load(bid, now);
@@ -313,7 +315,9 @@
         tokio::spawn(async move {
             let started = std::time::Instant::now();
             let result = match &kind {
-                OrderKind::PresentToken => client.present(token).await.map(|boot| (boot, None)),
+                OrderKind::PresentToken => {
+                    client.present_token(token).await.map(|boot| (boot, None))
+                }
                 OrderKind::Load(model) => client.load(model, token).await.map(|boot| (boot, None)),
                 OrderKind::Unload(model) => {
                     client.unload(model, token).await.map(|boot| (boot, None))
@@ -454,7 +458,7 @@
     }
 
     fn mark_order_unknown(&mut self, target: &TargetName, cause: &str, now: Instant) {
-        event!(Event::OrderUnknown, "{target}: {cause}");
+        event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
         let until = now.after(self.settings.membership.times.delivery_bound);
         let Some(pending) = self
             .held
@@ -620,7 +624,7 @@
     let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
     for id in ended {
         held.unconfirmed_streams.remove(&id);
-        held.scheduler.finished(id, now);
+        held.scheduler.finish_request(id, now);
     }
 }
 
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -16,8 +16,8 @@
     ids::{DaemonRef, FencingToken, Instant, TargetName},
     log::{LogRecord, SettledRecord},
     ownership::{
-        AssignmentInput, FenceState, HolderLease, SettleEvidence, predecessor_settled,
-        takeovers_wanted,
+        AssignmentInput, FenceState, HolderLease, SettleEvidence, is_predecessor_settled,
+        plan_takeovers,
     },
     request::NotRunReason,
 };
@@ -52,7 +52,7 @@
         {
             return;
         }
-        let able = self.members.able_daemons();
+        let eligible = self.members.eligible_daemons();
         let targets: Vec<_> = self
             .config()
             .targets
@@ -62,11 +62,11 @@
             .collect();
         let input = AssignmentInput {
             me: &self.me,
-            able: &able,
+            eligible: &eligible,
             targets: &targets,
             ownership: &self.folded.ownership,
         };
-        let takeovers = takeovers_wanted(&input, |daemon| self.members.is_replaceable(daemon, now));
+        let takeovers = plan_takeovers(&input, |daemon| self.members.is_replaceable(daemon, now));
         if takeovers.is_empty() {
             return;
         }
@@ -96,12 +96,12 @@
         let Some(config) = self.folded.config.targets.get(target) else {
             return;
         };
-        event!(Event::TargetTaken, "{target} with token {}", token.0);
+        event!(Event::TargetTakenOver, "{target} with token {}", token.0);
         match self.held.get_mut(target) {
             // Requests and orders of an earlier lease may still be open on the target, so the runtime state is kept.
             Some(held) => held.renew_lease(token),
             None => {
-                let waiting_most = self.settings.limits.waiting_per_target;
+                let waiting_most = self.settings.limits.max_waiting_per_target;
                 let runtime = TargetRuntime::new(
                     target,
                     token,
@@ -150,7 +150,7 @@
             .ownership
             .iter()
             .filter_map(|(target, ownership)| Some((target.clone(), ownership.holder.clone()?)))
-            .filter(|(_, lease)| lease.is_of(&self.me))
+            .filter(|(_, lease)| lease.is_held_by(&self.me))
             .collect();
         for (target, lease) in &own_leases {
             let known = self
@@ -186,7 +186,7 @@
             let mut own_predecessors = ownership
                 .predecessors
                 .iter()
-                .filter(|lease| lease.is_of(&self.me))
+                .filter(|lease| lease.is_held_by(&self.me))
                 .peekable();
             let can_settle = self.held.get(target).is_none_or(TargetRuntime::can_settle);
             let last = self.last.settled.get(target).copied().unwrap_or_default();
@@ -210,7 +210,7 @@
             let has_open_lease = predecessors
                 .unwrap_or_default()
                 .iter()
-                .any(|lease| lease.is_of(&self.me));
+                .any(|lease| lease.is_held_by(&self.me));
             held.phase != TargetPhase::Lost || !held.is_idle() || has_open_lease
         });
     }
@@ -244,10 +244,10 @@
 
     /// Whether a daemon is certainly gone and nothing that it sent can still arrive.
     fn is_certainly_gone(&mut self, daemon: &DaemonRef, now: Instant) -> bool {
-        if self.members.listed_gone(daemon.vm.as_str(), now) {
+        if self.members.is_confirmed_gone(daemon.vm.as_str(), now) {
             return true;
         }
-        if !self.members.superseded(daemon) {
+        if !self.members.is_superseded(daemon) {
             return false;
         }
         let since = *self.superseded_since.entry(daemon.clone()).or_insert(now);
@@ -278,15 +278,15 @@
         };
         let prefix = format!("{}.", predecessor.0);
         let evidence = SettleEvidence {
-            vm_listed_gone: true,
+            vm_unlisted: true,
             zone_still_listed: true,
             delivery_bound_passed: true,
-            target_idle_of_it: !listing
+            no_requests_running: !listing
                 .running
                 .iter()
                 .any(|stream| stream.starts_with(&prefix)),
         };
-        if predecessor_settled(evidence) {
+        if is_predecessor_settled(evidence) {
             event!(
                 Event::PredecessorSettled,
                 "token {} on {}",
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -12,7 +12,7 @@
     platform::LogAppender,
 };
 use hoplanding_core::{
-    config::{ConfigState, ReadyAdapter, TargetRole},
+    config::{ConfigState, LoadPolicy, TargetRole},
     ids::{
         AdapterVersion, AvailabilityZone, CallerName, ChangeId, DaemonRef, Instant, LogOffset,
         TargetName, TokenHash, VmName,
@@ -22,7 +22,7 @@
     policy::{
         CallerLimits, LoadArbiter, PolicyWeights, PopularityTracker, TargetDigest, TargetRouter,
     },
-    request::{KeyClaim, KeyHash, RepeatKey, TokenRegistry},
+    request::{DedupKey, KeyClaim, KeyHash, TokenRegistry},
 };
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -73,7 +73,7 @@
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
     pub(super) idempotency: TokenRegistry<StoredAnswer>,
-    pub(super) answer_waiters: HashMap<RepeatKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
+    pub(super) answer_waiters: HashMap<DedupKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
     pub(super) pending_claims:
         HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
     pub(super) claim_batch: Vec<KeyClaim>,
@@ -123,7 +123,7 @@
                 &seed.peer_address.to_string(),
             );
         }
-        let idempotency = TokenRegistry::new(me.clone(), settings.limits.kept_answers);
+        let idempotency = TokenRegistry::new(me.clone(), settings.limits.max_kept_answers);
         let mut state = Self {
             settings,
             me,
@@ -186,7 +186,7 @@
             .config
             .adapters
             .iter()
-            .filter(|(_, config)| config.ready == ReadyAdapter::Kept);
+            .filter(|(_, config)| config.load_policy == LoadPolicy::Kept);
         let models = kept.filter_map(|(adapter, config)| {
             Some(AdapterVersion {
                 adapter: adapter.clone(),
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn tick_stop(&mut self, now: Instant) {
-        let (grace, bound) = (self.settings.stop.grace, self.settings.stop.bound);
+        let (grace, bound) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
         let Some(stop) = &mut self.stopping else {
             return;
         };
@@ -105,7 +105,7 @@
         if (finished && handed_over && tokens_handed_over) || elapsed >= bound {
             if !finished || report.remaining_targets > 0 {
                 event!(
-                    Event::StopBound,
+                    Event::StopTimedOut,
                     "{} requests open, {} targets not handed over",
                     report.open_requests,
                     report.remaining_targets
@@ -122,7 +122,7 @@
     fn successor(&self) -> Option<DaemonRef> {
         let mut peers = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm);
         peers.find(|daemon| {
@@ -135,7 +135,7 @@
     fn hand_over_targets(&mut self) {
         let peers: Vec<_> = self
             .members
-            .able_daemons()
+            .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm)
             .collect();
@@ -170,7 +170,7 @@
         let Some(link) = self.links.get(&successor.vm) else {
             return;
         };
-        let handed = self.idempotency.hand_over(&successor);
+        let handed = self.idempotency.transfer_to(&successor);
         if link.try_send(PeerMessage::HandTokens(handed)) {
             stop.tokens_sent_to = Some(successor.vm.clone());
         }
--- a/crates/daemon/src/app/target_runtime.rs
+++ b/crates/daemon/src/app/target_runtime.rs
@@ -109,9 +109,9 @@
     pub(super) is_quarantined: bool,
     pub(super) is_reachable: bool,
     pub(super) is_leaving: bool,
-    /// Tokens received from streams of this target since the last speed sample.
+    /// Tokens received from streams of this target since the last throughput sample.
     pub(super) streamed_tokens: Arc<AtomicU64>,
-    pub(super) speed_sampled_at: Instant,
+    pub(super) throughput_sampled_at: Instant,
 }
 
 impl TargetRuntime {
@@ -156,7 +156,7 @@
             is_reachable: true,
             is_leaving: false,
             streamed_tokens: Arc::default(),
-            speed_sampled_at: now,
+            throughput_sampled_at: now,
         }
     }
 
@@ -174,16 +174,16 @@
         self.scheduler.running_len() == 0 && self.order.is_none()
     }
 
-    /// Samples the target's token rate, which is representative only while at least three quarters of the seats are
+    /// Samples the token throughput of the target, which is representative only while at least three quarters of the seats are
     /// taken.
-    pub(super) fn measure_speed(&mut self, now: Instant) {
+    pub(super) fn sample_throughput(&mut self, now: Instant) {
         let tokens = self.streamed_tokens.swap(0, Ordering::Relaxed);
         let seconds = now
-            .since(std::mem::replace(&mut self.speed_sampled_at, now))
+            .since(std::mem::replace(&mut self.throughput_sampled_at, now))
             .as_secs_f64();
         let nearly_full = self.scheduler.running_len() * 4 >= self.scheduler.limits().seats * 3;
         if nearly_full && tokens > 0 && seconds > 0.0 {
-            self.scheduler.observe_speed(tokens as f64 / seconds);
+            self.scheduler.record_throughput(tokens as f64 / seconds);
         }
     }
 
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -19,11 +19,11 @@
     peers::{CallReader, PeerLink, PeerMessage, ReadEvent},
 };
 use hoplanding_core::{
-    config::RequestRule,
+    config::RequestRepeatability,
     ids::{Instant, RequestId, TargetName},
     request::{
-        AttemptEnd, HandedOver, IdempotencyToken, KeyHash, NotRunReason, RepeatKey, RequestCall,
-        RetryBudget, RetryDecision, RetryInput, RetryLimits, Unsent, decide_retry,
+        AttemptEnd, DedupKey, IdempotencyToken, KeyHash, NotRunReason, RequestCall, RetryBudget,
+        RetryDecision, RetryInput, RetryLimits, Sent, Unsent, decide_retry,
     },
 };
 use rand::Rng;
@@ -95,7 +95,7 @@
 /// How one attempt ended.
 enum AttemptOutcome {
     Over(CallEnd),
-    Again(RequestCall<HandedOver>, AttemptEnd, String),
+    Again(RequestCall<Sent>, AttemptEnd, String),
     GivenBack(RequestCall<Unsent>, NotRunReason),
 }
 
@@ -143,7 +143,7 @@
     async fn run_repeatable_key(&mut self, text: &str) -> CallEnd {
         let fingerprint = self.request.fingerprint();
         let key = match IdempotencyToken::parse(text) {
-            Some(token) => RepeatKey::Token(token),
+            Some(token) => DedupKey::Token(token),
             None => {
                 let key = KeyHash::of(&self.request.caller, text);
                 let claimed = self
@@ -152,7 +152,7 @@
                     .request(|reply| AppEvent::ClaimKey(key, fingerprint, reply))
                     .await;
                 match claimed {
-                    Some(KeyClaimResult::Won) => RepeatKey::Key(key),
+                    Some(KeyClaimResult::Won) => DedupKey::Key(key),
                     Some(KeyClaimResult::Forward(link)) => return self.forward(&link).await,
                     Some(KeyClaimResult::HolderGone(daemon)) => {
                         return CallEnd::Unknown(format!(
@@ -192,7 +192,7 @@
         CallEnd::NotRun(RequestCall::new(self.id).refuse(reason))
     }
 
-    async fn run_recorded(&mut self, key: RepeatKey) -> CallEnd {
+    async fn run_recorded(&mut self, key: DedupKey) -> CallEnd {
         self.kept = Some(Vec::new());
         let end = self.run_once().await;
         let use_end = match (&end, self.kept.take()) {
@@ -351,8 +351,8 @@
     fn give_up(&self, reason: &str) -> CallEnd {
         event!(Event::AnswerIncomplete, "{}: {reason}", self.id);
         match self.request.rule {
-            RequestRule::Repeatable => CallEnd::Failed(reason.to_owned()),
-            RequestRule::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
+            RequestRepeatability::Repeatable => CallEnd::Failed(reason.to_owned()),
+            RequestRepeatability::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
         }
     }
 
@@ -386,7 +386,7 @@
     }
 
     async fn resume_attempt(&mut self, call: RequestCall<Unsent>) -> AttemptOutcome {
-        let handed = call.hand_over();
+        let handed = call.mark_sent();
         let Some(started) = &self.started else {
             return AttemptOutcome::Again(
                 handed,
@@ -463,13 +463,13 @@
                 }
             }
         };
-        self.relay(call.hand_over(), reader, answer.target).await
+        self.relay(call.mark_sent(), reader, answer.target).await
     }
 
     /// Passes frames on until the attempt ends.
     async fn relay(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         mut reader: CallReader,
         target: TargetName,
     ) -> AttemptOutcome {
@@ -505,7 +505,7 @@
 
     fn attempt_ended(
         &mut self,
-        call: RequestCall<HandedOver>,
+        call: RequestCall<Sent>,
         end: CallEnd,
         target: TargetName,
     ) -> AttemptOutcome {
