--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -236,23 +236,23 @@
         for target in &closed {
             self.close_route(target);
         }
-        let names: Vec<_> = self.held.keys().cloned().collect();
+        let names: Vec<_> = self.held_targets.keys().cloned().collect();
         for target in names {
             let is_closed = self.is_closed(&target);
             let configured = self.folded.config.targets.get(&target).cloned();
-            let Some(held) = self.held.get_mut(&target) else {
+            let Some(runtime) = self.held_targets.get_mut(&target) else {
                 continue;
             };
-            let was_draining = held.config.draining;
+            let was_draining = runtime.config.draining;
             if let Some(config) = configured {
-                held.is_quarantined &= !was_draining || config.draining;
-                held.config = config;
+                runtime.is_quarantined &= !was_draining || config.draining;
+                runtime.config = config;
             }
             let open = !is_closed
-                && !held.is_quarantined
-                && !held.is_leaving
-                && held.phase != TargetPhase::Lost;
-            held.scheduler.set_open(open);
+                && !runtime.is_quarantined
+                && !runtime.is_leaving
+                && runtime.phase != TargetPhase::Lost;
+            runtime.scheduler.set_open(open);
             if !open {
                 let reason = NotRunReason::NoTarget {
                     retry_after_ms: NO_TARGET_RETRY_MS,
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -130,7 +130,7 @@
     pub caller: CallerName,
     /// Priority class in force.
     pub class: PriorityClass,
-    /// Adapter version and retry rule; only the rule applies to a service.
+    /// Adapter version and repeatability; only the repeatability is meaningful for a service.
     pub resolved: ResolvedModel,
 }
 
--- a/crates/daemon/src/app/explain.rs
+++ b/crates/daemon/src/app/explain.rs
@@ -55,8 +55,8 @@
             "home by rendezvous, where its first load goes",
             homes.join(", "),
         );
-        for (name, held) in &self.held {
-            for resident in held
+        for (name, runtime) in &self.held_targets {
+            for resident in runtime
                 .scheduler
                 .residents()
                 .iter()
@@ -76,13 +76,13 @@
                 };
                 add_row(&format!("on {name}"), state);
             }
-            if let Some(queue) = held.scheduler.waiting().adapter(&model) {
+            if let Some(queue) = runtime.scheduler.waiting().adapter(&model) {
                 add_row(
                     &format!("waiting at {name}"),
                     format!("{} requests", queue.len()),
                 );
             }
-            if let Some(pause) = held.scheduler.backoff().remaining_backoff(&model, now) {
+            if let Some(pause) = runtime.scheduler.backoff().remaining_backoff(&model, now) {
                 add_row(
                     &format!("failed to load on {name}"),
                     format!("next try in {:.1} s", pause.as_secs_f64()),
@@ -98,8 +98,8 @@
         now: Instant,
     ) -> Result<DataTable, OperatorError> {
         let mut table = DataTable::new(&["what", "answer"]);
-        for (name, held) in &self.held {
-            let waiting = held
+        for (name, runtime) in &self.held_targets {
+            let waiting = runtime
                 .scheduler
                 .waiting()
                 .iter()
@@ -110,7 +110,7 @@
             else {
                 continue;
             };
-            let reason = self.wait_reason(held, &request.model);
+            let reason = self.wait_reason(runtime, &request.model);
             let mut add_row = |what: &str, answer: String| {
                 table
                     .rows
@@ -133,13 +133,13 @@
 
     fn wait_reason(
         &self,
-        held: &crate::app::target_runtime::TargetRuntime,
+        runtime: &crate::app::target_runtime::TargetRuntime,
         model: &AdapterVersion,
     ) -> String {
-        if !held.is_serving() {
+        if !runtime.is_serving() {
             return "the target is being prepared after a takeover or a restart".to_owned();
         }
-        let resident = held
+        let resident = runtime
             .scheduler
             .residents()
             .iter()
@@ -151,10 +151,10 @@
             }
             Some(AdapterState::Loaded) => format!(
                 "{} of {} seats are taken, or the rest is kept for more urgent work",
-                held.scheduler.running_len(),
-                held.scheduler.limits().seats
+                runtime.scheduler.running_len(),
+                runtime.scheduler.limits().seats
             ),
-            None if held.order.is_some() => "another adapter's load goes first".to_owned(),
+            None if runtime.order.is_some() => "another adapter's load goes first".to_owned(),
             None => {
                 "its adapter waits for its turn at the weight store, or for a slot that falls idle"
                     .to_owned()
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -36,10 +36,10 @@
         now: Instant,
     ) {
         let call = RequestCall::new(request.call.request);
-        let Some(held) = self
-            .held
+        let Some(runtime) = self
+            .held_targets
             .get_mut(&request.target)
-            .filter(|held| held.phase != TargetPhase::Lost)
+            .filter(|runtime| runtime.phase != TargetPhase::Lost)
         else {
             buffer.end(CallEnd::NotRun(call.refuse(NotRunReason::NotHolder)));
             return;
@@ -50,17 +50,17 @@
             return;
         }
         let queued = queued_request(&request, now);
-        if held.is_engine() {
+        if runtime.is_engine() {
             self.popularity.record(&queued.model, now);
         }
         let id = queued.id;
-        if let Err(refused) = held.scheduler.enqueue(queued, &self.weights) {
+        if let Err(refused) = runtime.scheduler.enqueue(queued, &self.weights) {
             self.workers.metrics.count("holder.refused");
             buffer.end(CallEnd::NotRun(call.refuse(refused.1)));
             return;
         }
         let target = request.target.clone();
-        held.pending_calls.insert(
+        runtime.pending_calls.insert(
             id,
             PendingCall {
                 request,
@@ -80,7 +80,7 @@
         from: u64,
         buffer: Arc<CallBuffer>,
     ) {
-        let Some(held) = self.held.get_mut(&request.target) else {
+        let Some(runtime) = self.held_targets.get_mut(&request.target) else {
             return;
         };
         let CallWork::Engine(work) = request.work else {
@@ -91,32 +91,37 @@
         };
         let id = AppEvent::scheduler_id(request.call);
         // The seat of the broken attempt passes to this one.
-        held.unconfirmed_streams
+        runtime
+            .unconfirmed_streams
             .retain(|_, (name, _)| *name != stream);
-        let previous: Vec<_> = held
+        let previous: Vec<_> = runtime
             .streams
             .iter()
             .filter(|(_, name)| **name == stream)
             .map(|(id, _)| *id)
             .collect();
-        held.scheduler.adopt_running(id, &work.model, request.class);
+        runtime
+            .scheduler
+            .adopt_running(id, &work.model, request.class);
         for previous in previous {
-            held.streams.remove(&previous);
-            held.scheduler.finish_request(previous, crate::clock::now());
+            runtime.streams.remove(&previous);
+            runtime
+                .scheduler
+                .finish_request(previous, crate::clock::now());
         }
-        held.streams.insert(id, stream.clone());
+        runtime.streams.insert(id, stream.clone());
         let job = StreamJob {
             call: request.call,
             target: request.target,
-            client: held.client.clone(),
-            token: held.lease.token,
+            client: runtime.client.clone(),
+            token: runtime.lease.token,
             class: request.class,
             work,
             stream,
             from,
             start: None,
             load_stall: Duration::ZERO,
-            tokens: Arc::clone(&held.streamed_tokens),
+            tokens: Arc::clone(&runtime.streamed_tokens),
             buffer,
             events: self.workers.events.clone(),
         };
@@ -125,47 +130,57 @@
 
     /// Starts the queued requests that a target can take now.
     pub(super) fn dispatch_ready(&mut self, target: &TargetName, now: Instant) {
-        let Some(held) = self.held.get_mut(target).filter(|held| held.is_serving()) else {
+        let Some(runtime) = self
+            .held_targets
+            .get_mut(target)
+            .filter(|runtime| runtime.is_serving())
+        else {
             return;
         };
         let Some(ownership) = self.folded.ownership.target(target.as_str()) else {
             return;
         };
         loop {
-            let lease = &held.lease;
-            let next = held.scheduler.next_dispatch(&self.weights, now, |model| {
-                lease.can_dispatch(ownership, model)
-            });
+            let lease = &runtime.lease;
+            let next = runtime
+                .scheduler
+                .next_dispatch(&self.weights, now, |model| {
+                    lease.can_dispatch(ownership, model)
+                });
             let Some(order) = next else {
                 break;
             };
-            let Some(pending) = held.pending_calls.remove(&order.request.id) else {
-                held.scheduler.finish_request(order.request.id, now);
+            let Some(pending) = runtime.pending_calls.remove(&order.request.id) else {
+                runtime.scheduler.finish_request(order.request.id, now);
                 continue;
             };
             if pending.buffer.is_abandoned() {
-                held.scheduler.finish_request(order.request.id, now);
+                runtime.scheduler.finish_request(order.request.id, now);
                 continue;
             }
             self.workers
                 .metrics
                 .time("holder.load_stall", order.load_stall);
-            start_call(held, pending, &order, &self.workers);
+            start_call(runtime, pending, &order, &self.workers);
         }
         self.observe_own_target(target);
     }
 
     /// Updates this daemon's own router with the state of a held target.
     pub(super) fn observe_own_target(&mut self, target: &TargetName) {
-        let Some(held) = self.held.get(target).filter(|held| held.is_serving()) else {
+        let Some(runtime) = self
+            .held_targets
+            .get(target)
+            .filter(|runtime| runtime.is_serving())
+        else {
             return;
         };
-        let router = if held.is_engine() {
+        let router = if runtime.is_engine() {
             &mut self.engines
         } else {
             &mut self.services
         };
-        let digest = held
+        let digest = runtime
             .scheduler
             .digest(Some(router.known_residents_revision(target.as_str())));
         router.update_digest(&self.zone, &digest);
@@ -173,10 +188,10 @@
 
     pub(super) fn call_abandoned(&mut self, call: CallId) {
         let id = AppEvent::scheduler_id(call);
-        for held in self.held.values_mut() {
-            if let Some(pending) = held.pending_calls.remove(&id) {
+        for runtime in self.held_targets.values_mut() {
+            if let Some(pending) = runtime.pending_calls.remove(&id) {
                 let model = model_of(&pending.request);
-                held.scheduler.cancel_waiting(&model, id);
+                runtime.scheduler.cancel_waiting(&model, id);
                 pending.refuse(NotRunReason::Cancelled);
                 return;
             }
@@ -184,8 +199,10 @@
     }
 
     pub(super) fn first_token(&mut self, call: CallId, target: &TargetName) {
-        if let Some(held) = self.held.get_mut(target) {
-            held.scheduler.finish_prefill(AppEvent::scheduler_id(call));
+        if let Some(runtime) = self.held_targets.get_mut(target) {
+            runtime
+                .scheduler
+                .finish_prefill(AppEvent::scheduler_id(call));
         }
     }
 
@@ -197,38 +214,38 @@
         now: Instant,
     ) {
         let id = AppEvent::scheduler_id(call);
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        held.epoch += 1;
-        let is_engine = held.is_engine();
-        let stream = held.streams.remove(&id);
+        runtime.epoch += 1;
+        let is_engine = runtime.is_engine();
+        let stream = runtime.streams.remove(&id);
         match end {
             StreamEnd::Complete { boot } => {
-                held.scheduler.finish_request(id, now);
-                held.is_reachable = true;
-                if boot != held.boot {
+                runtime.scheduler.finish_request(id, now);
+                runtime.is_reachable = true;
+                if boot != runtime.boot {
                     self.send_order(target, OrderKind::List);
                 }
             }
             StreamEnd::Refused => {
-                held.scheduler.finish_request(id, now);
+                runtime.scheduler.finish_request(id, now);
                 self.send_order(target, OrderKind::List);
             }
             StreamEnd::Unreachable => {
-                held.scheduler.finish_request(id, now);
+                runtime.scheduler.finish_request(id, now);
                 self.target_unreachable(target);
             }
             StreamEnd::WrongModel => {
-                held.is_quarantined = true;
-                mark_unconfirmed(held, id, stream);
+                runtime.is_quarantined = true;
+                mark_unconfirmed(runtime, id, stream);
                 self.apply_targets();
             }
             StreamEnd::Ended | StreamEnd::Broken if is_engine => {
-                mark_unconfirmed(held, id, stream);
+                mark_unconfirmed(runtime, id, stream);
                 self.send_order(target, OrderKind::List);
             }
-            StreamEnd::Ended | StreamEnd::Broken => held.scheduler.finish_request(id, now),
+            StreamEnd::Ended | StreamEnd::Broken => runtime.scheduler.finish_request(id, now),
         }
         self.dispatch_ready(target, now);
         self.start_best_load(now);
@@ -238,24 +255,24 @@
     fn expedite_settlement(&mut self, target: &TargetName) {
         // Resetting the timer lets the next tick settle the lease without waiting for the interval.
         if self
-            .held
+            .held_targets
             .get(target)
-            .is_some_and(|held| held.phase == TargetPhase::Lost && held.is_idle())
+            .is_some_and(|runtime| runtime.phase == TargetPhase::Lost && runtime.is_idle())
         {
             self.last.ownership = Instant::default();
         }
     }
 
     pub(super) fn target_unreachable(&mut self, target: &TargetName) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        if std::mem::take(&mut held.is_reachable) {
+        if std::mem::take(&mut runtime.is_reachable) {
             event!(Event::TargetUnreachable, "{target}");
         }
-        let was_serving = held.phase == TargetPhase::Serving;
-        if was_serving && held.is_engine() {
-            held.phase = TargetPhase::Preparing;
+        let was_serving = runtime.phase == TargetPhase::Serving;
+        if was_serving && runtime.is_engine() {
+            runtime.phase = TargetPhase::Preparing;
         }
         self.engines.set_reachable(target.as_str(), false);
         self.services.set_reachable(target.as_str(), false);
@@ -274,26 +291,28 @@
         self.last.holder_tick = now;
         self.workers.calls.remove_expired(REATTACH_TIMEOUT);
         self.refuse_overdue(now);
-        let targets: Vec<_> = self.held.keys().cloned().collect();
+        let targets: Vec<_> = self.held_targets.keys().cloned().collect();
         for target in &targets {
-            let Some(held) = self.held.get_mut(target) else {
+            let Some(runtime) = self.held_targets.get_mut(target) else {
                 continue;
             };
-            held.sample_throughput(now);
-            held.scheduler.drain_for_starved_load(&self.popularity, now);
+            runtime.sample_throughput(now);
+            runtime
+                .scheduler
+                .drain_for_starved_load(&self.popularity, now);
             // A former holder has to learn which of its streams ended, otherwise its lease would never be settled.
-            let needs_listing = match held.phase {
+            let needs_listing = match runtime.phase {
                 TargetPhase::Serving => true,
-                TargetPhase::Lost => !held.unconfirmed_streams.is_empty(),
+                TargetPhase::Lost => !runtime.unconfirmed_streams.is_empty(),
                 TargetPhase::Preparing => false,
             };
-            if held.is_engine() && needs_listing {
+            if runtime.is_engine() && needs_listing {
                 self.send_order(target, OrderKind::List);
             }
             if self
-                .held
+                .held_targets
                 .get(target)
-                .is_some_and(|held| !held.is_engine() && !held.is_reachable)
+                .is_some_and(|runtime| !runtime.is_engine() && !runtime.is_reachable)
             {
                 self.retry_service(target);
             }
@@ -305,11 +324,15 @@
 
     /// Refuses queued requests whose adapter can't be loaded here, so that another target takes them.
     fn refuse_unloadable(&mut self, target: &TargetName) {
-        let Some(held) = self.held.get_mut(target).filter(|held| held.is_serving()) else {
+        let Some(runtime) = self
+            .held_targets
+            .get_mut(target)
+            .filter(|runtime| runtime.is_serving())
+        else {
             return;
         };
-        for queued in held.scheduler.drain_unloadable() {
-            if let Some(pending) = held.pending_calls.remove(&queued.id) {
+        for queued in runtime.scheduler.drain_unloadable() {
+            if let Some(pending) = runtime.pending_calls.remove(&queued.id) {
                 let reason = NotRunReason::NoTarget {
                     retry_after_ms: NO_TARGET_RETRY_MS,
                 };
@@ -320,30 +343,30 @@
 
     /// Updates whether the scheduler may evict adapters under the current ownership of each target.
     pub(super) fn update_evictions(&mut self, now: Instant) {
-        for (target, held) in &mut self.held {
+        for (target, runtime) in &mut self.held_targets {
             let ownership = self.folded.ownership.target(target.as_str());
             let may_plan =
-                ownership.is_some_and(|ownership| held.lease.check_unload(ownership, 0).is_ok());
+                ownership.is_some_and(|ownership| runtime.lease.check_unload(ownership, 0).is_ok());
             // An unload on a target that does not check fencing tokens needs an intent in the log.
             let can_announce =
-                held.lease.fence == FenceState::Acknowledged || self.feed.is_available;
-            held.scheduler.set_may_evict(may_plan && can_announce);
-            held.scheduler.update_victim_rate(&self.popularity, now);
+                runtime.lease.fence == FenceState::Acknowledged || self.feed.is_available;
+            runtime.scheduler.set_may_evict(may_plan && can_announce);
+            runtime.scheduler.update_victim_rate(&self.popularity, now);
         }
     }
 
     /// Makes an unreachable plain service eligible again after one tick of a second.
     fn retry_service(&mut self, target: &TargetName) {
-        if let Some(held) = self.held.get_mut(target) {
-            held.is_reachable = true;
+        if let Some(runtime) = self.held_targets.get_mut(target) {
+            runtime.is_reachable = true;
         }
         self.observe_own_target(target);
     }
 
     fn refuse_overdue(&mut self, now: Instant) {
-        for held in self.held.values_mut() {
-            for overdue in held.scheduler.remove_overdue(&self.weights, now) {
-                if let Some(pending) = held.pending_calls.remove(&overdue.id) {
+        for runtime in self.held_targets.values_mut() {
+            for overdue in runtime.scheduler.remove_overdue(&self.weights, now) {
+                if let Some(pending) = runtime.pending_calls.remove(&overdue.id) {
                     let reason = NotRunReason::DeadlinePassed {
                         retry_after_ms: NO_TARGET_RETRY_MS,
                     };
@@ -355,14 +378,14 @@
 
     fn report_gauges(&self) {
         let running: usize = self
-            .held
+            .held_targets
             .values()
-            .map(|held| held.scheduler.running_len())
+            .map(|runtime| runtime.scheduler.running_len())
             .sum();
         let waiting: usize = self
-            .held
+            .held_targets
             .values()
-            .map(|held| held.scheduler.waiting().len())
+            .map(|runtime| runtime.scheduler.waiting().len())
             .sum();
         self.workers.metrics.gauge("holder.running", running as u64);
         self.workers.metrics.gauge("holder.waiting", waiting as u64);
@@ -376,11 +399,11 @@
 
     /// Refuses requests whose adapter failed to load.
     pub(super) fn refuse_load_failed(&mut self, target: &TargetName, refused: &[QueuedRequest]) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
         for queued in refused {
-            if let Some(pending) = held.pending_calls.remove(&queued.id) {
+            if let Some(pending) = runtime.pending_calls.remove(&queued.id) {
                 let reason = NotRunReason::LoadFailed {
                     retry_after_ms: NO_TARGET_RETRY_MS,
                 };
@@ -391,17 +414,19 @@
 }
 
 /// Keeps the seat of a stream until a listing confirms that it ended at the target.
-fn mark_unconfirmed(held: &mut TargetRuntime, id: RequestId, stream: Option<String>) {
+fn mark_unconfirmed(runtime: &mut TargetRuntime, id: RequestId, stream: Option<String>) {
     match stream {
         Some(stream) => {
-            held.unconfirmed_streams.insert(id, (stream, held.epoch));
+            runtime
+                .unconfirmed_streams
+                .insert(id, (stream, runtime.epoch));
         }
-        None => held.scheduler.finish_request(id, crate::clock::now()),
+        None => runtime.scheduler.finish_request(id, crate::clock::now()),
     }
 }
 
 fn start_call(
-    held: &mut TargetRuntime,
+    runtime: &mut TargetRuntime,
     pending: PendingCall,
     order: &DispatchOrder,
     workers: &crate::app::AppWorkers,
@@ -413,20 +438,20 @@
     } = pending;
     match request.work {
         CallWork::Engine(work) => {
-            let stream = held.stream_name(request.call);
-            held.streams.insert(order.request.id, stream.clone());
+            let stream = runtime.stream_name(request.call);
+            runtime.streams.insert(order.request.id, stream.clone());
             let job = StreamJob {
                 call: request.call,
                 target: request.target,
-                client: held.client.clone(),
-                token: held.lease.token,
+                client: runtime.client.clone(),
+                token: runtime.lease.token,
                 class: request.class,
                 work,
                 stream,
                 from: 0,
                 start: Some(call),
                 load_stall: order.load_stall,
-                tokens: Arc::clone(&held.streamed_tokens),
+                tokens: Arc::clone(&runtime.streamed_tokens),
                 buffer,
                 events: workers.events.clone(),
             };
@@ -436,7 +461,7 @@
             let job = ServiceJob {
                 call: request.call,
                 target: request.target,
-                address: held.config.address.clone(),
+                address: runtime.config.address.clone(),
                 work,
                 request: call,
                 buffer,
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -77,14 +77,14 @@
         )
     }
 
-    fn forward_to(&self, daemon: &DaemonRef, otherwise: &str) -> IdempotencyDecision {
+    fn forward_to(&self, daemon: &DaemonRef, unreachable_reason: &str) -> IdempotencyDecision {
         match self
             .links
             .get(&daemon.vm)
             .filter(|link| link.is_connected())
         {
             Some(link) => IdempotencyDecision::Forward(link.clone()),
-            None => IdempotencyDecision::Unknown(otherwise.to_owned()),
+            None => IdempotencyDecision::Unknown(unreachable_reason.to_owned()),
         }
     }
 
@@ -103,9 +103,9 @@
                 None
             }
         };
-        for join in self.answer_waiters.remove(key).into_iter().flatten() {
+        for waiter in self.answer_waiters.remove(key).into_iter().flatten() {
             // The waiting request may have been abandoned.
-            let _ = join.send(answer.clone());
+            let _ = waiter.send(answer.clone());
         }
     }
 
@@ -116,7 +116,7 @@
         reply: oneshot::Sender<KeyClaimResult>,
         now: Instant,
     ) {
-        if let Some(answer) = self.claim_answer(&key, fingerprint) {
+        if let Some(answer) = self.claim_result(&key, fingerprint) {
             let _ = reply.send(answer);
             return;
         }
@@ -131,14 +131,14 @@
         }
     }
 
-    fn claim_answer(&self, key: &KeyHash, fingerprint: u64) -> Option<KeyClaimResult> {
+    fn claim_result(&self, key: &KeyHash, fingerprint: u64) -> Option<KeyClaimResult> {
         let answer = match self.folded.keys.outcome(key, &self.me)? {
             ClaimOutcome::Won => KeyClaimResult::Won,
             ClaimOutcome::Lost {
                 fingerprint: first, ..
             } if first != fingerprint => KeyClaimResult::KeyReused,
             ClaimOutcome::Lost { holder, .. } => {
-                let same_run = self
+                let is_same_incarnation = self
                     .members
                     .peer(holder.vm.as_str())
                     .and_then(|peer| peer.incarnation)
@@ -146,7 +146,7 @@
                 let link = self
                     .links
                     .get(&holder.vm)
-                    .filter(|link| same_run && link.is_connected());
+                    .filter(|link| is_same_incarnation && link.is_connected());
                 link.map_or(KeyClaimResult::HolderGone(holder), |link| {
                     KeyClaimResult::Forward(link.clone())
                 })
@@ -157,16 +157,16 @@
 
     /// Answers the requests whose claims are decided by the folded log.
     pub(super) fn resolve_claims(&mut self) {
-        let decided: Vec<_> = self
+        let decided_keys: Vec<_> = self
             .pending_claims
             .keys()
             .filter(|key| self.folded.keys.outcome(key, &self.me).is_some())
             .copied()
             .collect();
-        for key in decided {
+        for key in decided_keys {
             for (fingerprint, _, reply) in self.pending_claims.remove(&key).into_iter().flatten() {
                 let answer = self
-                    .claim_answer(&key, fingerprint)
+                    .claim_result(&key, fingerprint)
                     .unwrap_or(KeyClaimResult::NotClaimed);
                 let _ = reply.send(answer);
             }
@@ -175,15 +175,15 @@
 
     /// Appends the claims made since the last tick, in one record.
     pub(super) fn tick_claims(&mut self, now: Instant) {
-        let mut stale = Vec::new();
+        let mut abandoned = Vec::new();
         for (key, waiting) in &mut self.pending_claims {
             waiting.retain(|(_, since, _)| now.since(*since) < CLAIM_TIMEOUT);
             match waiting.first() {
-                None => stale.push(*key),
+                None => abandoned.push(*key),
                 Some((fingerprint, since, _)) => {
-                    let again = now.since(*since) > CLAIM_RETRY_INTERVAL
+                    let is_retry_due = now.since(*since) > CLAIM_RETRY_INTERVAL
                         && !self.claim_batch.iter().any(|claim| claim.key == *key);
-                    if again && now.since(self.last.holder_tick).is_zero() {
+                    if is_retry_due && now.since(self.last.holder_tick).is_zero() {
                         // A repeated claim of the same daemon has no effect.
                         self.claim_batch.push(KeyClaim {
                             key: *key,
@@ -193,7 +193,7 @@
                 }
             }
         }
-        for key in stale {
+        for key in abandoned {
             self.pending_claims.remove(&key);
         }
         if self.claim_batch.is_empty() {
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -167,10 +167,10 @@
     /// Revision that changes whenever gateways need an immediate heartbeat.
     fn digest_revision(&self) -> u64 {
         let residents = self
-            .held
+            .held_targets
             .values()
-            .map(|held| held.scheduler.digest(Some(0)).residents_revision);
-        residents.sum::<u64>() + self.held.len() as u64
+            .map(|runtime| runtime.scheduler.digest(Some(0)).residents_revision);
+        residents.sum::<u64>() + self.held_targets.len() as u64
     }
 
     fn heartbeat(&mut self, full: bool) -> Heartbeat {
@@ -188,10 +188,14 @@
     /// Digests of the targets that changed since the last heartbeat, or of all targets if `full`.
     fn own_digests(&mut self, full: bool) -> Vec<TargetDigest> {
         let mut digests = Vec::new();
-        for (target, held) in self.held.iter().filter(|(_, held)| held.is_serving()) {
+        for (target, runtime) in self
+            .held_targets
+            .iter()
+            .filter(|(_, runtime)| runtime.is_serving())
+        {
             let last = self.last.digests.get(target);
             let known = last.map(|digest| digest.residents_revision);
-            let digest = held.scheduler.digest(if full { None } else { known });
+            let digest = runtime.scheduler.digest(if full { None } else { known });
             let without_residents = TargetDigest {
                 residents: None,
                 ..digest.clone()
@@ -268,14 +272,14 @@
 
     /// Confirms the targets of a daemon that its heartbeat omitted because they are unchanged.
     fn confirm_targets(&mut self, daemon: &DaemonRef, reported: &BTreeSet<TargetName>) {
-        let held = self.folded.ownership.iter().filter(|(target, ownership)| {
+        let peer_targets = self.folded.ownership.iter().filter(|(target, ownership)| {
             let is_theirs = ownership
                 .holder
                 .as_ref()
                 .is_some_and(|lease| lease.is_held_by(daemon));
             is_theirs && !reported.contains(*target)
         });
-        for (target, _) in held {
+        for (target, _) in peer_targets {
             self.engines.mark_unchanged(target.as_str());
             self.services.mark_unchanged(target.as_str());
         }
@@ -297,13 +301,13 @@
 
     /// Sets whether the targets of a peer are reachable.
     pub(super) fn set_peer_reachable(&mut self, vm: &VmName, reachable: bool) {
-        let held = self.folded.ownership.iter().filter(|(_, ownership)| {
+        let peer_targets = self.folded.ownership.iter().filter(|(_, ownership)| {
             ownership
                 .holder
                 .as_ref()
                 .is_some_and(|lease| lease.daemon.vm == *vm)
         });
-        for (target, _) in held {
+        for (target, _) in peer_targets {
             self.engines.set_reachable(target.as_str(), reachable);
             self.services.set_reachable(target.as_str(), reachable);
         }
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -39,31 +39,31 @@
     }
 
     fn active_loads(&self) -> u32 {
-        self.held
+        self.held_targets
             .values()
-            .filter(|held| held.order.is_some())
+            .filter(|runtime| runtime.order.is_some())
             .count() as u32
     }
 
     fn best_bid(&self, with_preloads: bool, now: Instant) -> Option<LoadBid> {
         let bids = self
-            .held
+            .held_targets
             .iter()
-            .filter_map(|(target, held)| self.target_bid(target, held, with_preloads, now));
+            .filter_map(|(target, runtime)| self.target_bid(target, runtime, with_preloads, now));
         bids.max_by(|a, b| a.benefit.total_cmp(&b.benefit))
     }
 
     fn target_bid(
         &self,
         target: &TargetName,
-        held: &TargetRuntime,
+        runtime: &TargetRuntime,
         with_preloads: bool,
         now: Instant,
     ) -> Option<LoadBid> {
-        if !held.is_serving() || held.order.is_some() || !held.is_engine() {
+        if !runtime.is_serving() || runtime.order.is_some() || !runtime.is_engine() {
             return None;
         }
-        let demanded = held
+        let demanded = runtime
             .scheduler
             .demand_bid(&self.weights, &self.popularity, now);
         if demanded.is_some() || !with_preloads {
@@ -74,27 +74,33 @@
                 && self.engines.is_home(model, target.as_str())
                 && self.is_current(model)
         };
-        let kept = self.kept_bid(target, held, now);
+        let kept = self.kept_bid(target, runtime, now);
         kept.or_else(|| {
-            held.scheduler
+            runtime
+                .scheduler
                 .preload_bid(&self.weights, &self.popularity, now, is_candidate)
         })
     }
 
     /// Bid for an adapter that operators want kept loaded and that is not loaded on any target.
-    fn kept_bid(&self, target: &TargetName, held: &TargetRuntime, now: Instant) -> Option<LoadBid> {
+    fn kept_bid(
+        &self,
+        target: &TargetName,
+        runtime: &TargetRuntime,
+        now: Instant,
+    ) -> Option<LoadBid> {
         let mut candidates = self.kept_models.iter().filter(|model| {
             !self.engines.is_resident(model)
-                && !has_loaded(&held.scheduler, model)
+                && !has_loaded(&runtime.scheduler, model)
                 && self.engines.is_home(model, target.as_str())
-                && held.scheduler.backoff().can_retry(model, now)
+                && runtime.scheduler.backoff().can_retry(model, now)
         });
         let model = candidates.next()?.clone();
-        let has_free_slot = held.scheduler.residents().len() < held.scheduler.limits().slots;
+        let has_free_slot = runtime.scheduler.residents().len() < runtime.scheduler.limits().slots;
         let evict = if has_free_slot {
             None
         } else {
-            held.scheduler.eviction_candidate(&self.popularity, now)
+            runtime.scheduler.eviction_candidate(&self.popularity, now)
         };
         (has_free_slot || evict.is_some()).then(|| LoadBid {
             target: target.clone(),
@@ -134,7 +140,7 @@
 
     fn start_load(&mut self, bid: LoadBid, now: Instant) {
         let number = self.next_number();
-        let Some(held) = self.held.get_mut(&bid.target) else {
+        let Some(runtime) = self.held_targets.get_mut(&bid.target) else {
             return;
         };
         let Some(ownership) = self.folded.ownership.target(bid.target.as_str()) else {
@@ -142,8 +148,8 @@
         };
         let target = bid.target.clone();
         let Some(victim) = bid.evict.clone() else {
-            held.scheduler.load_started(&bid.model, now);
-            held.order = Some(pending_order(
+            runtime.scheduler.load_started(&bid.model, now);
+            runtime.order = Some(pending_order(
                 bid.model.clone(),
                 None,
                 OrderStage::Loading,
@@ -152,15 +158,15 @@
             self.send_order(&target, OrderKind::Load(bid.model));
             return;
         };
-        held.scheduler.unload_started(&victim);
-        if held.lease.fence == FenceState::NotChecked {
+        runtime.scheduler.unload_started(&victim);
+        if runtime.lease.fence == FenceState::NotChecked {
             let record = IntentRecord {
                 target: target.clone(),
                 adapter: victim.clone(),
-                token: held.lease.token,
+                token: runtime.lease.token,
                 number,
             };
-            held.order = Some(pending_order(
+            runtime.order = Some(pending_order(
                 bid.model,
                 Some(victim),
                 OrderStage::AwaitingIntent { number },
@@ -172,10 +178,10 @@
                 .append(0, vec![LogRecord::UnloadIntent(record)]);
             return;
         }
-        match held.lease.permit_unload(ownership, &victim, None, 0) {
+        match runtime.lease.permit_unload(ownership, &victim, None, 0) {
             Ok(permit) => {
                 let adapter = permit.adapter().clone();
-                held.order = Some(pending_order(
+                runtime.order = Some(pending_order(
                     bid.model,
                     Some(victim),
                     OrderStage::Unloading { number: None },
@@ -185,27 +191,27 @@
             }
             Err(refusal) => {
                 event!(Event::UnloadRefused, "{victim} on {target}: {refusal}");
-                held.scheduler.unload_cancelled(&victim);
+                runtime.scheduler.unload_cancelled(&victim);
             }
         }
     }
 
     /// Handles an unload intent that was read back from the log.
     pub(super) fn intent_opened(&mut self, target: &TargetName, intent: &OpenIntent) {
-        let Some(held) = self
-            .held
+        let Some(runtime) = self
+            .held_targets
             .get_mut(target)
-            .filter(|held| held.lease.token == intent.token)
+            .filter(|runtime| runtime.lease.token == intent.token)
         else {
             return;
         };
-        let is_awaited = held.order.as_ref().is_some_and(|pending| {
+        let is_awaited = runtime.order.as_ref().is_some_and(|pending| {
             pending.stage
                 == OrderStage::AwaitingIntent {
                     number: intent.number,
                 }
         });
-        let in_flight = held
+        let in_flight = runtime
             .scheduler
             .residents()
             .iter()
@@ -217,12 +223,16 @@
             .ownership
             .target(target.as_str())
             .map(|ownership| {
-                held.lease
-                    .permit_unload(ownership, &intent.adapter, Some(intent.number), in_flight)
+                runtime.lease.permit_unload(
+                    ownership,
+                    &intent.adapter,
+                    Some(intent.number),
+                    in_flight,
+                )
             });
         match permit {
             Some(Ok(permit)) if is_awaited => {
-                if let Some(pending) = &mut held.order {
+                if let Some(pending) = &mut runtime.order {
                     pending.stage = OrderStage::Unloading {
                         number: Some(intent.number),
                     };
@@ -240,12 +250,12 @@
     }
 
     fn close_intent(&mut self, target: &TargetName, number: u64) {
-        let Some(held) = self.held.get(target) else {
+        let Some(runtime) = self.held_targets.get(target) else {
             return;
         };
         let record = IntentClosedRecord {
             target: target.clone(),
-            token: held.lease.token,
+            token: runtime.lease.token,
             number,
         };
         let _ = self
@@ -255,19 +265,19 @@
     }
 
     fn cancel_order(&mut self, target: &TargetName) {
-        if let Some(held) = self.held.get_mut(target)
-            && let Some(pending) = held.order.take()
+        if let Some(runtime) = self.held_targets.get_mut(target)
+            && let Some(pending) = runtime.order.take()
             && let Some(victim) = &pending.evict
         {
-            held.scheduler.unload_cancelled(victim);
+            runtime.scheduler.unload_cancelled(victim);
         }
     }
 
     pub(super) fn tick_orders(&mut self, now: Instant) {
         let mut cancelled = Vec::new();
         let mut unresolved = Vec::new();
-        for (target, held) in &self.held {
-            match &held.order {
+        for (target, runtime) in &self.held_targets {
+            match &runtime.order {
                 Some(PendingOrder {
                     stage: OrderStage::AwaitingIntent { .. },
                     since,
@@ -301,16 +311,20 @@
 
     /// Sends an order and reports its result as an event; at most one listing per target is in flight.
     pub(super) fn send_order(&mut self, target: &TargetName, kind: OrderKind) {
-        let Some(held) = self.held.get_mut(target).filter(|held| held.is_engine()) else {
+        let Some(runtime) = self
+            .held_targets
+            .get_mut(target)
+            .filter(|runtime| runtime.is_engine())
+        else {
             return;
         };
-        if kind == OrderKind::List && std::mem::replace(&mut held.is_listing, true) {
+        if kind == OrderKind::List && std::mem::replace(&mut runtime.is_listing, true) {
             return;
         }
         if matches!(kind, OrderKind::Load(_) | OrderKind::Unload(_)) {
-            held.epoch += 1;
+            runtime.epoch += 1;
         }
-        let (client, token, epoch) = (held.client.clone(), held.lease.token, held.epoch);
+        let (client, token, epoch) = (runtime.client.clone(), runtime.lease.token, runtime.epoch);
         let (target, events) = (target.clone(), self.workers.events.clone());
         tokio::spawn(async move {
             let started = std::time::Instant::now();
@@ -342,16 +356,16 @@
     }
 
     pub(super) fn order_finished(&mut self, report: &OrderReport, now: Instant) {
-        let Some(held) = self.held.get_mut(&report.target) else {
+        let Some(runtime) = self.held_targets.get_mut(&report.target) else {
             return;
         };
         // A load or unload under an earlier lease of this daemon still changes the adapters on the target.
         let changes_adapters = matches!(report.kind, OrderKind::Load(_) | OrderKind::Unload(_));
-        if held.lease.token != report.token && !changes_adapters {
+        if runtime.lease.token != report.token && !changes_adapters {
             return;
         }
         if report.kind == OrderKind::List {
-            held.is_listing = false;
+            runtime.is_listing = false;
         }
         if matches!(report.result, Err(OrderError::Stale)) {
             event!(
@@ -376,29 +390,29 @@
         if report.result.is_err() {
             return;
         }
-        if let Some(held) = self.held.get_mut(&report.target) {
-            held.lease.acknowledge(report.token);
+        if let Some(runtime) = self.held_targets.get_mut(&report.target) {
+            runtime.lease.acknowledge(report.token);
         }
         self.send_order(&report.target, OrderKind::List);
     }
 
     fn load_done(&mut self, report: &OrderReport, model: &AdapterVersion, now: Instant) {
         let target = &report.target;
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
         match &report.result {
             Ok(_) => {
-                held.order = None;
-                if has_loaded(&held.scheduler, model) {
-                    held.scheduler.load_succeeded(model, report.elapsed, now);
+                runtime.order = None;
+                if has_loaded(&runtime.scheduler, model) {
+                    runtime.scheduler.load_succeeded(model, report.elapsed, now);
                 }
             }
             Err(OrderError::Unknown(cause)) => self.mark_order_unknown(target, cause, now),
             Err(error) => {
                 event!(Event::LoadFailed, "{model} on {target}: {error}");
-                held.order = None;
-                let refused = held.scheduler.load_failed(model, now);
+                runtime.order = None;
+                let refused = runtime.scheduler.load_failed(model, now);
                 self.refuse_load_failed(target, &refused);
                 if matches!(error, OrderError::Unreachable(_)) {
                     self.target_unreachable(target);
@@ -411,16 +425,16 @@
 
     fn unload_done(&mut self, report: &OrderReport, victim: &AdapterVersion, now: Instant) {
         let target = &report.target;
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        let number = match held.order.as_ref().map(|pending| &pending.stage) {
+        let number = match runtime.order.as_ref().map(|pending| &pending.stage) {
             Some(OrderStage::Unloading { number }) => *number,
             _ => return,
         };
         match &report.result {
             Ok(_) => {
-                held.scheduler.unload_finished(victim);
+                runtime.scheduler.unload_finished(victim);
                 if let Some(number) = number {
                     self.close_intent(target, number);
                 }
@@ -439,21 +453,21 @@
     }
 
     fn load_after_unload(&mut self, target: &TargetName, now: Instant) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        let Some(pending) = held
+        let Some(pending) = runtime
             .order
             .as_mut()
-            .filter(|_| held.phase != TargetPhase::Lost)
+            .filter(|_| runtime.phase != TargetPhase::Lost)
         else {
-            held.order = None;
+            runtime.order = None;
             return;
         };
         pending.stage = OrderStage::Loading;
         pending.since = now;
         let model = pending.load.clone();
-        held.scheduler.load_started(&model, now);
+        runtime.scheduler.load_started(&model, now);
         self.send_order(target, OrderKind::Load(model));
     }
 
@@ -461,9 +475,9 @@
         event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
         let until = now.after(self.settings.membership.times.delivery_bound);
         let Some(pending) = self
-            .held
+            .held_targets
             .get_mut(target)
-            .and_then(|held| held.order.as_mut())
+            .and_then(|runtime| runtime.order.as_mut())
         else {
             return;
         };
@@ -498,35 +512,35 @@
         epoch: u64,
         now: Instant,
     ) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        held.listed_at = now;
-        held.is_reachable = true;
-        let restarted = held.boot != 0 && held.boot != listing.boot;
-        held.boot = listing.boot;
+        runtime.listed_at = now;
+        runtime.is_reachable = true;
+        let restarted = runtime.boot != 0 && runtime.boot != listing.boot;
+        runtime.boot = listing.boot;
         if restarted {
             event!(Event::TargetRestarted, "{target}");
             // An open order stays: it may still arrive, and ends by its answer or by the delivery bound.
-            if held.phase != TargetPhase::Lost {
-                held.lease = HeldTarget::new(held.lease.token, held.config.checks_fencing);
-                held.phase = TargetPhase::Preparing;
+            if runtime.phase != TargetPhase::Lost {
+                runtime.lease = HeldTarget::new(runtime.lease.token, runtime.config.checks_fencing);
+                runtime.phase = TargetPhase::Preparing;
             }
         }
-        release_ended_streams(held, listing, epoch, now);
-        let is_stale = epoch < held.epoch || held.order.is_some();
-        if restarted || (!is_stale && residents_differ(held, &listing.loaded)) {
-            held.scheduler.replace_residents(&listing.loaded, now);
+        release_ended_streams(runtime, listing, epoch, now);
+        let is_stale = epoch < runtime.epoch || runtime.order.is_some();
+        if restarted || (!is_stale && residents_differ(runtime, &listing.loaded)) {
+            runtime.scheduler.replace_residents(&listing.loaded, now);
         }
-        if listing.leaving != held.is_leaving {
-            held.is_leaving = listing.leaving;
+        if listing.leaving != runtime.is_leaving {
+            runtime.is_leaving = listing.leaving;
             self.apply_targets();
         }
         if restarted
             && self
-                .held
+                .held_targets
                 .get(target)
-                .is_some_and(|held| held.phase == TargetPhase::Preparing)
+                .is_some_and(|runtime| runtime.phase == TargetPhase::Preparing)
         {
             self.prepare_target(target, now);
         }
@@ -539,7 +553,7 @@
         listing: &EngineListing,
         now: Instant,
     ) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
         let Some(PendingOrder {
@@ -552,26 +566,27 @@
                     is_load,
                 },
             ..
-        }) = held.order.clone()
+        }) = runtime.order.clone()
         else {
             return;
         };
         if until > now {
             return;
         }
-        held.order = None;
+        runtime.order = None;
         let is_loaded = |model: &AdapterVersion| listing.loaded.contains(model);
         if is_load && is_loaded(&load) {
-            held.scheduler
+            runtime
+                .scheduler
                 .load_succeeded(&load, Duration::from_secs(1), now);
         } else if is_load {
-            let refused = held.scheduler.load_failed(&load, now);
+            let refused = runtime.scheduler.load_failed(&load, now);
             self.refuse_load_failed(target, &refused);
         } else if let Some(victim) = evict {
             if is_loaded(&victim) {
-                held.scheduler.unload_cancelled(&victim);
+                runtime.scheduler.unload_cancelled(&victim);
             } else {
-                held.scheduler.unload_finished(&victim);
+                runtime.scheduler.unload_finished(&victim);
             }
         }
         if let Some(number) = number {
@@ -580,17 +595,17 @@
     }
 
     fn start_serving(&mut self, target: &TargetName) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        if held.phase != TargetPhase::Preparing || held.lease.fence == FenceState::Presented {
+        if runtime.phase != TargetPhase::Preparing || runtime.lease.fence == FenceState::Presented {
             return;
         }
-        held.phase = TargetPhase::Serving;
+        runtime.phase = TargetPhase::Serving;
         event!(
             Event::TargetReady,
             "{target} with {} adapters",
-            held.scheduler.residents().len()
+            runtime.scheduler.residents().len()
         );
         self.apply_targets();
     }
@@ -612,24 +627,24 @@
 
 /// Frees the seats of streams that the target no longer runs, if the listing was requested after they ended here.
 fn release_ended_streams(
-    held: &mut TargetRuntime,
+    runtime: &mut TargetRuntime,
     listing: &EngineListing,
     epoch: u64,
     now: Instant,
 ) {
-    let ended = held
+    let ended = runtime
         .unconfirmed_streams
         .iter()
         .filter(|(_, (stream, since))| *since <= epoch && !listing.running.contains(stream));
     let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
     for id in ended {
-        held.unconfirmed_streams.remove(&id);
-        held.scheduler.finish_request(id, now);
+        runtime.unconfirmed_streams.remove(&id);
+        runtime.scheduler.finish_request(id, now);
     }
 }
 
-fn residents_differ(held: &TargetRuntime, loaded: &[AdapterVersion]) -> bool {
-    let known: HashSet<_> = held
+fn residents_differ(runtime: &TargetRuntime, loaded: &[AdapterVersion]) -> bool {
+    let known: HashSet<_> = runtime
         .scheduler
         .residents()
         .iter()
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -97,20 +97,14 @@
             return;
         };
         event!(Event::TargetTakenOver, "{target} with token {}", token.0);
-        match self.held.get_mut(target) {
+        match self.held_targets.get_mut(target) {
             // Requests and orders of an earlier lease may still be open on the target, so the runtime state is kept.
-            Some(held) => held.renew_lease(token),
+            Some(runtime) => runtime.renew_lease(token),
             None => {
-                let waiting_most = self.settings.limits.max_waiting_per_target;
-                let runtime = TargetRuntime::new(
-                    target,
-                    token,
-                    config,
-                    waiting_most,
-                    &self.workers.http,
-                    now,
-                );
-                self.held.insert(target.clone(), runtime);
+                let max_waiting = self.settings.limits.max_waiting_per_target;
+                let runtime =
+                    TargetRuntime::new(target, token, config, max_waiting, &self.workers.http, now);
+                self.held_targets.insert(target.clone(), runtime);
             }
         }
         self.apply_targets();
@@ -118,26 +112,26 @@
     }
 
     fn target_lost(&mut self, target: &TargetName, now: Instant) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        if held.phase == TargetPhase::Lost {
+        if runtime.phase == TargetPhase::Lost {
             return;
         }
         event!(Event::TargetLost, "{target}");
-        held.phase = TargetPhase::Lost;
-        held.scheduler.set_open(false);
+        runtime.phase = TargetPhase::Lost;
+        runtime.scheduler.set_open(false);
         self.refuse_waiting(target, &NotRunReason::NotHolder);
         self.settle_own_leases(now);
     }
 
     /// Ends all queued requests of a target as not run.
     pub(super) fn refuse_waiting(&mut self, target: &TargetName, reason: &NotRunReason) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        for queued in held.scheduler.drain_waiting() {
-            if let Some(pending) = held.pending_calls.remove(&queued.id) {
+        for queued in runtime.scheduler.drain_waiting() {
+            if let Some(pending) = runtime.pending_calls.remove(&queued.id) {
                 pending.refuse(reason.clone());
             }
         }
@@ -154,20 +148,20 @@
             .collect();
         for (target, lease) in &own_leases {
             let known = self
-                .held
+                .held_targets
                 .get(target)
-                .is_some_and(|held| held.lease.token == lease.token);
+                .is_some_and(|runtime| runtime.lease.token == lease.token);
             if !known && self.config().targets.contains_key(target) {
                 self.acquire_target(target, lease.token, now);
             }
         }
         let lost: Vec<_> = self
-            .held
+            .held_targets
             .iter()
-            .filter(|(target, held)| {
+            .filter(|(target, runtime)| {
                 let ownership = self.folded.ownership.target(target.as_str());
-                held.phase != TargetPhase::Lost
-                    && !ownership.is_some_and(|ownership| held.lease.is_holder(ownership))
+                runtime.phase != TargetPhase::Lost
+                    && !ownership.is_some_and(|ownership| runtime.lease.is_holder(ownership))
             })
             .map(|(target, _)| target.clone())
             .collect();
@@ -188,7 +182,10 @@
                 .iter()
                 .filter(|lease| lease.is_held_by(&self.me))
                 .peekable();
-            let can_settle = self.held.get(target).is_none_or(TargetRuntime::can_settle);
+            let can_settle = self
+                .held_targets
+                .get(target)
+                .is_none_or(TargetRuntime::can_settle);
             let last = self.last.settled.get(target).copied().unwrap_or_default();
             if own_predecessors.peek().is_none()
                 || !can_settle
@@ -203,7 +200,7 @@
             let _ = self.workers.appender.append(0, records);
         }
         let ownership = &self.folded.ownership;
-        self.held.retain(|target, held| {
+        self.held_targets.retain(|target, runtime| {
             let predecessors = ownership
                 .target(target.as_str())
                 .map(|target| target.predecessors.as_slice());
@@ -211,23 +208,23 @@
                 .unwrap_or_default()
                 .iter()
                 .any(|lease| lease.is_held_by(&self.me));
-            held.phase != TargetPhase::Lost || !held.is_idle() || has_open_lease
+            runtime.phase != TargetPhase::Lost || !runtime.is_idle() || has_open_lease
         });
     }
 
     /// Settles predecessors that are gone and can't record the settlement themselves.
     fn settle_predecessors(&mut self, now: Instant) {
         let mut queries = Vec::new();
-        for (target, held) in &mut self.held {
-            if held.phase == TargetPhase::Lost
-                || now.since(held.settle_query_at) < SETTLE_QUERY_INTERVAL
+        for (target, runtime) in &mut self.held_targets {
+            if runtime.phase == TargetPhase::Lost
+                || now.since(runtime.last_settle_query_at) < SETTLE_QUERY_INTERVAL
             {
                 continue;
             }
             let Some(ownership) = self.folded.ownership.target(target.as_str()) else {
                 continue;
             };
-            held.settle_query_at = now;
+            runtime.last_settle_query_at = now;
             queries.extend(
                 ownership
                     .predecessors
@@ -255,7 +252,10 @@
     }
 
     fn settle_predecessor(&mut self, target: &TargetName, lease: &HolderLease) {
-        let is_engine = self.held.get(target).is_some_and(TargetRuntime::is_engine);
+        let is_engine = self
+            .held_targets
+            .get(target)
+            .is_some_and(TargetRuntime::is_engine);
         if is_engine {
             self.send_order(target, OrderKind::SettleQuery(lease.token));
         } else {
@@ -301,9 +301,9 @@
     }
 
     fn prepare_targets(&mut self, now: Instant) {
-        let due = self.held.iter().filter(|(_, held)| {
-            held.phase == TargetPhase::Preparing
-                && now.since(held.last_prepare_at) >= PREPARE_INTERVAL
+        let due = self.held_targets.iter().filter(|(_, runtime)| {
+            runtime.phase == TargetPhase::Preparing
+                && now.since(runtime.last_prepare_at) >= PREPARE_INTERVAL
         });
         let due: Vec<_> = due.map(|(target, _)| target.clone()).collect();
         for target in due {
@@ -313,18 +313,18 @@
 
     /// Presents the fencing token and lists the adapters; a plain service needs neither.
     pub(super) fn prepare_target(&mut self, target: &TargetName, now: Instant) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        held.last_prepare_at = now;
-        if !held.is_engine() {
-            held.phase = TargetPhase::Serving;
+        runtime.last_prepare_at = now;
+        if !runtime.is_engine() {
+            runtime.phase = TargetPhase::Serving;
             event!(Event::TargetReady, "{target}");
             self.apply_targets();
             self.dispatch_ready(&target.clone(), now);
             return;
         }
-        let kind = match held.lease.fence {
+        let kind = match runtime.lease.fence {
             FenceState::Presented => OrderKind::PresentToken,
             FenceState::NotChecked | FenceState::Acknowledged => OrderKind::List,
         };
--- a/crates/daemon/src/app/peers.rs
+++ b/crates/daemon/src/app/peers.rs
@@ -47,7 +47,7 @@
         match message {
             PeerMessage::Snapshot(state) => self.adopt_snapshot(*state, from.as_str()),
             PeerMessage::Answer(number, answer) => self.query_answered(number, from, answer),
-            PeerMessage::TokensTaken => self.tokens_taken(from),
+            PeerMessage::TokensTaken => self.tokens_accepted(from),
             _ => log::debug!(target: "hoplanding", "unexpected message of peer {from} ignored"),
         }
     }
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -59,12 +59,16 @@
     pub(super) zone: AvailabilityZone,
     pub(super) workers: AppWorkers,
     pub(super) folded: FoldedState,
+    /// Reading position and availability of the log.
     pub(super) feed: LogFeed,
     pub(super) members: MembershipTable,
     pub(super) links: BTreeMap<VmName, PeerLink>,
+    /// Router over the engines of all zones.
     pub(super) engines: TargetRouter,
+    /// Router over the plain services of all zones.
     pub(super) services: TargetRouter,
-    pub(super) held: BTreeMap<TargetName, TargetRuntime>,
+    /// Targets that this daemon holds, and lost ones with work in progress.
+    pub(super) held_targets: BTreeMap<TargetName, TargetRuntime>,
     pub(super) popularity: PopularityTracker,
     pub(super) weights: PolicyWeights,
     pub(super) arbiter: LoadArbiter,
@@ -72,20 +76,30 @@
     /// Current versions of the adapters that operators want kept loaded.
     pub(super) kept_models: Vec<AdapterVersion>,
     pub(super) callers_by_token: HashMap<TokenHash, CallerName>,
+    /// Idempotency tokens issued here, with stored answers.
     pub(super) idempotency: TokenRegistry<StoredAnswer>,
+    /// Repeats of running requests that wait for the answer.
     pub(super) answer_waiters: HashMap<DedupKey, Vec<oneshot::Sender<Option<StoredAnswer>>>>,
+    /// Requests that wait for their key claims: fingerprint, arrival time and reply of each.
     pub(super) pending_claims:
         HashMap<KeyHash, Vec<(u64, Instant, oneshot::Sender<KeyClaimResult>)>>,
+    /// Claims to append with the next tick.
     pub(super) claim_batch: Vec<KeyClaim>,
     pub(super) pending_changes: HashMap<ChangeId, PendingChange>,
+    /// Changes in each append whose outcome is not reported yet.
     pub(super) change_tickets: HashMap<u64, Vec<ChangeId>>,
     pub(super) next_number: u64,
     pub(super) fleet_queries: HashMap<u64, FleetQuery>,
+    /// Requests that this daemon admitted as gateway and that did not end yet.
     pub(super) open_requests: usize,
     pub(super) stopping: Option<StopState>,
+    /// Targets that the VM list marks as leaving.
     pub(super) leaving_targets: HashSet<TargetName>,
+    /// Daemons that took over the idempotency tokens of stopped daemons.
     pub(super) token_successors: HashMap<DaemonRef, VmName>,
+    /// Time at which a newer incarnation of each daemon was noticed; starts the delivery bound.
     pub(super) superseded_since: HashMap<DaemonRef, Instant>,
+    /// Peers of the zone that report a VM as silent, by VM.
     pub(super) silent_reports: HashMap<VmName, HashSet<VmName>>,
     pub(super) last: LastTimes,
 }
@@ -135,7 +149,7 @@
             links: BTreeMap::new(),
             engines: TargetRouter::default(),
             services: TargetRouter::default(),
-            held: BTreeMap::new(),
+            held_targets: BTreeMap::new(),
             popularity: PopularityTracker::default(),
             weights: PolicyWeights::default(),
             arbiter: LoadArbiter::default(),
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -1,8 +1,8 @@
 //! Planned stop of the daemon.
 //!
-//! During the grace period the daemon reports itself as not ready, and still accepts requests until the load balancer
+//! During the drain delay the daemon reports itself as not ready, and still accepts requests until the load balancer
 //! has taken it out. Then it refuses new requests, hands its targets and idempotency tokens over to peers, and ends
-//! once all requests are finished or the bound of the stop is reached.
+//! once all requests are finished or the stop timed out.
 
 use crate::{
     app::{AppState, StopReport, target_runtime::TargetPhase},
@@ -24,18 +24,18 @@
 pub struct StopState {
     reply: Option<oneshot::Sender<StopReport>>,
     started_at: Instant,
-    /// Whether the grace period, in which the load balancer may still send requests, is over.
-    is_grace_over: bool,
+    /// Whether the drain delay passed, in which the load balancer may still send requests.
+    is_drain_delay_over: bool,
     last_handover_at: Instant,
-    tokens_sent_to: Option<VmName>,
-    tokens_taken: bool,
+    token_successor: Option<VmName>,
+    tokens_accepted: bool,
     is_over: bool,
 }
 
 impl StopState {
-    /// Whether new requests are refused, which they are after the grace period.
+    /// Whether new requests are refused, which they are after the drain delay.
     pub(super) fn refuses_requests(&self) -> bool {
-        self.is_grace_over
+        self.is_drain_delay_over
     }
 }
 
@@ -48,15 +48,15 @@
             Event::Stopping,
             "{} requests open, {} targets held",
             self.open_requests,
-            self.held.len()
+            self.held_targets.len()
         );
         self.stopping = Some(StopState {
             reply: Some(reply),
             started_at: now,
-            is_grace_over: false,
+            is_drain_delay_over: false,
             last_handover_at: Instant::default(),
-            tokens_sent_to: None,
-            tokens_taken: false,
+            token_successor: None,
+            tokens_accepted: false,
             is_over: false,
         });
         // Resetting the timer sends the next heartbeat, which announces the stop, at once.
@@ -69,15 +69,15 @@
     }
 
     pub(super) fn tick_stop(&mut self, now: Instant) {
-        let (grace, bound) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
+        let (drain_delay, timeout) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
         let Some(stop) = &mut self.stopping else {
             return;
         };
         let elapsed = now.since(stop.started_at);
-        if elapsed < grace {
+        if elapsed < drain_delay {
             return;
         }
-        stop.is_grace_over = true;
+        stop.is_drain_delay_over = true;
         let due = now.since(stop.last_handover_at) >= HANDOVER_INTERVAL;
         if due {
             stop.last_handover_at = now;
@@ -87,23 +87,23 @@
         let report = StopReport {
             open_requests: self.open_requests
                 + self
-                    .held
+                    .held_targets
                     .values()
-                    .map(|held| held.scheduler.running_len())
+                    .map(|runtime| runtime.scheduler.running_len())
                     .sum::<usize>(),
-            remaining_targets: self.held.len(),
+            remaining_targets: self.held_targets.len(),
         };
         let has_no_successor = self.successor().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
         // Without a peer or without the log, targets can't be handed over; running requests are still finished.
-        let handed_over =
+        let targets_handed_over =
             report.remaining_targets == 0 || has_no_successor || !self.feed.is_available;
-        let finished = report.open_requests == 0 && self.workers.calls.is_empty();
-        let tokens_handed_over = stop.tokens_taken || has_no_successor;
-        if (finished && handed_over && tokens_handed_over) || elapsed >= bound {
-            if !finished || report.remaining_targets > 0 {
+        let requests_finished = report.open_requests == 0 && self.workers.calls.is_empty();
+        let tokens_handed_over = stop.tokens_accepted || has_no_successor;
+        if (requests_finished && targets_handed_over && tokens_handed_over) || elapsed >= timeout {
+            if !requests_finished || report.remaining_targets > 0 {
                 event!(
                     Event::StopTimedOut,
                     "{} requests open, {} targets not handed over",
@@ -142,14 +142,14 @@
         if peers.is_empty() {
             return;
         }
-        let held = self
-            .held
+        let held_targets = self
+            .held_targets
             .iter()
-            .filter(|(_, held)| held.phase != TargetPhase::Lost);
-        let records = held.enumerate().map(|(index, (target, held))| {
+            .filter(|(_, runtime)| runtime.phase != TargetPhase::Lost);
+        let records = held_targets.enumerate().map(|(index, (target, runtime))| {
             LogRecord::Takeover(TakeoverRecord {
                 target: target.clone(),
-                replaces: Some(held.lease.token),
+                replaces: Some(runtime.lease.token),
                 holder: peers[index % peers.len()].clone(),
             })
         });
@@ -164,23 +164,23 @@
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        let (Some(successor), None) = (successor, &stop.tokens_sent_to) else {
+        let (Some(successor), None) = (successor, &stop.token_successor) else {
             return;
         };
         let Some(link) = self.links.get(&successor.vm) else {
             return;
         };
-        let handed = self.idempotency.transfer_to(&successor);
-        if link.try_send(PeerMessage::HandTokens(handed)) {
-            stop.tokens_sent_to = Some(successor.vm.clone());
+        let tokens = self.idempotency.transfer_to(&successor);
+        if link.try_send(PeerMessage::HandTokens(tokens)) {
+            stop.token_successor = Some(successor.vm.clone());
         }
     }
 
-    pub(super) fn tokens_taken(&mut self, successor: &VmName) {
+    pub(super) fn tokens_accepted(&mut self, successor: &VmName) {
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        stop.tokens_taken = true;
+        stop.tokens_accepted = true;
         event!(Event::TokensHandedOver, "to {successor}");
         let issuers = [self.me.clone()];
         self.announce_successor(&issuers, successor);
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -49,12 +49,12 @@
         for (name, config) in &self.config().targets {
             let ownership = self.folded.ownership.target(name.as_str());
             let holder = ownership.and_then(|ownership| ownership.holder.as_ref());
-            let held = self
-                .held
+            let runtime = self
+                .held_targets
                 .get(name)
-                .filter(|held| held.phase != TargetPhase::Lost);
+                .filter(|runtime| runtime.phase != TargetPhase::Lost);
             let is_unheld = holder.is_none() && config.zone == self.zone && self.is_first_in_zone();
-            if held.is_none() && !is_unheld {
+            if runtime.is_none() && !is_unheld {
                 continue;
             }
             let (role, seats, slots) = match &config.role {
@@ -64,12 +64,12 @@
                     concurrency,
                 } => (format!("service {service}"), *concurrency, 0),
             };
-            let scheduler = held.map(|held| &held.scheduler);
+            let scheduler = runtime.map(|runtime| &runtime.scheduler);
             table.rows.push(vec![
                 CellValue::text(name),
                 CellValue::text(&config.zone),
                 CellValue::Text(role),
-                CellValue::text(self.target_state(name, held)),
+                CellValue::text(self.target_state(name, runtime)),
                 CellValue::optional(holder.map(|lease| &lease.daemon.vm)),
                 CellValue::optional(holder.map(|lease| lease.token.0)),
                 CellValue::Bool(config.checks_fencing),
@@ -97,15 +97,15 @@
     fn target_state(
         &self,
         name: &hoplanding_core::ids::TargetName,
-        held: Option<&crate::app::target_runtime::TargetRuntime>,
+        runtime: Option<&crate::app::target_runtime::TargetRuntime>,
     ) -> &'static str {
-        match held {
+        match runtime {
             None => "nobody holds it",
-            Some(held) if held.is_quarantined => "quarantined",
-            Some(held) if !held.is_reachable => "unreachable",
-            Some(held) if held.is_leaving || self.leaving_targets.contains(name) => "leaving",
-            Some(held) if held.config.draining => "draining",
-            Some(held) if held.is_serving() => "serving",
+            Some(runtime) if runtime.is_quarantined => "quarantined",
+            Some(runtime) if !runtime.is_reachable => "unreachable",
+            Some(runtime) if runtime.is_leaving || self.leaving_targets.contains(name) => "leaving",
+            Some(runtime) if runtime.config.draining => "draining",
+            Some(runtime) if runtime.is_serving() => "serving",
             Some(_) => "preparing",
         }
     }
@@ -121,8 +121,8 @@
             "rate",
             "idle_s",
         ]);
-        for (name, held) in &self.held {
-            for resident in held.scheduler.residents() {
+        for (name, runtime) in &self.held_targets {
+            for resident in runtime.scheduler.residents() {
                 let state = match resident.state {
                     AdapterState::Loading => "loading",
                     AdapterState::Loaded => "loaded",
@@ -132,7 +132,7 @@
                     CellValue::text(&resident.model.adapter),
                     CellValue::text(&resident.model.version),
                     CellValue::text(name),
-                    CellValue::text(&held.config.zone),
+                    CellValue::text(&runtime.config.zone),
                     CellValue::text(state),
                     CellValue::Number(f64::from(resident.in_flight)),
                     CellValue::Number(self.popularity.rate(&resident.model, now)),
@@ -153,8 +153,8 @@
             "requests",
             "longest_s",
         ]);
-        for (name, held) in &self.held {
-            for (model, queue) in held.scheduler.waiting().iter() {
+        for (name, runtime) in &self.held_targets {
+            for (model, queue) in runtime.scheduler.waiting().iter() {
                 for class in PriorityClass::ALL {
                     let count = queue.counts()[class.index()];
                     let Some(head) = queue.head(class) else {
@@ -179,8 +179,8 @@
         let mut table = DataTable::new(&[
             "request", "state", "target", "adapter", "class", "caller", "waited_s",
         ]);
-        for (name, held) in &self.held {
-            for (_, queue) in held.scheduler.waiting().iter() {
+        for (name, runtime) in &self.held_targets {
+            for (_, queue) in runtime.scheduler.waiting().iter() {
                 for request in queue.iter() {
                     table.rows.push(vec![
                         CellValue::text(request.id),
@@ -193,8 +193,8 @@
                     ]);
                 }
             }
-            for id in held.scheduler.running_ids() {
-                let state = if held.unconfirmed_streams.contains_key(&id) {
+            for id in runtime.scheduler.running_ids() {
+                let state = if runtime.unconfirmed_streams.contains_key(&id) {
                     "ending"
                 } else {
                     "running"
--- a/crates/daemon/src/app/target_runtime.rs
+++ b/crates/daemon/src/app/target_runtime.rs
@@ -89,17 +89,20 @@
     pub(super) config: TargetConfig,
     pub(super) client: EngineClient,
     pub(super) scheduler: TargetScheduler,
+    /// Boot number of the engine, which changes with each restart; 0 before the first listing.
     pub(super) boot: u64,
     pub(super) pending_calls: HashMap<RequestId, PendingCall>,
     /// Streams whose end at the target is unconfirmed, each with the epoch of its end here.
     ///
     /// Each stream keeps its seat until the target no longer lists it.
     pub(super) unconfirmed_streams: HashMap<RequestId, (String, u64)>,
+    /// Names of the streams that run at the target, by request.
     pub(super) streams: HashMap<RequestId, String>,
     pub(super) order: Option<PendingOrder>,
+    /// Whether a listing is in flight.
     pub(super) is_listing: bool,
     pub(super) listed_at: Instant,
-    pub(super) settle_query_at: Instant,
+    pub(super) last_settle_query_at: Instant,
     pub(super) last_prepare_at: Instant,
     /// Counter of loads, unloads and ends of streams.
     ///
@@ -107,7 +110,9 @@
     pub(super) epoch: u64,
     /// Whether the target answered with another adapter; an operator ends the quarantine by draining and undraining it.
     pub(super) is_quarantined: bool,
+    /// Whether the target is considered reachable.
     pub(super) is_reachable: bool,
+    /// Whether the target announces that it is about to leave.
     pub(super) is_leaving: bool,
     /// Tokens received from streams of this target since the last throughput sample.
     pub(super) streamed_tokens: Arc<AtomicU64>,
@@ -119,7 +124,7 @@
         target: &TargetName,
         token: FencingToken,
         config: &TargetConfig,
-        waiting_most: usize,
+        max_waiting: usize,
         http: &reqwest::Client,
         now: Instant,
     ) -> Self {
@@ -128,12 +133,12 @@
                 let limits = SchedulerLimits {
                     slots: *slots as usize,
                     seats: *batch as usize,
-                    waiting: waiting_most,
+                    waiting: max_waiting,
                 };
                 TargetScheduler::engine(target.clone(), limits)
             }
             TargetRole::Service { concurrency, .. } => {
-                TargetScheduler::service(target.clone(), *concurrency as usize, waiting_most)
+                TargetScheduler::service(target.clone(), *concurrency as usize, max_waiting)
             }
         };
         Self {
@@ -149,7 +154,7 @@
             order: None,
             is_listing: false,
             listed_at: Instant::default(),
-            settle_query_at: Instant::default(),
+            last_settle_query_at: Instant::default(),
             last_prepare_at: now,
             epoch: 0,
             is_quarantined: false,
@@ -174,15 +179,15 @@
         self.scheduler.running_len() == 0 && self.order.is_none()
     }
 
-    /// Samples the token throughput of the target, which is representative only while at least three quarters of the seats are
-    /// taken.
+    /// Samples the token throughput of the target, which is representative only while at least three quarters of the
+    /// seats are taken.
     pub(super) fn sample_throughput(&mut self, now: Instant) {
         let tokens = self.streamed_tokens.swap(0, Ordering::Relaxed);
         let seconds = now
             .since(std::mem::replace(&mut self.throughput_sampled_at, now))
             .as_secs_f64();
-        let nearly_full = self.scheduler.running_len() * 4 >= self.scheduler.limits().seats * 3;
-        if nearly_full && tokens > 0 && seconds > 0.0 {
+        let is_nearly_full = self.scheduler.running_len() * 4 >= self.scheduler.limits().seats * 3;
+        if is_nearly_full && tokens > 0 && seconds > 0.0 {
             self.scheduler.record_throughput(tokens as f64 / seconds);
         }
     }
