--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -1,4 +1,7 @@
-//! Commands of operators: appended, read back, and only then called accepted.
+//! Configuration changes from operators' commands.
+//!
+//! A change is appended to the log and reported as accepted only after it was read back and applied. If the answer to
+//! the append is lost, the change is appended again under the same id, which has no second effect.
 
 use crate::{
     app::{AppState, OperatorError, OperatorResponse},
@@ -14,19 +17,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time after which an operator is told that nobody can say yet.
-const ANSWER_WITHIN: Duration = Duration::from_secs(12);
-/// Time for a record whose answer was lost to turn up, before it is appended again.
-const TURN_UP_WITHIN: Duration = Duration::from_secs(2);
+/// Time after which an operator is told that the outcome of a change is unknown.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time for a change whose append was not confirmed to be read back, before it is appended again.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(2);
 
 type ChangeReply = oneshot::Sender<Result<OperatorResponse, OperatorError>>;
 
-/// A change that was appended and not read back yet.
+/// A change that was appended and is not read back yet.
 pub struct PendingChange {
     record: ChangeRecord,
     reply: Option<ChangeReply>,
-    began: Instant,
-    append_again_at: Option<Instant>,
+    started_at: Instant,
+    reappend_at: Option<Instant>,
     may_have_effect: bool,
 }
 
@@ -54,8 +57,8 @@
         let pending = PendingChange {
             record,
             reply: Some(reply),
-            began: now,
-            append_again_at: None,
+            started_at: now,
+            reappend_at: None,
             may_have_effect: false,
         };
         self.pending_changes.insert(id.clone(), pending);
@@ -67,10 +70,10 @@
         let Some(pending) = self.pending_changes.get_mut(id) else {
             return;
         };
-        pending.append_again_at = None;
+        pending.reappend_at = None;
         let record = LogRecord::Change(pending.record.clone());
         if self.workers.appender.append(ticket, vec![record]) {
-            self.tickets.insert(ticket, vec![id.clone()]);
+            self.change_tickets.insert(ticket, vec![id.clone()]);
         } else {
             self.fail_change(id, |_| OperatorError::LogUnavailable);
         }
@@ -79,7 +82,7 @@
     pub(super) fn appended(&mut self, tickets: &[u64], outcome: AppendOutcome, now: Instant) {
         let ids: Vec<_> = tickets
             .iter()
-            .filter_map(|ticket| self.tickets.remove(ticket))
+            .filter_map(|ticket| self.change_tickets.remove(ticket))
             .flatten()
             .collect();
         for id in ids {
@@ -90,10 +93,10 @@
                 AppendOutcome::Appended => pending.may_have_effect = true,
                 AppendOutcome::Unknown => {
                     pending.may_have_effect = true;
-                    pending.append_again_at = Some(now.after(TURN_UP_WITHIN));
+                    pending.reappend_at = Some(now.after(READ_BACK_TIMEOUT));
                 }
                 AppendOutcome::NotAppended if pending.may_have_effect => {
-                    pending.append_again_at = Some(now.after(TURN_UP_WITHIN));
+                    pending.reappend_at = Some(now.after(READ_BACK_TIMEOUT));
                 }
                 AppendOutcome::NotAppended => {
                     self.fail_change(&id, |_| OperatorError::LogUnavailable)
@@ -105,8 +108,8 @@
         }
     }
 
-    /// The fold has decided about a change.
-    pub(super) fn settle_change(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
+    /// Answers a change with the outcome of applying it.
+    pub(super) fn resolve_change(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
         let Some(pending) = self.pending_changes.remove(id) else {
             return;
         };
@@ -132,21 +135,21 @@
     }
 
     pub(super) fn tick_changes(&mut self, now: Instant) {
-        let again = self
+        let due = self
             .pending_changes
             .iter()
-            .filter(|(_, pending)| pending.append_again_at.is_some_and(|at| at <= now));
-        let again: Vec<_> = again.map(|(id, _)| id.clone()).collect();
-        for id in again {
-            // The log was read forward for a while and the change did not turn up; a second copy has no second effect.
+            .filter(|(_, pending)| pending.reappend_at.is_some_and(|at| at <= now));
+        let due: Vec<_> = due.map(|(id, _)| id.clone()).collect();
+        for id in due {
+            // The change was not read back in time; a second record with the same id has no effect.
             self.append_change(&id);
         }
-        let late = self
+        let timed_out = self
             .pending_changes
             .iter()
-            .filter(|(_, pending)| now.since(pending.began) > ANSWER_WITHIN);
-        let late: Vec<_> = late.map(|(id, _)| id.clone()).collect();
-        for id in late {
+            .filter(|(_, pending)| now.since(pending.started_at) > CHANGE_TIMEOUT);
+        let timed_out: Vec<_> = timed_out.map(|(id, _)| id.clone()).collect();
+        for id in timed_out {
             self.fail_change(&id, OperatorError::OutcomeUnknown);
         }
     }
--- a/crates/daemon/src/app/mod.rs
+++ b/crates/daemon/src/app/mod.rs
@@ -1,13 +1,13 @@
-//! The event loop: the one place where a daemon's state changes.
+//! The event loop, which owns and changes the state of a daemon.
 //!
-//! Workers feed it by channel and carry out what it decides. Nothing in here waits for a socket or a file.
+//! Workers send it events over a channel and carry out its decisions in tasks of their own. Event handlers never wait
+//! for a socket or a file.
 
 mod admission;
 mod changes;
 mod event;
 mod event_loop;
 mod explain;
-mod held;
 mod holder;
 mod idempotency;
 mod log_feed;
@@ -19,6 +19,7 @@
 mod state;
 mod stopping;
 mod tables;
+mod target_runtime;
 
 pub use event::{
     Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppEvent, IdempotencyDecision,
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -1,6 +1,6 @@
-//! The tables that queries ask for.
+//! Tables of the operators' query language.
 
-use crate::app::{AppState, held::HeldPhase};
+use crate::app::{AppState, target_runtime::TargetPhase};
 use hoplanding_core::{
     config::{AuditOutcome, LoadPolicy, RequestRepeatability, TargetRole, VersionStatus},
     ids::{Instant, PriorityClass},
@@ -9,8 +9,8 @@
 };
 
 impl AppState {
-    /// This daemon's part of a table.
-    pub(super) fn table(&mut self, name: TableName, now: Instant) -> DataTable {
+    /// Returns this daemon's rows of a table.
+    pub(super) fn local_table(&mut self, name: TableName, now: Instant) -> DataTable {
         match name {
             TableName::Targets => self.targets_table(),
             TableName::Loaded => self.loaded_table(now),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Targets that this daemon holds, and those that nobody holds if this daemon comes first in the zone.
+    /// Lists the targets that this daemon holds; the first daemon of a zone by name also lists those without a holder.
     fn targets_table(&self) -> DataTable {
         let mut table = DataTable::new(&[
             "target",
@@ -49,12 +49,12 @@
         for (name, config) in &self.config().targets {
             let ownership = self.folded.ownership.target(name.as_str());
             let holder = ownership.and_then(|ownership| ownership.holder.as_ref());
-            let held = self
-                .held
+            let runtime = self
+                .held_targets
                 .get(name)
-                .filter(|held| held.phase != HeldPhase::Lost);
-            let is_orphan = holder.is_none() && config.zone == self.zone && self.comes_first();
-            if held.is_none() && !is_orphan {
+                .filter(|runtime| runtime.phase != TargetPhase::Lost);
+            let is_unheld = holder.is_none() && config.zone == self.zone && self.is_first_in_zone();
+            if runtime.is_none() && !is_unheld {
                 continue;
             }
             let (role, seats, slots) = match &config.role {
@@ -64,12 +64,12 @@
                     concurrency,
                 } => (format!("service {service}"), *concurrency, 0),
             };
-            let scheduler = held.map(|held| &held.scheduler);
+            let scheduler = runtime.map(|runtime| &runtime.scheduler);
             table.rows.push(vec![
                 CellValue::text(name),
                 CellValue::text(&config.zone),
                 CellValue::Text(role),
-                CellValue::text(self.target_state(name, held)),
+                CellValue::text(self.target_state(name, runtime)),
                 CellValue::optional(holder.map(|lease| &lease.daemon.vm)),
                 CellValue::optional(holder.map(|lease| lease.token.0)),
                 CellValue::Bool(config.checks_fencing),
@@ -87,7 +87,7 @@
         table
     }
 
-    fn comes_first(&self) -> bool {
+    fn is_first_in_zone(&self) -> bool {
         self.members
             .eligible_daemons()
             .iter()
@@ -97,15 +97,15 @@
     fn target_state(
         &self,
         name: &hoplanding_core::ids::TargetName,
-        held: Option<&crate::app::held::HeldRuntime>,
+        runtime: Option<&crate::app::target_runtime::TargetRuntime>,
     ) -> &'static str {
-        match held {
+        match runtime {
             None => "nobody holds it",
-            Some(held) if held.is_quarantined => "quarantined",
-            Some(held) if !held.is_reachable => "unreachable",
-            Some(held) if held.says_leaving || self.leaving_targets.contains(name) => "leaving",
-            Some(held) if held.config.draining => "draining",
-            Some(held) if held.is_serving() => "serving",
+            Some(runtime) if runtime.is_quarantined => "quarantined",
+            Some(runtime) if !runtime.is_reachable => "unreachable",
+            Some(runtime) if runtime.is_leaving || self.leaving_targets.contains(name) => "leaving",
+            Some(runtime) if runtime.config.draining => "draining",
+            Some(runtime) if runtime.is_serving() => "serving",
             Some(_) => "preparing",
         }
     }
@@ -121,8 +121,8 @@
             "rate",
             "idle_s",
         ]);
-        for (name, held) in &self.held {
-            for resident in held.scheduler.residents() {
+        for (name, runtime) in &self.held_targets {
+            for resident in runtime.scheduler.residents() {
                 let state = match resident.state {
                     AdapterState::Loading => "loading",
                     AdapterState::Loaded => "loaded",
@@ -132,7 +132,7 @@
                     CellValue::text(&resident.model.adapter),
                     CellValue::text(&resident.model.version),
                     CellValue::text(name),
-                    CellValue::text(&held.config.zone),
+                    CellValue::text(&runtime.config.zone),
                     CellValue::text(state),
                     CellValue::Number(f64::from(resident.in_flight)),
                     CellValue::Number(self.popularity.rate(&resident.model, now)),
@@ -153,8 +153,8 @@
             "requests",
             "longest_s",
         ]);
-        for (name, held) in &self.held {
-            for (model, queue) in held.scheduler.waiting().iter() {
+        for (name, runtime) in &self.held_targets {
+            for (model, queue) in runtime.scheduler.waiting().iter() {
                 for class in PriorityClass::ALL {
                     let count = queue.counts()[class.index()];
                     let Some(head) = queue.head(class) else {
@@ -179,8 +179,8 @@
         let mut table = DataTable::new(&[
             "request", "state", "target", "adapter", "class", "caller", "waited_s",
         ]);
-        for (name, held) in &self.held {
-            for (_, queue) in held.scheduler.waiting().iter() {
+        for (name, runtime) in &self.held_targets {
+            for (_, queue) in runtime.scheduler.waiting().iter() {
                 for request in queue.iter() {
                     table.rows.push(vec![
                         CellValue::text(request.id),
@@ -193,8 +193,8 @@
                     ]);
                 }
             }
-            for id in held.scheduler.running_ids() {
-                let state = if held.doubtful.contains_key(&id) {
+            for id in runtime.scheduler.running_ids() {
+                let state = if runtime.unconfirmed_streams.contains_key(&id) {
                     "ending"
                 } else {
                     "running"
@@ -273,7 +273,7 @@
                 CellValue::text(name),
                 CellValue::Number(caller.quota.requests_per_second),
                 CellValue::Number(f64::from(caller.quota.waiting)),
-                CellValue::Number(f64::from(self.limits.open_requests(name.as_str()))),
+                CellValue::Number(f64::from(self.caller_limits.open_requests(name.as_str()))),
                 CellValue::text(caller.revision),
             ]);
         }
@@ -387,7 +387,7 @@
             CellValue::text(&self.me.vm),
             CellValue::text(&self.zone),
             CellValue::Number(self.folded.applied.0 as f64),
-            CellValue::text(if self.feed.is_up { "up" } else { "out" }),
+            CellValue::text(if self.feed.is_available { "up" } else { "out" }),
             read,
             CellValue::Bool(self.is_ready()),
             CellValue::count(self.config().adapters.len()),
