--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -1,9 +1,12 @@
-//! Admitting requests and choosing their targets.
+//! Admission of requests and selection of their targets.
+//!
+//! A gateway authenticates the caller, resolves the model, applies quotas and limits, and asks for a target for each
+//! attempt.
 
 use crate::{
     app::{
-        Admission, AdmitRefusal, AdmitRequest, AdmitSubject, AppState, RouteAnswer, RouteRequest,
-        RouteVia, held::HeldPhase,
+        Admission, AdmissionError, AdmissionRequest, AdmissionSubject, AppState, RouteRequest,
+        RouteVia, SelectedRoute, target_runtime::TargetPhase,
     },
     calls::{CallBuffer, CallEnd, SubmitRequest},
     gateway::{CallDriver, DriverContext},
@@ -16,42 +19,42 @@
 };
 use std::sync::Arc;
 
-/// Choices that are tried before a request is refused for want of a target.
-const ROUTE_TRIES: usize = 8;
-/// When to come back if no target is there, in milliseconds.
-const NO_TARGET_MS: u64 = 1000;
-/// When to come back if too many requests are open, in milliseconds.
-const OVERLOADED_MS: u64 = 1000;
+/// Maximum number of target choices per routing attempt before the request is refused.
+const MAX_ROUTE_ATTEMPTS: usize = 8;
+/// Suggested retry delay, in milliseconds, when no target can take the request.
+const NO_TARGET_RETRY_MS: u64 = 1000;
+/// Suggested retry delay, in milliseconds, when too many requests are open.
+const OVERLOADED_RETRY_MS: u64 = 1000;
 
 impl AppState {
-    pub(super) fn caller_of(&self, bearer: &str) -> Result<CallerName, AdmitRefusal> {
+    pub(super) fn caller_of(&self, bearer: &str) -> Result<CallerName, AdmissionError> {
         let caller = self.callers_by_token.get(&TokenHash::of(bearer));
-        caller.cloned().ok_or(AdmitRefusal::UnknownCaller)
+        caller.cloned().ok_or(AdmissionError::UnknownCaller)
     }
 
     pub(super) fn admit(
         &mut self,
-        request: &AdmitRequest,
+        request: &AdmissionRequest,
         now: Instant,
-    ) -> Result<Admission, AdmitRefusal> {
+    ) -> Result<Admission, AdmissionError> {
         let caller = self.caller_of(&request.bearer)?;
         let resolved = self.resolve(&caller, &request.subject)?;
         if self
             .stopping
             .as_ref()
-            .is_some_and(super::stopping::StopState::refuses_new)
+            .is_some_and(super::stopping::StopState::refuses_requests)
         {
             return Err(NotRunReason::Stopping.into());
         }
-        if self.open_requests >= self.settings.limits.open_requests {
+        if self.open_requests >= self.settings.limits.max_open_requests {
             return Err(NotRunReason::Overloaded {
-                retry_after_ms: OVERLOADED_MS,
+                retry_after_ms: OVERLOADED_RETRY_MS,
             }
             .into());
         }
         let configured = self.config().callers.get(&caller);
         let quota = configured.map_or_else(CallerQuota::default, |config| config.quota);
-        self.limits.admit(&caller, &quota, now)?;
+        self.caller_limits.admit(&caller, &quota, now)?;
         self.open_requests += 1;
         self.workers.metrics.count("gateway.admitted");
         let class = request
@@ -68,27 +71,28 @@
     fn resolve(
         &self,
         caller: &CallerName,
-        subject: &AdmitSubject,
-    ) -> Result<ResolvedModel, AdmitRefusal> {
+        subject: &AdmissionSubject,
+    ) -> Result<ResolvedModel, AdmissionError> {
         match subject {
-            AdmitSubject::Model(model) => Ok(self.config().resolve(caller.as_str(), model)?),
-            AdmitSubject::Service(service, method, path) => {
+            AdmissionSubject::Model(model) => Ok(self.config().resolve(caller.as_str(), model)?),
+            AdmissionSubject::Service(service, method, path) => {
                 let exists = self
                     .config()
                     .targets
                     .values()
                     .any(|target| is_member(&target.role, service));
                 if !exists {
-                    return Err(AdmitRefusal::UnknownService(service.clone()));
+                    return Err(AdmissionError::UnknownService(service.clone()));
                 }
                 let right = self
                     .config()
                     .right_to_service(caller.as_str(), service.as_str());
-                let right = right
-                    .ok_or_else(|| AdmitRefusal::NoService(caller.clone(), service.clone()))?;
+                let right = right.ok_or_else(|| {
+                    AdmissionError::NoServiceRight(caller.clone(), service.clone())
+                })?;
                 Ok(ResolvedModel {
                     model: AdapterVersion::new(service.as_str(), "-"),
-                    rule: self.config().service_rule(service.as_str(), method, path),
+                    repeatability: self.config().service_rule(service.as_str(), method, path),
                     priority: right.priority,
                 })
             }
@@ -98,7 +102,7 @@
     pub(super) fn list_models(
         &self,
         bearer: &str,
-    ) -> Result<Vec<(AdapterVersion, bool)>, AdmitRefusal> {
+    ) -> Result<Vec<(AdapterVersion, bool)>, AdmissionError> {
         let caller = self.caller_of(bearer)?;
         let mut models = Vec::new();
         for (adapter, config) in &self.config().adapters {
@@ -120,7 +124,7 @@
         Ok(models)
     }
 
-    /// Serves an admitted request to its end, in a task of its own.
+    /// Spawns a task that runs an admitted request to its end.
     pub(super) fn submit(&mut self, request: SubmitRequest, buffer: Arc<CallBuffer>) {
         let id = RequestId {
             gateway: self.me.incarnation,
@@ -129,7 +133,7 @@
         if self
             .stopping
             .as_ref()
-            .is_some_and(super::stopping::StopState::refuses_new)
+            .is_some_and(super::stopping::StopState::refuses_requests)
             && request.idempotency.is_none()
         {
             let call = RequestCall::new(id);
@@ -142,27 +146,27 @@
 
     pub(super) fn request_ended(&mut self, caller: &CallerName) {
         self.open_requests = self.open_requests.saturating_sub(1);
-        self.limits.finish(caller.as_str());
+        self.caller_limits.finish(caller.as_str());
     }
 
-    pub(super) fn route(&mut self, request: &RouteRequest) -> Result<RouteAnswer, NotRunReason> {
+    pub(super) fn route(&mut self, request: &RouteRequest) -> Result<SelectedRoute, NotRunReason> {
         if let Some(target) = &request.target {
-            return self.way_to(target).ok_or(NotRunReason::NoTarget {
-                retry_after_ms: NO_TARGET_MS,
+            return self.route_to(target).ok_or(NotRunReason::NoTarget {
+                retry_after_ms: NO_TARGET_RETRY_MS,
             });
         }
-        for _ in 0..ROUTE_TRIES {
+        for _ in 0..MAX_ROUTE_ATTEMPTS {
             let Some(choice) = self.choose(request) else {
                 break;
             };
-            if let Some(answer) = self.way_to(&choice.target) {
+            if let Some(answer) = self.route_to(&choice.target) {
                 return Ok(answer);
             }
             self.engines.set_reachable(choice.target.as_str(), false);
             self.services.set_reachable(choice.target.as_str(), false);
         }
         Err(NotRunReason::NoTarget {
-            retry_after_ms: NO_TARGET_MS,
+            retry_after_ms: NO_TARGET_RETRY_MS,
         })
     }
 
@@ -173,7 +177,7 @@
             class: request.class,
             output_tokens: request.output_tokens,
             zone: &self.zone,
-            avoid: &request.avoid,
+            excluded: &request.avoid,
         };
         let Some(service) = &request.service else {
             return self.engines.choose(&query, &self.weights);
@@ -188,9 +192,9 @@
             .choose_service(&query, &self.weights, is_service)
     }
 
-    fn way_to(&self, target: &TargetName) -> Option<RouteAnswer> {
+    fn route_to(&self, target: &TargetName) -> Option<SelectedRoute> {
         let lease = self.folded.ownership.holder(target.as_str())?;
-        let via = if lease.is_of(&self.me) {
+        let via = if lease.is_held_by(&self.me) {
             RouteVia::Local
         } else {
             let link = self
@@ -199,13 +203,13 @@
                 .filter(|link| link.is_connected())?;
             RouteVia::Link(link.clone())
         };
-        Some(RouteAnswer {
+        Some(SelectedRoute {
             target: target.clone(),
             via,
         })
     }
 
-    /// Whether a target gets no new work, by any witness.
+    /// Whether the configuration or the VM list excludes a target from new work.
     pub(super) fn is_closed(&self, target: &TargetName) -> bool {
         let draining = self
             .config()
@@ -220,7 +224,7 @@
         self.services.close(target.as_str());
     }
 
-    /// Opens and closes targets as configuration, list and the targets themselves say.
+    /// Opens and closes targets according to the configuration, the VM list and the targets' own state.
     pub(super) fn apply_targets(&mut self) {
         let closed: Vec<_> = self
             .config()
@@ -232,30 +236,30 @@
         for target in &closed {
             self.close_route(target);
         }
-        let names: Vec<_> = self.held.keys().cloned().collect();
+        let names: Vec<_> = self.held_targets.keys().cloned().collect();
         for target in names {
             let is_closed = self.is_closed(&target);
             let configured = self.folded.config.targets.get(&target).cloned();
-            let Some(held) = self.held.get_mut(&target) else {
+            let Some(runtime) = self.held_targets.get_mut(&target) else {
                 continue;
             };
-            let was_draining = held.config.draining;
+            let was_draining = runtime.config.draining;
             if let Some(config) = configured {
-                held.is_quarantined &= !was_draining || config.draining;
-                held.config = config;
+                runtime.is_quarantined &= !was_draining || config.draining;
+                runtime.config = config;
             }
             let open = !is_closed
-                && !held.is_quarantined
-                && !held.says_leaving
-                && held.phase != HeldPhase::Lost;
-            held.scheduler.set_open(open);
+                && !runtime.is_quarantined
+                && !runtime.is_leaving
+                && runtime.phase != TargetPhase::Lost;
+            runtime.scheduler.set_open(open);
             if !open {
                 let reason = NotRunReason::NoTarget {
-                    retry_after_ms: NO_TARGET_MS,
+                    retry_after_ms: NO_TARGET_RETRY_MS,
                 };
-                self.give_back_waiting(&target, &reason);
+                self.refuse_waiting(&target, &reason);
             }
-            self.observe_own(&target);
+            self.observe_own_target(&target);
         }
     }
 }
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -1,101 +1,111 @@
-//! Tokens and keys: who may run a request that must not run twice.
+//! Idempotency tokens and keys of requests that must run at most once.
+//!
+//! A token names the daemon that issued it, and that daemon decides whether its request runs. A key is chosen by the
+//! caller; the first daemon whose claim is in the log decides. Other daemons forward their requests to it.
 
 use crate::{
-    app::{AdmitRefusal, AppState, ClaimAnswer, RepeatAnswer, UseEnd},
+    app::{AdmissionError, AppState, IdempotencyDecision, IdempotentOutcome, KeyClaimResult},
     platform::AppendOutcome,
 };
 use hoplanding_core::{
     ids::{DaemonRef, Instant},
     log::{KeyClaimsRecord, LogRecord},
     request::{
-        ClaimOutcome, IdempotencyToken, KeyClaim, KeyHash, RepeatKey, TokenDecision, TokenError,
+        ClaimOutcome, DedupKey, IdempotencyToken, KeyClaim, KeyHash, TokenDecision, TokenError,
     },
 };
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time for a claim to be read back before it is appended again.
-const CLAIM_AGAIN_AFTER: Duration = Duration::from_secs(2);
-/// Time after which a claim counts as not made.
-const CLAIM_WITHIN: Duration = Duration::from_secs(10);
+/// Time for a claim to be read back from the log before it is appended again.
+const CLAIM_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Time after which a request stops waiting for its claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl AppState {
-    pub(super) fn issue_token(&mut self, bearer: &str) -> Result<IdempotencyToken, AdmitRefusal> {
+    pub(super) fn issue_token(&mut self, bearer: &str) -> Result<IdempotencyToken, AdmissionError> {
         if !bearer.is_empty() {
             self.caller_of(bearer)?;
         }
-        Ok(self.repeats.issue())
+        Ok(self.idempotency.issue())
     }
 
-    pub(super) fn begin_repeat(&mut self, key: &RepeatKey, fingerprint: u64) -> RepeatAnswer {
-        match self.repeats.begin(key, fingerprint) {
-            Ok(TokenDecision::Run) => RepeatAnswer::Run,
-            Ok(TokenDecision::Replay(answer)) => RepeatAnswer::Replay(answer),
+    pub(super) fn begin_idempotent(
+        &mut self,
+        key: &DedupKey,
+        fingerprint: u64,
+    ) -> IdempotencyDecision {
+        match self.idempotency.begin(key, fingerprint) {
+            Ok(TokenDecision::Run) => IdempotencyDecision::Run,
+            Ok(TokenDecision::Replay(answer)) => IdempotencyDecision::Replay(answer),
             Ok(TokenDecision::Join) => {
                 let (sender, receiver) = oneshot::channel();
-                self.joins.entry(key.clone()).or_default().push(sender);
-                RepeatAnswer::Join(receiver)
+                self.answer_waiters
+                    .entry(key.clone())
+                    .or_default()
+                    .push(sender);
+                IdempotencyDecision::Join(receiver)
             }
             Ok(TokenDecision::Unknown) => {
-                RepeatAnswer::Unknown("its answer is no longer kept".to_owned())
+                IdempotencyDecision::Unknown("its answer is no longer kept".to_owned())
             }
-            Err(TokenError::Elsewhere(issuer)) => self.forward_token(&issuer),
-            Err(TokenError::HandedOver(heir)) => self.forward_to(
-                &heir,
+            Err(TokenError::WrongDaemon(issuer)) => self.forward_token(&issuer),
+            Err(TokenError::Transferred(successor)) => self.forward_to(
+                &successor,
                 "the daemon that took the token over can't be reached",
             ),
-            Err(TokenError::IssuerEnded) => {
-                RepeatAnswer::Unknown("the daemon that issued the token has ended".to_owned())
-            }
-            Err(error) => RepeatAnswer::Wrong(error),
+            Err(TokenError::IssuerEnded) => IdempotencyDecision::Unknown(
+                "the daemon that issued the token has ended".to_owned(),
+            ),
+            Err(error) => IdempotencyDecision::InvalidToken(error),
         }
     }
 
-    fn forward_token(&self, issuer: &DaemonRef) -> RepeatAnswer {
-        // A planned stop told everyone who took the tokens over.
-        if let Some(heir) = self.token_heirs.get(issuer)
-            && let Some(link) = self.links.get(heir).filter(|link| link.is_connected())
+    fn forward_token(&self, issuer: &DaemonRef) -> IdempotencyDecision {
+        // A daemon announces the successor of its tokens to all peers during a planned stop.
+        if let Some(successor) = self.token_successors.get(issuer)
+            && let Some(link) = self.links.get(successor).filter(|link| link.is_connected())
         {
-            return RepeatAnswer::Forward(link.clone());
+            return IdempotencyDecision::Forward(link.clone());
         }
         let peer = self.members.peer(issuer.vm.as_str());
         if peer.and_then(|peer| peer.incarnation) == Some(issuer.incarnation) {
             return self.forward_to(issuer, "the daemon that issued the token can't be reached");
         }
-        RepeatAnswer::Unknown(
+        IdempotencyDecision::Unknown(
             "the daemon that issued the token has ended or can't be reached".to_owned(),
         )
     }
 
-    fn forward_to(&self, daemon: &DaemonRef, otherwise: &str) -> RepeatAnswer {
+    fn forward_to(&self, daemon: &DaemonRef, unreachable_reason: &str) -> IdempotencyDecision {
         match self
             .links
             .get(&daemon.vm)
             .filter(|link| link.is_connected())
         {
-            Some(link) => RepeatAnswer::Forward(link.clone()),
-            None => RepeatAnswer::Unknown(otherwise.to_owned()),
+            Some(link) => IdempotencyDecision::Forward(link.clone()),
+            None => IdempotencyDecision::Unknown(unreachable_reason.to_owned()),
         }
     }
 
-    pub(super) fn end_repeat(&mut self, key: &RepeatKey, end: UseEnd) {
+    pub(super) fn end_idempotent(&mut self, key: &DedupKey, end: IdempotentOutcome) {
         let answer = match end {
-            UseEnd::NotRun => {
-                self.repeats.release(key);
+            IdempotentOutcome::NotRun => {
+                self.idempotency.release(key);
                 None
             }
-            UseEnd::Answered(answer) => {
-                self.repeats.finish(key, Some(answer.clone()));
+            IdempotentOutcome::Answered(answer) => {
+                self.idempotency.finish(key, Some(answer.clone()));
                 Some(answer)
             }
-            UseEnd::Spent => {
-                self.repeats.finish(key, None);
+            IdempotentOutcome::AnswerLost => {
+                self.idempotency.finish(key, None);
                 None
             }
         };
-        for join in self.joins.remove(key).into_iter().flatten() {
-            // The one who waited may have gone away.
-            let _ = join.send(answer.clone());
+        for waiter in self.answer_waiters.remove(key).into_iter().flatten() {
+            // The waiting request may have been abandoned.
+            let _ = waiter.send(answer.clone());
         }
     }
 
@@ -103,32 +113,32 @@
         &mut self,
         key: KeyHash,
         fingerprint: u64,
-        reply: oneshot::Sender<ClaimAnswer>,
+        reply: oneshot::Sender<KeyClaimResult>,
         now: Instant,
     ) {
-        if let Some(answer) = self.claim_answer(&key, fingerprint) {
+        if let Some(answer) = self.claim_result(&key, fingerprint) {
             let _ = reply.send(answer);
             return;
         }
-        if !self.feed.is_up {
-            let _ = reply.send(ClaimAnswer::NotClaimed);
+        if !self.feed.is_available {
+            let _ = reply.send(KeyClaimResult::NotClaimed);
             return;
         }
-        let waiting = self.claims.entry(key).or_default();
+        let waiting = self.pending_claims.entry(key).or_default();
         waiting.push((fingerprint, now, reply));
         if waiting.len() == 1 {
             self.claim_batch.push(KeyClaim { key, fingerprint });
         }
     }
 
-    fn claim_answer(&self, key: &KeyHash, fingerprint: u64) -> Option<ClaimAnswer> {
+    fn claim_result(&self, key: &KeyHash, fingerprint: u64) -> Option<KeyClaimResult> {
         let answer = match self.folded.keys.outcome(key, &self.me)? {
-            ClaimOutcome::Won => ClaimAnswer::Won,
+            ClaimOutcome::Won => KeyClaimResult::Won,
             ClaimOutcome::Lost {
                 fingerprint: first, ..
-            } if first != fingerprint => ClaimAnswer::OtherRequest,
+            } if first != fingerprint => KeyClaimResult::KeyReused,
             ClaimOutcome::Lost { holder, .. } => {
-                let same_run = self
+                let is_same_incarnation = self
                     .members
                     .peer(holder.vm.as_str())
                     .and_then(|peer| peer.incarnation)
@@ -136,45 +146,45 @@
                 let link = self
                     .links
                     .get(&holder.vm)
-                    .filter(|link| same_run && link.is_connected());
-                link.map_or(ClaimAnswer::Unknown(holder), |link| {
-                    ClaimAnswer::Forward(link.clone())
+                    .filter(|link| is_same_incarnation && link.is_connected());
+                link.map_or(KeyClaimResult::HolderGone(holder), |link| {
+                    KeyClaimResult::Forward(link.clone())
                 })
             }
         };
         Some(answer)
     }
 
-    /// Claims were folded: tells those who wait for them.
-    pub(super) fn keys_folded(&mut self) {
-        let decided: Vec<_> = self
-            .claims
+    /// Answers the requests whose claims are decided by the folded log.
+    pub(super) fn resolve_claims(&mut self) {
+        let decided_keys: Vec<_> = self
+            .pending_claims
             .keys()
             .filter(|key| self.folded.keys.outcome(key, &self.me).is_some())
             .copied()
             .collect();
-        for key in decided {
-            for (fingerprint, _, reply) in self.claims.remove(&key).into_iter().flatten() {
+        for key in decided_keys {
+            for (fingerprint, _, reply) in self.pending_claims.remove(&key).into_iter().flatten() {
                 let answer = self
-                    .claim_answer(&key, fingerprint)
-                    .unwrap_or(ClaimAnswer::NotClaimed);
+                    .claim_result(&key, fingerprint)
+                    .unwrap_or(KeyClaimResult::NotClaimed);
                 let _ = reply.send(answer);
             }
         }
     }
 
-    /// Appends the claims that came since the last tick, in one record.
+    /// Appends the claims made since the last tick, in one record.
     pub(super) fn tick_claims(&mut self, now: Instant) {
-        let mut stale = Vec::new();
-        for (key, waiting) in &mut self.claims {
-            waiting.retain(|(_, since, _)| now.since(*since) < CLAIM_WITHIN);
+        let mut abandoned = Vec::new();
+        for (key, waiting) in &mut self.pending_claims {
+            waiting.retain(|(_, since, _)| now.since(*since) < CLAIM_TIMEOUT);
             match waiting.first() {
-                None => stale.push(*key),
+                None => abandoned.push(*key),
                 Some((fingerprint, since, _)) => {
-                    let again = now.since(*since) > CLAIM_AGAIN_AFTER
+                    let is_retry_due = now.since(*since) > CLAIM_RETRY_INTERVAL
                         && !self.claim_batch.iter().any(|claim| claim.key == *key);
-                    if again && now.since(self.last.second).is_zero() {
-                        // A second claim of the same daemon changes nothing.
+                    if is_retry_due && now.since(self.last.holder_tick).is_zero() {
+                        // A repeated claim of the same daemon has no effect.
                         self.claim_batch.push(KeyClaim {
                             key: *key,
                             fingerprint: *fingerprint,
@@ -183,8 +193,8 @@
                 }
             }
         }
-        for key in stale {
-            self.claims.remove(&key);
+        for key in abandoned {
+            self.pending_claims.remove(&key);
         }
         if self.claim_batch.is_empty() {
             return;
@@ -199,13 +209,13 @@
             .append(0, vec![LogRecord::KeyClaims(record)]);
     }
 
-    /// An append failed: claims that certainly are not in the log are answered at once.
+    /// Answers pending claims after an append that certainly failed while the log is unavailable.
     pub(super) fn claims_not_appended(&mut self, outcome: AppendOutcome) {
-        if outcome != AppendOutcome::NotAppended || self.feed.is_up {
+        if outcome != AppendOutcome::NotAppended || self.feed.is_available {
             return;
         }
-        for (_, _, reply) in self.claims.drain().flat_map(|(_, waiting)| waiting) {
-            let _ = reply.send(ClaimAnswer::NotClaimed);
+        for (_, _, reply) in self.pending_claims.drain().flat_map(|(_, waiting)| waiting) {
+            let _ = reply.send(KeyClaimResult::NotClaimed);
         }
     }
 }
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -1,78 +1,79 @@
-//! Taking records and snapshots in, and writing snapshots.
+//! Application of log records and snapshots, and writing of snapshots.
 //!
-//! Records are folded in order of their offsets and never a second time. If records expired before they were read,
-//! nothing is folded until a snapshot closes the gap: from the log itself, or from a peer.
+//! Records are folded into the state in order of their offsets, each at most once. If records expired before they were
+//! read, nothing is folded until a snapshot from the log or from a peer closes the gap.
 
 use crate::{app::AppState, event, events::Event, peers::PeerMessage, platform::LogBatch};
 use hoplanding_core::{
-    config::{AuditOutcome, FoldOutcome},
+    config::{AuditOutcome, ChangeOutcome},
     ids::{ChangeId, Instant, LogOffset},
     log::{FoldEffect, FoldedState, LogRecord, SnapshotAssembler},
     ownership::OwnershipEffect,
 };
 use std::time::Duration;
 
-/// Pause before another daemon may write the snapshot that is due, for each daemon that comes first.
-const SNAPSHOT_TURN: Duration = Duration::from_secs(5);
-/// A batch with fewer records than this reached the end of the log.
-const FULL_BATCH: usize = 1000;
+/// Delay of a due snapshot for each live daemon with a lower name, and minimum interval between own snapshots.
+const SNAPSHOT_STAGGER: Duration = Duration::from_secs(5);
+/// Records in a full batch; a batch with fewer reached the end of the log.
+const FULL_BATCH_RECORDS: usize = 1000;
 
-/// What is known of the log beside its fold.
+/// Reading position and availability of the log, beside its folded state.
 #[derive(Debug, Default)]
 pub struct LogFeed {
     /// Whether the last read succeeded.
-    pub(super) is_up: bool,
-    /// Whether the end of the log was reached once, or a peer's snapshot taken over.
+    pub(super) is_available: bool,
+    /// Whether the end of the log was reached once, or a peer's snapshot was adopted while the log was unavailable.
     pub(super) is_caught_up: bool,
     /// Earliest offset that the log still has.
     pub(super) earliest: LogOffset,
-    /// When the log was last read, to say how old the configuration may be.
+    /// Time of the last read, which bounds the age of the configuration.
     pub(super) read_at: Option<Instant>,
     assembler: SnapshotAssembler,
     snapshot_due_since: Option<Instant>,
-    said_ready: bool,
+    has_logged_ready: bool,
 }
 
 impl AppState {
-    /// Whether records are missing that no longer can be read.
+    /// Whether records that were not applied have expired from the log.
     pub(super) fn has_gap(&self) -> bool {
         self.folded.applied.0 + 1 < self.feed.earliest.0
     }
 
-    /// Whether this daemon may serve.
+    /// Whether this daemon may serve requests.
     pub(super) fn is_ready(&self) -> bool {
         self.feed.is_caught_up && !self.has_gap() && self.stopping.is_none()
     }
 
     pub(super) fn log_read(&mut self, batch: LogBatch, now: Instant) {
-        if !self.feed.is_up {
-            self.feed.is_up = true;
-            event!(Event::LogBack, "at offset {}", self.folded.applied);
+        if !self.feed.is_available {
+            self.feed.is_available = true;
+            event!(Event::LogReachable, "at offset {}", self.folded.applied);
         }
         self.feed.read_at = Some(now);
         let count = batch.records.len();
-        // A batch that was asked for before a snapshot was taken over may begin behind it, or beyond what follows it.
+        // A batch requested before a snapshot was adopted may begin before the snapshot's offset, or leave a gap after
+        // it.
         let had_gap = self.has_gap();
         if !had_gap && batch.from.0 > self.folded.applied.0 + 1 {
             return;
         }
         for (offset, record) in batch.records {
-            self.take_record(offset, record.as_ref(), now);
+            self.apply_record(offset, record.as_ref(), now);
             if had_gap && !self.has_gap() {
-                // The snapshot reaches less far than this batch: what lies between is read again.
+                // The snapshot ends before this batch does, so the records after the snapshot are read again.
                 return;
             }
         }
-        if count < FULL_BATCH && !self.has_gap() {
+        if count < FULL_BATCH_RECORDS && !self.has_gap() {
             self.feed.is_caught_up = true;
         }
-        self.say_ready();
+        self.log_readiness();
         self.reconcile_holders(now);
     }
 
-    pub(super) fn say_ready(&mut self) {
-        if self.is_ready() && !self.feed.said_ready {
-            self.feed.said_ready = true;
+    pub(super) fn log_readiness(&mut self) {
+        if self.is_ready() && !self.feed.has_logged_ready {
+            self.feed.has_logged_ready = true;
             event!(
                 Event::Ready,
                 "offset {}, {} adapters",
@@ -82,7 +83,7 @@
         }
     }
 
-    fn take_record(&mut self, offset: LogOffset, record: Option<&LogRecord>, now: Instant) {
+    fn apply_record(&mut self, offset: LogOffset, record: Option<&LogRecord>, now: Instant) {
         if self.has_gap() {
             if let Some(LogRecord::Snapshot(part)) = record
                 && let Some(state) = self.feed.assembler.add(part)
@@ -102,12 +103,12 @@
         match self.folded.apply(offset, record) {
             FoldEffect::Change(id, outcome) => self.change_folded(&id, outcome),
             FoldEffect::Ownership(effect) => self.ownership_folded(effect, now),
-            FoldEffect::Keys => self.keys_folded(),
+            FoldEffect::Keys => self.resolve_claims(),
             FoldEffect::Snapshot | FoldEffect::None => {}
         }
     }
 
-    fn change_folded(&mut self, id: &ChangeId, outcome: FoldOutcome) {
+    fn change_folded(&mut self, id: &ChangeId, outcome: ChangeOutcome) {
         if let Some(entry) = self.config().audit.back().filter(|entry| entry.id == *id) {
             match &entry.outcome {
                 AuditOutcome::Accepted => {
@@ -132,17 +133,17 @@
                 }
             }
         }
-        if matches!(outcome, FoldOutcome::Accepted(_)) {
+        if matches!(outcome, ChangeOutcome::Accepted(_)) {
             self.apply_config();
         }
-        self.settle_change(id, outcome);
+        self.resolve_change(id, outcome);
     }
 
-    /// Puts the configuration in force where it is kept in another form.
+    /// Updates the state derived from the configuration.
     pub(super) fn apply_config(&mut self) {
         self.weights = self.config().policy_weights();
-        self.refresh_callers();
-        self.refresh_kept();
+        self.refresh_caller_index();
+        self.refresh_kept_models();
         self.apply_targets();
     }
 
@@ -151,7 +152,7 @@
             OwnershipEffect::NewHolder(target, lease) => self.holder_changed(&target, &lease, now),
             OwnershipEffect::IntentOpened(target, intent) => self.intent_opened(&target, &intent),
             OwnershipEffect::IntentClosed(target, _) | OwnershipEffect::Settled(target) => {
-                self.pump(&target, now)
+                self.dispatch_ready(&target, now)
             }
             OwnershipEffect::None => {}
         }
@@ -162,7 +163,7 @@
         if self.has_gap() {
             event!(
                 Event::LogExpired,
-                "have {}, the earliest is {earliest}",
+                "applied up to offset {}, the log starts at {earliest}",
                 self.folded.applied
             );
             self.ask_for_snapshots();
@@ -170,9 +171,9 @@
     }
 
     pub(super) fn log_out(&mut self, cause: &str) {
-        if self.feed.is_up {
-            self.feed.is_up = false;
-            event!(Event::LogOut, "{cause}");
+        if self.feed.is_available {
+            self.feed.is_available = false;
+            event!(Event::LogUnreachable, "{cause}");
         }
         if !self.feed.is_caught_up {
             self.ask_for_snapshots();
@@ -185,46 +186,52 @@
         }
     }
 
-    /// Takes a newer state over; never an older one.
+    /// Replaces the folded state by a newer one; an older one is ignored.
     pub(super) fn adopt_snapshot(&mut self, state: FoldedState, source: &str) {
         let offset = state.applied;
-        if !self.folded.adopt(state) {
+        if !self.folded.replace_if_newer(state) {
             return;
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
-        if !self.has_gap() && !self.feed.is_up {
-            // The log is out: a peer's state is the best there is, and `show lag` tells how old it may be.
+        if !self.has_gap() && !self.feed.is_available {
+            // Without the log, a peer's state is the newest available; `show lag` shows how old it may be.
             self.feed.is_caught_up = true;
         }
         self.apply_config();
-        let done: Vec<_> = self
+        let decided: Vec<_> = self
             .pending_changes
             .keys()
             .filter_map(|id| Some((id.clone(), self.config().outcome(id)?.clone())))
             .collect();
-        for (id, outcome) in done {
-            self.settle_change(&id, outcome);
+        for (id, outcome) in decided {
+            self.resolve_change(&id, outcome);
         }
-        self.keys_folded();
+        self.resolve_claims();
         self.workers.read_from.send_replace(LogOffset(offset.0 + 1));
-        self.say_ready();
+        self.log_readiness();
     }
 
-    /// Appends a snapshot when enough records came since the last; the daemon with the lowest name goes first.
+    /// Appends a snapshot once enough records were applied since the last one.
+    ///
+    /// The live daemon with the lowest name writes first; each further one waits longer, so that usually only one
+    /// writes.
     pub(super) fn tick_snapshot(&mut self, now: Instant) {
-        let grown =
+        let new_records =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
-        if grown < self.settings.snapshot_every || !self.feed.is_up || self.has_gap() {
+        if new_records < self.settings.snapshot_record_interval
+            || !self.feed.is_available
+            || self.has_gap()
+        {
             self.feed.snapshot_due_since = None;
             return;
         }
-        let due = *self.feed.snapshot_due_since.get_or_insert(now);
-        let earlier = self.members.iter().filter(|(vm, peer)| {
+        let due_since = *self.feed.snapshot_due_since.get_or_insert(now);
+        let preceding = self.members.iter().filter(|(vm, peer)| {
             **vm < self.me.vm && peer.state == hoplanding_core::membership::PeerState::Live
         });
-        let turn = SNAPSHOT_TURN * earlier.count() as u32;
-        if now.since(due) < turn
-            || (self.last.snapshot.0 > 0 && now.since(self.last.snapshot) < SNAPSHOT_TURN)
+        let delay = SNAPSHOT_STAGGER * preceding.count() as u32;
+        if now.since(due_since) < delay
+            || (self.last.snapshot.0 > 0 && now.since(self.last.snapshot) < SNAPSHOT_STAGGER)
         {
             return;
         }
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' interface: one text in, a table or a change out.
+//! HTTP interface for operators: a statement as text in, a table or an accepted change as JSON out.
 
 use crate::{
-    app::{AppEvent, OperatorAnswer, OperatorError, OperatorRequest},
+    app::{AppEvent, OperatorError, OperatorRequest, OperatorResponse},
     gateway::GatewayContext,
 };
 use poem::{
@@ -12,15 +12,15 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Answers one statement of an operator.
+/// Handles one operator statement.
 #[handler]
-pub async fn statement(
+pub async fn handle_statement(
     request: &Request,
     text: String,
     context: Data<&Arc<GatewayContext>>,
 ) -> Response {
     let header = request.header("authorization").unwrap_or_default();
-    let question = OperatorRequest {
+    let operator_request = OperatorRequest {
         bearer: header
             .strip_prefix("Bearer ")
             .unwrap_or_default()
@@ -30,23 +30,23 @@
     };
     match context
         .app
-        .ask(|reply| AppEvent::Operator(question, reply))
+        .request(|reply| AppEvent::Operator(operator_request, reply))
         .await
     {
-        None => refuse(
+        None => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "stopping",
             "the daemon is stopping: ask another one",
         ),
-        Some(Err(error)) => refuse(status_of(&error), tag_of(&error), &error.to_string()),
-        Some(Ok(OperatorAnswer::Table(table))) => Json(json!({ "table": table })).into_response(),
-        Some(Ok(OperatorAnswer::Accepted(id, offset))) => {
+        Some(Err(error)) => error_response(status_of(&error), code_of(&error), &error.to_string()),
+        Some(Ok(OperatorResponse::Table(table))) => Json(json!({ "table": table })).into_response(),
+        Some(Ok(OperatorResponse::Accepted(id, offset))) => {
             Json(json!({ "accepted": { "id": id, "offset": offset } })).into_response()
         }
     }
 }
 
-fn refuse(status: StatusCode, code: &str, message: &str) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str) -> Response {
     Json(json!({ "error": { "code": code, "message": message } }))
         .with_status(status)
         .into_response()
@@ -55,24 +55,24 @@
 fn status_of(error: &OperatorError) -> StatusCode {
     match error {
         OperatorError::UnknownOperator => StatusCode::UNAUTHORIZED,
-        OperatorError::Role { .. } => StatusCode::FORBIDDEN,
+        OperatorError::InsufficientRole { .. } => StatusCode::FORBIDDEN,
         OperatorError::Parse(_) | OperatorError::Query(_) => StatusCode::BAD_REQUEST,
         OperatorError::Conflict(..) => StatusCode::CONFLICT,
-        OperatorError::LogOut => StatusCode::SERVICE_UNAVAILABLE,
-        OperatorError::Unknown(_) => StatusCode::GATEWAY_TIMEOUT,
+        OperatorError::LogUnavailable => StatusCode::SERVICE_UNAVAILABLE,
+        OperatorError::OutcomeUnknown(_) => StatusCode::GATEWAY_TIMEOUT,
         OperatorError::NotFound(_) => StatusCode::NOT_FOUND,
     }
 }
 
-fn tag_of(error: &OperatorError) -> &'static str {
+fn code_of(error: &OperatorError) -> &'static str {
     match error {
         OperatorError::UnknownOperator => "unknown_operator",
-        OperatorError::Role { .. } => "role",
+        OperatorError::InsufficientRole { .. } => "role",
         OperatorError::Parse(_) => "parse",
         OperatorError::Query(_) => "query",
         OperatorError::Conflict(..) => "conflict",
-        OperatorError::LogOut => "log_out",
-        OperatorError::Unknown(_) => "outcome_unknown",
+        OperatorError::LogUnavailable => "log_out",
+        OperatorError::OutcomeUnknown(_) => "outcome_unknown",
         OperatorError::NotFound(_) => "not_found",
     }
 }
--- a/crates/daemon/src/options/mod.rs
+++ b/crates/daemon/src/options/mod.rs
@@ -1,4 +1,6 @@
-//! Arguments and settings.
+//! Command-line arguments and the settings file.
+//!
+//! The file is JSON. All faults are collected in one pass and reported together, each with its key, value and remedy.
 
 mod args;
 mod mode;
@@ -8,8 +10,8 @@
 pub use args::DaemonArgs;
 pub use mode::DaemonSettings;
 pub(crate) use reader::{SectionReader, parse_settings};
-pub use reader::{SettingsError, SettingsFault, read_text};
-pub(crate) use settings::read_log;
+pub use reader::{SettingsError, SettingsFault, read_settings_file};
+pub(crate) use settings::read_log_settings;
 pub use settings::{
     CallerSettings, LimitSettings, LogSettings, MembershipSettings, OperatorSettings,
     PlatformSettings, SeedSettings, Settings, StopSettings,
