--- a/crates/soak/src/shelf.rs
+++ b/crates/soak/src/adapter_store.rs
@@ -8,9 +8,9 @@
 use tokio::time::Instant;
 
 /// Places for adapters at an engine.
-pub const PLACES: usize = 4;
+pub const ADAPTER_SLOTS: usize = 4;
 /// Name of the base model.
-pub const BASE: &str = "base";
+pub const BASE_MODEL: &str = "base";
 /// Version of a base model or an adapter for which none was named.
 pub const FIRST_VERSION: u64 = 1;
 /// Time that an adapter's load takes.
@@ -18,7 +18,7 @@
 /// Time that the base model's load takes, from the engine's own disk.
 const BASE_LOAD_TIME: Duration = Duration::from_millis(400);
 /// What a version of the base model counts in the mark of memory; versions of adapters stay below.
-const BASE_MARK: u64 = 1_000_000;
+const BASE_VERSION_FACTOR: u64 = 1_000_000;
 
 /// What memory of a prompt is made by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,16 +32,16 @@
 impl WeightVersions {
     /// Both in one number, as memory is marked.
     #[must_use]
-    pub fn mark(self) -> u64 {
-        self.base * BASE_MARK + self.adapter
+    pub fn to_packed(self) -> u64 {
+        self.base * BASE_VERSION_FACTOR + self.adapter
     }
 
     /// The versions behind a mark.
     #[must_use]
-    pub fn of_mark(mark: u64) -> Self {
+    pub fn from_packed(packed: u64) -> Self {
         Self {
-            base: mark / BASE_MARK,
-            adapter: mark % BASE_MARK,
+            base: packed / BASE_VERSION_FACTOR,
+            adapter: packed % BASE_VERSION_FACTOR,
         }
     }
 }
@@ -88,39 +88,39 @@
 
 /// What becomes of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderVerdict {
+pub enum OrderOutcome {
     /// It holds.
-    Done,
+    Completed,
     /// It holds from then on.
-    Begun(Instant),
+    InProgress(Instant),
     /// The engine has taken others, or the copy is on its way to another state.
     Conflict,
     /// A newer holder has given orders.
     Fenced,
 }
 
-impl OrderVerdict {
+impl OrderOutcome {
     /// Whether the engine took it.
     #[must_use]
-    pub fn is_taken(self) -> bool {
-        matches!(self, Self::Done | Self::Begun(_))
+    pub fn is_accepted(self) -> bool {
+        matches!(self, Self::Completed | Self::InProgress(_))
     }
 }
 
 /// What a request for an adapter finds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopySight {
+pub enum CopyStatus {
     /// The copy, in these versions.
-    Here(WeightVersions),
+    Loaded(WeightVersions),
     /// A copy that is being replaced or dropped.
-    Leaving,
+    Changing,
     /// Nothing.
     Absent,
 }
 
 /// What happens to an adapter's copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CopyChange {
+enum PendingChange {
     /// It comes, or another version does.
     Load(u64),
     /// It goes.
@@ -128,22 +128,22 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldCopy {
+struct LoadedCopy {
     version: u64,
     runs_until: Instant,
 }
 
 /// The base model and the adapters of an engine.
 #[derive(Debug)]
-pub struct AdapterShelf {
+pub struct AdapterStore {
     base: Option<u64>,
-    copies: BTreeMap<String, HeldCopy>,
-    changes: BTreeMap<String, CopyChange>,
-    orders_taken: u64,
+    copies: BTreeMap<String, LoadedCopy>,
+    changes: BTreeMap<String, PendingChange>,
+    accepted_orders: u64,
     token: u64,
 }
 
-impl AdapterShelf {
+impl AdapterStore {
     /// A shelf without adapters, and with the base model if the engine comes with it.
     #[must_use]
     pub fn new(base: Option<u64>) -> Self {
@@ -151,34 +151,34 @@
             base,
             copies: BTreeMap::new(),
             changes: BTreeMap::new(),
-            orders_taken: 0,
+            accepted_orders: 0,
             token: 0,
         }
     }
 
     /// Takes an order, if its condition and its token allow; `newest` is the version that a load without one brings.
-    pub fn take(&mut self, order: &AdapterOrder, newest: u64, now: Instant) -> OrderVerdict {
+    pub fn apply(&mut self, order: &AdapterOrder, newest: u64, now: Instant) -> OrderOutcome {
         if order.token < self.token {
-            return OrderVerdict::Fenced;
+            return OrderOutcome::Fenced;
         }
         let is_overtaken = order
             .expected
-            .is_some_and(|expected| expected != self.orders_taken);
+            .is_some_and(|expected| expected != self.accepted_orders);
         if is_overtaken || self.is_blocked(order) {
-            return OrderVerdict::Conflict;
+            return OrderOutcome::Conflict;
         }
         self.token = order.token;
         if self.holds(order, newest) {
-            return OrderVerdict::Done;
+            return OrderOutcome::Completed;
         }
-        self.orders_taken += 1;
+        self.accepted_orders += 1;
         let (change, at) = self.change(order, newest, now);
         self.changes.insert(order.adapter.clone(), change);
         if at > now {
-            return OrderVerdict::Begun(at);
+            return OrderOutcome::InProgress(at);
         }
         self.finish(&order.adapter);
-        OrderVerdict::Done
+        OrderOutcome::Completed
     }
 
     /// Whether another order has to end first: an unload, the base model's load, or one for the same adapter.
@@ -187,7 +187,7 @@
         let has_drop = self
             .changes
             .values()
-            .any(|change| *change == CopyChange::Drop);
+            .any(|change| *change == PendingChange::Drop);
         has_drop
             || self.is_loading_base()
             || self.changes.contains_key(&order.adapter)
@@ -205,31 +205,34 @@
     }
 
     /// What an order changes, and when it has.
-    fn change(&self, order: &AdapterOrder, newest: u64, now: Instant) -> (CopyChange, Instant) {
+    fn change(&self, order: &AdapterOrder, newest: u64, now: Instant) -> (PendingChange, Instant) {
         if order.adapter.is_empty() {
-            return (CopyChange::Load(newest), now + BASE_LOAD_TIME);
+            return (PendingChange::Load(newest), now + BASE_LOAD_TIME);
         }
         let held = self.copies.get(&order.adapter);
         let runs_until = held.map_or(now, |copy| copy.runs_until.max(now));
         if order.is_unload {
-            return (CopyChange::Drop, runs_until);
+            return (PendingChange::Drop, runs_until);
         }
         let version = order.version.unwrap_or(newest);
-        (CopyChange::Load(version), runs_until.max(now + LOAD_TIME))
+        (
+            PendingChange::Load(version),
+            runs_until.max(now + LOAD_TIME),
+        )
     }
 
     /// Ends the change that an adapter is in.
     pub fn finish(&mut self, adapter: &str) {
         match self.changes.remove(adapter) {
-            Some(CopyChange::Load(version)) if adapter.is_empty() => self.base = Some(version),
-            Some(CopyChange::Load(version)) => {
-                let copy = HeldCopy {
+            Some(PendingChange::Load(version)) if adapter.is_empty() => self.base = Some(version),
+            Some(PendingChange::Load(version)) => {
+                let copy = LoadedCopy {
                     version,
                     runs_until: Instant::now(),
                 };
                 self.copies.insert(adapter.to_owned(), copy);
             }
-            Some(CopyChange::Drop) => {
+            Some(PendingChange::Drop) => {
                 self.copies.remove(adapter);
             }
             None => {}
@@ -238,19 +241,19 @@
 
     /// What a request for an adapter finds.
     #[must_use]
-    pub fn sight(&self, adapter: &str) -> CopySight {
+    pub fn copy_status(&self, adapter: &str) -> CopyStatus {
         match (self.copies.get(adapter), self.base) {
-            (Some(_), _) if self.changes.contains_key(adapter) => CopySight::Leaving,
-            (Some(copy), Some(base)) => CopySight::Here(WeightVersions {
+            (Some(_), _) if self.changes.contains_key(adapter) => CopyStatus::Changing,
+            (Some(copy), Some(base)) => CopyStatus::Loaded(WeightVersions {
                 base,
                 adapter: copy.version,
             }),
-            _ => CopySight::Absent,
+            _ => CopyStatus::Absent,
         }
     }
 
     /// Notes a run on a copy.
-    pub fn note_run(&mut self, adapter: &str, until: Instant) {
+    pub fn record_run(&mut self, adapter: &str, until: Instant) {
         if let Some(copy) = self.copies.get_mut(adapter) {
             copy.runs_until = copy.runs_until.max(until);
         }
@@ -258,16 +261,16 @@
 
     /// Whether it was ordered beyond its places.
     #[must_use]
-    pub fn is_overfilled(&self) -> bool {
+    pub fn is_over_capacity(&self) -> bool {
         let is_new = |adapter: &&String| !adapter.is_empty() && !self.copies.contains_key(*adapter);
-        let coming = self.changes.keys().filter(is_new).count();
-        self.copies.len() + coming > PLACES
+        let pending_loads = self.changes.keys().filter(is_new).count();
+        self.copies.len() + pending_loads > ADAPTER_SLOTS
     }
 
     /// Orders that it has taken.
     #[must_use]
-    pub fn orders_taken(&self) -> u64 {
-        self.orders_taken
+    pub fn accepted_orders(&self) -> u64 {
+        self.accepted_orders
     }
 
     /// Whether the base model is on its way.
@@ -283,24 +286,24 @@
             return json!([]);
         };
         let is_kept =
-            |adapter: &str| !matches!(self.changes.get(adapter), Some(CopyChange::Load(_)));
+            |adapter: &str| !matches!(self.changes.get(adapter), Some(PendingChange::Load(_)));
         let adapters: Vec<_> = self
             .copies
             .iter()
             .filter(|(adapter, _)| is_kept(adapter))
             .map(|(adapter, copy)| format!("{adapter}@{}", copy.version))
             .collect();
-        json!([{ "name": BASE, "version": base, "adapters": adapters }])
+        json!([{ "name": BASE_MODEL, "version": base, "adapters": adapters }])
     }
 
     /// What is on its way, as reports name it.
     #[must_use]
-    pub fn coming(&self) -> Vec<String> {
+    pub fn pending_loads(&self) -> Vec<String> {
         self.changes
             .iter()
             .filter_map(|(adapter, change)| match change {
-                CopyChange::Load(version) if !adapter.is_empty() => {
-                    Some(format!("{BASE}/{adapter}@{version}"))
+                PendingChange::Load(version) if !adapter.is_empty() => {
+                    Some(format!("{BASE_MODEL}/{adapter}@{version}"))
                 }
                 _ => None,
             })
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fleet::SoakVm,
-    history::{CallAnswer, CallKind, SeenEntry, SharedHistory},
+    history::{CallAnswer, CallKind, HistoryEvent, SharedHistory},
     prompts::{PromptPart, encode_parts},
 };
 use hoplanding_platform::names::{
@@ -19,12 +19,12 @@
 /// Host of every route.
 pub const HOST: &str = "mill.example";
 /// Time that a caller waits.
-const PATIENCE: Duration = Duration::from_secs(6);
+const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// What every caller writes into headers that only the system may set.
 pub const FORGED: &str = "forged";
 /// Those headers; the deadline is a caller's to name, and the system makes its own of it.
-const SYSTEM_HEADERS: [&str; 9] = [
+const RESERVED_HEADERS: [&str; 9] = [
     ORGANISATION,
     EXPECT_INSTANCE,
     EXPECT_VERSION,
@@ -52,7 +52,7 @@
 }
 
 impl SoakCall {
-    fn text(&self) -> String {
+    fn request_text(&self) -> String {
         let Self {
             id,
             kind,
@@ -74,8 +74,8 @@
                 "{MODEL}: base/{adapter}\r\n{TOKEN_COUNT}: {counts}\r\n{PROMPT_PREFIX}: {parts}\r\n"
             )
         };
-        let deadline = PATIENCE.as_millis();
-        let forged: String = SYSTEM_HEADERS
+        let deadline = CALL_TIMEOUT.as_millis();
+        let forged: String = RESERVED_HEADERS
             .iter()
             .map(|name| format!("{name}: {FORGED}\r\n"))
             .collect();
@@ -87,42 +87,42 @@
 
 /// Sends a request through a VM and writes down what came back.
 pub async fn send_call(vm: Arc<SoakVm>, call: SoakCall, history: SharedHistory) {
-    let Some((address, _)) = vm.callers() else {
+    let Some((address, _)) = vm.caller_endpoint() else {
         return;
     };
-    history.add(SeenEntry::Sent {
+    history.record(HistoryEvent::Sent {
         id: call.id.clone(),
         kind: call.kind,
         vm: vm.index,
         adapter: call.adapter.clone(),
     });
-    history.add(SeenEntry::Keyed {
+    history.record(HistoryEvent::KeySent {
         id: call.id.clone(),
         key: call.key.clone(),
     });
-    let exchanged = timeout(PATIENCE, exchange(address, &call.text())).await;
+    let exchanged = timeout(CALL_TIMEOUT, exchange(address, &call.request_text())).await;
     let answer = match exchanged {
         Ok(Ok(answer)) => answer,
         // The caller leaves, or the connection failed before an answer.
-        Ok(Err(_)) | Err(_) => CallAnswer::Nothing,
+        Ok(Err(_)) | Err(_) => CallAnswer::NoAnswer,
     };
     let id = call.id;
-    history.add(SeenEntry::Answered { id, answer });
+    history.record(HistoryEvent::Answered { id, answer });
 }
 
 /// Asks a VM whether it has the route of a version; nothing if it does not say.
-pub async fn probe_version(vm: &SoakVm, version: u64) -> Option<(u32, bool)> {
-    let (address, run) = vm.callers()?;
+pub async fn probe_route(vm: &SoakVm, version: u64) -> Option<(u32, bool)> {
+    let (address, run) = vm.caller_endpoint()?;
     let text = format!("GET /v{version}/x HTTP/1.1\r\nHost: {HOST}\r\n{REQUEST_ID}: probe\r\n\r\n");
-    let answer = timeout(PATIENCE, exchange(address, &text))
+    let answer = timeout(CALL_TIMEOUT, exchange(address, &text))
         .await
         .ok()?
         .ok()?;
     match answer {
-        CallAnswer::Whole(404, _) => Some((run, false)),
+        CallAnswer::Complete(404, _) => Some((run, false)),
         // A VM without any configuration says nothing about versions.
-        CallAnswer::Whole(503, _) | CallAnswer::Nothing | CallAnswer::Broken(503) => None,
-        CallAnswer::Whole(..) | CallAnswer::Broken(_) => Some((run, true)),
+        CallAnswer::Complete(503, _) | CallAnswer::NoAnswer | CallAnswer::Truncated(503) => None,
+        CallAnswer::Complete(..) | CallAnswer::Truncated(_) => Some((run, true)),
     }
 }
 
@@ -135,7 +135,7 @@
             break end;
         }
         if stream.read_buf(&mut bytes).await? == 0 {
-            return Ok(CallAnswer::Nothing);
+            return Ok(CallAnswer::NoAnswer);
         }
     };
     let head = String::from_utf8_lossy(&bytes[..end]).to_ascii_lowercase();
@@ -163,10 +163,10 @@
 ) -> CallAnswer {
     while body.len() < length {
         if stream.read_buf(&mut body).await.unwrap_or(0) == 0 {
-            return CallAnswer::Broken(status);
+            return CallAnswer::Truncated(status);
         }
     }
-    CallAnswer::Whole(status, String::from_utf8_lossy(&body).into_owned())
+    CallAnswer::Complete(status, String::from_utf8_lossy(&body).into_owned())
 }
 
 async fn read_chunks(stream: &mut TcpStream, mut raw: Vec<u8>, status: u16) -> CallAnswer {
@@ -174,13 +174,13 @@
     loop {
         while let Some((chunk, used)) = next_chunk(&raw) {
             if chunk.is_empty() {
-                return CallAnswer::Whole(status, String::from_utf8_lossy(&body).into_owned());
+                return CallAnswer::Complete(status, String::from_utf8_lossy(&body).into_owned());
             }
             body.extend_from_slice(chunk);
             raw.drain(..used);
         }
         if stream.read_buf(&mut raw).await.unwrap_or(0) == 0 {
-            return CallAnswer::Broken(status);
+            return CallAnswer::Truncated(status);
         }
     }
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -4,9 +4,9 @@
 //! was undisturbed as long.
 
 use crate::{
-    history::{CallAnswer, CallKind, SeenEntry, TimedEntry},
-    organisations::{QUOTA_WINDOW, REVOKE, allowed, organisation_of},
-    targets::{TargetRole, service_of},
+    history::{CallAnswer, CallKind, HistoryEvent, TimedEntry},
+    organisations::{QUOTA_WINDOW, REVOCATION_BOUND, organisation_of, quota_limit},
+    targets::{TargetRole, service_name},
 };
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -15,31 +15,31 @@
 };
 
 /// Time without faults after which a VM is in touch; the users' `contact_ms`.
-const TOUCH: Duration = Duration::from_secs(3);
+const CONTACT_WINDOW: Duration = Duration::from_secs(3);
 /// Time after which nothing new reaches a leaving target; the users' `drain_ms`.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 /// Repeats allowed for each request of a service, and beside them; the settings that the daemons are given.
-pub const REPEAT_RATIO: f64 = 0.2;
+pub const RETRY_RATIO: f64 = 0.2;
 /// See [`REPEAT_RATIO`].
-pub const REPEAT_SLACK: f64 = 50.0;
+pub const RETRY_SLACK: f64 = 50.0;
 /// Time after an answer that asks for rest within which requests may have been under way, and how many may arrive after it.
-const REST_UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_WINDOW: Duration = Duration::from_millis(500);
 /// See [`REST_UNDER_WAY`].
-const REST_MOST: usize = 2;
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 /// Time after which a configuration is in force at all VMs in touch; the users' `config_apply_ms`.
-const CONFIG_APPLY: Duration = Duration::from_secs(2);
+const CONFIG_APPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Calls to the log of each VM in a second that are no flood: three feeds that try again after 0.4 s, and their listings.
-pub const LOG_CALLS_PER_S: f64 = 30.0;
+pub const MAX_LOG_CALLS_PER_S: f64 = 30.0;
 /// Calls that a start may make beside them: three listings, three reads, its record, and four tries of a claim.
-const START_CALLS: f64 = 15.0;
+const MAX_START_CALLS: f64 = 15.0;
 /// Time within which it makes them.
-const START_WITHIN: Duration = Duration::from_secs(1);
+const START_CALLS_WINDOW: Duration = Duration::from_secs(1);
 /// Length of the window that they count in.
-const REPEAT_WINDOW: Duration = Duration::from_secs(10);
+const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
 /// A promise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Promise {
+pub enum Guarantee {
     /// What may run once runs at most once.
     AtMostOnce,
     /// What was refused as not run has not run.
@@ -47,52 +47,52 @@
     /// A request runs on the adapter that its caller named.
     NamedAdapter,
     /// Headers that only the system may set reach no target as a caller wrote them.
-    HeaderOwner,
+    ReservedHeaders,
     /// An answer that looks whole is the target's own, without a gap or a repeat.
-    WholeAnswer,
+    CompleteAnswer,
     /// A leaving target gets no new work after its bound.
     Draining,
     /// A target that said in an answer that it leaves gets no new work from the VM that was told after its bound.
-    ToldLeaving,
+    AnnouncedDraining,
     /// A target gets no more than two requests from a VM in the rest that it asked that VM for.
-    Rest,
+    RetryAfter,
     /// A configuration is in force in time at VMs in touch.
-    ConfigInTime,
+    ConfigDeadline,
     /// The log is asked no more often than its rates allow, whatever befalls it.
-    LogCalls,
+    LogCallRate,
     /// A planned stop interrupts nothing, and neither does a change of settings.
     PlannedStop,
     /// A configuration in force never goes back within a process.
-    ConfigForward,
+    ConfigMonotonic,
     /// Orders come from one holder a token, and tokens only rise.
-    OneHolder,
+    SingleHolder,
     /// An engine is never ordered beyond its places.
-    Places,
+    AdapterSlots,
     /// Repeats stay within the fleet's budget.
     RetryBudget,
     /// A request runs for the organisation that its caller's key is of.
-    OwnOrganisation,
+    CallerOrganisation,
     /// No call is begun with a key that was taken away too long ago, by any VM.
     Revocation,
     /// No organisation has more requests run than its quota allows, over all VMs.
     Quota,
     /// A run uses memory of its prompt only if it was made under the versions of base model and adapter that it runs
     /// under.
-    OwnMemory,
+    CacheVersion,
 }
 
 /// A broken promise.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The promise.
-    pub promise: Promise,
+    pub guarantee: Guarantee,
     /// When, and what broke it.
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?}: {}", self.promise, self.what)
+        write!(f, "{:?}: {}", self.guarantee, self.description)
     }
 }
 
@@ -121,7 +121,7 @@
 
 /// The whole body of a request's answer: every event of a stream, or a plain text.
 #[must_use]
-pub fn whole_body(kind: CallKind, id: &str, events: u32) -> String {
+pub fn expected_body(kind: CallKind, id: &str, events: u32) -> String {
     match kind {
         CallKind::Once | CallKind::Idempotent => format!("done {id}"),
         CallKind::Stream | CallKind::Resumable => {
@@ -137,7 +137,7 @@
 }
 
 /// Events of every stream.
-pub const EVENTS: u32 = 12;
+pub const EVENTS_PER_STREAM: u32 = 12;
 
 #[derive(Debug)]
 struct CallRow<'a> {
@@ -148,14 +148,14 @@
     answer: Option<(Duration, &'a CallAnswer)>,
     runs: Vec<RunRow<'a>>,
     /// When targets turned it away.
-    turned_away: Vec<Duration>,
+    rejected: Vec<Duration>,
 }
 
 impl CallRow<'_> {
     /// Arrivals at targets beyond the first.
-    fn repeats(&self) -> Vec<Duration> {
+    fn retries(&self) -> Vec<Duration> {
         let runs = self.runs.iter().map(|run| run.at);
-        let mut arrivals: Vec<_> = runs.chain(self.turned_away.iter().copied()).collect();
+        let mut arrivals: Vec<_> = runs.chain(self.rejected.iter().copied()).collect();
         arrivals.sort();
         arrivals.into_iter().skip(1).collect()
     }
@@ -176,9 +176,9 @@
 impl<'a> CallTable<'a> {
     fn new(history: &'a [TimedEntry]) -> Self {
         let mut rows: BTreeMap<&str, CallRow<'_>> = BTreeMap::new();
-        for TimedEntry { at, seen } in history {
-            match seen {
-                SeenEntry::Sent {
+        for TimedEntry { at, event } in history {
+            match event {
+                HistoryEvent::Sent {
                     id,
                     kind,
                     vm,
@@ -191,16 +191,16 @@
                         adapter,
                         answer: None,
                         runs: Vec::new(),
-                        turned_away: Vec::new(),
+                        rejected: Vec::new(),
                     };
                     rows.insert(id, row);
                 }
-                SeenEntry::Answered { id, answer } => {
+                HistoryEvent::Answered { id, answer } => {
                     if let Some(row) = rows.get_mut(id.as_str()) {
                         row.answer = Some((*at, answer));
                     }
                 }
-                SeenEntry::Ran {
+                HistoryEvent::Ran {
                     id,
                     target,
                     adapter,
@@ -215,9 +215,9 @@
                         });
                     }
                 }
-                SeenEntry::TurnedAway { id, .. } => {
+                HistoryEvent::Rejected { id, .. } => {
                     if let Some(row) = rows.get_mut(id.as_str()) {
-                        row.turned_away.push(*at);
+                        row.rejected.push(*at);
                     }
                 }
                 _ => {}
@@ -230,21 +230,21 @@
 fn check_runs(calls: &CallTable<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     for (id, row) in &calls.rows {
-        if row.kind.runs_once() && row.runs.len() > 1 {
-            let what = format!("{id} ran at {:?}", row.runs);
-            found.push(broken(Promise::AtMostOnce, what));
+        if row.kind.is_at_most_once() && row.runs.len() > 1 {
+            let description = format!("{id} ran at {:?}", row.runs);
+            found.push(broken(Guarantee::AtMostOnce, description));
         }
         let promised = matches!(
             row.answer,
-            Some((_, CallAnswer::Whole(408 | 421 | 429 | 503, _)))
+            Some((_, CallAnswer::Complete(408 | 421 | 429 | 503, _)))
         );
         if promised && !row.runs.is_empty() {
-            let what = format!("{id} was refused as not run, and ran at {:?}", row.runs);
-            found.push(broken(Promise::NotRun, what));
+            let description = format!("{id} was refused as not run, and ran at {:?}", row.runs);
+            found.push(broken(Guarantee::NotRun, description));
         }
         for run in row.runs.iter().filter(|run| run.adapter != row.adapter) {
-            let what = format!("{id} for {} ran as {run:?}", row.adapter);
-            found.push(broken(Promise::NamedAdapter, what));
+            let description = format!("{id} for {} ran as {run:?}", row.adapter);
+            found.push(broken(Guarantee::NamedAdapter, description));
         }
     }
     found
@@ -253,24 +253,24 @@
 fn check_answers(calls: &CallTable<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     for (id, row) in &calls.rows {
-        if let Some((at, CallAnswer::Whole(status @ 200..=299, body))) = &row.answer
-            && *body != whole_body(row.kind, id, EVENTS)
+        if let Some((at, CallAnswer::Complete(status @ 200..=299, body))) = &row.answer
+            && *body != expected_body(row.kind, id, EVENTS_PER_STREAM)
         {
-            let what = format!("{id} got {status} with {body:?} at {at:?}");
-            found.push(broken(Promise::WholeAnswer, what));
+            let description = format!("{id} got {status} with {body:?} at {at:?}");
+            found.push(broken(Guarantee::CompleteAnswer, description));
         }
     }
     found
 }
 
 /// Whether nothing struck a VM, or the log, for [`TOUCH`] before a time.
-fn is_in_touch(history: &[TimedEntry], vm: usize, at: Duration) -> bool {
+fn is_in_contact(history: &[TimedEntry], vm: usize, at: Duration) -> bool {
     !history.iter().any(|entry| {
-        let is_near = entry.at <= at && at - entry.at <= TOUCH;
+        let is_near = entry.at <= at && at - entry.at <= CONTACT_WINDOW;
         is_near
-            && match entry.seen {
-                SeenEntry::Struck { vm: struck, .. } => struck == vm,
-                SeenEntry::Disturbed => true,
+            && match entry.event {
+                HistoryEvent::VmDisturbed { vm: struck, .. } => struck == vm,
+                HistoryEvent::LogDisturbed => true,
                 _ => false,
             }
     })
@@ -279,8 +279,8 @@
 fn check_leaving(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let leaving: HashMap<&str, Duration> = history
         .iter()
-        .filter_map(|entry| match &entry.seen {
-            SeenEntry::Leaving { target } => Some((target.as_str(), entry.at)),
+        .filter_map(|entry| match &entry.event {
+            HistoryEvent::TargetDraining { target } => Some((target.as_str(), entry.at)),
             _ => None,
         })
         .collect();
@@ -288,11 +288,12 @@
     for (id, row) in &calls.rows {
         for RunRow { at, target, .. } in &row.runs {
             if let Some(since) = leaving.get(target)
-                && *at > *since + DRAIN
-                && is_in_touch(history, row.vm, *at)
+                && *at > *since + DRAIN_TIMEOUT
+                && is_in_contact(history, row.vm, *at)
             {
-                let what = format!("{id} ran at {target} at {at:?}, which leaves since {since:?}");
-                found.push(broken(Promise::Draining, what));
+                let description =
+                    format!("{id} ran at {target} at {at:?}, which leaves since {since:?}");
+                found.push(broken(Guarantee::Draining, description));
             }
         }
     }
@@ -303,15 +304,16 @@
 fn is_struck(history: &[TimedEntry], vm: usize, from: Duration, to: Duration) -> bool {
     history.iter().any(|entry| {
         let is_within = from <= entry.at && entry.at <= to;
-        is_within && matches!(entry.seen, SeenEntry::Struck { vm: struck, .. } if struck == vm)
+        is_within
+            && matches!(entry.event, HistoryEvent::VmDisturbed { vm: struck, .. } if struck == vm)
     })
 }
 
 /// In touch or not: only what befell the VM since it was told excuses it.
 fn check_told_leaving(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let mut told: HashMap<(usize, &str), Duration> = HashMap::new();
-    for TimedEntry { at, seen } in history {
-        if let SeenEntry::SaidLeaving { id, target } = seen
+    for TimedEntry { at, event } in history {
+        if let HistoryEvent::DrainingAnnounced { id, target } = event
             && let Some(row) = calls.rows.get(id.as_str())
         {
             told.entry((row.vm, target)).or_insert(*at);
@@ -321,12 +323,12 @@
     for (id, row) in &calls.rows {
         for RunRow { at, target, .. } in &row.runs {
             if let Some(since) = told.get(&(row.vm, *target))
-                && row.sent > *since + DRAIN
+                && row.sent > *since + DRAIN_TIMEOUT
                 && !is_struck(history, row.vm, *since, *at)
             {
-                let what =
+                let description =
                     format!("{id} ran at {target} at {at:?}, which said so to its VM at {since:?}");
-                found.push(broken(Promise::ToldLeaving, what));
+                found.push(broken(Guarantee::AnnouncedDraining, description));
             }
         }
     }
@@ -336,12 +338,12 @@
 fn check_rests(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let mut arrivals: BTreeMap<(usize, &str), Vec<Duration>> = BTreeMap::new();
     let mut rests = Vec::new();
-    for TimedEntry { at, seen } in history {
-        let (id, target) = match seen {
-            SeenEntry::Ran { id, target, .. } | SeenEntry::TurnedAway { id, target } => {
+    for TimedEntry { at, event } in history {
+        let (id, target) = match event {
+            HistoryEvent::Ran { id, target, .. } | HistoryEvent::Rejected { id, target } => {
                 (id, target)
             }
-            SeenEntry::RestAsked { id, target, rest } => {
+            HistoryEvent::RetryAfterSent { id, target, rest } => {
                 if let Some(row) = calls.rows.get(id.as_str()) {
                     rests.push((row.vm, target.as_str(), *at, *rest));
                 }
@@ -355,14 +357,14 @@
     }
     let mut found = Vec::new();
     for (vm, target, asked, rest) in rests {
-        let (from, to) = (asked + REST_UNDER_WAY, asked + rest);
+        let (from, to) = (asked + IN_FLIGHT_WINDOW, asked + rest);
         let times = arrivals.get(&(vm, target)).into_iter().flatten();
         let count = times.filter(|at| from <= **at && **at < to).count();
-        if count > REST_MOST && !is_struck(history, vm, asked, to) {
-            let what = format!(
+        if count > MAX_REQUESTS_IN_BACKOFF && !is_struck(history, vm, asked, to) {
+            let description = format!(
                 "{target} asked VM {vm} at {asked:?} for {rest:?}, and got {count} requests"
             );
-            found.push(broken(Promise::Rest, what));
+            found.push(broken(Guarantee::RetryAfter, description));
         }
     }
     found
@@ -371,24 +373,24 @@
 fn check_config_in_time(history: &[TimedEntry]) -> Vec<Violation> {
     let mut accepted: BTreeMap<u64, Duration> = BTreeMap::new();
     let mut found = Vec::new();
-    for TimedEntry { at, seen } in history {
-        match seen {
-            SeenEntry::Configured { version } => {
+    for TimedEntry { at, event } in history {
+        match event {
+            HistoryEvent::ConfigAccepted { version } => {
                 accepted.entry(*version).or_insert(*at);
             }
-            SeenEntry::Probed {
+            HistoryEvent::RouteProbed {
                 vm,
                 version,
                 has_route: false,
                 ..
             } => {
                 let since = accepted.get(version);
-                if let Some(since) = since.filter(|since| *at > **since + CONFIG_APPLY)
-                    && is_in_touch(history, *vm, *at)
+                if let Some(since) = since.filter(|since| *at > **since + CONFIG_APPLY_TIMEOUT)
+                    && is_in_contact(history, *vm, *at)
                 {
-                    let what =
+                    let description =
                         format!("VM {vm} lacks version {version} at {at:?}, accepted at {since:?}");
-                    found.push(broken(Promise::ConfigInTime, what));
+                    found.push(broken(Guarantee::ConfigDeadline, description));
                 }
             }
             _ => {}
@@ -400,28 +402,30 @@
 fn check_log_calls(history: &[TimedEntry]) -> Vec<Violation> {
     let vms: HashSet<usize> = history
         .iter()
-        .filter_map(|entry| match entry.seen {
-            SeenEntry::Probed { vm, .. } => Some(vm),
+        .filter_map(|entry| match entry.event {
+            HistoryEvent::RouteProbed { vm, .. } => Some(vm),
             _ => None,
         })
         .collect();
     let starts = |from: Duration, to: Duration| {
         let started = history.iter().filter(|entry| {
-            matches!(entry.seen, SeenEntry::Started { .. }) && from <= entry.at && entry.at <= to
+            matches!(entry.event, HistoryEvent::VmStarted { .. })
+                && from <= entry.at
+                && entry.at <= to
         });
         started.count() as f64
     };
-    let floods = history.iter().filter_map(|entry| match entry.seen {
-        SeenEntry::LogCalls { calls, within } => {
-            let from = entry.at.saturating_sub(within + START_WITHIN);
-            let steady = LOG_CALLS_PER_S * vms.len() as f64 * within.as_secs_f64();
-            let allowed = steady + START_CALLS * starts(from, entry.at);
+    let floods = history.iter().filter_map(|entry| match entry.event {
+        HistoryEvent::LogCalls { calls, within } => {
+            let from = entry.at.saturating_sub(within + START_CALLS_WINDOW);
+            let steady = MAX_LOG_CALLS_PER_S * vms.len() as f64 * within.as_secs_f64();
+            let allowed = steady + MAX_START_CALLS * starts(from, entry.at);
             (calls as f64 > allowed).then(|| {
-                let what = format!(
+                let description = format!(
                     "{calls} calls in {within:?} at {:?}, {allowed:.0} are allowed",
                     entry.at
                 );
-                broken(Promise::LogCalls, what)
+                broken(Guarantee::LogCallRate, description)
             })
         }
         _ => None,
@@ -436,25 +440,25 @@
         let Some((at, answer)) = row.answer else {
             continue;
         };
-        let is_broken = matches!(answer, CallAnswer::Broken(_) | CallAnswer::Nothing);
+        let is_broken = matches!(answer, CallAnswer::Truncated(_) | CallAnswer::NoAnswer);
         let strikes: Vec<_> = history
             .iter()
-            .filter(|entry| row.sent <= entry.at + TOUCH && entry.at <= at)
-            .filter_map(|entry| match entry.seen {
-                SeenEntry::Struck { vm, is_planned } if vm == row.vm => Some(is_planned),
-                SeenEntry::Reloaded { vm } if vm == row.vm => Some(true),
-                SeenEntry::Disturbed => Some(false),
+            .filter(|entry| row.sent <= entry.at + CONTACT_WINDOW && entry.at <= at)
+            .filter_map(|entry| match entry.event {
+                HistoryEvent::VmDisturbed { vm, is_planned } if vm == row.vm => Some(is_planned),
+                HistoryEvent::SettingsReloaded { vm } if vm == row.vm => Some(true),
+                HistoryEvent::LogDisturbed => Some(false),
                 _ => None,
             })
             .collect();
         let only_planned = !strikes.is_empty() && strikes.iter().all(|is_planned| *is_planned);
         let has_run = !row.runs.is_empty() && row.runs.iter().all(|run| !run.breaks_off);
         if is_broken && only_planned && has_run {
-            let what = format!(
+            let description = format!(
                 "{id} was broken off at {at:?} by the stop or the reload of VM {}",
                 row.vm
             );
-            found.push(broken(Promise::PlannedStop, what));
+            found.push(broken(Guarantee::PlannedStop, description));
         }
     }
     found
@@ -463,13 +467,13 @@
 fn check_config(history: &[TimedEntry]) -> Vec<Violation> {
     let mut newest: HashMap<(usize, u32), u64> = HashMap::new();
     let mut found = Vec::new();
-    for TimedEntry { at, seen } in history {
-        let SeenEntry::Probed {
+    for TimedEntry { at, event } in history {
+        let HistoryEvent::RouteProbed {
             vm,
             run,
             version,
             has_route,
-        } = seen
+        } = event
         else {
             continue;
         };
@@ -477,8 +481,8 @@
         if *has_route {
             *known = (*known).max(*version);
         } else if version <= known {
-            let what = format!("VM {vm} lacks version {version} at {at:?}, and had {known}");
-            found.push(broken(Promise::ConfigForward, what));
+            let description = format!("VM {vm} lacks version {version} at {at:?}, and had {known}");
+            found.push(broken(Guarantee::ConfigMonotonic, description));
         }
     }
     found
@@ -488,29 +492,32 @@
     let mut highest: HashMap<&str, u64> = HashMap::new();
     let mut holders: HashMap<u64, HashSet<&str>> = HashMap::new();
     let mut found = Vec::new();
-    for TimedEntry { at, seen } in history {
-        match seen {
-            SeenEntry::Ordered {
+    for TimedEntry { at, event } in history {
+        match event {
+            HistoryEvent::OrderAccepted {
                 target,
                 holder,
                 token,
             } => {
                 let known = highest.entry(target).or_default();
                 if token < known {
-                    let what =
+                    let description =
                         format!("{target} took token {token} of {holder} after {known}, {at:?}");
-                    found.push(broken(Promise::OneHolder, what));
+                    found.push(broken(Guarantee::SingleHolder, description));
                 }
                 *known = (*known).max(*token);
                 let users = holders.entry(*token).or_default();
                 users.insert(holder);
                 if users.len() > 1 {
-                    let what = format!("token {token} is used by {users:?}, {at:?}");
-                    found.push(broken(Promise::OneHolder, what));
+                    let description = format!("token {token} is used by {users:?}, {at:?}");
+                    found.push(broken(Guarantee::SingleHolder, description));
                 }
             }
-            SeenEntry::Overfilled { target } => {
-                found.push(broken(Promise::Places, format!("{target} at {at:?}")));
+            HistoryEvent::SlotsExceeded { target } => {
+                found.push(broken(
+                    Guarantee::AdapterSlots,
+                    format!("{target} at {at:?}"),
+                ));
             }
             _ => {}
         }
@@ -522,7 +529,7 @@
 /// allow. Requests count in that window, in the one before it or in the one half a window before, where most are.
 fn check_budget(calls: &CallTable<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
-    for service in [TargetRole::Plain, TargetRole::Engine].map(service_of) {
+    for service in [TargetRole::Plain, TargetRole::Engine].map(service_name) {
         let rows = || {
             calls
                 .rows
@@ -530,44 +537,44 @@
                 .filter(|row| row.kind.service() == service)
         };
         let sent: Vec<_> = rows().map(|row| row.sent).collect();
-        let mut repeats: Vec<_> = rows().flat_map(CallRow::repeats).collect();
-        repeats.sort();
-        let worst = repeats.iter().map(|start| {
-            let repeats = in_window(&repeats, *start);
-            let earlier = [Duration::ZERO, REPEAT_WINDOW / 2, REPEAT_WINDOW];
+        let mut retries: Vec<_> = rows().flat_map(CallRow::retries).collect();
+        retries.sort();
+        let worst = retries.iter().map(|start| {
+            let retries = in_window(&retries, *start);
+            let earlier = [Duration::ZERO, RETRY_WINDOW / 2, RETRY_WINDOW];
             let requests = earlier
                 .iter()
                 .map(|span| in_window(&sent, start.saturating_sub(*span)))
                 .max();
-            let allowed = REPEAT_RATIO * requests.unwrap_or(0) as f64 + REPEAT_SLACK;
-            (repeats as f64 - allowed, *start, repeats, allowed)
+            let allowed = RETRY_RATIO * requests.unwrap_or(0) as f64 + RETRY_SLACK;
+            (retries as f64 - allowed, *start, retries, allowed)
         });
         let worst = worst.max_by(|left, right| left.0.total_cmp(&right.0));
-        if let Some((excess, start, repeats, allowed)) = worst
+        if let Some((excess, start, retries, allowed)) = worst
             && excess > 0.0
         {
-            let what = format!(
-                "{service}: {repeats} repeats within {REPEAT_WINDOW:?} from {start:?}, {allowed:.0} are allowed"
+            let description = format!(
+                "{service}: {retries} repeats within {RETRY_WINDOW:?} from {start:?}, {allowed:.0} are allowed"
             );
-            found.push(broken(Promise::RetryBudget, what));
+            found.push(broken(Guarantee::RetryBudget, description));
         }
     }
     found
 }
 
 fn in_window(times: &[Duration], start: Duration) -> usize {
-    let is_in = |at: &&Duration| **at >= start && **at < start + REPEAT_WINDOW;
+    let is_in = |at: &&Duration| **at >= start && **at < start + RETRY_WINDOW;
     times.iter().filter(is_in).count()
 }
 
 fn check_headers(history: &[TimedEntry]) -> Vec<Violation> {
-    let forged = history.iter().filter_map(|entry| match &entry.seen {
-        SeenEntry::Forged { id, target } => {
-            let what = format!(
+    let forged = history.iter().filter_map(|entry| match &entry.event {
+        HistoryEvent::ForgedHeader { id, target } => {
+            let description = format!(
                 "{target} was handed a forged header of {id} at {:?}",
                 entry.at
             );
-            Some(broken(Promise::HeaderOwner, what))
+            Some(broken(Guarantee::ReservedHeaders, description))
         }
         _ => None,
     });
@@ -575,19 +582,19 @@
 }
 
 fn check_memory(history: &[TimedEntry]) -> Vec<Violation> {
-    let mixed = history.iter().filter_map(|entry| match &entry.seen {
-        SeenEntry::Mixed {
+    let mixed = history.iter().filter_map(|entry| match &entry.event {
+        HistoryEvent::CacheMismatch {
             id,
             target,
             adapter,
             made_under,
             runs_under,
         } => {
-            let what = format!(
+            let description = format!(
                 "{id} for {adapter} ran at {target} at {:?}, used memory made under {made_under}, and runs under {runs_under}",
                 entry.at
             );
-            Some(broken(Promise::OwnMemory, what))
+            Some(broken(Guarantee::CacheVersion, description))
         }
         _ => None,
     });
@@ -596,8 +603,8 @@
 
 /// Keys of requests by id.
 fn keys_of(history: &[TimedEntry]) -> HashMap<&str, &str> {
-    let keys = history.iter().filter_map(|entry| match &entry.seen {
-        SeenEntry::Keyed { id, key } => Some((id.as_str(), key.as_str())),
+    let keys = history.iter().filter_map(|entry| match &entry.event {
+        HistoryEvent::KeySent { id, key } => Some((id.as_str(), key.as_str())),
         _ => None,
     });
     keys.collect()
@@ -607,17 +614,17 @@
     let keys = keys_of(history);
     let mut gone: HashMap<&str, Duration> = HashMap::new();
     let mut found = Vec::new();
-    for TimedEntry { at, seen } in history {
-        match seen {
-            SeenEntry::Revoked { key } => {
+    for TimedEntry { at, event } in history {
+        match event {
+            HistoryEvent::Revoked { key } => {
                 gone.entry(key).or_insert(*at);
             }
-            SeenEntry::RanFor { id, organisation } => {
+            HistoryEvent::RanForOrganisation { id, organisation } => {
                 if let Some(key) = keys.get(id.as_str())
                     && organisation_of(key) != organisation
                 {
-                    let what = format!("{id} with {key} ran for {organisation:?} at {at:?}");
-                    found.push(broken(Promise::OwnOrganisation, what));
+                    let description = format!("{id} with {key} ran for {organisation:?} at {at:?}");
+                    found.push(broken(Guarantee::CallerOrganisation, description));
                 }
             }
             _ => {}
@@ -625,13 +632,13 @@
     }
     for (id, row) in &calls.rows {
         let since = keys.get(id).and_then(|key| gone.get(key));
-        let is_late = since.is_some_and(|since| row.sent > *since + REVOKE);
+        let is_late = since.is_some_and(|since| row.sent > *since + REVOCATION_BOUND);
         if is_late && !row.runs.is_empty() {
-            let what = format!(
+            let description = format!(
                 "{id} ran at {:?}, its key is gone since {since:?}",
                 row.runs
             );
-            found.push(broken(Promise::Revocation, what));
+            found.push(broken(Guarantee::Revocation, description));
         }
     }
     found
@@ -647,7 +654,7 @@
     }
     let mut found = Vec::new();
     for (organisation, times) in &mut runs {
-        let Some(allowed) = allowed(organisation) else {
+        let Some(allowed) = quota_limit(organisation) else {
             continue;
         };
         times.sort();
@@ -660,15 +667,18 @@
         };
         let most = times.iter().map(|start| (within(start), *start)).max();
         if let Some((most, start)) = most.filter(|(most, _)| *most as f64 > allowed) {
-            let what = format!(
+            let description = format!(
                 "{organisation}: {most} requests within {QUOTA_WINDOW:?} from {start:?}, {allowed:.0} are allowed"
             );
-            found.push(broken(Promise::Quota, what));
+            found.push(broken(Guarantee::Quota, description));
         }
     }
     found
 }
 
-fn broken(promise: Promise, what: String) -> Violation {
-    Violation { promise, what }
+fn broken(guarantee: Guarantee, description: String) -> Violation {
+    Violation {
+        guarantee,
+        description,
+    }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The daemons, as processes of their own; only these are ever signalled, by the ids that they were started with.
 
 use crate::{
-    history::{SeenEntry, SharedHistory},
-    organisations::{QUOTA_OVER, QUOTA_SLACK, QUOTA_WINDOW, REVOKE},
+    history::{HistoryEvent, SharedHistory},
+    organisations::{QUOTA_OVERRUN_RATIO, QUOTA_SLACK, QUOTA_WINDOW, REVOCATION_BOUND},
 };
 use hoplanding_standins::relay::{LinkRelay, LinkState};
 use nix::{
@@ -23,9 +23,9 @@
 use tokio::time::sleep;
 
 /// Pause between two looks at whether a process has ended.
-const END_LOOK: Duration = Duration::from_millis(50);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of the event that names a daemon's addresses.
-const STARTED: u64 = 100;
+const STARTED_EVENT: u64 = 100;
 
 /// What is known of a daemon's running process.
 #[derive(Debug, Default)]
@@ -79,9 +79,9 @@
             "peer_address": "127.0.0.1:0",
             "platform_address": log_link.address.to_string(),
             "zones": zones,
-            "retries": { "ratio": crate::checks::REPEAT_RATIO, "slack": crate::checks::REPEAT_SLACK as u64 },
-            "revocation": { "strict": true, "bound_ms": REVOKE.as_millis() as u64 },
-            "quotas": { "window_s": QUOTA_WINDOW.as_secs(), "over": QUOTA_OVER, "slack": QUOTA_SLACK },
+            "retries": { "ratio": crate::checks::RETRY_RATIO, "slack": crate::checks::RETRY_SLACK as u64 },
+            "revocation": { "strict": true, "bound_ms": REVOCATION_BOUND.as_millis() as u64 },
+            "quotas": { "window_s": QUOTA_WINDOW.as_secs(), "over": QUOTA_OVERRUN_RATIO, "slack": QUOTA_SLACK },
             "orders_fenced": true,
             "log": { "level": "debug" },
         });
@@ -117,8 +117,9 @@
     /// Returns the error of the system when the file can't be written.
     pub fn reload(&self, step: usize) -> io::Result<()> {
         self.write_settings(&changed_settings(&self.settings, step))?;
-        if self.callers().is_some() {
-            self.history.add(SeenEntry::Reloaded { vm: self.index });
+        if self.caller_endpoint().is_some() {
+            self.history
+                .record(HistoryEvent::SettingsReloaded { vm: self.index });
             self.signal(Signal::SIGHUP);
         }
         Ok(())
@@ -150,14 +151,14 @@
         let log = self.folder.join(format!("vm-{}.log", self.index));
         let log = File::options().create(true).append(true).open(log)?;
         if let Some(output) = output {
-            thread::spawn(move || keep_lines(output, log, &state, run));
+            thread::spawn(move || copy_log(output, log, &state, run));
         }
         Ok(())
     }
 
     /// Where its daemon takes callers, and the run of its process, while it may be asked.
     #[must_use]
-    pub fn callers(&self) -> Option<(SocketAddr, u32)> {
+    pub fn caller_endpoint(&self) -> Option<(SocketAddr, u32)> {
         let state = self.lock();
         let callers = state.callers.filter(|_| !state.is_ending)?;
         Some((callers, state.run))
@@ -175,8 +176,8 @@
     }
 
     /// Writes down that something struck it.
-    pub fn note_strike(&self, is_planned: bool) {
-        self.history.add(SeenEntry::Struck {
+    pub fn record_disturbance(&self, is_planned: bool) {
+        self.history.record(HistoryEvent::VmDisturbed {
             vm: self.index,
             is_planned,
         });
@@ -184,23 +185,23 @@
 
     /// Kills its process, and waits for its end.
     pub async fn kill(&self) {
-        self.note_strike(false);
+        self.record_disturbance(false);
         self.lock().is_ending = true;
         self.signal(Signal::SIGKILL);
-        self.ended().await;
+        self.wait_for_exit().await;
     }
 
     /// Stops its process as planned, and waits for its end.
     pub async fn stop(&self) {
-        self.note_strike(true);
+        self.record_disturbance(true);
         // The balancer hears that it leaves, and sends nobody any more.
         self.lock().is_ending = true;
         self.signal(Signal::SIGTERM);
-        self.ended().await;
-        self.note_strike(true);
+        self.wait_for_exit().await;
+        self.record_disturbance(true);
     }
 
-    async fn ended(&self) {
+    async fn wait_for_exit(&self) {
         loop {
             {
                 let mut state = self.lock();
@@ -214,13 +215,13 @@
                     return;
                 }
             }
-            sleep(END_LOOK).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 
     /// Makes its way to the log as told.
     pub fn set_log_link(&self, link: LinkState) {
-        self.note_strike(false);
+        self.record_disturbance(false);
         self.log_link.set(link);
     }
 
@@ -246,8 +247,8 @@
     if step > 0 {
         let part = 1.0 / (1 + step) as f64;
         settings["retries"] = json!({
-            "ratio": crate::checks::REPEAT_RATIO * part,
-            "slack": crate::checks::REPEAT_SLACK * part,
+            "ratio": crate::checks::RETRY_RATIO * part,
+            "slack": crate::checks::RETRY_SLACK * part,
         });
         settings["policy"] = json!({ "away_price_ms": 60 + step, "fetch_gain_ms": 60 + step });
         settings["pace"] = json!({ "config_every_ms": 200 + step });
@@ -256,7 +257,7 @@
 }
 
 /// Copies a daemon's lines to its log, and takes its address from the first.
-fn keep_lines(output: ChildStdout, mut log: File, state: &Mutex<ProcessState>, run: u32) {
+fn copy_log(output: ChildStdout, mut log: File, state: &Mutex<ProcessState>, run: u32) {
     for line in BufReader::new(output).lines() {
         let Ok(line) = line else {
             return;
@@ -264,7 +265,7 @@
         // A full disk shows in the run's other files.
         let _ = writeln!(log, "{line}");
         let written: Value = serde_json::from_str(&line).unwrap_or_default();
-        if written["event"].as_u64() == Some(STARTED) {
+        if written["event"].as_u64() == Some(STARTED_EVENT) {
             let callers = written["message"]
                 .as_str()
                 .and_then(|text| text.split("callers ").nth(1)?.split(',').next())
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,8 +1,8 @@
 //! What callers, targets and the fault schedule saw, each entry with its time.
 
 use crate::{
-    shelf::WeightVersions,
-    targets::{TargetRole, service_of},
+    adapter_store::WeightVersions,
+    targets::{TargetRole, service_name},
 };
 use std::{
     sync::{Arc, Mutex},
@@ -30,7 +30,7 @@
     /// The service that it goes to.
     #[must_use]
     pub fn service(self) -> &'static str {
-        service_of(match self {
+        service_name(match self {
             Self::Once | Self::Idempotent => TargetRole::Plain,
             Self::Stream | Self::Resumable => TargetRole::Engine,
         })
@@ -38,7 +38,7 @@
 
     /// Whether a second run breaks a promise.
     #[must_use]
-    pub fn runs_once(self) -> bool {
+    pub fn is_at_most_once(self) -> bool {
         matches!(self, Self::Once | Self::Stream)
     }
 }
@@ -47,16 +47,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
     /// A status and a body that its framing says is whole.
-    Whole(u16, String),
+    Complete(u16, String),
     /// A status and a body that broke off.
-    Broken(u16),
+    Truncated(u16),
     /// A connection that closed, or was refused, without an answer.
-    Nothing,
+    NoAnswer,
 }
 
 /// One entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SeenEntry {
+pub enum HistoryEvent {
     /// A caller sent a request to a VM.
     Sent {
         /// The request.
@@ -69,7 +69,7 @@
         adapter: String,
     },
     /// A caller gives a key with its request.
-    Keyed {
+    KeySent {
         /// The request.
         id: String,
         /// The key.
@@ -81,7 +81,7 @@
         key: String,
     },
     /// A target is told for which organisation it runs a request.
-    RanFor {
+    RanForOrganisation {
         /// The request.
         id: String,
         /// The organisation; empty if it is told none.
@@ -106,21 +106,21 @@
         breaks_off: bool,
     },
     /// A target turned a request away without running it.
-    TurnedAway {
+    Rejected {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
     /// An engine takes parts of a request's prompt from another engine.
-    Moved {
+    CacheFetched {
         /// The request.
         id: String,
         /// The engine.
         target: String,
     },
     /// A run used memory of its prompt that was made under another version of its adapter or of the base model.
-    Mixed {
+    CacheMismatch {
         /// The request.
         id: String,
         /// The engine.
@@ -133,14 +133,14 @@
         runs_under: WeightVersions,
     },
     /// A target was handed a header of the system's own that a caller had forged.
-    Forged {
+    ForgedHeader {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
     /// An engine took an order.
-    Ordered {
+    OrderAccepted {
         /// The engine.
         target: String,
         /// The VM that gave it.
@@ -149,22 +149,22 @@
         token: u64,
     },
     /// An engine was ordered beyond its places.
-    Overfilled {
+    SlotsExceeded {
         /// The engine.
         target: String,
     },
     /// The list says from now on that a target leaves, or lacks it.
-    Leaving {
+    TargetDraining {
         /// The target.
         target: String,
     },
     /// A configuration with this version was accepted.
-    Configured {
+    ConfigAccepted {
         /// The version; the route `/vN/` exists from version N on.
         version: u64,
     },
     /// A VM answered whether it has the route of a version.
-    Probed {
+    RouteProbed {
         /// The VM.
         vm: usize,
         /// The run of its process.
@@ -175,19 +175,19 @@
         has_route: bool,
     },
     /// A fault, a signal or its end struck a VM.
-    Struck {
+    VmDisturbed {
         /// The VM.
         vm: usize,
         /// Whether it was a planned stop and nothing else.
         is_planned: bool,
     },
     /// A VM's settings file was changed, and its process told so.
-    Reloaded {
+    SettingsReloaded {
         /// The VM.
         vm: usize,
     },
     /// A target turned a request away, and wants nothing for a while from the VM that sent it.
-    RestAsked {
+    RetryAfterSent {
         /// The request.
         id: String,
         /// The target.
@@ -196,14 +196,14 @@
         rest: Duration,
     },
     /// A target said in its answer to a request that it leaves.
-    SaidLeaving {
+    DrainingAnnounced {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
     /// A VM's process was started again.
-    Started {
+    VmStarted {
         /// The VM.
         vm: usize,
     },
@@ -215,7 +215,7 @@
         within: Duration,
     },
     /// The log or all links were disturbed, or came back.
-    Disturbed,
+    LogDisturbed,
 }
 
 /// An entry with its time since the start.
@@ -224,7 +224,7 @@
     /// When it was seen.
     pub at: Duration,
     /// What was seen.
-    pub seen: SeenEntry,
+    pub event: HistoryEvent,
 }
 
 /// A history that is being written.
@@ -248,10 +248,10 @@
     ///
     /// # Panics
     /// If a holder of the lock panicked.
-    pub fn add(&self, seen: SeenEntry) {
+    pub fn record(&self, event: HistoryEvent) {
         let at = self.start.elapsed();
         let mut entries = self.entries.lock().expect("no holder of the lock panics");
-        entries.push(TimedEntry { at, seen });
+        entries.push(TimedEntry { at, event });
     }
 
     /// What was seen so far.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -15,6 +15,7 @@
 //! | [`run`] | one seed from start to report |
 //! | [`report`] | the outcome as text and as a page |
 
+pub mod adapter_store;
 pub mod callers;
 pub mod checks;
 pub mod fleet;
@@ -24,5 +25,4 @@
 pub mod report;
 pub mod run;
 pub mod schedule;
-pub mod shelf;
 pub mod targets;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -3,9 +3,9 @@
 use gumdrop::Options;
 use hoplanding_soak::{
     report,
-    run::{RunOutcome, RunPlan, play},
+    run::{RunOutcome, RunPlan, run_soak},
     schedule::PlannedFault,
-    targets::PlantedFault,
+    targets::InjectedDefect,
 };
 use std::{fs, io, path::PathBuf, process::ExitCode};
 use tokio::signal::unix::{SignalKind, signal};
@@ -110,7 +110,7 @@
     let mut outcomes = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
         let plan = plan(args, seed)?;
-        let outcome = play(&plan).await?;
+        let outcome = run_soak(&plan).await?;
         println!("{}", report::text(&outcome));
         if !outcome.violations.is_empty() {
             let kept = plan.folder.display();
@@ -149,10 +149,10 @@
         adapters: args.adapters,
         faults,
         fault_count: args.faults,
-        beside_count: args.beside,
+        extra_fault_count: args.beside,
         program: args.daemon.clone(),
         folder: args.out.join(format!("seed-{seed}")),
-        planted: PlantedFault::None,
+        defect: InjectedDefect::None,
     })
 }
 
@@ -166,7 +166,7 @@
         let mut smaller = plan.clone();
         smaller.folder = plan.folder.join("shrunk");
         smaller.faults = Some(fewer.clone());
-        if play(&smaller).await?.violations.is_empty() {
+        if run_soak(&smaller).await?.violations.is_empty() {
             index += 1;
         } else {
             needed = fewer;
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -3,7 +3,7 @@
 //! Most of a prompt is shared with others of its adapter, and the shared parts change as the run goes on, so that engines meet
 //! parts that a neighbour has read and they have not.
 
-use crate::shelf::WeightVersions;
+use crate::adapter_store::WeightVersions;
 use hoplanding_standins::kept_memory::{MemoryNet, ReadPrompt};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
@@ -11,19 +11,19 @@
 /// Tokens of a shared part: long enough that it is sooner taken from another engine than read.
 const SHARED_TOKENS: u32 = 6_300;
 /// Tokens of the part that is a request's own.
-const OWN_TOKENS: u32 = 200;
+const UNIQUE_TOKENS: u32 = 200;
 /// Most tokens of an answer.
 const OUTPUT_TOKENS: u32 = 20;
 /// Shared parts that an adapter's prompts have at a time.
-const LIVE_PARTS: usize = 3;
+const ACTIVE_SHARED_PARTS: usize = 3;
 /// Requests after which the oldest of them gives way to a new one.
-const PART_REQUESTS: usize = 60;
+const REQUESTS_PER_SHARED_PART: usize = 60;
 /// Ids of own parts lie above those of shared ones.
-const OWN_IDS: usize = 0x10_0000;
+const FIRST_UNIQUE_ID: usize = 0x10_0000;
 /// Tokens that an engine reads in a millisecond.
-const READ_PER_MS: u32 = 40;
+const PREFILL_TOKENS_PER_MS: u32 = 40;
 /// Time that a move between two engines takes.
-pub const MOVE_TIME: Duration = Duration::from_millis(20);
+pub const CACHE_FETCH_TIME: Duration = Duration::from_millis(20);
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
 
 /// The parts of a request's prompt, by the request's number.
 #[must_use]
-pub fn parts_of(number: usize) -> [PromptPart; 2] {
-    let shared = number / PART_REQUESTS + number % LIVE_PARTS;
+pub fn prompt_parts(number: usize) -> [PromptPart; 2] {
+    let shared = number / REQUESTS_PER_SHARED_PART + number % ACTIVE_SHARED_PARTS;
     let part = |id: usize, tokens| PromptPart {
         id: id as u64,
         tokens,
     };
     [
         part(shared, SHARED_TOKENS),
-        part(OWN_IDS + number, OWN_TOKENS),
+        part(FIRST_UNIQUE_ID + number, UNIQUE_TOKENS),
     ]
 }
 
@@ -74,7 +74,7 @@
 
 /// A prompt that an engine was handed.
 #[derive(Clone, Debug)]
-pub struct GivenPrompt {
+pub struct ReceivedPrompt {
     /// Its adapter.
     pub adapter: String,
     /// Versions that the engine runs it under.
@@ -85,13 +85,13 @@
     pub source: Option<SocketAddr>,
 }
 
-impl GivenPrompt {
+impl ReceivedPrompt {
     /// Reads it into an engine's memory; the versions that the memory was made under, if they are others than its own.
     #[must_use]
-    pub fn read(&self, at: SocketAddr, memory: &MemoryNet) -> Option<WeightVersions> {
+    pub fn read_into(&self, at: SocketAddr, memory: &MemoryNet) -> Option<WeightVersions> {
         let ids = self.ids();
         let mismatch = memory.read(at, &self.view(&ids, self.source));
-        mismatch.map(|mismatch| WeightVersions::of_mark(mismatch.made_under))
+        mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.made_under))
     }
 
     fn ids(&self) -> Vec<u64> {
@@ -101,7 +101,7 @@
     fn view<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
         ReadPrompt {
             adapter: &self.adapter,
-            version: self.versions.mark(),
+            version: self.versions.to_packed(),
             parts: ids,
             source,
         }
@@ -110,20 +110,20 @@
 
 /// Work that a prompt is for an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingWork {
+pub struct PrefillWork {
     /// Time until it is read, those before it included.
     pub time: Duration,
     /// Whether parts of it come from another engine.
-    pub is_move: bool,
+    pub is_fetch: bool,
 }
 
 /// The prompts of an engine, read one after another.
 #[derive(Debug)]
-pub struct PromptDesk {
+pub struct PromptQueue {
     free_at: Instant,
 }
 
-impl Default for PromptDesk {
+impl Default for PromptQueue {
     fn default() -> Self {
         Self {
             free_at: Instant::now(),
@@ -131,31 +131,31 @@
     }
 }
 
-impl PromptDesk {
+impl PromptQueue {
     /// Takes a prompt in behind those that wait.
-    pub fn take(
+    pub fn enqueue(
         &mut self,
         at: SocketAddr,
-        prompt: &GivenPrompt,
+        prompt: &ReceivedPrompt,
         memory: &MemoryNet,
         now: Instant,
-    ) -> ReadingWork {
+    ) -> PrefillWork {
         let ids = prompt.ids();
         let kept = memory.found(at, &prompt.view(&ids, None));
         let found = memory.found(at, &prompt.view(&ids, prompt.source));
-        let is_move = found > kept;
+        let is_fetch = found > kept;
         let unread = prompt.parts[found..]
             .iter()
             .map(|part| part.tokens)
             .sum::<u32>();
-        let mut own = Duration::from_millis(u64::from(unread / READ_PER_MS));
-        if is_move {
-            own += MOVE_TIME;
+        let mut own = Duration::from_millis(u64::from(unread / PREFILL_TOKENS_PER_MS));
+        if is_fetch {
+            own += CACHE_FETCH_TIME;
         }
         self.free_at = self.free_at.max(now) + own;
-        ReadingWork {
+        PrefillWork {
             time: self.free_at - now,
-            is_move,
+            is_fetch,
         }
     }
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,7 +1,7 @@
 //! The outcome of runs, as text and as a page with a plot.
 
 use crate::{
-    history::{CallAnswer, SeenEntry, TimedEntry},
+    history::{CallAnswer, HistoryEvent, TimedEntry},
     run::RunOutcome,
 };
 use hdrhistogram::Histogram;
@@ -29,7 +29,7 @@
     /// Everything else.
     pub failed: usize,
     /// Prompts of which an engine took parts from another one.
-    pub moved: usize,
+    pub cache_fetches: usize,
     /// Median and 99th percentile of the time to a whole answer, in milliseconds.
     pub latency_ms: (u64, u64),
 }
@@ -40,22 +40,22 @@
     let mut figures = RunFigures::default();
     let mut sent = BTreeMap::new();
     let mut latencies = Histogram::<u64>::new_with_max(LONGEST_MS, 3).expect("valid bounds");
-    for TimedEntry { at, seen } in history {
-        match seen {
-            SeenEntry::Sent { id, .. } => {
+    for TimedEntry { at, event } in history {
+        match event {
+            HistoryEvent::Sent { id, .. } => {
                 figures.sent += 1;
                 sent.insert(id, *at);
             }
-            SeenEntry::Answered { id, answer } => match answer {
-                CallAnswer::Whole(200..=299, _) => {
+            HistoryEvent::Answered { id, answer } => match answer {
+                CallAnswer::Complete(200..=299, _) => {
                     figures.answered += 1;
                     let held = sent.get(id).map_or(Duration::ZERO, |from| *at - *from);
                     latencies.saturating_record(u64::try_from(held.as_millis()).unwrap_or(0));
                 }
-                CallAnswer::Whole(408 | 421 | 429 | 503, _) => figures.refused += 1,
+                CallAnswer::Complete(408 | 421 | 429 | 503, _) => figures.refused += 1,
                 _ => figures.failed += 1,
             },
-            SeenEntry::Moved { .. } => figures.moved += 1,
+            HistoryEvent::CacheFetched { .. } => figures.cache_fetches += 1,
             _ => {}
         }
     }
@@ -74,7 +74,7 @@
         answered,
         refused,
         failed,
-        moved,
+        cache_fetches,
         latency_ms: (median, high),
     } = figures(&outcome.history);
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
@@ -83,7 +83,7 @@
     }
     let mut text = format!(
         "seed {}: {sent} sent, {answered} answered, {refused} refused as not run, {failed} failed; \
-         {moved} prompts moved; {median} ms median, {high} ms p99; faults {kinds:?}; {} broken promises",
+         {cache_fetches} prompts moved; {median} ms median, {high} ms p99; faults {kinds:?}; {} broken promises",
         outcome.seed,
         outcome.violations.len()
     );
@@ -113,14 +113,14 @@
 fn plot(outcome: &RunOutcome) -> Result<String, Box<dyn std::error::Error>> {
     let mut served: BTreeMap<u64, f64> = BTreeMap::new();
     let mut end = 1.0_f64;
-    for TimedEntry { at, seen } in &outcome.history {
+    for TimedEntry { at, event } in &outcome.history {
         end = end.max(at.as_secs_f64());
         let step = u64::try_from(at.as_millis() / STEP.as_millis()).unwrap_or(0);
         let count = served.entry(step).or_default();
-        if let SeenEntry::Answered {
-            answer: CallAnswer::Whole(200..=299, _),
+        if let HistoryEvent::Answered {
+            answer: CallAnswer::Complete(200..=299, _),
             ..
-        } = seen
+        } = event
         {
             *count += 1.0 / STEP.as_secs_f64();
         }
@@ -136,7 +136,7 @@
             .build_cartesian_2d(0.0..end, 0.0..top)?;
         chart.draw_series(outcome.faults.iter().map(|fault| {
             let from = first + fault.at().as_secs_f64();
-            let to = from + fault.length().as_secs_f64();
+            let to = from + fault.duration().as_secs_f64();
             Rectangle::new([(from, 0.0), (to, top)], RED.mix(0.12).filled())
         }))?;
         let points = served
@@ -151,6 +151,6 @@
 fn first_call(history: &[TimedEntry]) -> Duration {
     history
         .iter()
-        .find(|entry| matches!(entry.seen, SeenEntry::Sent { .. }))
+        .find(|entry| matches!(entry.event, HistoryEvent::Sent { .. }))
         .map_or(Duration::ZERO, |entry| entry.at)
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,15 +1,15 @@
 //! One seed: a small fleet, its callers and its faults, from start to outcome.
 
 use crate::{
-    callers::{SoakCall, probe_version, send_call},
+    adapter_store::{ADAPTER_SLOTS, BASE_MODEL, FIRST_VERSION},
+    callers::{SoakCall, probe_route, send_call},
     checks::{Violation, check},
     fleet::SoakVm,
-    history::{CallKind, SeenEntry, SharedHistory, TimedEntry},
-    organisations::{declared, draw_key, passing_key},
-    prompts::parts_of,
-    schedule::{FaultKind, PlannedFault, faults_beside, faults_of},
-    shelf::{BASE, FIRST_VERSION, PLACES},
-    targets::{PlantedFault, SoakTarget, TargetRole, TargetSite, service_of},
+    history::{CallKind, HistoryEvent, SharedHistory, TimedEntry},
+    organisations::{draw_key, rotated_key, tenant_configs},
+    prompts::prompt_parts,
+    schedule::{FaultKind, PlannedFault, extra_faults, seeded_faults},
+    targets::{InjectedDefect, SoakTarget, TargetContext, TargetRole, service_name},
 };
 use hoplanding_platform::names::{
     CONFIG_KEY, FLEET_TOPIC, OPERATOR_TOPIC, TARGET_TOPIC, VERSION_KEY,
@@ -34,38 +34,38 @@
 };
 
 /// Time for the fleet to come up.
-const START_WITHIN: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between two probes of a VM's configuration.
-const PROBE_EVERY: Duration = Duration::from_millis(150);
+const PROBE_INTERVAL: Duration = Duration::from_millis(150);
 /// Kills of a series, and the time that the daemons run between two of them.
 const SERIES_KILLS: usize = 5;
-const SERIES_LIFE: Duration = Duration::from_millis(700);
+const SERIES_KILL_INTERVAL: Duration = Duration::from_millis(700);
 /// New versions of a series, and the time between two of them: shorter than a run, so that copies in use stay behind.
 const SERIES_VERSIONS: usize = 8;
-const VERSION_EVERY: Duration = Duration::from_millis(350);
+const VERSION_INTERVAL: Duration = Duration::from_millis(350);
 /// Adapters that are asked for most.
-const IN_DEMAND: usize = 3;
+const POPULAR_ADAPTERS: usize = 3;
 /// Changes of settings of a series, and the time between two of them.
 const SERIES_RELOADS: usize = 6;
-const RELOAD_EVERY: Duration = Duration::from_millis(250);
+const RELOAD_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two looks of a target at its entry in the list.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for which the log is away before it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(300);
+const LOG_OUTAGE: Duration = Duration::from_millis(300);
 /// Time after which what was lost is written again.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(200);
+const REWRITE_DELAY: Duration = Duration::from_millis(200);
 /// Shortest rest that targets ask for.
-const REST_LEAST: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time for which answers alone say that a target leaves, at the least.
-const LEAVING_UNLISTED: Duration = Duration::from_secs(3);
+const MIN_ANNOUNCED_DRAINING: Duration = Duration::from_secs(3);
 /// Records that a copy lacks at the most.
-const MOST_LOST: usize = 6;
+const MAX_LOST_RECORDS: usize = 6;
 /// Time between two counts of the calls to the log.
-const COUNT_EVERY: Duration = Duration::from_secs(1);
+const LOG_COUNT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time for calls and faults to end after the last request.
-const END_WITHIN: Duration = Duration::from_secs(20);
+const END_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What a run consists of.
 #[derive(Clone, Debug)]
@@ -89,13 +89,13 @@
     /// Faults of a seed.
     pub fault_count: usize,
     /// Faults that a seed has beside those: what targets say of themselves, and logs that come back from a copy.
-    pub beside_count: usize,
+    pub extra_fault_count: usize,
     /// The daemon's program.
     pub program: PathBuf,
     /// Where settings, logs and schedule of the run are kept.
     pub folder: PathBuf,
     /// A fault of the stand-ins that the checks have to find.
-    pub planted: PlantedFault,
+    pub defect: InjectedDefect,
 }
 
 impl RunPlan {
@@ -104,8 +104,8 @@
     pub fn schedule(&self) -> Vec<PlannedFault> {
         let span = Duration::from_secs_f64(self.requests as f64 / self.rate);
         self.faults.clone().unwrap_or_else(|| {
-            let mut faults = faults_of(self.seed, span, self.fault_count);
-            faults.extend(faults_beside(self.seed, span, self.beside_count));
+            let mut faults = seeded_faults(self.seed, span, self.fault_count);
+            faults.extend(extra_faults(self.seed, span, self.extra_fault_count));
             faults.sort_by_key(|fault| fault.at_ms);
             faults
         })
@@ -126,7 +126,7 @@
 }
 
 /// A running fleet and its target_site.
-struct SoakSite {
+struct SoakCluster {
     log: KeyedLog,
     vms: Vec<Arc<SoakVm>>,
     targets: Mutex<Vec<Arc<SoakTarget>>>,
@@ -136,7 +136,7 @@
     /// The newest version of anything; held while it is named, so that the log has versions in their order.
     newest_version: Mutex<u64>,
     adapters: usize,
-    target_site: TargetSite,
+    target_context: TargetContext,
     /// What operators and targets wrote last under each key, to be written again.
     written: Mutex<BTreeMap<(&'static str, String), Option<String>>>,
 }
@@ -145,12 +145,12 @@
 ///
 /// # Errors
 /// Returns the error of the system when ports, files or the program can't be had, or when the fleet does not come up.
-pub async fn play(plan: &RunPlan) -> io::Result<RunOutcome> {
+pub async fn run_soak(plan: &RunPlan) -> io::Result<RunOutcome> {
     fs::create_dir_all(&plan.folder)?;
     let faults = plan.schedule();
     let written = serde_json::to_string_pretty(&faults)?;
     fs::write(plan.folder.join("faults.json"), written)?;
-    let site = Arc::new(SoakSite::start(plan).await?);
+    let site = Arc::new(SoakCluster::start(plan).await?);
     site.wait_for_callers().await?;
     let prober = tokio::spawn(Arc::clone(&site).probe());
     let lister = tokio::spawn(Arc::clone(&site).renew_list());
@@ -166,7 +166,7 @@
     }
     site.send_calls(plan, begun, &mut work).await;
     // What hangs beyond the callers' patience shows as calls without an answer.
-    let _ = timeout(END_WITHIN, async {
+    let _ = timeout(END_TIMEOUT, async {
         while work.join_next().await.is_some() {}
     })
     .await;
@@ -183,7 +183,7 @@
     })
 }
 
-impl SoakSite {
+impl SoakCluster {
     async fn start(plan: &RunPlan) -> io::Result<Self> {
         let history = SharedHistory::new();
         let log = KeyedLog::start().await?;
@@ -207,7 +207,7 @@
             vms,
             targets: Mutex::default(),
             zones,
-            target_site: TargetSite::new(history.clone(), plan.planted),
+            target_context: TargetContext::new(history.clone(), plan.defect),
             history,
             version: AtomicU64::new(1),
             newest_version: Mutex::new(FIRST_VERSION),
@@ -236,8 +236,8 @@
     ) -> io::Result<()> {
         let zone = &self.zones[index % self.zones.len()];
         let number = self.lock_targets().len();
-        let name = format!("i-{}-{number}", service_of(role));
-        let site = self.target_site.clone();
+        let name = format!("i-{}-{number}", service_name(role));
+        let site = self.target_context.clone();
         let target = SoakTarget::start(&name, role, zone, base, site).await?;
         self.lock_targets().push(Arc::new(target));
         self.list_news();
@@ -247,7 +247,7 @@
     /// Writes the entries of targets that hold something else than listed.
     fn list_news(&self) {
         for target in self.lock_targets().iter() {
-            if let Some(entry) = target.news() {
+            if let Some(entry) = target.changed_entry() {
                 self.write(TARGET_TOPIC, &target.name, Some(&entry));
             }
         }
@@ -255,7 +255,7 @@
 
     async fn renew_list(self: Arc<Self>) {
         loop {
-            sleep(HEARTBEAT).await;
+            sleep(HEARTBEAT_INTERVAL).await;
             self.list_news();
         }
     }
@@ -280,11 +280,11 @@
     /// The log is away for a moment, and comes back from a copy that lacks up to so many records of each topic.
     async fn restore_log(&self, lost: usize) {
         self.disturb(|faults| faults.is_out = true);
-        sleep(AWAY).await;
+        sleep(LOG_OUTAGE).await;
         let topics = [OPERATOR_TOPIC, TARGET_TOPIC, FLEET_TOPIC];
         self.log.restore(&topics.map(|topic| (topic, lost)));
         self.disturb(|faults| faults.is_out = false);
-        sleep(WRITTEN_AGAIN).await;
+        sleep(REWRITE_DELAY).await;
         self.write_again();
         self.disturb(|_| {});
     }
@@ -294,9 +294,9 @@
         let mut known = self.log.calls();
         let mut since = Instant::now();
         loop {
-            sleep(COUNT_EVERY).await;
+            sleep(LOG_COUNT_INTERVAL).await;
             let calls = self.log.calls();
-            self.history.add(SeenEntry::LogCalls {
+            self.history.record(HistoryEvent::LogCalls {
                 calls: calls - known,
                 within: since.elapsed(),
             });
@@ -308,16 +308,16 @@
     async fn wait_for_callers(&self) -> io::Result<()> {
         let ready = async {
             for vm in &self.vms {
-                while probe_version(vm, 1)
+                while probe_route(vm, 1)
                     .await
                     .is_none_or(|(_, has_route)| !has_route)
                 {
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                 }
             }
         };
         let late = |_| io::Error::other("the fleet did not come up: look at the logs of the run");
-        timeout(START_WITHIN, ready).await.map_err(late)
+        timeout(START_TIMEOUT, ready).await.map_err(late)
     }
 
     /// Writes the newest configuration: the routes of all versions so far, so that a route tells the version.
@@ -348,18 +348,19 @@
             "services": [
                 { "name": "ledger", "max_connections": 100 },
                 { "name": "scribe", "max_connections": 100, "engine": {
-                    "slots": 8, "kv_capacity": 100_000, "adapter_slots": PLACES,
-                    "loads_per_s": 100.0, "models": [{ "name": BASE }] } },
+                    "slots": 8, "kv_capacity": 100_000, "adapter_slots": ADAPTER_SLOTS,
+                    "loads_per_s": 100.0, "models": [{ "name": BASE_MODEL }] } },
             ],
-            "tenants": declared(version),
+            "tenants": tenant_configs(version),
             "limits": { "max_header_bytes": 16384, "max_body_bytes": 100_000,
                         "header_timeout_ms": 3000, "idle_timeout_ms": 15000 },
         });
         self.write(OPERATOR_TOPIC, CONFIG_KEY, Some(&config.to_string()));
-        self.history.add(SeenEntry::Configured { version });
+        self.history
+            .record(HistoryEvent::ConfigAccepted { version });
         for gone in 1..version {
-            let key = passing_key(gone);
-            self.history.add(SeenEntry::Revoked { key });
+            let key = rotated_key(gone);
+            self.history.record(HistoryEvent::Revoked { key });
         }
     }
 
@@ -376,7 +377,7 @@
             };
             let parts = match kind {
                 CallKind::Once | CallKind::Idempotent => Vec::new(),
-                _ => parts_of(number).to_vec(),
+                _ => prompt_parts(number).to_vec(),
             };
             let call = SoakCall {
                 id: format!("r{number}"),
@@ -388,7 +389,7 @@
             let start = random.random_range(0..self.vms.len());
             let open = (0..self.vms.len())
                 .map(|step| &self.vms[(start + step) % self.vms.len()])
-                .find(|vm| vm.callers().is_some());
+                .find(|vm| vm.caller_endpoint().is_some());
             if let Some(vm) = open {
                 work.spawn(send_call(Arc::clone(vm), call, self.history.clone()));
             }
@@ -401,8 +402,8 @@
             for vm in &self.vms {
                 let newest = self.version.load(Ordering::SeqCst);
                 for version in newest.saturating_sub(1).max(1)..=newest {
-                    if let Some((run, has_route)) = probe_version(vm, version).await {
-                        self.history.add(SeenEntry::Probed {
+                    if let Some((run, has_route)) = probe_route(vm, version).await {
+                        self.history.record(HistoryEvent::RouteProbed {
                             vm: vm.index,
                             run,
                             version,
@@ -411,7 +412,7 @@
                     }
                 }
             }
-            sleep(PROBE_EVERY).await;
+            sleep(PROBE_INTERVAL).await;
         }
     }
 
@@ -426,7 +427,7 @@
                 for vm in &self.vms {
                     vm.kill().await;
                 }
-                sleep(fault.length()).await;
+                sleep(fault.duration()).await;
                 for vm in &self.vms {
                     self.restart_now(vm);
                 }
@@ -439,7 +440,7 @@
                     for vm in &self.vms {
                         self.restart_now(vm);
                     }
-                    sleep(SERIES_LIFE).await;
+                    sleep(SERIES_KILL_INTERVAL).await;
                 }
             }
             FaultKind::PlannedStop => {
@@ -447,15 +448,15 @@
                 self.restart(vm, fault).await;
             }
             FaultKind::Pause => {
-                vm.note_strike(false);
+                vm.record_disturbance(false);
                 vm.signal(Signal::SIGSTOP);
-                sleep(fault.length()).await;
-                vm.note_strike(false);
+                sleep(fault.duration()).await;
+                vm.record_disturbance(false);
                 vm.signal(Signal::SIGCONT);
             }
             FaultKind::LogOut => {
                 self.disturb(|faults| faults.is_out = true);
-                sleep(fault.length()).await;
+                sleep(fault.duration()).await;
                 self.disturb(|faults| faults.is_out = false);
             }
             FaultKind::LogLosesAnswers => self.disturb(|faults| faults.lose_answers += 2),
@@ -473,14 +474,14 @@
             FaultKind::Shed => {
                 let targets = self.lock_targets().clone();
                 targets.iter().for_each(|target| target.set_shedding(true));
-                sleep(fault.length()).await;
+                sleep(fault.duration()).await;
                 targets.iter().for_each(|target| target.set_shedding(false));
             }
             FaultKind::Break => {
                 let target = self.target(fault.index);
-                target.set_breaking(true);
-                sleep(fault.length()).await;
-                target.set_breaking(false);
+                target.set_truncating(true);
+                sleep(fault.duration()).await;
+                target.set_truncating(false);
             }
             FaultKind::Configure => {
                 self.version.fetch_add(1, Ordering::SeqCst);
@@ -489,35 +490,35 @@
             FaultKind::NameVersion => self.name_version(Some(fault.index % self.adapters)),
             FaultKind::VersionSeries => {
                 for _ in 0..SERIES_VERSIONS {
-                    self.name_version(Some(fault.index % IN_DEMAND.min(self.adapters)));
-                    sleep(VERSION_EVERY).await;
+                    self.name_version(Some(fault.index % POPULAR_ADAPTERS.min(self.adapters)));
+                    sleep(VERSION_INTERVAL).await;
                 }
             }
             FaultKind::WeightSeries => {
                 for _ in 0..SERIES_VERSIONS {
                     self.name_version(None);
-                    sleep(VERSION_EVERY).await;
+                    sleep(VERSION_INTERVAL).await;
                 }
             }
             FaultKind::LateOrders => {
                 let engine = self.engine(fault.index);
                 engine.set_delaying_orders(true);
-                sleep(fault.length()).await;
+                sleep(fault.duration()).await;
                 engine.set_delaying_orders(false);
             }
-            FaultKind::Restore => self.restore_log(1 + fault.index % MOST_LOST).await,
+            FaultKind::Restore => self.restore_log(1 + fault.index % MAX_LOST_RECORDS).await,
             FaultKind::Rest => {
                 let role = self.target(fault.index).role;
                 let targets = self.lock_targets().clone();
                 let of_role = targets.iter().filter(|target| target.role == role);
                 for target in of_role.skip(1) {
-                    target.rest_for(REST_LEAST + fault.length());
+                    target.reject_for(MIN_RETRY_AFTER + fault.duration());
                 }
             }
             FaultKind::LeaveInAnswers => {
                 let target = self.target(fault.index);
-                target.say_leaving();
-                sleep(LEAVING_UNLISTED + fault.length()).await;
+                target.announce_draining();
+                sleep(MIN_ANNOUNCED_DRAINING + fault.duration()).await;
                 self.replace_target(&target, true, Some(FIRST_VERSION), fault)
                     .await;
             }
@@ -527,7 +528,7 @@
                         // The last step puts back what was there at first.
                         self.reload(vm, SERIES_RELOADS - step);
                     }
-                    sleep(RELOAD_EVERY).await;
+                    sleep(RELOAD_INTERVAL).await;
                 }
             }
         }
@@ -541,14 +542,14 @@
             .expect("no holder of the lock panics");
         *newest += 1;
         let version = *newest;
-        let mut value = json!({ "model": BASE, "version": version });
-        let mut key = format!("{VERSION_KEY}{BASE}");
+        let mut value = json!({ "model": BASE_MODEL, "version": version });
+        let mut key = format!("{VERSION_KEY}{BASE_MODEL}");
         let adapter = adapter.map(|adapter| format!("a{adapter}"));
         if let Some(adapter) = &adapter {
             value["adapter"] = json!(adapter);
             key += &format!(".{adapter}");
         }
-        self.target_site
+        self.target_context
             .name_version(adapter.as_deref().unwrap_or_default(), version);
         self.write(OPERATOR_TOPIC, &key, Some(&value.to_string()));
     }
@@ -560,24 +561,25 @@
     }
 
     fn disturb(&self, change: impl FnOnce(&mut hoplanding_standins::keyed_log::LogFaults)) {
-        self.history.add(SeenEntry::Disturbed);
+        self.history.record(HistoryEvent::LogDisturbed);
         self.log.set_faults(change);
     }
 
     async fn strike_link(&self, vm: &SoakVm, state: LinkState, fault: &PlannedFault) {
         vm.set_log_link(state);
-        sleep(fault.length()).await;
+        sleep(fault.duration()).await;
         vm.set_log_link(LinkState::Open);
     }
 
     async fn restart(&self, vm: &SoakVm, fault: &PlannedFault) {
-        sleep(fault.length()).await;
+        sleep(fault.duration()).await;
         self.restart_now(vm);
     }
 
     fn restart_now(&self, vm: &SoakVm) {
-        vm.note_strike(false);
-        self.history.add(SeenEntry::Started { vm: vm.index });
+        vm.record_disturbance(false);
+        self.history
+            .record(HistoryEvent::VmStarted { vm: vm.index });
         if let Err(error) = vm.start() {
             eprintln!("VM {} was not started again: {error}", vm.index);
         }
@@ -595,10 +597,10 @@
         {
             // No entry of before is written behind the last one.
             let _targets = self.lock_targets();
-            let entry = Some(target.farewell()).filter(|_| says_so);
+            let entry = Some(target.draining_entry()).filter(|_| says_so);
             self.write(TARGET_TOPIC, &target.name, entry.as_deref());
         }
-        self.history.add(SeenEntry::Leaving {
+        self.history.record(HistoryEvent::TargetDraining {
             target: target.name.clone(),
         });
         if let Err(error) = self.add_target(target.role, fault.index, base).await {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -5,7 +5,7 @@
 use std::{fmt, time::Duration};
 
 /// Bounds of a fault's length, in milliseconds.
-const LENGTHS_MS: std::ops::Range<u64> = 300..3_000;
+const DURATION_RANGE_MS: std::ops::Range<u64> = 300..3_000;
 
 /// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
 
 impl FaultKind {
     /// The kinds that the seeds of a schedule are drawn from: others would change what each seed gives.
-    pub const DRAWN: [Self; 19] = [
+    pub const SEEDED: [Self; 19] = [
         Self::Kill,
         Self::Pause,
         Self::PlannedStop,
@@ -81,7 +81,7 @@
     ];
 
     /// The kinds that are drawn beside those.
-    pub const DRAWN_BESIDE: [Self; 3] = [Self::Restore, Self::Rest, Self::LeaveInAnswers];
+    pub const EXTRA: [Self; 3] = [Self::Restore, Self::Rest, Self::LeaveInAnswers];
 }
 
 impl fmt::Display for FaultKind {
@@ -112,21 +112,21 @@
 
     /// How long it lasts.
     #[must_use]
-    pub fn length(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         Duration::from_millis(self.for_ms)
     }
 }
 
 /// The faults of a seed within a span, in the order of their times; some overlap.
 #[must_use]
-pub fn faults_of(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
-    draw(seed, &FaultKind::DRAWN, span, count)
+pub fn seeded_faults(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
+    draw(seed, &FaultKind::SEEDED, span, count)
 }
 
 /// The faults that a seed has beside those, in the order of their times.
 #[must_use]
-pub fn faults_beside(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
-    draw(!seed, &FaultKind::DRAWN_BESIDE, span, count)
+pub fn extra_faults(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
+    draw(!seed, &FaultKind::EXTRA, span, count)
 }
 
 fn draw(seed: u64, kinds: &[FaultKind], span: Duration, count: usize) -> Vec<PlannedFault> {
@@ -137,7 +137,7 @@
             at_ms: random.random_range(0..span),
             kind: kinds[random.random_range(0..kinds.len())],
             index: random.random_range(0..64),
-            for_ms: random.random_range(LENGTHS_MS),
+            for_ms: random.random_range(DURATION_RANGE_MS),
         })
         .collect();
     faults.sort_by_key(|fault| fault.at_ms);
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -1,13 +1,14 @@
 //! Engines and plain services that write down what reaches them.
 
 use crate::{
-    callers::FORGED,
-    checks::{EVENTS, event_text, whole_body},
-    history::{CallKind, SeenEntry, SharedHistory},
-    prompts::{GivenPrompt, MOVE_TIME, PromptDesk, ReadingWork, decode_parts},
-    shelf::{
-        AdapterOrder, AdapterShelf, BASE, CopySight, FIRST_VERSION, OrderVerdict, WeightVersions,
+    adapter_store::{
+        AdapterOrder, AdapterStore, BASE_MODEL, CopyStatus, FIRST_VERSION, OrderOutcome,
+        WeightVersions,
     },
+    callers::FORGED,
+    checks::{EVENTS_PER_STREAM, event_text, expected_body},
+    history::{CallKind, HistoryEvent, SharedHistory},
+    prompts::{CACHE_FETCH_TIME, PrefillWork, PromptQueue, ReceivedPrompt, decode_parts},
 };
 use hoplanding_platform::names::{
     AUTHORIZATION, EXPECT_INSTANCE, EXPECT_VERSION, KV_FETCH, LAST_EVENT, LEAVING, MODEL,
@@ -31,22 +32,22 @@
 /// Requests that a target works on at once, as it is listed.
 const SLOTS: usize = 8;
 /// Pause between two events.
-const EVENT_PAUSE: Duration = Duration::from_millis(40);
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
 /// Time that a plain call takes.
-const PLAIN_WORK: Duration = Duration::from_millis(15);
+const PLAIN_CALL_TIME: Duration = Duration::from_millis(15);
 /// Event within which a breaking target stops.
-const BREAKS_AT: u32 = 5;
+const TRUNCATE_AT_EVENT: u32 = 5;
 /// While an engine delays orders, every how many of them it leaves without an answer.
-const DELAYED_EVERY: u64 = 2;
+const DELAYED_ORDER_PERIOD: u64 = 2;
 /// Times after which orders without an answer are carried out, in turn; the users tell of 12 seconds at the most.
-const LATE_BY: [Duration; 4] = [
+const ORDER_DELAYS: [Duration; 4] = [
     Duration::from_millis(1_200),
     Duration::from_millis(2_500),
     Duration::from_millis(4_000),
     Duration::from_millis(7_000),
 ];
 /// Time after which the connection of an order without an answer is closed; nobody waits as long.
-const SILENCE: Duration = Duration::from_secs(3);
+const UNANSWERED_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What a target serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,23 +60,23 @@
 
 /// A fault that the soak's own checks have to find; none in a real run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlantedFault {
+pub enum InjectedDefect {
     /// None.
     #[default]
     None,
     /// A target writes each run down twice, as if it had run twice.
-    RunsTwice,
+    DuplicateRun,
     /// An engine writes down another adapter than it was asked for.
     WrongAdapter,
     /// A stream leaves an event out.
-    DropsEvent,
+    MissingEvent,
     /// An engine goes on using what it kept when an adapter is replaced.
-    KeepsMemory,
+    StaleCache,
 }
 
 /// What the targets of a run share.
 #[derive(Clone)]
-pub struct TargetSite {
+pub struct TargetContext {
     /// What is seen of them.
     pub history: SharedHistory,
     /// What engines keep of prompts.
@@ -83,18 +84,18 @@
     /// The newest version of the base model and of each adapter for which one was named.
     pub versions: Arc<Mutex<BTreeMap<String, u64>>>,
     /// A fault that they have.
-    pub planted: PlantedFault,
+    pub defect: InjectedDefect,
 }
 
-impl TargetSite {
+impl TargetContext {
     /// Nothing seen, kept or named yet.
     #[must_use]
-    pub fn new(history: SharedHistory, planted: PlantedFault) -> Self {
+    pub fn new(history: SharedHistory, defect: InjectedDefect) -> Self {
         Self {
             history,
             memory: Arc::default(),
             versions: Arc::default(),
-            planted,
+            defect,
         }
     }
 
@@ -113,8 +114,8 @@
 
 #[derive(Debug)]
 struct TargetState {
-    shelf: AdapterShelf,
-    prompts: PromptDesk,
+    adapter_store: AdapterStore,
+    prompts: PromptQueue,
     breaks: bool,
     sheds: bool,
     /// Requests seen while it sheds.
@@ -133,8 +134,8 @@
 impl TargetState {
     fn new(base: Option<u64>) -> Self {
         Self {
-            shelf: AdapterShelf::new(base),
-            prompts: PromptDesk::default(),
+            adapter_store: AdapterStore::new(base),
+            prompts: PromptQueue::default(),
             breaks: false,
             sheds: false,
             shed_count: 0,
@@ -172,17 +173,17 @@
         role: TargetRole,
         zone: &str,
         base: Option<u64>,
-        site: TargetSite,
+        site: TargetContext,
     ) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(TargetState::new(base)));
         let address = Arc::new(OnceLock::new());
-        let desk = Arc::new(TargetDesk {
+        let handler = Arc::new(TargetHandler {
             name: name.to_owned(),
             address: Arc::clone(&address),
             site,
             state: Arc::clone(&state),
         });
-        let server = RawTarget::start(move |request: &RawRequest| desk.answer(request)).await?;
+        let server = RawTarget::start(move |request: &RawRequest| handler.answer(request)).await?;
         address.set(server.address).expect("it is set once");
         Ok(Self {
             name: name.to_owned(),
@@ -200,7 +201,7 @@
     }
 
     /// Whether it breaks off what it answers from now on.
-    pub fn set_breaking(&self, breaks: bool) {
+    pub fn set_truncating(&self, breaks: bool) {
         lock(&self.state).breaks = breaks;
     }
 
@@ -210,12 +211,12 @@
     }
 
     /// It turns every request away for a while, and asks whoever sent one for rest.
-    pub fn rest_for(&self, span: Duration) {
+    pub fn reject_for(&self, span: Duration) {
         lock(&self.state).rests_until = Some(Instant::now() + span);
     }
 
     /// From now on its answers say that it leaves.
-    pub fn say_leaving(&self) {
+    pub fn announce_draining(&self) {
         lock(&self.state).says_leaving = true;
     }
 
@@ -226,9 +227,9 @@
 
     /// Its entry in the list of targets, if it is listed and what it holds has changed since the last one.
     #[must_use]
-    pub fn news(&self) -> Option<String> {
+    pub fn changed_entry(&self) -> Option<String> {
         let mut state = lock(&self.state);
-        let holds = state.shelf.listed();
+        let holds = state.adapter_store.listed();
         let listed = state.listed.as_mut()?;
         if *listed == holds {
             return None;
@@ -239,7 +240,7 @@
 
     /// Its last entry, which says that it leaves.
     #[must_use]
-    pub fn farewell(&self) -> String {
+    pub fn draining_entry(&self) -> String {
         let mut state = lock(&self.state);
         state.listed = None;
         self.entry(&state, "draining")
@@ -247,15 +248,15 @@
 
     fn entry(&self, state: &TargetState, stage: &str) -> String {
         json!({
-            "service": service_of(self.role),
+            "service": service_name(self.role),
             "address": self.address().to_string(),
             "zone": self.zone,
             "version": "v1",
             "slots": SLOTS,
             "state": stage,
             "cold_remaining_ms": 0,
-            "sequence": state.shelf.orders_taken(),
-            "models": state.shelf.listed(),
+            "sequence": state.adapter_store.accepted_orders(),
+            "models": state.adapter_store.listed(),
         })
         .to_string()
     }
@@ -263,7 +264,7 @@
 
 /// Name of the service that targets of a role belong to.
 #[must_use]
-pub fn service_of(role: TargetRole) -> &'static str {
+pub fn service_name(role: TargetRole) -> &'static str {
     match role {
         TargetRole::Engine => "scribe",
         TargetRole::Plain => "ledger",
@@ -271,15 +272,15 @@
 }
 
 /// Answers requests.
-struct TargetDesk {
+struct TargetHandler {
     name: String,
     /// Where it is reached; known once it listens.
     address: Arc<OnceLock<SocketAddr>>,
-    site: TargetSite,
+    site: TargetContext,
     state: Arc<Mutex<TargetState>>,
 }
 
-impl TargetDesk {
+impl TargetHandler {
     fn answer(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
         let path = request.line().split(' ').nth(1).unwrap_or_default();
         if request
@@ -302,7 +303,7 @@
             return answer;
         }
         if let Some(id) = request.header(REQUEST_ID) {
-            self.site.history.add(SeenEntry::SaidLeaving {
+            self.site.history.record(HistoryEvent::DrainingAnnounced {
                 id: id.to_owned(),
                 target: self.name.clone(),
             });
@@ -313,11 +314,11 @@
     fn report(&self) -> RawAnswer {
         let state = lock(&self.state);
         let report = json!({
-            "sequence": state.shelf.orders_taken(),
-            "models": state.shelf.listed(),
-            "utilization": state.shelf.is_loading_base(),
-            "coming": state.shelf.coming(),
-            "at_hand": { "in_memory": [], "on_disk": [BASE] },
+            "sequence": state.adapter_store.accepted_orders(),
+            "models": state.adapter_store.listed(),
+            "utilization": state.adapter_store.is_loading_base(),
+            "coming": state.adapter_store.pending_loads(),
+            "at_hand": { "in_memory": [], "on_disk": [BASE_MODEL] },
         });
         RawAnswer::whole("200 OK", "", &report.to_string())
     }
@@ -325,21 +326,21 @@
     fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
         let order = AdapterOrder::decode(&request.body);
         if let Some(late_by) = self.late_by() {
-            let desk = Arc::clone(self);
+            let handler = Arc::clone(self);
             tokio::spawn(async move {
                 sleep(late_by).await;
-                desk.carry_out(&order);
+                handler.carry_out(&order);
             });
             return RawAnswer {
-                pieces: vec![(SILENCE, Vec::new())],
+                pieces: vec![(UNANSWERED_ORDER_TIMEOUT, Vec::new())],
                 closes: true,
             };
         }
         let status = match self.carry_out(&order) {
-            OrderVerdict::Done => "200 OK",
-            OrderVerdict::Begun(_) => "202 Accepted",
-            OrderVerdict::Conflict => "409 Conflict",
-            OrderVerdict::Fenced => "412 Precondition Failed",
+            OrderOutcome::Completed => "200 OK",
+            OrderOutcome::InProgress(_) => "202 Accepted",
+            OrderOutcome::Conflict => "409 Conflict",
+            OrderOutcome::Fenced => "412 Precondition Failed",
         };
         RawAnswer::whole(status, "", "")
     }
@@ -351,36 +352,36 @@
             return None;
         }
         state.order_count += 1;
-        let is_delayed = state.order_count.is_multiple_of(DELAYED_EVERY);
-        let turn = (state.order_count / DELAYED_EVERY) as usize;
-        is_delayed.then(|| LATE_BY[turn % LATE_BY.len()])
+        let is_delayed = state.order_count.is_multiple_of(DELAYED_ORDER_PERIOD);
+        let turn = (state.order_count / DELAYED_ORDER_PERIOD) as usize;
+        is_delayed.then(|| ORDER_DELAYS[turn % ORDER_DELAYS.len()])
     }
 
-    fn carry_out(self: &Arc<Self>, order: &AdapterOrder) -> OrderVerdict {
+    fn carry_out(self: &Arc<Self>, order: &AdapterOrder) -> OrderOutcome {
         let newest = self.site.newest(&order.adapter);
         let mut state = lock(&self.state);
-        let verdict = state.shelf.take(order, newest, Instant::now());
-        if !verdict.is_taken() {
+        let verdict = state.adapter_store.apply(order, newest, Instant::now());
+        if !verdict.is_accepted() {
             return verdict;
         }
-        self.site.history.add(SeenEntry::Ordered {
+        self.site.history.record(HistoryEvent::OrderAccepted {
             target: self.name.clone(),
             holder: order.holder.clone(),
             token: order.token,
         });
-        if state.shelf.is_overfilled() {
-            self.site.history.add(SeenEntry::Overfilled {
+        if state.adapter_store.is_over_capacity() {
+            self.site.history.record(HistoryEvent::SlotsExceeded {
                 target: self.name.clone(),
             });
         }
         match verdict {
-            OrderVerdict::Begun(at) => {
-                let (desk, adapter) = (Arc::clone(self), order.adapter.clone());
+            OrderOutcome::InProgress(at) => {
+                let (handler, adapter) = (Arc::clone(self), order.adapter.clone());
                 tokio::spawn(async move {
                     sleep_until(at).await;
-                    let mut state = lock(&desk.state);
-                    state.shelf.finish(&adapter);
-                    desk.forget(&adapter);
+                    let mut state = lock(&handler.state);
+                    state.adapter_store.finish(&adapter);
+                    handler.forget(&adapter);
                 });
             }
             _ if order.is_unload => self.forget(&order.adapter),
@@ -391,20 +392,20 @@
 
     /// Drops what was kept for an adapter that was replaced or went.
     fn forget(&self, adapter: &str) {
-        if self.site.planted != PlantedFault::KeepsMemory {
+        if self.site.defect != InjectedDefect::StaleCache {
             self.site.memory.drop_adapter(self.address(), adapter);
         }
     }
 
     fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawAnswer {
         let id = request.header(REQUEST_ID).unwrap_or_default().to_owned();
-        self.site.history.add(SeenEntry::RanFor {
+        self.site.history.record(HistoryEvent::RanForOrganisation {
             id: id.clone(),
             organisation: request.header(ORGANISATION).unwrap_or_default().to_owned(),
         });
         let is_key_told = request.header(AUTHORIZATION).is_some();
         if request.head.contains(FORGED) || is_key_told {
-            self.site.history.add(SeenEntry::Forged {
+            self.site.history.record(HistoryEvent::ForgedHeader {
                 id: id.clone(),
                 target: self.name.clone(),
             });
@@ -421,18 +422,18 @@
             return self.turn_away(request, "503 Service Unavailable");
         }
         if adapter.is_empty() {
-            self.note_run(&id, adapter, state.breaks);
+            self.record_run(&id, adapter, state.breaks);
             return plain_answer(request, &id, state.breaks);
         }
-        let versions = match state.shelf.sight(adapter) {
-            CopySight::Here(versions) if is_meant(request, versions.adapter) => versions,
-            CopySight::Leaving => return self.turn_away(request, "503 Service Unavailable"),
-            CopySight::Here(_) | CopySight::Absent => {
+        let versions = match state.adapter_store.copy_status(adapter) {
+            CopyStatus::Loaded(versions) if is_meant(request, versions.adapter) => versions,
+            CopyStatus::Changing => return self.turn_away(request, "503 Service Unavailable"),
+            CopyStatus::Loaded(_) | CopyStatus::Absent => {
                 return self.turn_away(request, "421 Misdirected Request");
             }
         };
-        self.note_run(&id, adapter, state.breaks);
-        let prompt = GivenPrompt {
+        self.record_run(&id, adapter, state.breaks);
+        let prompt = ReceivedPrompt {
             adapter: adapter.to_owned(),
             versions,
             parts: decode_parts(request.header(PROMPT_PREFIX).unwrap_or_default()),
@@ -442,10 +443,11 @@
         };
         let now = Instant::now();
         let memory = &self.site.memory;
-        let reading = state.prompts.take(self.address(), &prompt, memory, now);
-        state
-            .shelf
-            .note_run(adapter, now + reading.time + EVENT_PAUSE * EVENTS);
+        let reading = state.prompts.enqueue(self.address(), &prompt, memory, now);
+        state.adapter_store.record_run(
+            adapter,
+            now + reading.time + EVENT_INTERVAL * EVENTS_PER_STREAM,
+        );
         let breaks_off = state.breaks;
         self.read_prompt(&id, prompt, reading);
         drop(state);
@@ -454,13 +456,13 @@
             versions,
             reading: reading.time,
             breaks_off,
-            skipped: (self.site.planted == PlantedFault::DropsEvent).then_some(3),
+            skipped: (self.site.defect == InjectedDefect::MissingEvent).then_some(3),
         };
         stream.answer(request, path)
     }
 
     fn ask_for_rest(&self, request: &RawRequest, rest: Duration) -> RawAnswer {
-        self.site.history.add(SeenEntry::RestAsked {
+        self.site.history.record(HistoryEvent::RetryAfterSent {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
             rest,
@@ -470,21 +472,21 @@
     }
 
     fn turn_away(&self, request: &RawRequest, status: &str) -> RawAnswer {
-        self.site.history.add(SeenEntry::TurnedAway {
+        self.site.history.record(HistoryEvent::Rejected {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
         });
         refusal(request, status)
     }
 
-    fn note_run(&self, id: &str, adapter: &str, breaks_off: bool) {
-        let noted = match self.site.planted {
-            PlantedFault::WrongAdapter => "another",
+    fn record_run(&self, id: &str, adapter: &str, breaks_off: bool) {
+        let noted = match self.site.defect {
+            InjectedDefect::WrongAdapter => "another",
             _ => adapter,
         };
-        let runs = 1 + usize::from(self.site.planted == PlantedFault::RunsTwice);
+        let runs = 1 + usize::from(self.site.defect == InjectedDefect::DuplicateRun);
         for _ in 0..runs {
-            self.site.history.add(SeenEntry::Ran {
+            self.site.history.record(HistoryEvent::Ran {
                 id: id.to_owned(),
                 target: self.name.clone(),
                 adapter: noted.to_owned(),
@@ -494,25 +496,25 @@
     }
 
     /// Uses what is kept of a prompt; what another engine keeps is here a moment later, as it stands there by then.
-    fn read_prompt(self: &Arc<Self>, id: &str, prompt: GivenPrompt, reading: ReadingWork) {
-        if !reading.is_move {
+    fn read_prompt(self: &Arc<Self>, id: &str, prompt: ReceivedPrompt, reading: PrefillWork) {
+        if !reading.is_fetch {
             self.use_memory(id, &prompt);
             return;
         }
-        self.site.history.add(SeenEntry::Moved {
+        self.site.history.record(HistoryEvent::CacheFetched {
             id: id.to_owned(),
             target: self.name.clone(),
         });
-        let (desk, id) = (Arc::clone(self), id.to_owned());
+        let (handler, id) = (Arc::clone(self), id.to_owned());
         tokio::spawn(async move {
-            sleep(MOVE_TIME).await;
-            desk.use_memory(&id, &prompt);
+            sleep(CACHE_FETCH_TIME).await;
+            handler.use_memory(&id, &prompt);
         });
     }
 
-    fn use_memory(&self, id: &str, prompt: &GivenPrompt) {
-        if let Some(made_under) = prompt.read(self.address(), &self.site.memory) {
-            self.site.history.add(SeenEntry::Mixed {
+    fn use_memory(&self, id: &str, prompt: &ReceivedPrompt) {
+        if let Some(made_under) = prompt.read_into(self.address(), &self.site.memory) {
+            self.site.history.record(HistoryEvent::CacheMismatch {
                 id: id.to_owned(),
                 target: self.name.clone(),
                 adapter: prompt.adapter.clone(),
@@ -535,9 +537,9 @@
 }
 
 fn plain_answer(request: &RawRequest, id: &str, breaks_off: bool) -> RawAnswer {
-    let body = whole_body(CallKind::Once, id, 0);
+    let body = expected_body(CallKind::Once, id, 0);
     let mut answer = RawAnswer::whole("200 OK", &sealed(request), &body);
-    answer.pieces[0].0 = PLAIN_WORK;
+    answer.pieces[0].0 = PLAIN_CALL_TIME;
     if breaks_off {
         answer.pieces[0].1.truncate(40);
         answer.closes = true;
@@ -569,17 +571,17 @@
             self.versions.base
         );
         let mut pieces = vec![(self.reading, head.into_bytes())];
-        for event in from + 1..=EVENTS {
+        for event in from + 1..=EVENTS_PER_STREAM {
             let text = event_text(&self.id, event);
-            if self.breaks_off && event >= BREAKS_AT {
-                pieces.push((EVENT_PAUSE, chunk(&text[..8])));
+            if self.breaks_off && event >= TRUNCATE_AT_EVENT {
+                pieces.push((EVENT_INTERVAL, chunk(&text[..8])));
                 return RawAnswer {
                     pieces,
                     closes: true,
                 };
             }
             if self.skipped != Some(event) {
-                pieces.push((EVENT_PAUSE, chunk(&text)));
+                pieces.push((EVENT_INTERVAL, chunk(&text)));
             }
         }
         pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,71 +1,71 @@
 //! Each check finds the fault that it is for, in histories made by hand.
 
 use hoplanding_soak::{
-    checks::{EVENTS, Promise, check, whole_body},
-    history::{CallAnswer, CallKind, SeenEntry, TimedEntry},
-    shelf::WeightVersions,
+    adapter_store::WeightVersions,
+    checks::{EVENTS_PER_STREAM, Guarantee, check, expected_body},
+    history::{CallAnswer, CallKind, HistoryEvent, TimedEntry},
 };
 use std::time::Duration;
 
-fn at(ms: u64, seen: SeenEntry) -> TimedEntry {
+fn at(ms: u64, event: HistoryEvent) -> TimedEntry {
     TimedEntry {
         at: Duration::from_millis(ms),
-        seen,
+        event,
     }
 }
 
 fn sent(ms: u64, id: &str, kind: CallKind, adapter: &str) -> TimedEntry {
-    let seen = SeenEntry::Sent {
+    let event = HistoryEvent::Sent {
         id: id.into(),
         kind,
         vm: 0,
         adapter: adapter.into(),
     };
-    at(ms, seen)
+    at(ms, event)
 }
 
 fn ran(ms: u64, id: &str, target: &str, adapter: &str) -> TimedEntry {
-    let seen = SeenEntry::Ran {
+    let event = HistoryEvent::Ran {
         id: id.into(),
         target: target.into(),
         adapter: adapter.into(),
         breaks_off: false,
     };
-    at(ms, seen)
+    at(ms, event)
 }
 
 fn answered(ms: u64, id: &str, answer: CallAnswer) -> TimedEntry {
     let id = id.into();
-    at(ms, SeenEntry::Answered { id, answer })
+    at(ms, HistoryEvent::Answered { id, answer })
 }
 
 fn ordered(ms: u64, holder: &str, token: u64) -> TimedEntry {
-    let seen = SeenEntry::Ordered {
+    let event = HistoryEvent::OrderAccepted {
         target: "i-1".into(),
         holder: holder.into(),
         token,
     };
-    at(ms, seen)
+    at(ms, event)
 }
 
 fn probed(ms: u64, run: u32, version: u64, has_route: bool) -> TimedEntry {
-    let seen = SeenEntry::Probed {
+    let event = HistoryEvent::RouteProbed {
         vm: 0,
         run,
         version,
         has_route,
     };
-    at(ms, seen)
+    at(ms, event)
 }
 
 fn struck(ms: u64, is_planned: bool) -> TimedEntry {
-    at(ms, SeenEntry::Struck { vm: 0, is_planned })
+    at(ms, HistoryEvent::VmDisturbed { vm: 0, is_planned })
 }
 
-fn found(history: &[TimedEntry]) -> Vec<Promise> {
+fn found(history: &[TimedEntry]) -> Vec<Guarantee> {
     check(history)
         .into_iter()
-        .map(|violation| violation.promise)
+        .map(|violation| violation.guarantee)
         .collect()
 }
 
@@ -78,18 +78,18 @@
             ran(2, "r1", "i-2", ""),
         ])
     };
-    assert_eq!(twice(CallKind::Once), [Promise::AtMostOnce]);
+    assert_eq!(twice(CallKind::Once), [Guarantee::AtMostOnce]);
     assert_eq!(twice(CallKind::Idempotent), []);
 }
 
 #[test]
 fn what_was_refused_as_not_run_must_not_run_before_or_after() {
-    let refusal = answered(5, "r1", CallAnswer::Whole(503, String::new()));
+    let refusal = answered(5, "r1", CallAnswer::Complete(503, String::new()));
     let sent = sent(0, "r1", CallKind::Idempotent, "");
     let after = [sent.clone(), refusal.clone(), ran(9, "r1", "i-1", "")];
-    assert_eq!(found(&after), [Promise::NotRun]);
+    assert_eq!(found(&after), [Guarantee::NotRun]);
     let before = [sent.clone(), ran(2, "r1", "i-1", ""), refusal.clone()];
-    assert_eq!(found(&before), [Promise::NotRun]);
+    assert_eq!(found(&before), [Guarantee::NotRun]);
     assert_eq!(found(&[sent, refusal]), []);
 }
 
@@ -99,50 +99,50 @@
         sent(0, "r1", CallKind::Stream, "a1"),
         ran(1, "r1", "i-1", "a2"),
     ];
-    assert_eq!(found(&history), [Promise::NamedAdapter]);
+    assert_eq!(found(&history), [Guarantee::NamedAdapter]);
 }
 
 #[test]
 fn a_run_on_memory_of_another_version_is_found() {
     let versions = |base, adapter| WeightVersions { base, adapter };
-    let mixed = |made_under, runs_under| SeenEntry::Mixed {
+    let mixed = |made_under, runs_under| HistoryEvent::CacheMismatch {
         id: "r1".into(),
         target: "i-1".into(),
         adapter: "a1".into(),
         made_under,
         runs_under,
     };
-    let moved = SeenEntry::Moved {
+    let cache_fetches = HistoryEvent::CacheFetched {
         id: "r1".into(),
         target: "i-1".into(),
     };
     let own = [
         sent(0, "r1", CallKind::Stream, "a1"),
         ran(1, "r1", "i-1", "a1"),
-        at(1, moved),
+        at(1, cache_fetches),
     ];
     assert_eq!(found(&own), []);
     for made_under in [versions(1, 1), versions(2, 7)] {
         let mixed = mixed(made_under, versions(1, 7));
         let other = [own.as_slice(), &[at(21, mixed)]].concat();
-        assert_eq!(found(&other), [Promise::OwnMemory]);
+        assert_eq!(found(&other), [Guarantee::CacheVersion]);
     }
 }
 
 #[test]
 fn a_forged_header_that_reached_a_target_is_found() {
-    let forged = SeenEntry::Forged {
+    let forged = HistoryEvent::ForgedHeader {
         id: "r1".into(),
         target: "i-1".into(),
     };
     let sent = sent(0, "r1", CallKind::Once, "");
     assert_eq!(found(std::slice::from_ref(&sent)), []);
-    assert_eq!(found(&[sent, at(1, forged)]), [Promise::HeaderOwner]);
+    assert_eq!(found(&[sent, at(1, forged)]), [Guarantee::ReservedHeaders]);
 }
 
 #[test]
 fn an_answer_that_looks_whole_has_every_event_once() {
-    let whole = whole_body(CallKind::Stream, "r1", EVENTS);
+    let whole = expected_body(CallKind::Stream, "r1", EVENTS_PER_STREAM);
     let verdict = |answer: CallAnswer| {
         found(&[
             sent(0, "r1", CallKind::Stream, "a1"),
@@ -150,25 +150,25 @@
             answered(9, "r1", answer),
         ])
     };
-    assert_eq!(verdict(CallAnswer::Whole(200, whole.clone())), []);
-    let short = whole_body(CallKind::Stream, "r1", EVENTS - 1);
+    assert_eq!(verdict(CallAnswer::Complete(200, whole.clone())), []);
+    let short = expected_body(CallKind::Stream, "r1", EVENTS_PER_STREAM - 1);
     assert_eq!(
-        verdict(CallAnswer::Whole(200, short)),
-        [Promise::WholeAnswer]
+        verdict(CallAnswer::Complete(200, short)),
+        [Guarantee::CompleteAnswer]
     );
     let other = whole.replace("r1", "r2");
     assert_eq!(
-        verdict(CallAnswer::Whole(200, other)),
-        [Promise::WholeAnswer]
+        verdict(CallAnswer::Complete(200, other)),
+        [Guarantee::CompleteAnswer]
     );
-    assert_eq!(verdict(CallAnswer::Broken(200)), []);
+    assert_eq!(verdict(CallAnswer::Truncated(200)), []);
 }
 
 #[test]
 fn a_leaving_target_gets_nothing_new_from_a_vm_in_touch() {
     let leaving = at(
         5_000,
-        SeenEntry::Leaving {
+        HistoryEvent::TargetDraining {
             target: "i-1".into(),
         },
     );
@@ -181,9 +181,9 @@
         history.extend(extra);
         found(&history)
     };
-    assert_eq!(late(Vec::new()), [Promise::Draining]);
+    assert_eq!(late(Vec::new()), [Guarantee::Draining]);
     assert_eq!(late(vec![struck(6_000, false)]), []);
-    assert_eq!(late(vec![at(6_000, SeenEntry::Disturbed)]), []);
+    assert_eq!(late(vec![at(6_000, HistoryEvent::LogDisturbed)]), []);
 }
 
 #[test]
@@ -192,12 +192,12 @@
         let mut history = vec![
             sent(900, "r1", CallKind::Stream, "a1"),
             ran(950, "r1", "i-1", "a1"),
-            answered(3_000, "r1", CallAnswer::Broken(200)),
+            answered(3_000, "r1", CallAnswer::Truncated(200)),
         ];
         history.extend(strikes);
         found(&history)
     };
-    assert_eq!(broken(vec![struck(1_000, true)]), [Promise::PlannedStop]);
+    assert_eq!(broken(vec![struck(1_000, true)]), [Guarantee::PlannedStop]);
     assert_eq!(broken(vec![struck(1_000, true), struck(2_000, false)]), []);
 }
 
@@ -207,13 +207,13 @@
         let mut history = vec![
             sent(900, "r1", CallKind::Stream, "a1"),
             ran(950, "r1", "i-1", "a1"),
-            at(1_000, SeenEntry::Reloaded { vm }),
-            answered(3_000, "r1", CallAnswer::Broken(200)),
+            at(1_000, HistoryEvent::SettingsReloaded { vm }),
+            answered(3_000, "r1", CallAnswer::Truncated(200)),
         ];
         history.extend(extra);
         found(&history)
     };
-    assert_eq!(broken(0, Vec::new()), [Promise::PlannedStop]);
+    assert_eq!(broken(0, Vec::new()), [Guarantee::PlannedStop]);
     assert_eq!(broken(1, Vec::new()), []);
     assert_eq!(broken(0, vec![struck(2_000, false)]), []);
 }
@@ -223,19 +223,19 @@
 fn a_change_of_settings_leaves_a_vm_in_touch() {
     let target = "i-1".into();
     let history = [
-        at(5_000, SeenEntry::Leaving { target }),
-        at(6_000, SeenEntry::Reloaded { vm: 0 }),
+        at(5_000, HistoryEvent::TargetDraining { target }),
+        at(6_000, HistoryEvent::SettingsReloaded { vm: 0 }),
         sent(7_400, "r1", CallKind::Once, ""),
         ran(7_500, "r1", "i-1", ""),
-        answered(7_600, "r1", CallAnswer::Whole(200, "done r1".into())),
+        answered(7_600, "r1", CallAnswer::Complete(200, "done r1".into())),
     ];
-    assert_eq!(found(&history), [Promise::Draining]);
+    assert_eq!(found(&history), [Guarantee::Draining]);
 }
 
 #[test]
 fn a_configuration_goes_back_only_with_its_process() {
     let history = [probed(1, 1, 3, true), probed(2, 1, 2, false)];
-    assert_eq!(found(&history), [Promise::ConfigForward]);
+    assert_eq!(found(&history), [Guarantee::ConfigMonotonic]);
     let restarted = [probed(1, 1, 3, true), probed(2, 2, 2, false)];
     assert_eq!(found(&restarted), []);
 }
@@ -244,13 +244,13 @@
 fn orders_come_from_one_holder_a_token_and_tokens_only_rise() {
     assert_eq!(found(&[ordered(1, "vm-1", 4), ordered(2, "vm-2", 5)]), []);
     let back = [ordered(1, "vm-1", 4), ordered(2, "vm-2", 3)];
-    assert_eq!(found(&back), [Promise::OneHolder]);
+    assert_eq!(found(&back), [Guarantee::SingleHolder]);
     let shared = [ordered(1, "vm-1", 4), ordered(2, "vm-2", 4)];
-    assert_eq!(found(&shared), [Promise::OneHolder]);
+    assert_eq!(found(&shared), [Guarantee::SingleHolder]);
     let target = "i-1".into();
     assert_eq!(
-        found(&[at(1, SeenEntry::Overfilled { target })]),
-        [Promise::Places]
+        found(&[at(1, HistoryEvent::SlotsExceeded { target })]),
+        [Guarantee::AdapterSlots]
     );
 }
 
@@ -258,7 +258,7 @@
 fn repeats_beyond_the_budget_are_found() {
     let mut history = vec![sent(0, "r1", CallKind::Idempotent, "")];
     history.extend((0..60).map(|n| ran(n, "r1", "i-1", "")));
-    assert_eq!(found(&history), [Promise::RetryBudget]);
+    assert_eq!(found(&history), [Guarantee::RetryBudget]);
 }
 
 /// What the whole run allows may be spent neither in one window nor by another service.
@@ -270,29 +270,29 @@
     };
     // 600 requests in a minute allow 170 repeats; 80 of them come within one second.
     let mut history = spread(600, CallKind::Idempotent);
-    history.extend((0..80).map(|n| turned_away(30_000 + n * 10, "r290")));
-    assert_eq!(found(&history), [Promise::RetryBudget]);
+    history.extend((0..80).map(|n| rejected(30_000 + n * 10, "r290")));
+    assert_eq!(found(&history), [Guarantee::RetryBudget]);
     let mut within = spread(600, CallKind::Idempotent);
-    within.extend((0..60).map(|n| turned_away(30_000 + n * 10, "r290")));
+    within.extend((0..60).map(|n| rejected(30_000 + n * 10, "r290")));
     assert_eq!(found(&within), []);
     // Streams do not pay for plain calls.
     let mut other = spread(600, CallKind::Stream);
     other.push(sent(29_000, "plain", CallKind::Idempotent, ""));
-    other.extend((0..60).map(|n| turned_away(30_000 + n * 10, "plain")));
-    assert_eq!(found(&other), [Promise::RetryBudget]);
+    other.extend((0..60).map(|n| rejected(30_000 + n * 10, "plain")));
+    assert_eq!(found(&other), [Guarantee::RetryBudget]);
 }
 
-fn turned_away(ms: u64, id: &str) -> TimedEntry {
-    let seen = SeenEntry::TurnedAway {
+fn rejected(ms: u64, id: &str) -> TimedEntry {
+    let event = HistoryEvent::Rejected {
         id: id.into(),
         target: "i-1".into(),
     };
-    at(ms, seen)
+    at(ms, event)
 }
 
 fn keyed(id: &str, key: &str) -> TimedEntry {
     let (id, key) = (id.into(), key.into());
-    at(0, SeenEntry::Keyed { id, key })
+    at(0, HistoryEvent::KeySent { id, key })
 }
 
 #[test]
@@ -301,14 +301,14 @@
         vec![
             at(
                 1_000,
-                SeenEntry::Revoked {
+                HistoryEvent::Revoked {
                     key: "mill-v1".into(),
                 },
             ),
             // Taken away again by every later configuration: the first time counts.
             at(
                 9_000,
-                SeenEntry::Revoked {
+                HistoryEvent::Revoked {
                     key: "mill-v1".into(),
                 },
             ),
@@ -318,7 +318,7 @@
         ]
     };
     assert!(found(&history(5_900)).is_empty());
-    assert_eq!(found(&history(6_100)), [Promise::Revocation]);
+    assert_eq!(found(&history(6_100)), [Guarantee::Revocation]);
 }
 
 #[test]
@@ -329,12 +329,12 @@
         vec![
             sent(0, "r1", CallKind::Once, ""),
             keyed("r1", "mill-key"),
-            at(5, SeenEntry::RanFor { id, organisation }),
+            at(5, HistoryEvent::RanForOrganisation { id, organisation }),
         ]
     };
     assert!(found(&ran_for("mill")).is_empty());
-    assert_eq!(found(&ran_for("port")), [Promise::OwnOrganisation]);
-    assert_eq!(found(&ran_for("")), [Promise::OwnOrganisation]);
+    assert_eq!(found(&ran_for("port")), [Guarantee::CallerOrganisation]);
+    assert_eq!(found(&ran_for("")), [Guarantee::CallerOrganisation]);
 }
 
 #[test]
@@ -354,17 +354,17 @@
     };
     // 36 beside a tenth and 4.
     assert!(found(&history(43)).is_empty());
-    assert_eq!(found(&history(44)), [Promise::Quota]);
+    assert_eq!(found(&history(44)), [Guarantee::Quota]);
 }
 
 #[test]
 fn a_call_to_a_target_that_told_its_vm_that_it_leaves_is_found_unless_the_vm_was_struck_since() {
     let said = |ms| {
-        let seen = SeenEntry::SaidLeaving {
+        let event = HistoryEvent::DrainingAnnounced {
             id: "r1".into(),
             target: "i-1".into(),
         };
-        at(ms, seen)
+        at(ms, event)
     };
     let first = [sent(0, "r1", CallKind::Idempotent, ""), said(10)];
     let late = [
@@ -372,43 +372,43 @@
         ran(2_110, "r2", "i-1", ""),
     ];
     let history = [first.to_vec(), late.to_vec()].concat();
-    assert_eq!(found(&history), [Promise::ToldLeaving]);
+    assert_eq!(found(&history), [Guarantee::AnnouncedDraining]);
     let disturbed = [
         first.to_vec(),
-        vec![at(50, SeenEntry::Disturbed)],
+        vec![at(50, HistoryEvent::LogDisturbed)],
         late.to_vec(),
     ]
     .concat();
-    assert_eq!(found(&disturbed), [Promise::ToldLeaving]);
+    assert_eq!(found(&disturbed), [Guarantee::AnnouncedDraining]);
     let excused = [first.to_vec(), vec![struck(50, false)], late.to_vec()].concat();
     assert_eq!(found(&excused), []);
 }
 
 #[test]
 fn more_than_two_requests_of_a_vm_in_the_rest_that_it_was_asked_for_are_found() {
-    let turned_away = |ms, id: &str| {
-        let seen = SeenEntry::TurnedAway {
+    let rejected = |ms, id: &str| {
+        let event = HistoryEvent::Rejected {
             id: id.into(),
             target: "i-1".into(),
         };
-        at(ms, seen)
+        at(ms, event)
     };
-    let rest = SeenEntry::RestAsked {
+    let rest = HistoryEvent::RetryAfterSent {
         id: "r0".into(),
         target: "i-1".into(),
         rest: Duration::from_secs(3),
     };
     let mut history = vec![
         sent(0, "r0", CallKind::Idempotent, ""),
-        turned_away(1, "r0"),
+        rejected(1, "r0"),
         at(1, rest),
     ];
     for (number, ms) in [400, 1_000, 2_000, 2_900, 3_100].into_iter().enumerate() {
         let id = format!("r{}", number + 1);
         history.push(sent(ms - 1, &id, CallKind::Idempotent, ""));
-        history.push(turned_away(ms, &id));
+        history.push(rejected(ms, &id));
         let expected = if ms == 2_900 || ms == 3_100 {
-            vec![Promise::Rest]
+            vec![Guarantee::RetryAfter]
         } else {
             Vec::new()
         };
@@ -418,13 +418,13 @@
 
 #[test]
 fn a_configuration_that_is_late_at_a_vm_in_touch_is_found() {
-    let configured = at(0, SeenEntry::Configured { version: 2 });
+    let configured = at(0, HistoryEvent::ConfigAccepted { version: 2 });
     let early = probed(1_900, 1, 2, false);
     let late = probed(2_100, 1, 2, false);
     assert_eq!(found(&[configured.clone(), early]), []);
     assert_eq!(
         found(&[configured.clone(), late.clone()]),
-        [Promise::ConfigInTime]
+        [Guarantee::ConfigDeadline]
     );
     assert_eq!(found(&[configured, struck(100, false), late]), []);
 }
@@ -435,17 +435,17 @@
         let within = Duration::from_secs(1);
         [
             probed(0, 1, 1, true),
-            at(1_000, SeenEntry::LogCalls { calls, within }),
+            at(1_000, HistoryEvent::LogCalls { calls, within }),
         ]
     };
     assert_eq!(found(&calls(20)), []);
-    assert_eq!(found(&calls(900)), [Promise::LogCalls]);
+    assert_eq!(found(&calls(900)), [Guarantee::LogCallRate]);
     // A start makes some calls of its own.
-    assert_eq!(found(&calls(40)), [Promise::LogCalls]);
-    let started = vec![at(200, SeenEntry::Started { vm: 0 })];
+    assert_eq!(found(&calls(40)), [Guarantee::LogCallRate]);
+    let started = vec![at(200, HistoryEvent::VmStarted { vm: 0 })];
     assert_eq!(found(&[started.clone(), calls(40).to_vec()].concat()), []);
     assert_eq!(
         found(&[started, calls(60).to_vec()].concat()),
-        [Promise::LogCalls]
+        [Guarantee::LogCallRate]
     );
 }
--- a/crates/soak/tests/seeded.rs
+++ b/crates/soak/tests/seeded.rs
@@ -1,12 +1,12 @@
 //! The same seed gives the same faults; a short run holds every promise, and finds faults that were planted.
 
 use hoplanding_soak::{
-    checks::Promise,
+    checks::Guarantee,
     fleet::SoakVm,
     history::SharedHistory,
-    run::{RunPlan, play},
-    schedule::{FaultKind, PlannedFault, faults_of},
-    targets::PlantedFault,
+    run::{RunPlan, run_soak},
+    schedule::{FaultKind, PlannedFault, seeded_faults},
+    targets::InjectedDefect,
 };
 use hoplanding_standins::keyed_log::KeyedLog;
 use std::{
@@ -47,10 +47,10 @@
         adapters: 6,
         faults: Some(Vec::new()),
         fault_count: 0,
-        beside_count: 0,
+        extra_fault_count: 0,
         program: daemon(),
         folder,
-        planted: PlantedFault::None,
+        defect: InjectedDefect::None,
     }
 }
 
@@ -66,8 +66,8 @@
 #[test]
 fn a_seed_gives_the_same_faults_each_time() {
     let span = Duration::from_secs(60);
-    assert_eq!(faults_of(3, span, 40), faults_of(3, span, 40));
-    assert_ne!(faults_of(3, span, 40), faults_of(4, span, 40));
+    assert_eq!(seeded_faults(3, span, 40), seeded_faults(3, span, 40));
+    assert_ne!(seeded_faults(3, span, 40), seeded_faults(4, span, 40));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -84,7 +84,7 @@
         fault(2_000, FaultKind::Break, 0, 500),
         fault(2_300, FaultKind::LogLosesAnswers, 0, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     let figures = hoplanding_soak::report::figures(&outcome.history);
     assert!(figures.answered * 2 > figures.sent, "{figures:?}");
@@ -104,7 +104,7 @@
         fault(4_500, FaultKind::KillSeries, 0, 0),
         fault(8_500, FaultKind::KillSeries, 0, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -121,7 +121,7 @@
     plan.adapters = 12;
     plan.faults = None;
     plan.fault_count = 12;
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -134,7 +134,7 @@
         fault(1_000, FaultKind::KillSeries, 0, 0),
         fault(1_350, FaultKind::KillSeries, 0, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -161,7 +161,7 @@
         fault(9_500, FaultKind::Configure, 0, 0),
         fault(10_000, FaultKind::LeaveInAnswers, 0, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -187,25 +187,25 @@
             scope.spawn(|| vm.start().expect("it starts"));
         }
     });
-    while vm.callers().is_none() {
+    while vm.caller_endpoint().is_none() {
         sleep(Duration::from_millis(20)).await;
     }
-    let run = vm.callers().map(|(_, run)| run);
+    let run = vm.caller_endpoint().map(|(_, run)| run);
     vm.kill().await;
     assert_eq!(run, Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn faults_planted_in_the_stand_ins_are_found() {
-    for (planted, promise) in [
-        (PlantedFault::RunsTwice, Promise::AtMostOnce),
-        (PlantedFault::WrongAdapter, Promise::NamedAdapter),
-        (PlantedFault::DropsEvent, Promise::WholeAnswer),
-        (PlantedFault::KeepsMemory, Promise::OwnMemory),
+    for (defect, guarantee) in [
+        (InjectedDefect::DuplicateRun, Guarantee::AtMostOnce),
+        (InjectedDefect::WrongAdapter, Guarantee::NamedAdapter),
+        (InjectedDefect::MissingEvent, Guarantee::CompleteAnswer),
+        (InjectedDefect::StaleCache, Guarantee::CacheVersion),
     ] {
-        let mut plan = plan(&format!("{planted:?}"), 40);
-        plan.planted = planted;
-        if planted == PlantedFault::KeepsMemory {
+        let mut plan = plan(&format!("{defect:?}"), 40);
+        plan.defect = defect;
+        if defect == InjectedDefect::StaleCache {
             // It shows where an adapter that was used is replaced, and used again.
             plan.requests = 480;
             plan.faults = Some(
@@ -216,13 +216,13 @@
                     .collect(),
             );
         }
-        let outcome = play(&plan).await.expect("it plays");
+        let outcome = run_soak(&plan).await.expect("it plays");
         let found: Vec<_> = outcome
             .violations
             .iter()
-            .map(|violation| violation.promise)
+            .map(|violation| violation.guarantee)
             .collect();
-        assert!(found.contains(&promise), "{planted:?}: {found:?}");
+        assert!(found.contains(&guarantee), "{defect:?}: {found:?}");
     }
 }
 
@@ -239,10 +239,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn prompts_move_between_engines_of_the_same_versions() {
     let plan = spread_plan("moves");
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     let figures = hoplanding_soak::report::figures(&outcome.history);
-    assert!(figures.moved > 0, "{figures:?}");
+    assert!(figures.cache_fetches > 0, "{figures:?}");
 }
 
 /// What users saw as memory of another version, on real processes: adapters in demand get new versions in series, while engines
@@ -258,7 +258,7 @@
         fault(4_500, FaultKind::Vanish, 1, 0),
         fault(5_000, FaultKind::VersionSeries, 1, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -273,7 +273,7 @@
         fault(4_000, FaultKind::WeightSeries, 0, 0),
         fault(6_000, FaultKind::Vanish, 2, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -295,7 +295,7 @@
         fault(6_000, FaultKind::LogSilent, 1, 1_500),
         fault(6_500, FaultKind::VersionSeries, 1, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
@@ -308,7 +308,7 @@
         fault(600, FaultKind::Shed, 0, 2_000),
         fault(2_500, FaultKind::ReloadSeries, 0, 0),
     ]);
-    let outcome = play(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("it plays");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     for vm in 0..4 {
         let log = fs::read_to_string(plan.folder.join(format!("vm-{vm}.log"))).expect("a log");
