--- a/crates/soak/src/adapter_store.rs
+++ b/crates/soak/src/adapter_store.rs
@@ -1,26 +1,25 @@
-//! The base model and the adapters of an engine, and the orders that change them.
+//! Base model and adapters of an engine stand-in, and the orders that load, replace and unload them.
 //!
-//! What is loaded is there a moment later. A replacement and an unload wait for the runs on their copy, and meanwhile the
-//! copy takes no new ones. The base model stays as it came: newer weights of it come only with another start of an engine.
+//! A load takes a fixed time. Replacing or unloading an adapter waits for the requests that run on it, and meanwhile the
+//! adapter accepts no new ones. A loaded base model is never replaced: newer weights arrive only with a new engine.
 
 use serde_json::{Value, json};
 use std::{collections::BTreeMap, fmt, time::Duration};
 use tokio::time::Instant;
 
-/// Places for adapters at an engine.
+/// Maximum number of adapters that an engine is_satisfied_by.
 pub const ADAPTER_SLOTS: usize = 4;
-/// Name of the base model.
+/// Name of the base model that all engines serve.
 pub const BASE_MODEL: &str = "base";
-/// Version of a base model or an adapter for which none was named.
+/// Version of a base model or adapter for which no other version was published.
 pub const FIRST_VERSION: u64 = 1;
-/// Time that an adapter's load takes.
 const LOAD_TIME: Duration = Duration::from_millis(25);
-/// Time that the base model's load takes, from the engine's own disk.
+/// Load time of the base model from the engine's local disk.
 const BASE_LOAD_TIME: Duration = Duration::from_millis(400);
-/// What a version of the base model counts in the mark of memory; versions of adapters stay below.
+/// Factor of the base model's version in a packed version; adapter versions stay below it.
 const BASE_VERSION_FACTOR: u64 = 1_000_000;
 
-/// What memory of a prompt is made by.
+/// Versions of the weights that a prompt is processed with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightVersions {
     /// Version of the base model.
@@ -30,13 +29,13 @@
 }
 
 impl WeightVersions {
-    /// Both in one number, as memory is marked.
+    /// Packs both versions into the number that prompt caches store.
     #[must_use]
     pub fn to_packed(self) -> u64 {
         self.base * BASE_VERSION_FACTOR + self.adapter
     }
 
-    /// The versions behind a mark.
+    /// Unpacks a number from [`Self::to_packed`].
     #[must_use]
     pub fn from_packed(packed: u64) -> Self {
         Self {
@@ -52,25 +51,25 @@
     }
 }
 
-/// An order to an engine.
+/// Order of a lease holder to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdapterOrder {
-    /// Its adapter; empty for the base model.
+    /// Name of the adapter; empty for the base model.
     pub adapter: String,
-    /// The VM that gives it.
+    /// VM that sends the order.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the holder's lease.
     pub token: u64,
-    /// The version to load, if one is asked for.
+    /// Version to load; the newest if `None`.
     pub version: Option<u64>,
-    /// Orders that the engine must have taken before.
+    /// Number of orders that the engine must have accepted before this one.
     pub expected: Option<u64>,
-    /// Whether the adapter goes.
+    /// Whether to unload the adapter instead of loading it.
     pub is_unload: bool,
 }
 
 impl AdapterOrder {
-    /// Reads an order; what it lacks counts as nothing.
+    /// Decodes an order from JSON. Missing or invalid fields get their empty value.
     #[must_use]
     pub fn decode(body: &[u8]) -> Self {
         let order: Value = serde_json::from_slice(body).unwrap_or_default();
@@ -86,89 +85,90 @@
     }
 }
 
-/// What becomes of an order.
+/// Result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It holds.
+    /// The engine is in the ordered state.
     Completed,
-    /// It holds from then on.
+    /// The engine reaches the ordered state at this time.
     InProgress(Instant),
-    /// The engine has taken others, or the copy is on its way to another state.
+    /// The engine accepted other orders meanwhile, or another change has to end first.
     Conflict,
-    /// A newer holder has given orders.
+    /// The engine accepted an order with a higher fencing token.
     Fenced,
 }
 
 impl OrderOutcome {
-    /// Whether the engine took it.
+    /// Whether the engine accepted the order.
     #[must_use]
     pub fn is_accepted(self) -> bool {
         matches!(self, Self::Completed | Self::InProgress(_))
     }
 }
 
-/// What a request for an adapter finds.
+/// State of an adapter as a request finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyStatus {
-    /// The copy, in these versions.
+    /// Loaded, with these versions.
     Loaded(WeightVersions),
-    /// A copy that is being replaced or dropped.
+    /// Being replaced or unloaded.
     Changing,
-    /// Nothing.
+    /// Not loaded.
     Absent,
 }
 
-/// What happens to an adapter's copy.
+/// Change of an adapter or the base model that has not ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PendingChange {
-    /// It comes, or another version does.
+    /// Load of this version, in place of the present one if there is one.
     Load(u64),
-    /// It goes.
-    Drop,
+    Unload,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct LoadedCopy {
     version: u64,
+    /// End of the last request that runs on it.
     runs_until: Instant,
 }
 
-/// The base model and the adapters of an engine.
+/// Base model and adapters of an engine.
 #[derive(Debug)]
 pub struct AdapterStore {
     base: Option<u64>,
-    copies: BTreeMap<String, LoadedCopy>,
+    loaded: BTreeMap<String, LoadedCopy>,
     changes: BTreeMap<String, PendingChange>,
     accepted_orders: u64,
     token: u64,
 }
 
 impl AdapterStore {
-    /// A shelf without adapters, and with the base model if the engine comes with it.
+    /// Creates a store without adapters, with the given version of the base model if any.
     #[must_use]
     pub fn new(base: Option<u64>) -> Self {
         Self {
             base,
-            copies: BTreeMap::new(),
+            loaded: BTreeMap::new(),
             changes: BTreeMap::new(),
             accepted_orders: 0,
             token: 0,
         }
     }
 
-    /// Takes an order, if its condition and its token allow; `newest` is the version that a load without one brings.
+    /// Applies an order if its fencing token and its expected count of accepted orders allow it. `newest` is the version to
+    /// load if the order names none.
     pub fn apply(&mut self, order: &AdapterOrder, newest: u64, now: Instant) -> OrderOutcome {
         if order.token < self.token {
             return OrderOutcome::Fenced;
         }
-        let is_overtaken = order
+        let is_outdated = order
             .expected
             .is_some_and(|expected| expected != self.accepted_orders);
-        if is_overtaken || self.is_blocked(order) {
+        if is_outdated || self.is_blocked(order) {
             return OrderOutcome::Conflict;
         }
         self.token = order.token;
-        if self.holds(order, newest) {
+        if self.is_satisfied_by(order, newest) {
             return OrderOutcome::Completed;
         }
         self.accepted_orders += 1;
@@ -181,38 +181,39 @@
         OrderOutcome::Completed
     }
 
-    /// Whether another order has to end first: an unload, the base model's load, or one for the same adapter.
+    /// Whether an order must wait for an unload, the load of the base model or a change of the same adapter, or can't apply
+    /// to the base model at all.
     fn is_blocked(&self, order: &AdapterOrder) -> bool {
         let is_base = order.adapter.is_empty();
-        let has_drop = self
+        let is_unloading = self
             .changes
             .values()
-            .any(|change| *change == PendingChange::Drop);
-        has_drop
+            .any(|change| *change == PendingChange::Unload);
+        is_unloading
             || self.is_loading_base()
             || self.changes.contains_key(&order.adapter)
             || (is_base && order.is_unload)
             || (!is_base && self.base.is_none())
     }
 
-    fn holds(&self, order: &AdapterOrder, newest: u64) -> bool {
+    fn is_satisfied_by(&self, order: &AdapterOrder, newest: u64) -> bool {
         if order.adapter.is_empty() {
             return self.base.is_some();
         }
         let version = order.version.unwrap_or(newest);
-        let held = self.copies.get(&order.adapter);
+        let held = self.loaded.get(&order.adapter);
         !order.is_unload && held.is_some_and(|copy| copy.version == version)
     }
 
-    /// What an order changes, and when it has.
+    /// Change that an order starts, and the time at which it ends.
     fn change(&self, order: &AdapterOrder, newest: u64, now: Instant) -> (PendingChange, Instant) {
         if order.adapter.is_empty() {
             return (PendingChange::Load(newest), now + BASE_LOAD_TIME);
         }
-        let held = self.copies.get(&order.adapter);
+        let held = self.loaded.get(&order.adapter);
         let runs_until = held.map_or(now, |copy| copy.runs_until.max(now));
         if order.is_unload {
-            return (PendingChange::Drop, runs_until);
+            return (PendingChange::Unload, runs_until);
         }
         let version = order.version.unwrap_or(newest);
         (
@@ -221,7 +222,7 @@
         )
     }
 
-    /// Ends the change that an adapter is in.
+    /// Completes the pending change of an adapter, if there is one.
     pub fn finish(&mut self, adapter: &str) {
         match self.changes.remove(adapter) {
             Some(PendingChange::Load(version)) if adapter.is_empty() => self.base = Some(version),
@@ -230,19 +231,19 @@
                     version,
                     runs_until: Instant::now(),
                 };
-                self.copies.insert(adapter.to_owned(), copy);
+                self.loaded.insert(adapter.to_owned(), copy);
             }
-            Some(PendingChange::Drop) => {
-                self.copies.remove(adapter);
+            Some(PendingChange::Unload) => {
+                self.loaded.remove(adapter);
             }
             None => {}
         }
     }
 
-    /// What a request for an adapter finds.
+    /// State of an adapter for a new request.
     #[must_use]
     pub fn copy_status(&self, adapter: &str) -> CopyStatus {
-        match (self.copies.get(adapter), self.base) {
+        match (self.loaded.get(adapter), self.base) {
             (Some(_), _) if self.changes.contains_key(adapter) => CopyStatus::Changing,
             (Some(copy), Some(base)) => CopyStatus::Loaded(WeightVersions {
                 base,
@@ -252,43 +253,43 @@
         }
     }
 
-    /// Notes a run on a copy.
+    /// Records a request that runs on an adapter until the given time.
     pub fn record_run(&mut self, adapter: &str, until: Instant) {
-        if let Some(copy) = self.copies.get_mut(adapter) {
+        if let Some(copy) = self.loaded.get_mut(adapter) {
             copy.runs_until = copy.runs_until.max(until);
         }
     }
 
-    /// Whether it was ordered beyond its places.
+    /// Whether loaded and pending adapters exceed [`ADAPTER_SLOTS`].
     #[must_use]
     pub fn is_over_capacity(&self) -> bool {
-        let is_new = |adapter: &&String| !adapter.is_empty() && !self.copies.contains_key(*adapter);
+        let is_new = |adapter: &&String| !adapter.is_empty() && !self.loaded.contains_key(*adapter);
         let pending_loads = self.changes.keys().filter(is_new).count();
-        self.copies.len() + pending_loads > ADAPTER_SLOTS
+        self.loaded.len() + pending_loads > ADAPTER_SLOTS
     }
 
-    /// Orders that it has taken.
+    /// Number of accepted orders that changed something.
     #[must_use]
     pub fn accepted_orders(&self) -> u64 {
         self.accepted_orders
     }
 
-    /// Whether the base model is on its way.
+    /// Whether the base model is being loaded.
     #[must_use]
     pub fn is_loading_base(&self) -> bool {
         self.changes.contains_key("")
     }
 
-    /// Its models with their adapters, as lists and reports name them.
+    /// Models with their adapters, in the form of list entries and reports. Adapters that are being replaced are left out.
     #[must_use]
-    pub fn listed(&self) -> Value {
+    pub fn model_list(&self) -> Value {
         let Some(base) = self.base else {
             return json!([]);
         };
         let is_kept =
             |adapter: &str| !matches!(self.changes.get(adapter), Some(PendingChange::Load(_)));
         let adapters: Vec<_> = self
-            .copies
+            .loaded
             .iter()
             .filter(|(adapter, _)| is_kept(adapter))
             .map(|(adapter, copy)| format!("{adapter}@{}", copy.version))
@@ -296,7 +297,7 @@
         json!([{ "name": BASE_MODEL, "version": base, "adapters": adapters }])
     }
 
-    /// What is on its way, as reports name it.
+    /// Adapters that are being loaded, in the form of reports.
     #[must_use]
     pub fn pending_loads(&self) -> Vec<String> {
         self.changes
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,5 @@
-//! Requests through the daemons, over plain sockets, so that what came back is known to the byte.
+//! Callers of the daemons. They use plain TCP sockets instead of an HTTP client, so that the exact bytes of an answer are
+//! known.
 
 use crate::{
     fleet::SoakVm,
@@ -16,14 +17,14 @@
     time::timeout,
 };
 
-/// Host of every route.
+/// Host name of all routes.
 pub const HOST: &str = "mill.example";
-/// Time that a caller waits.
+/// Time after which a caller gives up; also sent as the deadline of the request.
 const CALL_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// What every caller writes into headers that only the system may set.
+/// Value that every caller sends in the headers reserved for the system.
 pub const FORGED: &str = "forged";
-/// Those headers; the deadline is a caller's to name, and the system makes its own of it.
+/// Headers reserved for the system. The deadline is not among them: callers may set it, and the daemons replace it.
 const RESERVED_HEADERS: [&str; 9] = [
     ORGANISATION,
     EXPECT_INSTANCE,
@@ -36,18 +37,18 @@
     KV_FETCH,
 ];
 
-/// One request.
+/// Request of a caller.
 #[derive(Clone, Debug)]
 pub struct SoakCall {
-    /// Its id.
+    /// Request id, unique in a run.
     pub id: String,
-    /// Its kind.
+    /// Kind of the request, which decides its route.
     pub kind: CallKind,
-    /// Its adapter; empty for plain calls.
+    /// Adapter to run on; empty for plain calls.
     pub adapter: String,
-    /// The parts of its prompt; none for plain calls.
+    /// Parts of the prompt; none for plain calls.
     pub parts: Vec<PromptPart>,
-    /// Its caller's key.
+    /// API key of the caller.
     pub key: String,
 }
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// Sends a request through a VM and writes down what came back.
+/// Sends a request to a VM and records the request and its outcome. Does nothing if the VM accepts no calls.
 pub async fn send_call(vm: Arc<SoakVm>, call: SoakCall, history: SharedHistory) {
     let Some((address, _)) = vm.caller_endpoint() else {
         return;
@@ -103,14 +104,15 @@
     let exchanged = timeout(CALL_TIMEOUT, exchange(address, &call.request_text())).await;
     let answer = match exchanged {
         Ok(Ok(answer)) => answer,
-        // The caller leaves, or the connection failed before an answer.
+        // The caller timed out, or the connection failed before an answer.
         Ok(Err(_)) | Err(_) => CallAnswer::NoAnswer,
     };
     let id = call.id;
     history.record(HistoryEvent::Answered { id, answer });
 }
 
-/// Asks a VM whether it has the route of a version; nothing if it does not say.
+/// Probes a VM for the route of a configuration version. Returns the number of its daemon process and whether it has the
+/// route, or `None` if the answer does not tell.
 pub async fn probe_route(vm: &SoakVm, version: u64) -> Option<(u32, bool)> {
     let (address, run) = vm.caller_endpoint()?;
     let text = format!("GET /v{version}/x HTTP/1.1\r\nHost: {HOST}\r\n{REQUEST_ID}: probe\r\n\r\n");
@@ -120,7 +122,7 @@
         .ok()?;
     match answer {
         CallAnswer::Complete(404, _) => Some((run, false)),
-        // A VM without any configuration says nothing about versions.
+        // A VM without any configuration answers 503, which does not tell versions apart.
         CallAnswer::Complete(503, _) | CallAnswer::NoAnswer | CallAnswer::Truncated(503) => None,
         CallAnswer::Complete(..) | CallAnswer::Truncated(_) => Some((run, true)),
     }
@@ -185,7 +187,7 @@
     }
 }
 
-/// The first chunk, if it is whole, and the bytes that it takes.
+/// First chunk of a chunked body and its encoded length in bytes, if the chunk is complete.
 fn next_chunk(raw: &[u8]) -> Option<(&[u8], usize)> {
     let line = raw.windows(2).position(|end| end == b"\r\n")?;
     let length = std::str::from_utf8(&raw[..line]).ok()?;
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,7 +1,7 @@
-//! The promises, checked on a history.
+//! Guarantees of the system, checked against the history of a run.
 //!
-//! Promises with a time bound hold for VMs in touch: those that nothing struck for `TOUCH` before, and only while the log
-//! was undisturbed as long.
+//! Each check reads the recorded events and returns the violations it finds. Guarantees with a time limit apply only to VMs
+//! in contact: neither the VM nor the log was disturbed within the preceding `CONTACT_WINDOW`.
 
 use crate::{
     history::{CallAnswer, CallKind, HistoryEvent, TimedEntry},
@@ -14,79 +14,80 @@
     time::Duration,
 };
 
-/// Time without faults after which a VM is in touch; the users' `contact_ms`.
+/// Time without faults after which a VM counts as in contact (`contact_ms` of the requirements).
 const CONTACT_WINDOW: Duration = Duration::from_secs(3);
-/// Time after which nothing new reaches a leaving target; the users' `drain_ms`.
+/// Time after which a draining target receives no new requests (`drain_ms` of the requirements).
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// Repeats allowed for each request of a service, and beside them; the settings that the daemons are given.
+/// Retries allowed per request of a service; the daemons run with this setting.
 pub const RETRY_RATIO: f64 = 0.2;
-/// See [`REPEAT_RATIO`].
+/// Retries allowed per service and window in addition to [`RETRY_RATIO`]; the daemons run with this setting.
 pub const RETRY_SLACK: f64 = 50.0;
-/// Time after an answer that asks for rest within which requests may have been under way, and how many may arrive after it.
+/// Time after a `Retry-After` answer within which requests may already have been in flight.
 const IN_FLIGHT_WINDOW: Duration = Duration::from_millis(500);
-/// See [`REST_UNDER_WAY`].
+/// Requests per VM that a target may receive between [`IN_FLIGHT_WINDOW`] and the end of the `Retry-After` period.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
-/// Time after which a configuration is in force at all VMs in touch; the users' `config_apply_ms`.
+/// Time within which every VM in contact applies a new configuration (`config_apply_ms` of the requirements).
 const CONFIG_APPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Calls to the log of each VM in a second that are no flood: three feeds that try again after 0.4 s, and their listings.
+/// Log calls per VM and second in steady state: three feeds that retry after 0.4 s, and their listings.
 pub const MAX_LOG_CALLS_PER_S: f64 = 30.0;
-/// Calls that a start may make beside them: three listings, three reads, its record, and four tries of a claim.
+/// Additional log calls of a starting daemon: three listings, three reads, its own record and four attempts at a claim.
 const MAX_START_CALLS: f64 = 15.0;
-/// Time within which it makes them.
+/// Time within which a starting daemon makes its additional log calls.
 const START_CALLS_WINDOW: Duration = Duration::from_secs(1);
-/// Length of the window that they count in.
+/// Length of the window in which the retry budget is counted.
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 
-/// A promise.
+/// Guarantee that a run must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Guarantee {
-    /// What may run once runs at most once.
+    /// A request that is not idempotent runs at most once.
     AtMostOnce,
-    /// What was refused as not run has not run.
+    /// A request refused with "not executed" has not run.
     NotRun,
-    /// A request runs on the adapter that its caller named.
+    /// A request runs on the adapter named by its caller.
     NamedAdapter,
-    /// Headers that only the system may set reach no target as a caller wrote them.
+    /// Headers reserved for the system never reach a target with a caller's value.
     ReservedHeaders,
-    /// An answer that looks whole is the target's own, without a gap or a repeat.
+    /// An answer whose framing is complete has exactly the target's content, without gaps or duplicates.
     CompleteAnswer,
-    /// A leaving target gets no new work after its bound.
+    /// A draining target gets no new requests after [`DRAIN_TIMEOUT`].
     Draining,
-    /// A target that said in an answer that it leaves gets no new work from the VM that was told after its bound.
+    /// A target that announced draining in an answer gets no new requests from the VM that received the answer after
+    /// [`DRAIN_TIMEOUT`].
     AnnouncedDraining,
-    /// A target gets no more than two requests from a VM in the rest that it asked that VM for.
+    /// A target gets no more than two requests from a VM within the `Retry-After` period it sent to that VM.
     RetryAfter,
-    /// A configuration is in force in time at VMs in touch.
+    /// Every VM in contact applies a new configuration within [`CONFIG_APPLY_TIMEOUT`].
     ConfigDeadline,
-    /// The log is asked no more often than its rates allow, whatever befalls it.
+    /// Log calls stay below their rate limit under every fault.
     LogCallRate,
-    /// A planned stop interrupts nothing, and neither does a change of settings.
+    /// Neither a planned stop nor a settings reload interrupts a request.
     PlannedStop,
-    /// A configuration in force never goes back within a process.
+    /// A process never returns to an older configuration.
     ConfigMonotonic,
-    /// Orders come from one holder a token, and tokens only rise.
+    /// Each fencing token is used by one lease holder, and an engine's tokens never decrease.
     SingleHolder,
-    /// An engine is never ordered beyond its places.
+    /// Orders never exceed an engine's adapter slots.
     AdapterSlots,
-    /// Repeats stay within the fleet's budget.
+    /// Retries stay within the fleet's retry budget.
     RetryBudget,
-    /// A request runs for the organisation that its caller's key is of.
+    /// A request runs for the organisation that owns its caller's key.
     CallerOrganisation,
-    /// No call is begun with a key that was taken away too long ago, by any VM.
+    /// No VM starts a call whose key was revoked more than [`REVOCATION_BOUND`] before.
     Revocation,
-    /// No organisation has more requests run than its quota allows, over all VMs.
+    /// The requests of an organisation stay within its quota, summed over all VMs.
     Quota,
-    /// A run uses memory of its prompt only if it was made under the versions of base model and adapter that it runs
-    /// under.
+    /// A request uses cached prompt parts only if they were computed with the versions of base model and adapter that it
+    /// runs on.
     CacheVersion,
 }
 
-/// A broken promise.
+/// Violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// Violated guarantee.
     pub guarantee: Guarantee,
-    /// When, and what broke it.
+    /// Cause and time since the start of the run.
     pub description: String,
 }
 
@@ -96,30 +97,30 @@
     }
 }
 
-/// Checks every promise.
+/// Checks every guarantee against a history.
 #[must_use]
 pub fn check(history: &[TimedEntry]) -> Vec<Violation> {
     let calls = CallTable::new(history);
     let mut found = Vec::new();
     found.extend(check_runs(&calls));
     found.extend(check_answers(&calls));
-    found.extend(check_leaving(history, &calls));
-    found.extend(check_stops(history, &calls));
-    found.extend(check_config(history));
+    found.extend(check_draining(history, &calls));
+    found.extend(check_planned_stops(history, &calls));
+    found.extend(check_config_order(history));
     found.extend(check_orders(history));
-    found.extend(check_budget(&calls));
+    found.extend(check_retry_budget(&calls));
     found.extend(check_headers(history));
-    found.extend(check_memory(history));
+    found.extend(check_cache_versions(history));
     found.extend(check_keys(history, &calls));
     found.extend(check_quotas(history, &calls));
-    found.extend(check_told_leaving(history, &calls));
-    found.extend(check_rests(history, &calls));
-    found.extend(check_config_in_time(history));
+    found.extend(check_announced_draining(history, &calls));
+    found.extend(check_retry_after(history, &calls));
+    found.extend(check_config_deadline(history));
     found.extend(check_log_calls(history));
     found
 }
 
-/// The whole body of a request's answer: every event of a stream, or a plain text.
+/// Complete body of a request's answer: all events of a stream, or a plain text.
 #[must_use]
 pub fn expected_body(kind: CallKind, id: &str, events: u32) -> String {
     match kind {
@@ -130,13 +131,13 @@
     }
 }
 
-/// One event of a stream.
+/// Server-sent event of a stream, with its id and data line.
 #[must_use]
 pub fn event_text(id: &str, event: u32) -> String {
     format!("id: {event}\ndata: {id} {event}\n\n")
 }
 
-/// Events of every stream.
+/// Number of events in a complete stream.
 pub const EVENTS_PER_STREAM: u32 = 12;
 
 #[derive(Debug)]
@@ -147,12 +148,12 @@
     adapter: &'a str,
     answer: Option<(Duration, &'a CallAnswer)>,
     runs: Vec<RunRow<'a>>,
-    /// When targets turned it away.
+    /// Times at which targets rejected the request.
     rejected: Vec<Duration>,
 }
 
 impl CallRow<'_> {
-    /// Arrivals at targets beyond the first.
+    /// Times of all arrivals at targets after the first.
     fn retries(&self) -> Vec<Duration> {
         let runs = self.runs.iter().map(|run| run.at);
         let mut arrivals: Vec<_> = runs.chain(self.rejected.iter().copied()).collect();
@@ -166,7 +167,7 @@
     at: Duration,
     target: &'a str,
     adapter: &'a str,
-    breaks_off: bool,
+    is_truncated: bool,
 }
 
 struct CallTable<'a> {
@@ -204,14 +205,14 @@
                     id,
                     target,
                     adapter,
-                    breaks_off,
+                    is_truncated,
                 } => {
                     if let Some(row) = rows.get_mut(id.as_str()) {
                         row.runs.push(RunRow {
                             at: *at,
                             target,
                             adapter,
-                            breaks_off: *breaks_off,
+                            is_truncated: *is_truncated,
                         });
                     }
                 }
@@ -231,20 +232,23 @@
     let mut found = Vec::new();
     for (id, row) in &calls.rows {
         if row.kind.is_at_most_once() && row.runs.len() > 1 {
-            let description = format!("{id} ran at {:?}", row.runs);
-            found.push(broken(Guarantee::AtMostOnce, description));
+            let description = format!("{id} may run once and ran more often: {:?}", row.runs);
+            found.push(violation(Guarantee::AtMostOnce, description));
         }
-        let promised = matches!(
+        let is_refused = matches!(
             row.answer,
             Some((_, CallAnswer::Complete(408 | 421 | 429 | 503, _)))
         );
-        if promised && !row.runs.is_empty() {
-            let description = format!("{id} was refused as not run, and ran at {:?}", row.runs);
-            found.push(broken(Guarantee::NotRun, description));
+        if is_refused && !row.runs.is_empty() {
+            let description = format!("{id} was refused as not executed, but ran: {:?}", row.runs);
+            found.push(violation(Guarantee::NotRun, description));
         }
         for run in row.runs.iter().filter(|run| run.adapter != row.adapter) {
-            let description = format!("{id} for {} ran as {run:?}", row.adapter);
-            found.push(broken(Guarantee::NamedAdapter, description));
+            let description = format!(
+                "{id} names adapter {:?} and ran on another: {run:?}",
+                row.adapter
+            );
+            found.push(violation(Guarantee::NamedAdapter, description));
         }
     }
     found
@@ -256,27 +260,28 @@
         if let Some((at, CallAnswer::Complete(status @ 200..=299, body))) = &row.answer
             && *body != expected_body(row.kind, id, EVENTS_PER_STREAM)
         {
-            let description = format!("{id} got {status} with {body:?} at {at:?}");
-            found.push(broken(Guarantee::CompleteAnswer, description));
+            let description =
+                format!("{id} got {status} with an incomplete or altered body {body:?} at {at:?}");
+            found.push(violation(Guarantee::CompleteAnswer, description));
         }
     }
     found
 }
 
-/// Whether nothing struck a VM, or the log, for [`TOUCH`] before a time.
+/// Whether neither the VM nor the log was disturbed within [`CONTACT_WINDOW`] before a time.
 fn is_in_contact(history: &[TimedEntry], vm: usize, at: Duration) -> bool {
     !history.iter().any(|entry| {
         let is_near = entry.at <= at && at - entry.at <= CONTACT_WINDOW;
         is_near
             && match entry.event {
-                HistoryEvent::VmDisturbed { vm: struck, .. } => struck == vm,
+                HistoryEvent::VmDisturbed { vm: disturbed, .. } => disturbed == vm,
                 HistoryEvent::LogDisturbed => true,
                 _ => false,
             }
     })
 }
 
-fn check_leaving(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
+fn check_draining(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let leaving: HashMap<&str, Duration> = history
         .iter()
         .filter_map(|entry| match &entry.event {
@@ -292,60 +297,67 @@
                 && is_in_contact(history, row.vm, *at)
             {
                 let description =
-                    format!("{id} ran at {target} at {at:?}, which leaves since {since:?}");
-                found.push(broken(Guarantee::Draining, description));
+                    format!("{id} ran at {target} at {at:?}, which is draining since {since:?}");
+                found.push(violation(Guarantee::Draining, description));
             }
         }
     }
     found
 }
 
-/// Whether a VM was struck within a span.
-fn is_struck(history: &[TimedEntry], vm: usize, from: Duration, to: Duration) -> bool {
+/// Whether a VM was disturbed between two times, both included.
+fn is_disturbed(history: &[TimedEntry], vm: usize, from: Duration, to: Duration) -> bool {
     history.iter().any(|entry| {
         let is_within = from <= entry.at && entry.at <= to;
         is_within
-            && matches!(entry.event, HistoryEvent::VmDisturbed { vm: struck, .. } if struck == vm)
+            && matches!(entry.event, HistoryEvent::VmDisturbed { vm: disturbed, .. } if disturbed == vm)
     })
 }
 
-/// In touch or not: only what befell the VM since it was told excuses it.
-fn check_told_leaving(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
-    let mut told: HashMap<(usize, &str), Duration> = HashMap::new();
+/// Checks requests to targets that announced draining. Only a disturbance of the VM itself excuses one: the VM got the
+/// announcement in an answer, so contact with the log does not matter.
+fn check_announced_draining(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
+    let mut announced: HashMap<(usize, &str), Duration> = HashMap::new();
     for TimedEntry { at, event } in history {
         if let HistoryEvent::DrainingAnnounced { id, target } = event
             && let Some(row) = calls.rows.get(id.as_str())
         {
-            told.entry((row.vm, target)).or_insert(*at);
+            announced.entry((row.vm, target)).or_insert(*at);
         }
     }
     let mut found = Vec::new();
     for (id, row) in &calls.rows {
         for RunRow { at, target, .. } in &row.runs {
-            if let Some(since) = told.get(&(row.vm, *target))
+            if let Some(since) = announced.get(&(row.vm, *target))
                 && row.sent > *since + DRAIN_TIMEOUT
-                && !is_struck(history, row.vm, *since, *at)
+                && !is_disturbed(history, row.vm, *since, *at)
             {
-                let description =
-                    format!("{id} ran at {target} at {at:?}, which said so to its VM at {since:?}");
-                found.push(broken(Guarantee::AnnouncedDraining, description));
+                let description = format!(
+                    "{id} ran at {target} at {at:?}, which announced draining to VM {} at {since:?}",
+                    row.vm
+                );
+                found.push(violation(Guarantee::AnnouncedDraining, description));
             }
         }
     }
     found
 }
 
-fn check_rests(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
+fn check_retry_after(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let mut arrivals: BTreeMap<(usize, &str), Vec<Duration>> = BTreeMap::new();
-    let mut rests = Vec::new();
+    let mut periods = Vec::new();
     for TimedEntry { at, event } in history {
         let (id, target) = match event {
             HistoryEvent::Ran { id, target, .. } | HistoryEvent::Rejected { id, target } => {
                 (id, target)
             }
-            HistoryEvent::RetryAfterSent { id, target, rest } => {
+            HistoryEvent::RetryAfterSent {
+                id,
+                target,
+                retry_after,
+            } => {
                 if let Some(row) = calls.rows.get(id.as_str()) {
-                    rests.push((row.vm, target.as_str(), *at, *rest));
+                    periods.push((row.vm, target.as_str(), *at, *retry_after));
                 }
                 continue;
             }
@@ -356,21 +368,21 @@
         }
     }
     let mut found = Vec::new();
-    for (vm, target, asked, rest) in rests {
-        let (from, to) = (asked + IN_FLIGHT_WINDOW, asked + rest);
+    for (vm, target, sent, retry_after) in periods {
+        let (from, to) = (sent + IN_FLIGHT_WINDOW, sent + retry_after);
         let times = arrivals.get(&(vm, target)).into_iter().flatten();
         let count = times.filter(|at| from <= **at && **at < to).count();
-        if count > MAX_REQUESTS_IN_BACKOFF && !is_struck(history, vm, asked, to) {
+        if count > MAX_REQUESTS_IN_BACKOFF && !is_disturbed(history, vm, sent, to) {
             let description = format!(
-                "{target} asked VM {vm} at {asked:?} for {rest:?}, and got {count} requests"
+                "{target} sent VM {vm} Retry-After {retry_after:?} at {sent:?} and got {count} requests within it, at most {MAX_REQUESTS_IN_BACKOFF} are allowed"
             );
-            found.push(broken(Guarantee::RetryAfter, description));
+            found.push(violation(Guarantee::RetryAfter, description));
         }
     }
     found
 }
 
-fn check_config_in_time(history: &[TimedEntry]) -> Vec<Violation> {
+fn check_config_deadline(history: &[TimedEntry]) -> Vec<Violation> {
     let mut accepted: BTreeMap<u64, Duration> = BTreeMap::new();
     let mut found = Vec::new();
     for TimedEntry { at, event } in history {
@@ -388,9 +400,10 @@
                 if let Some(since) = since.filter(|since| *at > **since + CONFIG_APPLY_TIMEOUT)
                     && is_in_contact(history, *vm, *at)
                 {
-                    let description =
-                        format!("VM {vm} lacks version {version} at {at:?}, accepted at {since:?}");
-                    found.push(broken(Guarantee::ConfigDeadline, description));
+                    let description = format!(
+                        "VM {vm} lacks configuration {version} at {at:?}, accepted at {since:?}"
+                    );
+                    found.push(violation(Guarantee::ConfigDeadline, description));
                 }
             }
             _ => {}
@@ -415,33 +428,33 @@
         });
         started.count() as f64
     };
-    let floods = history.iter().filter_map(|entry| match entry.event {
+    let excesses = history.iter().filter_map(|entry| match entry.event {
         HistoryEvent::LogCalls { calls, within } => {
             let from = entry.at.saturating_sub(within + START_CALLS_WINDOW);
             let steady = MAX_LOG_CALLS_PER_S * vms.len() as f64 * within.as_secs_f64();
             let allowed = steady + MAX_START_CALLS * starts(from, entry.at);
             (calls as f64 > allowed).then(|| {
                 let description = format!(
-                    "{calls} calls in {within:?} at {:?}, {allowed:.0} are allowed",
+                    "{calls} log calls in {within:?} until {:?}, at most {allowed:.0} are allowed",
                     entry.at
                 );
-                broken(Guarantee::LogCallRate, description)
+                violation(Guarantee::LogCallRate, description)
             })
         }
         _ => None,
     });
-    floods.collect()
+    excesses.collect()
 }
 
-/// A request that a planned stop or a change of settings met, and nothing else, has a whole answer once it ran.
-fn check_stops(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
+/// A request that ran while its VM was only stopped as planned or reloaded its settings must get a complete answer.
+fn check_planned_stops(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     for (id, row) in &calls.rows {
         let Some((at, answer)) = row.answer else {
             continue;
         };
         let is_broken = matches!(answer, CallAnswer::Truncated(_) | CallAnswer::NoAnswer);
-        let strikes: Vec<_> = history
+        let disturbances: Vec<_> = history
             .iter()
             .filter(|entry| row.sent <= entry.at + CONTACT_WINDOW && entry.at <= at)
             .filter_map(|entry| match entry.event {
@@ -451,20 +464,21 @@
                 _ => None,
             })
             .collect();
-        let only_planned = !strikes.is_empty() && strikes.iter().all(|is_planned| *is_planned);
-        let has_run = !row.runs.is_empty() && row.runs.iter().all(|run| !run.breaks_off);
+        let only_planned =
+            !disturbances.is_empty() && disturbances.iter().all(|is_planned| *is_planned);
+        let has_run = !row.runs.is_empty() && row.runs.iter().all(|run| !run.is_truncated);
         if is_broken && only_planned && has_run {
             let description = format!(
-                "{id} was broken off at {at:?} by the stop or the reload of VM {}",
+                "{id} was interrupted at {at:?} by the planned stop or the reload of VM {}",
                 row.vm
             );
-            found.push(broken(Guarantee::PlannedStop, description));
+            found.push(violation(Guarantee::PlannedStop, description));
         }
     }
     found
 }
 
-fn check_config(history: &[TimedEntry]) -> Vec<Violation> {
+fn check_config_order(history: &[TimedEntry]) -> Vec<Violation> {
     let mut newest: HashMap<(usize, u32), u64> = HashMap::new();
     let mut found = Vec::new();
     for TimedEntry { at, event } in history {
@@ -481,8 +495,9 @@
         if *has_route {
             *known = (*known).max(*version);
         } else if version <= known {
-            let description = format!("VM {vm} lacks version {version} at {at:?}, and had {known}");
-            found.push(broken(Guarantee::ConfigMonotonic, description));
+            let description =
+                format!("VM {vm} lacks configuration {version} at {at:?}, but had applied {known}");
+            found.push(violation(Guarantee::ConfigMonotonic, description));
         }
     }
     found
@@ -501,22 +516,24 @@
             } => {
                 let known = highest.entry(target).or_default();
                 if token < known {
-                    let description =
-                        format!("{target} took token {token} of {holder} after {known}, {at:?}");
-                    found.push(broken(Guarantee::SingleHolder, description));
+                    let description = format!(
+                        "{target} accepted token {token} of {holder} after token {known} at {at:?}"
+                    );
+                    found.push(violation(Guarantee::SingleHolder, description));
                 }
                 *known = (*known).max(*token);
                 let users = holders.entry(*token).or_default();
                 users.insert(holder);
                 if users.len() > 1 {
-                    let description = format!("token {token} is used by {users:?}, {at:?}");
-                    found.push(broken(Guarantee::SingleHolder, description));
+                    let description =
+                        format!("token {token} is used by several holders {users:?} at {at:?}");
+                    found.push(violation(Guarantee::SingleHolder, description));
                 }
             }
             HistoryEvent::SlotsExceeded { target } => {
-                found.push(broken(
+                found.push(violation(
                     Guarantee::AdapterSlots,
-                    format!("{target} at {at:?}"),
+                    format!("{target} was ordered to exceed its adapter slots at {at:?}"),
                 ));
             }
             _ => {}
@@ -525,9 +542,9 @@
     found
 }
 
-/// In no window does a service have more arrivals beyond the first of their request than its requests and the fixed number
-/// allow. Requests count in that window, in the one before it or in the one half a window before, where most are.
-fn check_budget(calls: &CallTable<'_>) -> Vec<Violation> {
+/// Checks the retries of each service in every window against [`RETRY_RATIO`] and [`RETRY_SLACK`]. Requests are counted in
+/// the same window, half a window earlier and a full window earlier, and the highest count applies.
+fn check_retry_budget(calls: &CallTable<'_>) -> Vec<Violation> {
     let mut found = Vec::new();
     for service in [TargetRole::Plain, TargetRole::Engine].map(service_name) {
         let rows = || {
@@ -554,9 +571,9 @@
             && excess > 0.0
         {
             let description = format!(
-                "{service}: {retries} repeats within {RETRY_WINDOW:?} from {start:?}, {allowed:.0} are allowed"
+                "{service}: {retries} retries within {RETRY_WINDOW:?} from {start:?}, at most {allowed:.0} are allowed"
             );
-            found.push(broken(Guarantee::RetryBudget, description));
+            found.push(violation(Guarantee::RetryBudget, description));
         }
     }
     found
@@ -568,21 +585,21 @@
 }
 
 fn check_headers(history: &[TimedEntry]) -> Vec<Violation> {
-    let forged = history.iter().filter_map(|entry| match &entry.event {
+    let violations = history.iter().filter_map(|entry| match &entry.event {
         HistoryEvent::ForgedHeader { id, target } => {
             let description = format!(
-                "{target} was handed a forged header of {id} at {:?}",
+                "{target} received a reserved header of {id} as its caller wrote it at {:?}",
                 entry.at
             );
-            Some(broken(Guarantee::ReservedHeaders, description))
+            Some(violation(Guarantee::ReservedHeaders, description))
         }
         _ => None,
     });
-    forged.collect()
+    violations.collect()
 }
 
-fn check_memory(history: &[TimedEntry]) -> Vec<Violation> {
-    let mixed = history.iter().filter_map(|entry| match &entry.event {
+fn check_cache_versions(history: &[TimedEntry]) -> Vec<Violation> {
+    let mismatches = history.iter().filter_map(|entry| match &entry.event {
         HistoryEvent::CacheMismatch {
             id,
             target,
@@ -591,17 +608,17 @@
             runs_under,
         } => {
             let description = format!(
-                "{id} for {adapter} ran at {target} at {:?}, used memory made under {made_under}, and runs under {runs_under}",
+                "{id} for {adapter} ran at {target} at {:?} on {runs_under} with prompt parts cached under {made_under}",
                 entry.at
             );
-            Some(broken(Guarantee::CacheVersion, description))
+            Some(violation(Guarantee::CacheVersion, description))
         }
         _ => None,
     });
-    mixed.collect()
+    mismatches.collect()
 }
 
-/// Keys of requests by id.
+/// Key of each request, by request id.
 fn keys_of(history: &[TimedEntry]) -> HashMap<&str, &str> {
     let keys = history.iter().filter_map(|entry| match &entry.event {
         HistoryEvent::KeySent { id, key } => Some((id.as_str(), key.as_str())),
@@ -612,33 +629,35 @@
 
 fn check_keys(history: &[TimedEntry], calls: &CallTable<'_>) -> Vec<Violation> {
     let keys = keys_of(history);
-    let mut gone: HashMap<&str, Duration> = HashMap::new();
+    let mut revoked: HashMap<&str, Duration> = HashMap::new();
     let mut found = Vec::new();
     for TimedEntry { at, event } in history {
         match event {
             HistoryEvent::Revoked { key } => {
-                gone.entry(key).or_insert(*at);
+                revoked.entry(key).or_insert(*at);
             }
             HistoryEvent::RanForOrganisation { id, organisation } => {
                 if let Some(key) = keys.get(id.as_str())
                     && organisation_of(key) != organisation
                 {
-                    let description = format!("{id} with {key} ran for {organisation:?} at {at:?}");
-                    found.push(broken(Guarantee::CallerOrganisation, description));
+                    let description = format!(
+                        "{id} with key {key} ran for organisation {organisation:?} at {at:?}"
+                    );
+                    found.push(violation(Guarantee::CallerOrganisation, description));
                 }
             }
             _ => {}
         }
     }
     for (id, row) in &calls.rows {
-        let since = keys.get(id).and_then(|key| gone.get(key));
+        let since = keys.get(id).and_then(|key| revoked.get(key));
         let is_late = since.is_some_and(|since| row.sent > *since + REVOCATION_BOUND);
         if is_late && !row.runs.is_empty() {
             let description = format!(
-                "{id} ran at {:?}, its key is gone since {since:?}",
+                "{id} ran although its key was revoked at {since:?}: {:?}",
                 row.runs
             );
-            found.push(broken(Guarantee::Revocation, description));
+            found.push(violation(Guarantee::Revocation, description));
         }
     }
     found
@@ -668,15 +687,15 @@
         let most = times.iter().map(|start| (within(start), *start)).max();
         if let Some((most, start)) = most.filter(|(most, _)| *most as f64 > allowed) {
             let description = format!(
-                "{organisation}: {most} requests within {QUOTA_WINDOW:?} from {start:?}, {allowed:.0} are allowed"
+                "{organisation}: {most} requests within {QUOTA_WINDOW:?} from {start:?}, at most {allowed:.0} are allowed"
             );
-            found.push(broken(Guarantee::Quota, description));
+            found.push(violation(Guarantee::Quota, description));
         }
     }
     found
 }
 
-fn broken(guarantee: Guarantee, description: String) -> Violation {
+fn violation(guarantee: Guarantee, description: String) -> Violation {
     Violation {
         guarantee,
         description,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,6 @@
-//! The daemons, as processes of their own; only these are ever signalled, by the ids that they were started with.
+//! VMs of the fleet: each has a settings file, a relayed connection to the log and a daemon process.
+//!
+//! Signals go only to processes started here, by process id.
 
 use crate::{
     history::{HistoryEvent, SharedHistory},
@@ -22,29 +24,28 @@
 };
 use tokio::time::sleep;
 
-/// Pause between two looks at whether a process has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Number of the event that names a daemon's addresses.
+/// Number of the log event that names a daemon's addresses.
 const STARTED_EVENT: u64 = 100;
 
-/// What is known of a daemon's running process.
+/// State of a VM's daemon process.
 #[derive(Debug, Default)]
 struct ProcessState {
     child: Option<Child>,
-    /// Where it takes callers, once it said so.
+    /// Listen address for callers, once the daemon has logged it.
     callers: Option<SocketAddr>,
-    /// Counts its runs.
+    /// Number of processes started so far.
     run: u32,
     is_ending: bool,
 }
 
-/// One VM: its settings, its link to the log, and its process.
+/// VM with its settings, its connection to the log and its daemon process.
 pub struct SoakVm {
-    /// Its number.
+    /// Index of the VM in the fleet.
     pub index: usize,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Its way to the log.
+    /// Relay on the connection to the log, where link faults are injected.
     pub log_link: LinkRelay,
     folder: PathBuf,
     program: PathBuf,
@@ -54,10 +55,10 @@
 }
 
 impl SoakVm {
-    /// A VM whose daemon is not started yet.
+    /// Creates a VM and writes its settings file; the daemon is not started yet.
     ///
     /// # Errors
-    /// Returns the error of the system when no port or folder can be had.
+    /// Returns an I/O error if no port is available or the settings file can't be written.
     pub async fn new(
         index: usize,
         zones: &[String],
@@ -99,7 +100,7 @@
         Ok(vm)
     }
 
-    /// Writes its settings file, which a daemon that starts meanwhile reads whole: as it was or as it is.
+    /// Replaces the settings file atomically, so that a daemon that starts meanwhile reads either the old or the new one.
     fn write_settings(&self, settings: &Value) -> io::Result<()> {
         let written = self.folder.join(format!("vm-{}.new", self.index));
         fs::write(&written, settings.to_string())?;
@@ -110,11 +111,12 @@
         self.folder.join(format!("vm-{}.json", self.index))
     }
 
-    /// Changes its settings file and tells its process, once that has said where it takes callers: before, it would be
-    /// ended by the signal. Step 0 stands for the first settings, every other one for settings of its own.
+    /// Changes the settings file and signals the daemon to reload it. Step 0 stands for the initial settings, each other
+    /// step for different ones. A daemon that has not logged its caller address yet gets no signal, because SIGHUP would end
+    /// it.
     ///
     /// # Errors
-    /// Returns the error of the system when the file can't be written.
+    /// Returns an I/O error if the file can't be written.
     pub fn reload(&self, step: usize) -> io::Result<()> {
         self.write_settings(&changed_settings(&self.settings, step))?;
         if self.caller_endpoint().is_some() {
@@ -125,11 +127,11 @@
         Ok(())
     }
 
-    /// Starts its daemon if none runs; its lines go to the folder of the run. Faults overlap, so that is looked at and done
-    /// under one lock: of two daemons one would be left behind.
+    /// Starts the daemon if none runs; its output goes to a log file in the run's directory. The check and the start share
+    /// one lock, because overlapping faults may start a VM at the same time and a second daemon would never be stopped.
     ///
     /// # Errors
-    /// Returns the error of the system when the program can't be started.
+    /// Returns an I/O error if the program can't be started or the log file can't be opened.
     pub fn start(&self) -> io::Result<()> {
         let settings = self.settings_path();
         let mut state = self.lock();
@@ -156,7 +158,7 @@
         Ok(())
     }
 
-    /// Where its daemon takes callers, and the run of its process, while it may be asked.
+    /// Address for callers and number of the daemon process, while the daemon accepts calls.
     #[must_use]
     pub fn caller_endpoint(&self) -> Option<(SocketAddr, u32)> {
         let state = self.lock();
@@ -164,18 +166,18 @@
         Some((callers, state.run))
     }
 
-    /// Sends a signal to its process, if it runs.
+    /// Sends a signal to the daemon, if one runs.
     pub fn signal(&self, signal: Signal) {
         let state = self.lock();
         if let Some(child) = &state.child
             && let Ok(id) = i32::try_from(child.id())
         {
-            // A process that has just ended needs no signal.
+            // Fails only if the process has just ended, which needs no signal.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Writes down that something struck it.
+    /// Records a disturbance of the VM in the history.
     pub fn record_disturbance(&self, is_planned: bool) {
         self.history.record(HistoryEvent::VmDisturbed {
             vm: self.index,
@@ -183,7 +185,7 @@
         });
     }
 
-    /// Kills its process, and waits for its end.
+    /// Kills the daemon with SIGKILL and waits for its exit.
     pub async fn kill(&self) {
         self.record_disturbance(false);
         self.lock().is_ending = true;
@@ -191,10 +193,10 @@
         self.wait_for_exit().await;
     }
 
-    /// Stops its process as planned, and waits for its end.
+    /// Stops the daemon with SIGTERM, as in a planned stop, and waits for its exit.
     pub async fn stop(&self) {
         self.record_disturbance(true);
-        // The balancer hears that it leaves, and sends nobody any more.
+        // As with a load balancer that is told of a planned stop: no new callers are sent to this VM.
         self.lock().is_ending = true;
         self.signal(Signal::SIGTERM);
         self.wait_for_exit().await;
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Makes its way to the log as told.
+    /// Sets the state of the connection to the log.
     pub fn set_log_link(&self, link: LinkState) {
         self.record_disturbance(false);
         self.log_link.set(link);
@@ -233,15 +235,15 @@
 impl Drop for SoakVm {
     fn drop(&mut self) {
         if let Some(mut child) = self.lock().child.take() {
-            // Whatever it was doing: nothing that was started here stays behind.
+            // No daemon may outlive the run. Errors mean that it has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Settings that take in what may change in a running process, and a pause that waits for its restart. The budget for repeats
-/// only shrinks, so that what is checked holds for them all.
+/// Settings of a reload step: some that apply to a running process, and `pace`, which applies only after a restart. The retry
+/// budget only shrinks, so that the limits that the checks use hold for every step.
 fn changed_settings(first: &Value, step: usize) -> Value {
     let mut settings = first.clone();
     if step > 0 {
@@ -256,13 +258,13 @@
     settings
 }
 
-/// Copies a daemon's lines to its log, and takes its address from the first.
+/// Copies a daemon's output to its log file, and reads the caller address from the start event.
 fn copy_log(output: ChildStdout, mut log: File, state: &Mutex<ProcessState>, run: u32) {
     for line in BufReader::new(output).lines() {
         let Ok(line) = line else {
             return;
         };
-        // A full disk shows in the run's other files.
+        // A write error such as a full disk also shows in the run's other files.
         let _ = writeln!(log, "{line}");
         let written: Value = serde_json::from_str(&line).unwrap_or_default();
         if written["event"].as_u64() == Some(STARTED_EVENT) {
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What callers, targets and the fault schedule saw, each entry with its time.
+//! Timestamped events of a run, recorded by callers, targets and the fault injector. The checks and the report read them.
 
 use crate::{
     adapter_store::WeightVersions,
@@ -10,24 +10,24 @@
 };
 use tokio::time::Instant;
 
-/// Kind of a request.
+/// Kind of a request, which decides its route and how often it may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A plain call that may run once.
+    /// Plain call that may run at most once.
     Once,
-    /// A plain call that may run more than once.
+    /// Plain call that may run more than once.
     Idempotent,
-    /// A stream that may run once.
+    /// Stream that may run at most once.
     Stream,
-    /// A stream that may be resumed.
+    /// Stream that may be resumed on another engine.
     Resumable,
 }
 
 impl CallKind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 4] = [Self::Once, Self::Idempotent, Self::Stream, Self::Resumable];
 
-    /// The service that it goes to.
+    /// Name of the service that requests of this kind are routed to.
     #[must_use]
     pub fn service(self) -> &'static str {
         service_name(match self {
@@ -36,25 +36,25 @@
         })
     }
 
-    /// Whether a second run breaks a promise.
+    /// Whether a second run violates a guarantee.
     #[must_use]
     pub fn is_at_most_once(self) -> bool {
         matches!(self, Self::Once | Self::Stream)
     }
 }
 
-/// What a caller got.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallAnswer {
-    /// A status and a body that its framing says is whole.
+    /// Status and body, complete according to the HTTP framing.
     Complete(u16, String),
-    /// A status and a body that broke off.
+    /// Status of an answer whose body was cut off.
     Truncated(u16),
-    /// A connection that closed, or was refused, without an answer.
+    /// The connection was refused, closed or timed out without an answer.
     NoAnswer,
 }
 
-/// One entry.
+/// Event in a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HistoryEvent {
     /// A caller sent a request to a VM.
@@ -68,33 +68,33 @@
         /// Its adapter; empty for plain calls.
         adapter: String,
     },
-    /// A caller gives a key with its request.
+    /// A caller sent its API key with a request.
     KeySent {
         /// The request.
         id: String,
         /// The key.
         key: String,
     },
-    /// A configuration that takes a key away is acknowledged.
+    /// A configuration that revokes a key was acknowledged.
     Revoked {
         /// The key.
         key: String,
     },
-    /// A target is told for which organisation it runs a request.
+    /// A target received a request on behalf of an organisation.
     RanForOrganisation {
         /// The request.
         id: String,
-        /// The organisation; empty if it is told none.
+        /// The organisation; empty if the request names none.
         organisation: String,
     },
-    /// A caller has its answer.
+    /// A caller received an answer or gave up.
     Answered {
         /// The request.
         id: String,
         /// The answer.
         answer: CallAnswer,
     },
-    /// A target began to run a request.
+    /// A target started to run a request.
     Ran {
         /// The request.
         id: String,
@@ -102,24 +102,24 @@
         target: String,
         /// The adapter that it ran on; empty for plain calls.
         adapter: String,
-        /// Whether the target will break its answer off.
-        breaks_off: bool,
+        /// Whether the target will truncate its answer.
+        is_truncated: bool,
     },
-    /// A target turned a request away without running it.
+    /// A target rejected a request without running it.
     Rejected {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
-    /// An engine takes parts of a request's prompt from another engine.
+    /// An engine fetches cached parts of a request's prompt from another engine.
     CacheFetched {
         /// The request.
         id: String,
         /// The engine.
         target: String,
     },
-    /// A run used memory of its prompt that was made under another version of its adapter or of the base model.
+    /// A request used cached prompt parts computed with other versions of its adapter or base model.
     CacheMismatch {
         /// The request.
         id: String,
@@ -127,33 +127,33 @@
         target: String,
         /// The adapter.
         adapter: String,
-        /// Versions that made the memory.
+        /// Versions that the cached parts were computed with.
         made_under: WeightVersions,
-        /// Versions of the run.
+        /// Versions that the request runs on.
         runs_under: WeightVersions,
     },
-    /// A target was handed a header of the system's own that a caller had forged.
+    /// A target received a reserved header with a caller's value, or the caller's API key.
     ForgedHeader {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
-    /// An engine took an order.
+    /// An engine accepted an order.
     OrderAccepted {
         /// The engine.
         target: String,
-        /// The VM that gave it.
+        /// The VM that sent it, as lease holder.
         holder: String,
-        /// Its fencing token.
+        /// Fencing token of the order.
         token: u64,
     },
-    /// An engine was ordered beyond its places.
+    /// An engine was ordered to exceed its adapter slots.
     SlotsExceeded {
         /// The engine.
         target: String,
     },
-    /// The list says from now on that a target leaves, or lacks it.
+    /// The target list marks a target as draining, or no longer has it.
     TargetDraining {
         /// The target.
         target: String,
@@ -163,71 +163,71 @@
         /// The version; the route `/vN/` exists from version N on.
         version: u64,
     },
-    /// A VM answered whether it has the route of a version.
+    /// A VM answered a probe for the route of a configuration version.
     RouteProbed {
         /// The VM.
         vm: usize,
-        /// The run of its process.
+        /// Number of the VM's daemon process, counted from 1.
         run: u32,
-        /// The version whose route was asked for.
+        /// The version whose route was probed.
         version: u64,
         /// Whether it had the route.
         has_route: bool,
     },
-    /// A fault, a signal or its end struck a VM.
+    /// A fault or signal started or ended at a VM.
     VmDisturbed {
         /// The VM.
         vm: usize,
-        /// Whether it was a planned stop and nothing else.
+        /// Whether it was a planned stop.
         is_planned: bool,
     },
-    /// A VM's settings file was changed, and its process told so.
+    /// The settings file of a VM was changed and its process signalled to reload it.
     SettingsReloaded {
         /// The VM.
         vm: usize,
     },
-    /// A target turned a request away, and wants nothing for a while from the VM that sent it.
+    /// A target rejected a request with a `Retry-After` period for the VM that sent it.
     RetryAfterSent {
         /// The request.
         id: String,
         /// The target.
         target: String,
-        /// For how long.
-        rest: Duration,
+        /// The period.
+        retry_after: Duration,
     },
-    /// A target said in its answer to a request that it leaves.
+    /// A target announced draining in its answer to a request.
     DrainingAnnounced {
         /// The request.
         id: String,
         /// The target.
         target: String,
     },
-    /// A VM's process was started again.
+    /// A VM's daemon was restarted.
     VmStarted {
         /// The VM.
         vm: usize,
     },
     /// Calls to the log since the last entry of this kind.
     LogCalls {
-        /// How many.
+        /// Number of calls.
         calls: u64,
-        /// In what time.
+        /// Time in which they were made.
         within: Duration,
     },
-    /// The log or all links were disturbed, or came back.
+    /// A fault of the log started or ended.
     LogDisturbed,
 }
 
-/// An entry with its time since the start.
+/// Event with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimedEntry {
-    /// When it was seen.
+    /// Time since the start of the history.
     pub at: Duration,
-    /// What was seen.
+    /// The event.
     pub event: HistoryEvent,
 }
 
-/// A history that is being written.
+/// History under construction; clones share their entries.
 #[derive(Clone, Debug)]
 pub struct SharedHistory {
     start: Instant,
@@ -235,7 +235,7 @@
 }
 
 impl SharedHistory {
-    /// An empty history that begins now.
+    /// Creates an empty history whose times count from now.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -244,20 +244,20 @@
         }
     }
 
-    /// Adds an entry.
+    /// Records an event at the current time.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// Panics if another thread panicked while it held the lock.
     pub fn record(&self, event: HistoryEvent) {
         let at = self.start.elapsed();
         let mut entries = self.entries.lock().expect("no holder of the lock panics");
         entries.push(TimedEntry { at, event });
     }
 
-    /// What was seen so far.
+    /// Returns a copy of the entries recorded so far.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// Panics if another thread panicked while it held the lock.
     #[must_use]
     pub fn entries(&self) -> Vec<TimedEntry> {
         self.entries
@@ -266,7 +266,7 @@
             .clone()
     }
 
-    /// Time since its start.
+    /// Time since the start of the history.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,19 +1,19 @@
-//! A fault soak: real daemons as processes, faults from outside, promises checked on what callers, targets and the log
-//! saw.
+//! Fault soak test. It runs real daemons as processes, injects faults from outside and checks the system's guarantees
+//! against the events that callers, targets and the log recorded.
 //!
-//! | module | job |
+//! | module | content |
 //! |---|---|
-//! | [`schedule`] | the faults of a seed |
-//! | [`history`] | what was seen, in order |
-//! | [`checks`] | the promises, checked on a history |
-//! | [`shelf`] | the adapters of an engine, and its orders |
-//! | [`organisations`] | callers' keys, which configurations take away, and quotas |
-//! | [`prompts`] | what prompts consist of, and how long an engine reads one |
-//! | [`targets`] | engines and a plain service that write down what reaches them |
-//! | [`fleet`] | the daemons: started, paused, killed and stopped by their process ids |
-//! | [`callers`] | requests through the daemons, and what came back |
-//! | [`run`] | one seed from start to report |
-//! | [`report`] | the outcome as text and as a page |
+//! | [`schedule`] | fault schedules drawn from a seed |
+//! | [`history`] | timestamped events of a run |
+//! | [`checks`] | guarantees, checked against a history |
+//! | [`adapter_store`] | base model and adapters of an engine, and orders that change them |
+//! | [`organisations`] | API keys of callers, their revocation, and quotas |
+//! | [`prompts`] | prompts of callers and the time to process them |
+//! | [`targets`] | stand-ins for engines and plain services that record what they receive |
+//! | [`fleet`] | VMs with their daemon processes |
+//! | [`callers`] | requests to the daemons and their outcomes |
+//! | [`run`] | a single run from start to outcome |
+//! | [`report`] | outcomes as text and as an HTML page |
 
 pub mod adapter_store;
 pub mod callers;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Entry of the soak.
+//! Command line of the fault soak.
 
 use gumdrop::Options;
 use hoplanding_soak::{
@@ -13,56 +13,51 @@
 /// Arguments of `hoplanding-soak`.
 #[derive(Debug, Options)]
 struct SoakArgs {
-    /// Prints the help.
     #[options(help = "print this help")]
     help: bool,
-    /// First seed.
     #[options(help = "first seed", default = "1")]
     seed: u64,
-    /// Number of seeds.
     #[options(no_short, help = "number of seeds", default = "1")]
     seeds: u64,
-    /// Requests of a run.
-    #[options(help = "requests of a run", default = "600")]
+    #[options(help = "number of requests in a run", default = "600")]
     requests: usize,
-    /// Faults of a run.
-    #[options(no_short, help = "faults of a run", default = "8")]
+    #[options(no_short, help = "number of faults in a run", default = "8")]
     faults: usize,
-    /// Faults of a run beside those.
     #[options(
         no_short,
-        help = "faults beside those: targets that tell of themselves, logs from a copy",
+        help = "number of extra faults in a run: log restores, Retry-After answers, draining announced in answers",
         default = "4"
     )]
     beside: usize,
-    /// Zones.
-    #[options(help = "availability zones", default = "2")]
+    #[options(help = "number of availability zones", default = "2")]
     zones: usize,
-    /// VMs of a zone.
-    #[options(help = "VMs of a zone", default = "2")]
+    #[options(help = "number of VMs in each zone", default = "2")]
     vms: usize,
-    /// Adapters that are asked for.
-    #[options(no_short, help = "adapters that are asked for", default = "12")]
+    #[options(
+        no_short,
+        help = "number of adapters that requests name",
+        default = "12"
+    )]
     adapters: usize,
-    /// Drops faults that a failure does not need.
     #[options(
         no_short,
-        help = "play a failed run again with fewer faults, as long as it fails"
+        help = "repeat a failed run with fewer faults to find those needed for the failure"
     )]
     shrink: bool,
-    /// A schedule to play.
-    #[options(no_short, help = "play the faults of this file", meta = "FILE")]
+    #[options(
+        no_short,
+        help = "inject the faults of this schedule file instead of drawing them",
+        meta = "FILE"
+    )]
     schedule: Option<PathBuf>,
-    /// The daemon.
     #[options(
-        help = "the daemon's program",
+        help = "path of the daemon's executable",
         default = "target/release/hoplandingd",
         meta = "FILE"
     )]
     daemon: PathBuf,
-    /// Where runs are kept.
     #[options(
-        help = "folder for settings, logs, schedules and the report",
+        help = "directory for settings, logs, schedules and the report",
         default = "target/soak",
         meta = "DIR"
     )]
@@ -74,26 +69,26 @@
     let args = SoakArgs::parse_args_default_or_exit();
     match tokio::select! {
         result = run_all(&args) => result,
-        // Dropping the runs ends what they started.
-        result = interrupted() => result,
+        // Dropping the unfinished run kills its daemons.
+        result = wait_for_interrupt() => result,
     } {
         Ok(0) => ExitCode::SUCCESS,
         Ok(_) => ExitCode::FAILURE,
         Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-            eprintln!("the soak was interrupted; the daemons that it started have ended");
+            eprintln!("interrupted by a signal; all daemons of the run were killed");
             ExitCode::from(2)
         }
         Err(error) => {
             eprintln!(
-                "the soak can't go on ({error}): build the daemon with `cargo build --release`, or name it with --daemon"
+                "run failed: {error}; if the daemon is missing, build it with `cargo build --release` or give its path with --daemon"
             );
             ExitCode::from(2)
         }
     }
 }
 
-/// Waits for a signal that asks this program to end.
-async fn interrupted() -> io::Result<usize> {
+/// Waits for SIGINT, SIGTERM or SIGHUP and returns an `Interrupted` error.
+async fn wait_for_interrupt() -> io::Result<usize> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hang_up = signal(SignalKind::hangup())?;
@@ -105,7 +100,7 @@
     Err(io::ErrorKind::Interrupted.into())
 }
 
-/// Plays every seed; returns how many broke a promise.
+/// Executes a run for every seed and returns the number of runs with violations.
 async fn run_all(args: &SoakArgs) -> io::Result<usize> {
     let mut outcomes = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
@@ -113,9 +108,9 @@
         let outcome = run_soak(&plan).await?;
         println!("{}", report::text(&outcome));
         if !outcome.violations.is_empty() {
-            let kept = plan.folder.display();
+            let folder = plan.folder.display();
             println!(
-                "  again: hoplanding-soak --seed {seed} --requests {} --zones {} --vms {} --adapters {} --schedule {kept}/faults.json",
+                "  reproduce with: hoplanding-soak --seed {seed} --requests {} --zones {} --vms {} --adapters {} --schedule {folder}/faults.json",
                 args.requests, args.zones, args.vms, args.adapters
             );
             if args.shrink {
@@ -130,7 +125,7 @@
         .iter()
         .filter(|outcome| !outcome.violations.is_empty());
     let failed = failed.count();
-    println!("{} seeds, {failed} with broken promises", outcomes.len());
+    println!("{} seeds, {failed} with violations", outcomes.len());
     Ok(failed)
 }
 
@@ -156,7 +151,7 @@
     })
 }
 
-/// Plays a failed run again without one fault after the other, and keeps out what the failure does not need.
+/// Repeats a failed run with one fault removed at a time, and drops each fault without which the run still fails.
 async fn shrink(plan: &RunPlan, failed: &RunOutcome) -> io::Result<()> {
     let mut needed = failed.faults.clone();
     let mut index = 0;
@@ -174,6 +169,6 @@
     }
     let written = serde_json::to_string_pretty(&needed)?;
     fs::write(plan.folder.join("needed.json"), &written)?;
-    println!("  needed faults: {written}");
+    println!("  faults needed for the failure: {written}");
     Ok(())
 }
--- a/crates/soak/src/organisations.rs
+++ b/crates/soak/src/organisations.rs
@@ -1,49 +1,51 @@
-//! Organisations of a run's callers: their keys, some of which each configuration takes away, and their quotas.
+//! Organisations of a run's callers with their API keys and quotas. Each configuration revokes the rotated key of the
+//! previous one.
 
 use rand::{Rng, rngs::StdRng};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Time after a key was taken away from which no call with it may be begun; the settings that the daemons are given.
+/// Time after the revocation of a key from which no call with it may start; the daemons run with this setting.
 pub const REVOCATION_BOUND: Duration = Duration::from_secs(5);
-/// Length of the window that quotas count in, the part and the number by which they may be passed there; see [`REVOKE`].
+/// Length of the window in which quotas are counted; the daemons run with this setting.
 pub const QUOTA_WINDOW: Duration = Duration::from_secs(8);
-/// See [`QUOTA_WINDOW`].
+/// Share of a quota by which a window may exceed it; the daemons run with this setting.
 pub const QUOTA_OVERRUN_RATIO: f64 = 0.1;
-/// See [`QUOTA_WINDOW`].
+/// Number of requests by which a window may exceed a quota in addition to [`QUOTA_OVERRUN_RATIO`]; the daemons run with this
+/// setting.
 pub const QUOTA_SLACK: f64 = 4.0;
-/// Requests a second of the organisation that has a quota, and those beside them.
+/// Quota of the limited organisation: requests per second, and the burst above them.
 const QUOTA_RATE_PER_S: u32 = 4;
 const QUOTA_BURST: u32 = 4;
-/// Organisations by name: one without a quota, and one with it.
+/// Names of the organisations without and with a quota.
 const UNLIMITED: &str = "mill";
 const LIMITED: &str = "port";
-/// Parts of the callers that have the key of the limited one, and a key that is taken away some time.
+/// Shares of the calls with the key of the limited organisation and with a rotated key.
 const LIMITED_SHARE: f64 = 0.1;
 const ROTATED_SHARE: f64 = 0.3;
-/// Versions of the configuration that such a key may be older than the newest.
+/// Number of newest configurations whose rotated keys callers use; all but the newest key are revoked.
 const MAX_KEY_AGE_VERSIONS: u64 = 3;
 
-/// The key that a version of the configuration brings, and the next one takes away.
+/// Key that a configuration version adds and the next version revokes.
 #[must_use]
 pub fn rotated_key(version: u64) -> String {
     format!("{UNLIMITED}-v{version}")
 }
 
-/// The organisation that a key is, or was, of.
+/// Name of the organisation that a key belongs to, also if it is revoked.
 #[must_use]
 pub fn organisation_of(key: &str) -> &str {
     key.split('-').next().unwrap_or_default()
 }
 
-/// Requests of the limited organisation that may run within a window.
+/// Maximum number of requests of an organisation within [`QUOTA_WINDOW`]; `None` without a quota.
 #[must_use]
 pub fn quota_limit(organisation: &str) -> Option<f64> {
     let quota = f64::from(QUOTA_RATE_PER_S) * QUOTA_WINDOW.as_secs_f64() + f64::from(QUOTA_BURST);
     (organisation == LIMITED).then_some(quota * (1.0 + QUOTA_OVERRUN_RATIO) + QUOTA_SLACK)
 }
 
-/// The organisations of a version of the configuration.
+/// The `tenants` section of a configuration version.
 #[must_use]
 pub fn tenant_configs(version: u64) -> Value {
     json!([
@@ -53,7 +55,7 @@
     ])
 }
 
-/// The key of a caller while a version of the configuration is the newest.
+/// Draws the key of a call while `version` is the newest configuration.
 #[must_use]
 pub fn draw_key(random: &mut StdRng, version: u64) -> String {
     let draw: f64 = random.random();
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -1,40 +1,39 @@
-//! Prompts: what callers' prompts consist of, and how long an engine is at one.
+//! Prompts of callers, and the time that engines take to process them.
 //!
-//! Most of a prompt is shared with others of its adapter, and the shared parts change as the run goes on, so that engines meet
-//! parts that a neighbour has read and they have not.
+//! Most of a prompt is shared with other requests of its adapter. The shared parts change during a run, so that engines get
+//! parts that another engine has cached and they have not.
 
 use crate::adapter_store::WeightVersions;
 use hoplanding_standins::kept_memory::{MemoryNet, ReadPrompt};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Tokens of a shared part: long enough that it is sooner taken from another engine than read.
+/// Tokens of a shared part: enough that fetching it from another engine is faster than processing it.
 const SHARED_TOKENS: u32 = 6_300;
-/// Tokens of the part that is a request's own.
+/// Tokens of the part that is unique to a request.
 const UNIQUE_TOKENS: u32 = 200;
-/// Most tokens of an answer.
+/// Maximum number of answer tokens that callers announce.
 const OUTPUT_TOKENS: u32 = 20;
-/// Shared parts that an adapter's prompts have at a time.
+/// Number of shared parts in use at a time.
 const ACTIVE_SHARED_PARTS: usize = 3;
-/// Requests after which the oldest of them gives way to a new one.
+/// Number of requests after which a new shared part replaces the oldest one.
 const REQUESTS_PER_SHARED_PART: usize = 60;
-/// Ids of own parts lie above those of shared ones.
+/// First id of unique parts, above the ids of shared ones.
 const FIRST_UNIQUE_ID: usize = 0x10_0000;
-/// Tokens that an engine reads in a millisecond.
 const PREFILL_TOKENS_PER_MS: u32 = 40;
-/// Time that a move between two engines takes.
+/// Time to fetch cached prompt parts from another engine.
 pub const CACHE_FETCH_TIME: Duration = Duration::from_millis(20);
 
-/// One part of a prompt.
+/// Part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// Identifies the content: equal ids stand for equal text.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// The parts of a request's prompt, by the request's number.
+/// Parts of a prompt by the number of its request: a shared one, then a unique one.
 #[must_use]
 pub fn prompt_parts(number: usize) -> [PromptPart; 2] {
     let shared = number / REQUESTS_PER_SHARED_PART + number % ACTIVE_SHARED_PARTS;
@@ -48,7 +47,7 @@
     ]
 }
 
-/// What a caller says of its prompt: the counts of tokens, and the parts.
+/// Encodes a prompt as the values of the token count and prompt prefix headers.
 #[must_use]
 pub fn encode_parts(parts: &[PromptPart]) -> (String, String) {
     let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
@@ -59,7 +58,7 @@
     (format!("{tokens},{OUTPUT_TOKENS}"), parts.join(","))
 }
 
-/// The parts as they reach a target.
+/// Decodes the prompt prefix header of a request to a target. Invalid parts are skipped.
 #[must_use]
 pub fn decode_parts(text: &str) -> Vec<PromptPart> {
     let parts = text.split(',').filter_map(|part| {
@@ -72,25 +71,26 @@
     parts.collect()
 }
 
-/// A prompt that an engine was handed.
+/// Prompt of a request that reached an engine.
 #[derive(Clone, Debug)]
 pub struct ReceivedPrompt {
-    /// Its adapter.
+    /// Adapter that the request runs on.
     pub adapter: String,
-    /// Versions that the engine runs it under.
+    /// Versions of base model and adapter that the request runs on.
     pub versions: WeightVersions,
-    /// Its parts.
+    /// Parts of the prompt.
     pub parts: Vec<PromptPart>,
-    /// The engine to take parts from.
+    /// Engine to fetch cached parts from.
     pub source: Option<SocketAddr>,
 }
 
 impl ReceivedPrompt {
-    /// Reads it into an engine's memory; the versions that the memory was made under, if they are others than its own.
+    /// Reads the prompt into the cache of the engine at `at`. Returns the versions of the cached parts used if they differ from
+    /// the prompt's prefill_time.
     #[must_use]
-    pub fn read_into(&self, at: SocketAddr, memory: &MemoryNet) -> Option<WeightVersions> {
+    pub fn read_into(&self, at: SocketAddr, caches: &MemoryNet) -> Option<WeightVersions> {
         let ids = self.ids();
-        let mismatch = memory.read(at, &self.view(&ids, self.source));
+        let mismatch = caches.read(at, &self.cache_key(&ids, self.source));
         mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.made_under))
     }
 
@@ -98,7 +98,7 @@
         self.parts.iter().map(|part| part.id).collect()
     }
 
-    fn view<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
+    fn cache_key<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
         ReadPrompt {
             adapter: &self.adapter,
             version: self.versions.to_packed(),
@@ -108,16 +108,16 @@
     }
 }
 
-/// Work that a prompt is for an engine.
+/// Work of an engine to process a prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillWork {
-    /// Time until it is read, those before it included.
+    /// Time until the prompt is processed, including prompts queued before it.
     pub time: Duration,
-    /// Whether parts of it come from another engine.
+    /// Whether parts are fetched from another engine.
     pub is_fetch: bool,
 }
 
-/// The prompts of an engine, read one after another.
+/// Queue of an engine, which processes one prompt at a time.
 #[derive(Debug)]
 pub struct PromptQueue {
     free_at: Instant,
@@ -132,27 +132,27 @@
 }
 
 impl PromptQueue {
-    /// Takes a prompt in behind those that wait.
+    /// Queues a prompt and returns the work for it.
     pub fn enqueue(
         &mut self,
         at: SocketAddr,
         prompt: &ReceivedPrompt,
-        memory: &MemoryNet,
+        caches: &MemoryNet,
         now: Instant,
     ) -> PrefillWork {
         let ids = prompt.ids();
-        let kept = memory.found(at, &prompt.view(&ids, None));
-        let found = memory.found(at, &prompt.view(&ids, prompt.source));
-        let is_fetch = found > kept;
+        let cached = caches.found(at, &prompt.cache_key(&ids, None));
+        let found = caches.found(at, &prompt.cache_key(&ids, prompt.source));
+        let is_fetch = found > cached;
         let unread = prompt.parts[found..]
             .iter()
             .map(|part| part.tokens)
             .sum::<u32>();
-        let mut own = Duration::from_millis(u64::from(unread / PREFILL_TOKENS_PER_MS));
+        let mut prefill_time = Duration::from_millis(u64::from(unread / PREFILL_TOKENS_PER_MS));
         if is_fetch {
-            own += CACHE_FETCH_TIME;
+            prefill_time += CACHE_FETCH_TIME;
         }
-        self.free_at = self.free_at.max(now) + own;
+        self.free_at = self.free_at.max(now) + prefill_time;
         PrefillWork {
             time: self.free_at - now,
             is_fetch,
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! The outcome of runs, as text and as a page with a plot.
+//! Reports on runs: a text summary, and an HTML page with a plot for each run.
 
 use crate::{
     history::{CallAnswer, HistoryEvent, TimedEntry},
@@ -10,36 +10,36 @@
 };
 use std::{collections::BTreeMap, fmt::Write, time::Duration};
 
-/// Width of one point of the plot.
-const STEP: Duration = Duration::from_millis(500);
+/// Time that one point of the plot covers.
+const PLOT_STEP: Duration = Duration::from_millis(500);
 /// Size of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (1000, 300);
-/// Longest latency that is told apart, in milliseconds.
-const LONGEST_MS: u64 = 60_000;
+/// Highest latency that the histogram distinguishes, in milliseconds.
+const MAX_LATENCY_MS: u64 = 60_000;
 
-/// Counts of a run.
+/// Counts and latencies of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RunFigures {
-    /// Requests sent.
+    /// Requests that callers sent.
     pub sent: usize,
-    /// Answered with a success.
+    /// Requests with a complete 2xx answer.
     pub answered: usize,
-    /// Refused as not run.
+    /// Requests refused as not executed, by status.
     pub refused: usize,
-    /// Everything else.
+    /// Requests with any other outcome.
     pub failed: usize,
-    /// Prompts of which an engine took parts from another one.
+    /// Prompts with parts that an engine fetched from another engine.
     pub cache_fetches: usize,
-    /// Median and 99th percentile of the time to a whole answer, in milliseconds.
+    /// Median and 99th percentile of the time to a complete 2xx answer, in milliseconds.
     pub latency_ms: (u64, u64),
 }
 
-/// Counts what callers got.
+/// Computes the figures of a history.
 #[must_use]
 pub fn figures(history: &[TimedEntry]) -> RunFigures {
     let mut figures = RunFigures::default();
     let mut sent = BTreeMap::new();
-    let mut latencies = Histogram::<u64>::new_with_max(LONGEST_MS, 3).expect("valid bounds");
+    let mut latencies = Histogram::<u64>::new_with_max(MAX_LATENCY_MS, 3).expect("valid bounds");
     for TimedEntry { at, event } in history {
         match event {
             HistoryEvent::Sent { id, .. } => {
@@ -49,8 +49,8 @@
             HistoryEvent::Answered { id, answer } => match answer {
                 CallAnswer::Complete(200..=299, _) => {
                     figures.answered += 1;
-                    let held = sent.get(id).map_or(Duration::ZERO, |from| *at - *from);
-                    latencies.saturating_record(u64::try_from(held.as_millis()).unwrap_or(0));
+                    let latency = sent.get(id).map_or(Duration::ZERO, |from| *at - *from);
+                    latencies.saturating_record(u64::try_from(latency.as_millis()).unwrap_or(0));
                 }
                 CallAnswer::Complete(408 | 421 | 429 | 503, _) => figures.refused += 1,
                 _ => figures.failed += 1,
@@ -66,7 +66,7 @@
     figures
 }
 
-/// A run in a few lines.
+/// Formats a run as one line, followed by one line for each violation.
 #[must_use]
 pub fn text(outcome: &RunOutcome) -> String {
     let RunFigures {
@@ -82,22 +82,22 @@
         *kinds.entry(fault.kind.to_string()).or_default() += 1;
     }
     let mut text = format!(
-        "seed {}: {sent} sent, {answered} answered, {refused} refused as not run, {failed} failed; \
-         {cache_fetches} prompts moved; {median} ms median, {high} ms p99; faults {kinds:?}; {} broken promises",
+        "seed {}: {sent} sent, {answered} answered, {refused} refused as not executed, {failed} failed; \
+         {cache_fetches} prompts with fetched parts; {median} ms median, {high} ms p99; faults {kinds:?}; {} violations",
         outcome.seed,
         outcome.violations.len()
     );
     for violation in &outcome.violations {
-        // Writing to a string does not fail.
+        // Writing to a string never fails.
         let _ = write!(text, "\n  {violation}");
     }
     text
 }
 
-/// Runs on one page: a line each, and a plot of what was served beside the faults.
+/// Renders an HTML page with the text and the plot of each run.
 ///
 /// # Errors
-/// The library's words when a plot can't be drawn.
+/// Returns the plotting library's message if a plot can't be drawn.
 pub fn page(outcomes: &[RunOutcome]) -> Result<String, String> {
     let mut page =
         String::from("<!doctype html><meta charset=utf-8><title>hoplanding soak</title>");
@@ -109,24 +109,24 @@
     Ok(page)
 }
 
-/// Answers a second in blue, and the faults as bars in red.
+/// Draws successful answers per second in blue, and faults as red bars.
 fn plot(outcome: &RunOutcome) -> Result<String, Box<dyn std::error::Error>> {
     let mut served: BTreeMap<u64, f64> = BTreeMap::new();
     let mut end = 1.0_f64;
     for TimedEntry { at, event } in &outcome.history {
         end = end.max(at.as_secs_f64());
-        let step = u64::try_from(at.as_millis() / STEP.as_millis()).unwrap_or(0);
+        let step = u64::try_from(at.as_millis() / PLOT_STEP.as_millis()).unwrap_or(0);
         let count = served.entry(step).or_default();
         if let HistoryEvent::Answered {
             answer: CallAnswer::Complete(200..=299, _),
             ..
         } = event
         {
-            *count += 1.0 / STEP.as_secs_f64();
+            *count += 1.0 / PLOT_STEP.as_secs_f64();
         }
     }
     let top = served.values().copied().fold(1.0, f64::max);
-    let first = first_call(&outcome.history).as_secs_f64();
+    let first = first_call_time(&outcome.history).as_secs_f64();
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
@@ -141,14 +141,14 @@
         }))?;
         let points = served
             .iter()
-            .map(|(step, rate)| (*step as f64 * STEP.as_secs_f64(), *rate));
+            .map(|(step, rate)| (*step as f64 * PLOT_STEP.as_secs_f64(), *rate));
         chart.draw_series(LineSeries::new(points, &BLUE))?;
         area.present()?;
     }
     Ok(svg)
 }
 
-fn first_call(history: &[TimedEntry]) -> Duration {
+fn first_call_time(history: &[TimedEntry]) -> Duration {
     history
         .iter()
         .find(|entry| matches!(entry.event, HistoryEvent::Sent { .. }))
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed: a small fleet, its callers and its faults, from start to outcome.
+//! A single run: starts a small fleet, sends calls, injects the scheduled faults and checks the recorded history.
 
 use crate::{
     adapter_store::{ADAPTER_SLOTS, BASE_MODEL, FIRST_VERSION},
@@ -33,73 +33,71 @@
     time::{Instant, sleep, sleep_until, timeout},
 };
 
-/// Time for the fleet to come up.
+/// Maximum time until every VM serves the first configuration.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause between two probes of a VM's configuration.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// Kills of a series, and the time that the daemons run between two of them.
+/// Number of kills in a kill series, and the time the daemons run between two kills.
 const SERIES_KILLS: usize = 5;
 const SERIES_KILL_INTERVAL: Duration = Duration::from_millis(700);
-/// New versions of a series, and the time between two of them: shorter than a run, so that copies in use stay behind.
+/// Number of new versions in a version series, and the time between two of them: shorter than a stream, so that engines
+/// still run the previous version when the next one is published.
 const SERIES_VERSIONS: usize = 8;
 const VERSION_INTERVAL: Duration = Duration::from_millis(350);
-/// Adapters that are asked for most.
+/// Number of most requested adapters, which version series replace.
 const POPULAR_ADAPTERS: usize = 3;
-/// Changes of settings of a series, and the time between two of them.
+/// Number of settings changes in a reload series, and the time between two of them.
 const SERIES_RELOADS: usize = 6;
 const RELOAD_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two looks of a target at its entry in the list.
+/// Interval at which targets update their list entries.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for which the log is away before it comes back from a copy.
+/// Time for which the log is unavailable before it is restored from a snapshot.
 const LOG_OUTAGE: Duration = Duration::from_millis(300);
-/// Time after which what was lost is written again.
+/// Time after a restore at which operators and targets write lost records again.
 const REWRITE_DELAY: Duration = Duration::from_millis(200);
-/// Shortest rest that targets ask for.
+/// Minimum `Retry-After` period that targets send.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Time for which answers alone say that a target leaves, at the least.
+/// Minimum time for which a target announces draining in answers only, before its list entry says so.
 const MIN_ANNOUNCED_DRAINING: Duration = Duration::from_secs(3);
-/// Records that a copy lacks at the most.
+/// Maximum number of records per topic that a restored snapshot lacks.
 const MAX_LOST_RECORDS: usize = 6;
-/// Time between two counts of the calls to the log.
 const LOG_COUNT_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for calls and faults to end after the last request.
+/// Maximum time for calls and faults to end after the last request.
 const END_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a run consists of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
-    /// Seed of faults and requests.
+    /// Seed for faults and requests.
     pub seed: u64,
-    /// Requests.
+    /// Number of requests to send.
     pub requests: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// VMs of each zone.
+    /// Number of VMs in each zone.
     pub vms_per_zone: usize,
-    /// Engines of each zone.
+    /// Number of engines in each zone.
     pub engines_per_zone: usize,
-    /// Adapters that are asked for.
+    /// Number of adapters that requests name.
     pub adapters: usize,
-    /// The faults; those of the seed if none are given.
+    /// Faults to inject; drawn from the seed if `None`.
     pub faults: Option<Vec<PlannedFault>>,
-    /// Faults of a seed.
+    /// Number of faults drawn from [`FaultKind::SEEDED`].
     pub fault_count: usize,
-    /// Faults that a seed has beside those: what targets say of themselves, and logs that come back from a copy.
+    /// Number of faults drawn from [`FaultKind::EXTRA`].
     pub extra_fault_count: usize,
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Where settings, logs and schedule of the run are kept.
+    /// Directory for the settings, logs and fault schedule of the run.
     pub folder: PathBuf,
-    /// A fault of the stand-ins that the checks have to find.
+    /// Defect of the target stand-ins that the checks must detect.
     pub defect: InjectedDefect,
 }
 
 impl RunPlan {
-    /// The faults that strike.
+    /// Faults to inject, ordered by time when they are drawn from the seed.
     #[must_use]
     pub fn schedule(&self) -> Vec<PlannedFault> {
         let span = Duration::from_secs_f64(self.requests as f64 / self.rate);
@@ -112,20 +110,20 @@
     }
 }
 
-/// What became of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct RunOutcome {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Its faults.
+    /// Faults that were injected.
     pub faults: Vec<PlannedFault>,
-    /// What was seen.
+    /// Events recorded during the run.
     pub history: Vec<TimedEntry>,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
 }
 
-/// A running fleet and its target_site.
+/// Running fleet with its log and targets.
 struct SoakCluster {
     log: KeyedLog,
     vms: Vec<Arc<SoakVm>>,
@@ -133,47 +131,49 @@
     zones: Vec<String>,
     history: SharedHistory,
     version: AtomicU64,
-    /// The newest version of anything; held while it is named, so that the log has versions in their order.
+    /// Newest version of any adapter or base model. The lock is held until the version is written, so that the log has
+    /// versions in ascending order.
     newest_version: Mutex<u64>,
     adapters: usize,
     target_context: TargetContext,
-    /// What operators and targets wrote last under each key, to be written again.
+    /// Last value that operators and targets wrote under each key, for rewriting records that a restored log lacks.
     written: Mutex<BTreeMap<(&'static str, String), Option<String>>>,
 }
 
-/// Plays a run.
+/// Executes a run and checks its history.
 ///
 /// # Errors
-/// Returns the error of the system when ports, files or the program can't be had, or when the fleet does not come up.
+/// Returns an I/O error if a port, a file or the daemon's executable is not available, or if the fleet is not ready within
+/// 20 s.
 pub async fn run_soak(plan: &RunPlan) -> io::Result<RunOutcome> {
     fs::create_dir_all(&plan.folder)?;
     let faults = plan.schedule();
     let written = serde_json::to_string_pretty(&faults)?;
     fs::write(plan.folder.join("faults.json"), written)?;
-    let site = Arc::new(SoakCluster::start(plan).await?);
-    site.wait_for_callers().await?;
-    let prober = tokio::spawn(Arc::clone(&site).probe());
-    let lister = tokio::spawn(Arc::clone(&site).renew_list());
-    let counter = tokio::spawn(Arc::clone(&site).count_log_calls());
-    let begun = Instant::now();
+    let cluster = Arc::new(SoakCluster::start(plan).await?);
+    cluster.wait_for_callers().await?;
+    let prober = tokio::spawn(Arc::clone(&cluster).probe());
+    let heartbeats = tokio::spawn(Arc::clone(&cluster).run_heartbeats());
+    let counter = tokio::spawn(Arc::clone(&cluster).count_log_calls());
+    let start = Instant::now();
     let mut work = JoinSet::new();
     for fault in faults.clone() {
-        let site = Arc::clone(&site);
+        let cluster = Arc::clone(&cluster);
         work.spawn(async move {
-            sleep_until(begun + fault.at()).await;
-            site.strike(&fault).await;
+            sleep_until(start + fault.at()).await;
+            cluster.inject(&fault).await;
         });
     }
-    site.send_calls(plan, begun, &mut work).await;
-    // What hangs beyond the callers' patience shows as calls without an answer.
+    cluster.send_calls(plan, start, &mut work).await;
+    // A timeout is no error here: open calls appear in the history as calls without an answer.
     let _ = timeout(END_TIMEOUT, async {
         while work.join_next().await.is_some() {}
     })
     .await;
     prober.abort();
-    lister.abort();
+    heartbeats.abort();
     counter.abort();
-    let history = site.history.entries();
+    let history = cluster.history.entries();
     let violations = check(&history);
     Ok(RunOutcome {
         seed: plan.seed,
@@ -202,7 +202,7 @@
             );
             vms.push(Arc::new(vm.await?));
         }
-        let site = Self {
+        let cluster = Self {
             log,
             vms,
             targets: Mutex::default(),
@@ -215,17 +215,18 @@
             written: Mutex::default(),
         };
         for index in 0..plan.zones * plan.engines_per_zone {
-            site.add_target(TargetRole::Engine, index, Some(FIRST_VERSION))
+            cluster
+                .add_target(TargetRole::Engine, index, Some(FIRST_VERSION))
                 .await?;
         }
         for index in 0..plan.zones {
-            site.add_target(TargetRole::Plain, index, None).await?;
+            cluster.add_target(TargetRole::Plain, index, None).await?;
         }
-        site.configure();
-        for vm in &site.vms {
+        cluster.configure();
+        for vm in &cluster.vms {
             vm.start()?;
         }
-        Ok(site)
+        Ok(cluster)
     }
 
     async fn add_target(
@@ -237,15 +238,15 @@
         let zone = &self.zones[index % self.zones.len()];
         let number = self.lock_targets().len();
         let name = format!("i-{}-{number}", service_name(role));
-        let site = self.target_context.clone();
-        let target = SoakTarget::start(&name, role, zone, base, site).await?;
+        let context = self.target_context.clone();
+        let target = SoakTarget::start(&name, role, zone, base, context).await?;
         self.lock_targets().push(Arc::new(target));
-        self.list_news();
+        self.update_list();
         Ok(())
     }
 
-    /// Writes the entries of targets that hold something else than listed.
-    fn list_news(&self) {
+    /// Writes the list entries of targets whose models changed since their last entry.
+    fn update_list(&self) {
         for target in self.lock_targets().iter() {
             if let Some(entry) = target.changed_entry() {
                 self.write(TARGET_TOPIC, &target.name, Some(&entry));
@@ -253,22 +254,22 @@
         }
     }
 
-    async fn renew_list(self: Arc<Self>) {
+    async fn run_heartbeats(self: Arc<Self>) {
         loop {
             sleep(HEARTBEAT_INTERVAL).await;
-            self.list_news();
+            self.update_list();
         }
     }
 
-    /// Writes a record as an operator or a target does, who write it again if it is lost.
+    /// Writes a record on behalf of an operator or a target, and keeps it for [`Self::rewrite_lost_records`].
     fn write(&self, topic: &'static str, key: &str, value: Option<&str>) {
         let mut written = self.written.lock().expect("no holder of the lock panics");
         written.insert((topic, key.to_owned()), value.map(str::to_owned));
         self.log.put(topic, key, value);
     }
 
-    /// Writes again what the log lacks of what operators and targets wrote.
-    fn write_again(&self) {
+    /// Rewrites the records of operators and targets that the restored log lacks.
+    fn rewrite_lost_records(&self) {
         let written = self.written.lock().expect("no holder of the lock panics");
         for ((topic, key), value) in written.iter() {
             if self.log.newest(topic, key) != *value {
@@ -277,30 +278,30 @@
         }
     }
 
-    /// The log is away for a moment, and comes back from a copy that lacks up to so many records of each topic.
+    /// Takes the log out of service and restores it from a snapshot that lacks up to `lost` records of each topic.
     async fn restore_log(&self, lost: usize) {
-        self.disturb(|faults| faults.is_out = true);
+        self.set_log_faults(|faults| faults.is_out = true);
         sleep(LOG_OUTAGE).await;
         let topics = [OPERATOR_TOPIC, TARGET_TOPIC, FLEET_TOPIC];
         self.log.restore(&topics.map(|topic| (topic, lost)));
-        self.disturb(|faults| faults.is_out = false);
+        self.set_log_faults(|faults| faults.is_out = false);
         sleep(REWRITE_DELAY).await;
-        self.write_again();
-        self.disturb(|_| {});
+        self.rewrite_lost_records();
+        self.set_log_faults(|_| {});
     }
 
-    /// Counts the calls to the log, once a second.
+    /// Records the number of log calls every [`LOG_COUNT_INTERVAL`].
     async fn count_log_calls(self: Arc<Self>) {
-        let mut known = self.log.calls();
+        let mut last_calls = self.log.calls();
         let mut since = Instant::now();
         loop {
             sleep(LOG_COUNT_INTERVAL).await;
             let calls = self.log.calls();
             self.history.record(HistoryEvent::LogCalls {
-                calls: calls - known,
+                calls: calls - last_calls,
                 within: since.elapsed(),
             });
-            known = calls;
+            last_calls = calls;
             since = Instant::now();
         }
     }
@@ -316,11 +317,16 @@
                 }
             }
         };
-        let late = |_| io::Error::other("the fleet did not come up: look at the logs of the run");
-        timeout(START_TIMEOUT, ready).await.map_err(late)
+        let on_timeout = |_| {
+            io::Error::other(
+                "not every VM served the first configuration within 20 s; see the daemon logs in the run's directory",
+            )
+        };
+        timeout(START_TIMEOUT, ready).await.map_err(on_timeout)
     }
 
-    /// Writes the newest configuration: the routes of all versions so far, so that a route tells the version.
+    /// Writes the newest configuration. It has one route for each version so far, so that probing a route tells which
+    /// versions a VM has applied.
     fn configure(&self) {
         let version = self.version.load(Ordering::SeqCst);
         let route = |name: String, kind: &str, service: &str, can_resume: bool| {
@@ -336,7 +342,7 @@
             route("plan".into(), "streaming", "scribe", false),
             route("resumed".into(), "streaming", "scribe", true),
         ];
-        // Probes give no key.
+        // Probes send no key.
         routes.extend((1..=version).map(|n| {
             let mut route = route(format!("v{n}"), "idempotent", "ledger", false);
             route["anonymous"] = json!(true);
@@ -358,18 +364,18 @@
         self.write(OPERATOR_TOPIC, CONFIG_KEY, Some(&config.to_string()));
         self.history
             .record(HistoryEvent::ConfigAccepted { version });
-        for gone in 1..version {
-            let key = rotated_key(gone);
+        for revoked in 1..version {
+            let key = rotated_key(revoked);
             self.history.record(HistoryEvent::Revoked { key });
         }
     }
 
-    async fn send_calls(self: &Arc<Self>, plan: &RunPlan, begun: Instant, work: &mut JoinSet<()>) {
+    async fn send_calls(self: &Arc<Self>, plan: &RunPlan, start: Instant, work: &mut JoinSet<()>) {
         let mut random = StdRng::seed_from_u64(plan.seed ^ 0x5eed);
         for number in 0..plan.requests {
-            sleep_until(begun + Duration::from_secs_f64(number as f64 / plan.rate)).await;
+            sleep_until(start + Duration::from_secs_f64(number as f64 / plan.rate)).await;
             let kind = CallKind::ALL[random.random_range(0..CallKind::ALL.len())];
-            // The square of an even draw: a few adapters are asked for most.
+            // Squaring a uniform draw makes a few adapters much more popular than the others.
             let draw: f64 = random.random();
             let adapter = match kind {
                 CallKind::Once | CallKind::Idempotent => String::new(),
@@ -386,17 +392,17 @@
                 parts,
                 key: draw_key(&mut random, self.version.load(Ordering::SeqCst)),
             };
-            let start = random.random_range(0..self.vms.len());
-            let open = (0..self.vms.len())
-                .map(|step| &self.vms[(start + step) % self.vms.len()])
+            let first_vm = random.random_range(0..self.vms.len());
+            let running_vm = (0..self.vms.len())
+                .map(|step| &self.vms[(first_vm + step) % self.vms.len()])
                 .find(|vm| vm.caller_endpoint().is_some());
-            if let Some(vm) = open {
+            if let Some(vm) = running_vm {
                 work.spawn(send_call(Arc::clone(vm), call, self.history.clone()));
             }
         }
     }
 
-    /// Asks VMs for the newest route and the one before, over and over.
+    /// Probes every VM for the routes of the newest two configurations every [`PROBE_INTERVAL`].
     async fn probe(self: Arc<Self>) {
         loop {
             for vm in &self.vms {
@@ -416,7 +422,7 @@
         }
     }
 
-    async fn strike(&self, fault: &PlannedFault) {
+    async fn inject(&self, fault: &PlannedFault) {
         let vm = &self.vms[fault.index % self.vms.len()];
         match fault.kind {
             FaultKind::Kill => {
@@ -455,13 +461,13 @@
                 vm.signal(Signal::SIGCONT);
             }
             FaultKind::LogOut => {
-                self.disturb(|faults| faults.is_out = true);
+                self.set_log_faults(|faults| faults.is_out = true);
                 sleep(fault.duration()).await;
-                self.disturb(|faults| faults.is_out = false);
+                self.set_log_faults(|faults| faults.is_out = false);
             }
-            FaultKind::LogLosesAnswers => self.disturb(|faults| faults.lose_answers += 2),
-            FaultKind::LogSilent => self.strike_link(vm, LinkState::Frozen, fault).await,
-            FaultKind::LogCut => self.strike_link(vm, LinkState::Cut, fault).await,
+            FaultKind::LogLosesAnswers => self.set_log_faults(|faults| faults.lose_answers += 2),
+            FaultKind::LogSilent => self.disrupt_log_link(vm, LinkState::Frozen, fault).await,
+            FaultKind::LogCut => self.disrupt_log_link(vm, LinkState::Cut, fault).await,
             FaultKind::Leave => {
                 let target = self.target(fault.index);
                 self.replace_target(&target, true, Some(FIRST_VERSION), fault)
@@ -487,16 +493,16 @@
                 self.version.fetch_add(1, Ordering::SeqCst);
                 self.configure();
             }
-            FaultKind::NameVersion => self.name_version(Some(fault.index % self.adapters)),
+            FaultKind::NameVersion => self.publish_version(Some(fault.index % self.adapters)),
             FaultKind::VersionSeries => {
                 for _ in 0..SERIES_VERSIONS {
-                    self.name_version(Some(fault.index % POPULAR_ADAPTERS.min(self.adapters)));
+                    self.publish_version(Some(fault.index % POPULAR_ADAPTERS.min(self.adapters)));
                     sleep(VERSION_INTERVAL).await;
                 }
             }
             FaultKind::WeightSeries => {
                 for _ in 0..SERIES_VERSIONS {
-                    self.name_version(None);
+                    self.publish_version(None);
                     sleep(VERSION_INTERVAL).await;
                 }
             }
@@ -525,7 +531,7 @@
             FaultKind::ReloadSeries => {
                 for step in 1..=SERIES_RELOADS {
                     for vm in &self.vms {
-                        // The last step puts back what was there at first.
+                        // The last step, 0, restores the initial settings.
                         self.reload(vm, SERIES_RELOADS - step);
                     }
                     sleep(RELOAD_INTERVAL).await;
@@ -534,8 +540,8 @@
         }
     }
 
-    /// Names a new version of an adapter, or of the base model.
-    fn name_version(&self, adapter: Option<usize>) {
+    /// Publishes a new version of an adapter, or of the base model if `adapter` is `None`.
+    fn publish_version(&self, adapter: Option<usize>) {
         let mut newest = self
             .newest_version
             .lock()
@@ -550,22 +556,22 @@
             key += &format!(".{adapter}");
         }
         self.target_context
-            .name_version(adapter.as_deref().unwrap_or_default(), version);
+            .publish_version(adapter.as_deref().unwrap_or_default(), version);
         self.write(OPERATOR_TOPIC, &key, Some(&value.to_string()));
     }
 
     fn reload(&self, vm: &SoakVm, step: usize) {
         if let Err(error) = vm.reload(step) {
-            eprintln!("VM {} was not given other settings: {error}", vm.index);
+            eprintln!("failed to write the settings of VM {}: {error}", vm.index);
         }
     }
 
-    fn disturb(&self, change: impl FnOnce(&mut hoplanding_standins::keyed_log::LogFaults)) {
+    fn set_log_faults(&self, change: impl FnOnce(&mut hoplanding_standins::keyed_log::LogFaults)) {
         self.history.record(HistoryEvent::LogDisturbed);
         self.log.set_faults(change);
     }
 
-    async fn strike_link(&self, vm: &SoakVm, state: LinkState, fault: &PlannedFault) {
+    async fn disrupt_log_link(&self, vm: &SoakVm, state: LinkState, fault: &PlannedFault) {
         vm.set_log_link(state);
         sleep(fault.duration()).await;
         vm.set_log_link(LinkState::Open);
@@ -581,30 +587,30 @@
         self.history
             .record(HistoryEvent::VmStarted { vm: vm.index });
         if let Err(error) = vm.start() {
-            eprintln!("VM {} was not started again: {error}", vm.index);
+            eprintln!("failed to restart VM {}: {error}", vm.index);
         }
     }
 
-    /// A target says that it leaves, or its entry goes; another one of its kind comes. It stays reachable: the list is
-    /// what counts.
+    /// Takes a target off the list, with a draining entry or by removing its entry, and adds another of the same role. The
+    /// old target stays reachable, so that requests sent to it are seen.
     async fn replace_target(
         &self,
         target: &SoakTarget,
-        says_so: bool,
+        is_announced: bool,
         base: Option<u64>,
         fault: &PlannedFault,
     ) {
         {
-            // No entry of before is written behind the last one.
+            // The lock keeps an older entry from being written after the last one.
             let _targets = self.lock_targets();
-            let entry = Some(target.draining_entry()).filter(|_| says_so);
+            let entry = Some(target.draining_entry()).filter(|_| is_announced);
             self.write(TARGET_TOPIC, &target.name, entry.as_deref());
         }
         self.history.record(HistoryEvent::TargetDraining {
             target: target.name.clone(),
         });
         if let Err(error) = self.add_target(target.role, fault.index, base).await {
-            eprintln!("no target comes in place of {}: {error}", target.name);
+            eprintln!("failed to start a replacement for {}: {error}", target.name);
         }
     }
 
@@ -613,7 +619,7 @@
         Arc::clone(&targets[index % targets.len()])
     }
 
-    /// An engine, counted from the newest: those whose place others have taken get no orders.
+    /// Engine by index, counted from the newest, because replaced engines no longer receive orders.
     fn engine(&self, index: usize) -> Arc<SoakTarget> {
         let targets = self.lock_targets();
         let engines: Vec<_> = targets
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,63 +1,63 @@
-//! The faults of a seed: the same seed gives the same faults at the same times.
+//! Fault schedules drawn from a seed. The same seed always gives the same faults at the same times.
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use serde::{Deserialize, Serialize};
 use std::{fmt, time::Duration};
 
-/// Bounds of a fault's length, in milliseconds.
+/// Range of fault durations, in milliseconds.
 const DURATION_RANGE_MS: std::ops::Range<u64> = 300..3_000;
 
-/// A kind of fault.
+/// Kind of a fault. Schedules contain the variants' names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FaultKind {
-    /// A daemon is killed, and started again after the fault's length.
+    /// Kills a daemon and restarts it after the fault's duration.
     Kill,
-    /// A daemon stands still.
+    /// Suspends a daemon with SIGSTOP.
     Pause,
-    /// A daemon is stopped by a signal, and started again once it has ended.
+    /// Stops a daemon with SIGTERM and restarts it the fault's duration after its exit.
     PlannedStop,
-    /// All daemons are killed at once.
+    /// Kills all daemons and restarts them after the fault's duration.
     KillAll,
-    /// The log refuses every call.
+    /// The log rejects every call.
     LogOut,
-    /// The log does what it is told and loses the answers of the next appends.
+    /// The log executes the next appends but loses their answers.
     LogLosesAnswers,
-    /// A daemon's connections to the log are silent.
+    /// A daemon's connections to the log stay open but deliver nothing.
     LogSilent,
     /// A daemon's connections to the log are closed.
     LogCut,
-    /// A target says that it leaves, and another one comes.
+    /// A target's list entry changes to draining, and a replacement starts.
     Leave,
-    /// A target breaks off what it answers.
+    /// A target truncates its answers.
     Break,
-    /// An operator changes the configuration.
+    /// An operator publishes a new configuration.
     Configure,
-    /// A new version of an adapter is named.
+    /// A new version of an adapter is published.
     NameVersion,
-    /// A target's entry goes without a word, and another target comes: an engine comes empty.
+    /// A target's list entry disappears without draining, and a replacement starts; an engine starts without its base model.
     Vanish,
-    /// All targets turn most of their calls away.
+    /// All targets reject two of three requests.
     Shed,
-    /// All daemons are killed at once, again and again.
+    /// Kills and restarts all daemons several times.
     KillSeries,
-    /// New versions of an adapter in demand are named, one after the other.
+    /// Several versions of a popular adapter are published one after the other.
     VersionSeries,
-    /// New versions of the base model are named, one after the other: engines that come empty load the newest.
+    /// Several versions of the base model are published one after the other; engines that start empty load the newest.
     WeightSeries,
-    /// An engine leaves orders without an answer, and carries them out seconds later.
+    /// An engine leaves orders unanswered and executes them seconds later.
     LateOrders,
-    /// The settings of all daemons change, again and again.
+    /// The settings of all daemons change several times.
     ReloadSeries,
-    /// The log is away for a moment, and comes back from a copy that lacks its last records.
+    /// The log is briefly unavailable and restored from a snapshot that lacks its last records.
     Restore,
-    /// All targets of a service but one turn every call away, and ask each VM for rest.
+    /// All targets of a service but one reject every request with `Retry-After`.
     Rest,
-    /// A target says in its answers that it leaves, and in its entry only later.
+    /// A target announces draining in its answers first, and in its list entry only later.
     LeaveInAnswers,
 }
 
 impl FaultKind {
-    /// The kinds that the seeds of a schedule are drawn from: others would change what each seed gives.
+    /// Kinds of the faults from [`seeded_faults`]. Adding kinds would change the schedule of every seed.
     pub const SEEDED: [Self; 19] = [
         Self::Kill,
         Self::Pause,
@@ -80,7 +80,7 @@
         Self::ReloadSeries,
     ];
 
-    /// The kinds that are drawn beside those.
+    /// Kinds of the faults from [`extra_faults`], which leave the schedules from [`Self::SEEDED`] unchanged.
     pub const EXTRA: [Self; 3] = [Self::Restore, Self::Rest, Self::LeaveInAnswers];
 }
 
@@ -90,46 +90,46 @@
     }
 }
 
-/// One fault.
+/// Fault in a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFault {
-    /// When it strikes, in milliseconds from the first request.
+    /// Start, in milliseconds after the first request.
     pub at_ms: u64,
-    /// What it is.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which VM, target or adapter, counted round.
+    /// Index of the affected VM, target or adapter, modulo their number.
     pub index: usize,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub for_ms: u64,
 }
 
 impl PlannedFault {
-    /// When it strikes.
+    /// Start, relative to the first request.
     #[must_use]
     pub fn at(&self) -> Duration {
         Duration::from_millis(self.at_ms)
     }
 
-    /// How long it lasts.
+    /// Duration of the fault.
     #[must_use]
     pub fn duration(&self) -> Duration {
         Duration::from_millis(self.for_ms)
     }
 }
 
-/// The faults of a seed within a span, in the order of their times; some overlap.
+/// Draws `count` faults of [`FaultKind::SEEDED`] within a span, ordered by start time. Faults may overlap.
 #[must_use]
 pub fn seeded_faults(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
-    draw(seed, &FaultKind::SEEDED, span, count)
+    draw_faults(seed, &FaultKind::SEEDED, span, count)
 }
 
-/// The faults that a seed has beside those, in the order of their times.
+/// Draws `count` faults of [`FaultKind::EXTRA`] within a span, ordered by start time.
 #[must_use]
 pub fn extra_faults(seed: u64, span: Duration, count: usize) -> Vec<PlannedFault> {
-    draw(!seed, &FaultKind::EXTRA, span, count)
+    draw_faults(!seed, &FaultKind::EXTRA, span, count)
 }
 
-fn draw(seed: u64, kinds: &[FaultKind], span: Duration, count: usize) -> Vec<PlannedFault> {
+fn draw_faults(seed: u64, kinds: &[FaultKind], span: Duration, count: usize) -> Vec<PlannedFault> {
     let mut random = StdRng::seed_from_u64(seed);
     let span = u64::try_from(span.as_millis()).unwrap_or(u64::MAX).max(1);
     let mut faults: Vec<_> = (0..count)
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -1,4 +1,7 @@
-//! Engines and plain services that write down what reaches them.
+//! Stand-ins for engines and plain services that record the requests and orders they receive.
+//!
+//! The fault injector makes them truncate answers, shed load, announce draining or answer late. An [`InjectedDefect`] makes
+//! them violate a guarantee, which shows that the checks detect it.
 
 use crate::{
     adapter_store::{
@@ -29,78 +32,77 @@
 };
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Requests that a target works on at once, as it is listed.
+/// Concurrent requests of a target, as given in its list entry.
 const SLOTS: usize = 8;
-/// Pause between two events.
+/// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(40);
-/// Time that a plain call takes.
 const PLAIN_CALL_TIME: Duration = Duration::from_millis(15);
-/// Event within which a breaking target stops.
+/// Number of the event within which a truncating target ends a stream.
 const TRUNCATE_AT_EVENT: u32 = 5;
-/// While an engine delays orders, every how many of them it leaves without an answer.
+/// An engine that delays orders leaves every n-th of them without an answer.
 const DELAYED_ORDER_PERIOD: u64 = 2;
-/// Times after which orders without an answer are carried out, in turn; the users tell of 12 seconds at the most.
+/// Delays after which unanswered orders are carried out, used in turn; users report up to 12 s.
 const ORDER_DELAYS: [Duration; 4] = [
     Duration::from_millis(1_200),
     Duration::from_millis(2_500),
     Duration::from_millis(4_000),
     Duration::from_millis(7_000),
 ];
-/// Time after which the connection of an order without an answer is closed; nobody waits as long.
+/// Time after which the connection of an unanswered order is closed, longer than any daemon waits for the answer.
 const UNANSWERED_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a target serves.
+/// Kind of requests that a target serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetRole {
-    /// Adapters of one base model.
+    /// Streams on adapters of one base model.
     Engine,
-    /// Plain calls.
+    /// Plain calls without a model.
     Plain,
 }
 
-/// A fault that the soak's own checks have to find; none in a real run.
+/// Defect of the stand-ins that the checks must detect; `None` in regular runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum InjectedDefect {
-    /// None.
+    /// No defect.
     #[default]
     None,
-    /// A target writes each run down twice, as if it had run twice.
+    /// A target records every request as run twice.
     DuplicateRun,
-    /// An engine writes down another adapter than it was asked for.
+    /// A target records another adapter than the requested one.
     WrongAdapter,
-    /// A stream leaves an event out.
+    /// A stream omits an event.
     MissingEvent,
-    /// An engine goes on using what it kept when an adapter is replaced.
+    /// An engine keeps using cached prompt parts of an adapter after replacing or unloading it.
     StaleCache,
 }
 
-/// What the targets of a run share.
+/// State shared by all targets of a run.
 #[derive(Clone)]
 pub struct TargetContext {
-    /// What is seen of them.
+    /// History that the targets record their events in.
     pub history: SharedHistory,
-    /// What engines keep of prompts.
-    pub memory: Arc<MemoryNet>,
-    /// The newest version of the base model and of each adapter for which one was named.
+    /// Prompt caches of all engines.
+    pub caches: Arc<MemoryNet>,
+    /// Newest published versions by adapter name; the empty name stands for the base model.
     pub versions: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// A fault that they have.
+    /// Defect of the targets.
     pub defect: InjectedDefect,
 }
 
 impl TargetContext {
-    /// Nothing seen, kept or named yet.
+    /// Creates a context with empty caches and no published versions.
     #[must_use]
     pub fn new(history: SharedHistory, defect: InjectedDefect) -> Self {
         Self {
             history,
-            memory: Arc::default(),
+            caches: Arc::default(),
             versions: Arc::default(),
             defect,
         }
     }
 
-    /// Names a version of an adapter, or of the base model where that is empty.
-    pub fn name_version(&self, adapter: &str, version: u64) {
+    /// Publishes a version of an adapter, or of the base model if `adapter` is empty. Older versions have no effect.
+    pub fn publish_version(&self, adapter: &str, version: u64) {
         let mut versions = lock(&self.versions);
         let newest = versions.entry(adapter.to_owned()).or_default();
         *newest = version.max(*newest);
@@ -116,18 +118,18 @@
 struct TargetState {
     adapter_store: AdapterStore,
     prompts: PromptQueue,
-    breaks: bool,
-    sheds: bool,
-    /// Requests seen while it sheds.
+    is_truncating: bool,
+    is_shedding: bool,
+    /// Number of requests received, of which shedding serves every third.
     shed_count: u64,
-    /// Until when it turns every request away and asks for rest.
-    rests_until: Option<Instant>,
-    /// Whether its answers say that it leaves.
-    says_leaving: bool,
-    delays_orders: bool,
-    /// Orders seen while it delays some.
+    /// End of the period in which every request is rejected with `Retry-After`.
+    reject_until: Option<Instant>,
+    /// Whether answers carry the draining header.
+    is_announcing: bool,
+    is_delaying_orders: bool,
+    /// Number of orders received while delaying orders.
     order_count: u64,
-    /// What its entry said last that it holds; none once the entry goes, or says that it leaves.
+    /// Models in the last list entry; `None` once the entry is removed or marked as draining.
     listed: Option<Value>,
 }
 
@@ -136,51 +138,51 @@
         Self {
             adapter_store: AdapterStore::new(base),
             prompts: PromptQueue::default(),
-            breaks: false,
-            sheds: false,
+            is_truncating: false,
+            is_shedding: false,
             shed_count: 0,
-            rests_until: None,
-            says_leaving: false,
-            delays_orders: false,
+            reject_until: None,
+            is_announcing: false,
+            is_delaying_orders: false,
             order_count: 0,
             listed: Some(Value::Null),
         }
     }
 }
 
-/// A running target.
+/// Running target with its HTTP server.
 pub struct SoakTarget {
-    /// Its name, as it is listed.
+    /// Key of the target in the target list.
     pub name: String,
-    /// What it serves.
+    /// Kind of requests that it serves.
     pub role: TargetRole,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
     server: RawTarget,
     state: Arc<Mutex<TargetState>>,
 }
 
 impl SoakTarget {
-    /// Starts a target; an engine with the base model in this version, or empty.
+    /// Starts a target. `base` is the version of the base model that an engine starts with; without it the engine is empty.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns an I/O error if no port is available.
     ///
     /// # Panics
-    /// Never: its address is noted once.
+    /// Never: the address is set only here.
     pub async fn start(
         name: &str,
         role: TargetRole,
         zone: &str,
         base: Option<u64>,
-        site: TargetContext,
+        context: TargetContext,
     ) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(TargetState::new(base)));
         let address = Arc::new(OnceLock::new());
         let handler = Arc::new(TargetHandler {
             name: name.to_owned(),
             address: Arc::clone(&address),
-            site,
+            context,
             state: Arc::clone(&state),
         });
         let server = RawTarget::start(move |request: &RawRequest| handler.answer(request)).await?;
@@ -194,42 +196,42 @@
         })
     }
 
-    /// Where it is reached.
+    /// Address that the target listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Whether it breaks off what it answers from now on.
-    pub fn set_truncating(&self, breaks: bool) {
-        lock(&self.state).breaks = breaks;
+    /// Sets whether answers are truncated from now on.
+    pub fn set_truncating(&self, is_truncating: bool) {
+        lock(&self.state).is_truncating = is_truncating;
     }
 
-    /// Whether it turns two of three requests away from now on.
-    pub fn set_shedding(&self, sheds: bool) {
-        lock(&self.state).sheds = sheds;
+    /// Sets whether two of three requests are rejected from now on.
+    pub fn set_shedding(&self, is_shedding: bool) {
+        lock(&self.state).is_shedding = is_shedding;
     }
 
-    /// It turns every request away for a while, and asks whoever sent one for rest.
+    /// Rejects every request for a time, with the remaining time in `Retry-After`.
     pub fn reject_for(&self, span: Duration) {
-        lock(&self.state).rests_until = Some(Instant::now() + span);
+        lock(&self.state).reject_until = Some(Instant::now() + span);
     }
 
-    /// From now on its answers say that it leaves.
+    /// Announces draining in every answer from now on.
     pub fn announce_draining(&self) {
-        lock(&self.state).says_leaving = true;
+        lock(&self.state).is_announcing = true;
     }
 
-    /// Whether it leaves some orders without an answer from now on, and carries them out seconds later.
-    pub fn set_delaying_orders(&self, delays: bool) {
-        lock(&self.state).delays_orders = delays;
+    /// Sets whether some orders stay unanswered from now on and are carried out seconds later.
+    pub fn set_delaying_orders(&self, is_delaying: bool) {
+        lock(&self.state).is_delaying_orders = is_delaying;
     }
 
-    /// Its entry in the list of targets, if it is listed and what it holds has changed since the last one.
+    /// Returns the list entry if the target is listed and its models changed since the last entry.
     #[must_use]
     pub fn changed_entry(&self) -> Option<String> {
         let mut state = lock(&self.state);
-        let holds = state.adapter_store.listed();
+        let holds = state.adapter_store.model_list();
         let listed = state.listed.as_mut()?;
         if *listed == holds {
             return None;
@@ -238,7 +240,7 @@
         Some(self.entry(&state, "ready"))
     }
 
-    /// Its last entry, which says that it leaves.
+    /// Returns the draining entry, after which the target writes no others.
     #[must_use]
     pub fn draining_entry(&self) -> String {
         let mut state = lock(&self.state);
@@ -246,23 +248,23 @@
         self.entry(&state, "draining")
     }
 
-    fn entry(&self, state: &TargetState, stage: &str) -> String {
+    fn entry(&self, state: &TargetState, status: &str) -> String {
         json!({
             "service": service_name(self.role),
             "address": self.address().to_string(),
             "zone": self.zone,
             "version": "v1",
             "slots": SLOTS,
-            "state": stage,
+            "state": status,
             "cold_remaining_ms": 0,
             "sequence": state.adapter_store.accepted_orders(),
-            "models": state.adapter_store.listed(),
+            "models": state.adapter_store.model_list(),
         })
         .to_string()
     }
 }
 
-/// Name of the service that targets of a role belong to.
+/// Name of the service that targets of this role belong to.
 #[must_use]
 pub fn service_name(role: TargetRole) -> &'static str {
     match role {
@@ -271,12 +273,12 @@
     }
 }
 
-/// Answers requests.
+/// Handles the requests and orders of one target.
 struct TargetHandler {
     name: String,
-    /// Where it is reached; known once it listens.
+    /// Set once the server listens.
     address: Arc<OnceLock<SocketAddr>>,
-    site: TargetContext,
+    context: TargetContext,
     state: Arc<Mutex<TargetState>>,
 }
 
@@ -294,19 +296,21 @@
             ORDER_PATH => self.take_order(request),
             _ => self.run(request, path),
         };
-        self.with_leaving(request, answer)
+        self.with_announcement(request, answer)
     }
 
-    /// An answer that says that the target leaves, if it does.
-    fn with_leaving(&self, request: &RawRequest, answer: RawAnswer) -> RawAnswer {
-        if !lock(&self.state).says_leaving {
+    /// Adds the draining header to an answer if the target announces draining.
+    fn with_announcement(&self, request: &RawRequest, answer: RawAnswer) -> RawAnswer {
+        if !lock(&self.state).is_announcing {
             return answer;
         }
         if let Some(id) = request.header(REQUEST_ID) {
-            self.site.history.record(HistoryEvent::DrainingAnnounced {
-                id: id.to_owned(),
-                target: self.name.clone(),
-            });
+            self.context
+                .history
+                .record(HistoryEvent::DrainingAnnounced {
+                    id: id.to_owned(),
+                    target: self.name.clone(),
+                });
         }
         answer.with_header(&format!("{LEAVING}: 1\r\n"))
     }
@@ -315,7 +319,7 @@
         let state = lock(&self.state);
         let report = json!({
             "sequence": state.adapter_store.accepted_orders(),
-            "models": state.adapter_store.listed(),
+            "models": state.adapter_store.model_list(),
             "utilization": state.adapter_store.is_loading_base(),
             "coming": state.adapter_store.pending_loads(),
             "at_hand": { "in_memory": [], "on_disk": [BASE_MODEL] },
@@ -325,18 +329,18 @@
 
     fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
         let order = AdapterOrder::decode(&request.body);
-        if let Some(late_by) = self.late_by() {
+        if let Some(order_delay) = self.order_delay() {
             let handler = Arc::clone(self);
             tokio::spawn(async move {
-                sleep(late_by).await;
-                handler.carry_out(&order);
+                sleep(order_delay).await;
+                handler.execute_order(&order);
             });
             return RawAnswer {
                 pieces: vec![(UNANSWERED_ORDER_TIMEOUT, Vec::new())],
                 closes: true,
             };
         }
-        let status = match self.carry_out(&order) {
+        let status = match self.execute_order(&order) {
             OrderOutcome::Completed => "200 OK",
             OrderOutcome::InProgress(_) => "202 Accepted",
             OrderOutcome::Conflict => "409 Conflict",
@@ -345,10 +349,10 @@
         RawAnswer::whole(status, "", "")
     }
 
-    /// By how much the next order is late, if it is left without an answer.
-    fn late_by(&self) -> Option<Duration> {
+    /// Delay of the next order if that order stays unanswered.
+    fn order_delay(&self) -> Option<Duration> {
         let mut state = lock(&self.state);
-        if !state.delays_orders {
+        if !state.is_delaying_orders {
             return None;
         }
         state.order_count += 1;
@@ -357,20 +361,20 @@
         is_delayed.then(|| ORDER_DELAYS[turn % ORDER_DELAYS.len()])
     }
 
-    fn carry_out(self: &Arc<Self>, order: &AdapterOrder) -> OrderOutcome {
-        let newest = self.site.newest(&order.adapter);
+    fn execute_order(self: &Arc<Self>, order: &AdapterOrder) -> OrderOutcome {
+        let newest = self.context.newest(&order.adapter);
         let mut state = lock(&self.state);
         let verdict = state.adapter_store.apply(order, newest, Instant::now());
         if !verdict.is_accepted() {
             return verdict;
         }
-        self.site.history.record(HistoryEvent::OrderAccepted {
+        self.context.history.record(HistoryEvent::OrderAccepted {
             target: self.name.clone(),
             holder: order.holder.clone(),
             token: order.token,
         });
         if state.adapter_store.is_over_capacity() {
-            self.site.history.record(HistoryEvent::SlotsExceeded {
+            self.context.history.record(HistoryEvent::SlotsExceeded {
                 target: self.name.clone(),
             });
         }
@@ -381,31 +385,33 @@
                     sleep_until(at).await;
                     let mut state = lock(&handler.state);
                     state.adapter_store.finish(&adapter);
-                    handler.forget(&adapter);
+                    handler.drop_cache(&adapter);
                 });
             }
-            _ if order.is_unload => self.forget(&order.adapter),
+            _ if order.is_unload => self.drop_cache(&order.adapter),
             _ => {}
         }
         verdict
     }
 
-    /// Drops what was kept for an adapter that was replaced or went.
-    fn forget(&self, adapter: &str) {
-        if self.site.defect != InjectedDefect::StaleCache {
-            self.site.memory.drop_adapter(self.address(), adapter);
+    /// Drops the cached prompt parts of an adapter that was replaced or unloaded.
+    fn drop_cache(&self, adapter: &str) {
+        if self.context.defect != InjectedDefect::StaleCache {
+            self.context.caches.drop_adapter(self.address(), adapter);
         }
     }
 
     fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawAnswer {
         let id = request.header(REQUEST_ID).unwrap_or_default().to_owned();
-        self.site.history.record(HistoryEvent::RanForOrganisation {
-            id: id.clone(),
-            organisation: request.header(ORGANISATION).unwrap_or_default().to_owned(),
-        });
-        let is_key_told = request.header(AUTHORIZATION).is_some();
-        if request.head.contains(FORGED) || is_key_told {
-            self.site.history.record(HistoryEvent::ForgedHeader {
+        self.context
+            .history
+            .record(HistoryEvent::RanForOrganisation {
+                id: id.clone(),
+                organisation: request.header(ORGANISATION).unwrap_or_default().to_owned(),
+            });
+        let has_key = request.header(AUTHORIZATION).is_some();
+        if request.head.contains(FORGED) || has_key {
+            self.context.history.record(HistoryEvent::ForgedHeader {
                 id: id.clone(),
                 target: self.name.clone(),
             });
@@ -414,25 +420,25 @@
         let adapter = named.split_once('/').map_or("", |(_, adapter)| adapter);
         let mut state = lock(&self.state);
         let now = Instant::now();
-        if let Some(until) = state.rests_until.filter(|until| now < *until) {
-            return self.ask_for_rest(request, until - now);
+        if let Some(until) = state.reject_until.filter(|until| now < *until) {
+            return self.reject_with_retry_after(request, until - now);
         }
         state.shed_count += 1;
-        if state.sheds && !state.shed_count.is_multiple_of(3) {
-            return self.turn_away(request, "503 Service Unavailable");
+        if state.is_shedding && !state.shed_count.is_multiple_of(3) {
+            return self.reject(request, "503 Service Unavailable");
         }
         if adapter.is_empty() {
-            self.record_run(&id, adapter, state.breaks);
-            return plain_answer(request, &id, state.breaks);
+            self.record_run(&id, adapter, state.is_truncating);
+            return plain_answer(request, &id, state.is_truncating);
         }
         let versions = match state.adapter_store.copy_status(adapter) {
-            CopyStatus::Loaded(versions) if is_meant(request, versions.adapter) => versions,
-            CopyStatus::Changing => return self.turn_away(request, "503 Service Unavailable"),
+            CopyStatus::Loaded(versions) if expects_version(request, versions.adapter) => versions,
+            CopyStatus::Changing => return self.reject(request, "503 Service Unavailable"),
             CopyStatus::Loaded(_) | CopyStatus::Absent => {
-                return self.turn_away(request, "421 Misdirected Request");
+                return self.reject(request, "421 Misdirected Request");
             }
         };
-        self.record_run(&id, adapter, state.breaks);
+        self.record_run(&id, adapter, state.is_truncating);
         let prompt = ReceivedPrompt {
             adapter: adapter.to_owned(),
             versions,
@@ -442,79 +448,83 @@
                 .and_then(|source| source.parse().ok()),
         };
         let now = Instant::now();
-        let memory = &self.site.memory;
-        let reading = state.prompts.enqueue(self.address(), &prompt, memory, now);
+        let caches = &self.context.caches;
+        let prefill = state.prompts.enqueue(self.address(), &prompt, caches, now);
         state.adapter_store.record_run(
             adapter,
-            now + reading.time + EVENT_INTERVAL * EVENTS_PER_STREAM,
+            now + prefill.time + EVENT_INTERVAL * EVENTS_PER_STREAM,
         );
-        let breaks_off = state.breaks;
-        self.read_prompt(&id, prompt, reading);
+        let is_truncated = state.is_truncating;
+        self.use_prompt_cache(&id, prompt, prefill);
         drop(state);
         let stream = StreamAnswer {
             id,
             versions,
-            reading: reading.time,
-            breaks_off,
-            skipped: (self.site.defect == InjectedDefect::MissingEvent).then_some(3),
+            prefill: prefill.time,
+            is_truncated,
+            skipped: (self.context.defect == InjectedDefect::MissingEvent).then_some(3),
         };
         stream.answer(request, path)
     }
 
-    fn ask_for_rest(&self, request: &RawRequest, rest: Duration) -> RawAnswer {
-        self.site.history.record(HistoryEvent::RetryAfterSent {
+    fn reject_with_retry_after(&self, request: &RawRequest, retry_after: Duration) -> RawAnswer {
+        self.context.history.record(HistoryEvent::RetryAfterSent {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
-            rest,
+            retry_after,
         });
-        let answer = self.turn_away(request, "503 Service Unavailable");
-        answer.with_header(&format!("{RETRY_AFTER}: {:.3}\r\n", rest.as_secs_f64()))
+        let answer = self.reject(request, "503 Service Unavailable");
+        answer.with_header(&format!(
+            "{RETRY_AFTER}: {:.3}\r\n",
+            retry_after.as_secs_f64()
+        ))
     }
 
-    fn turn_away(&self, request: &RawRequest, status: &str) -> RawAnswer {
-        self.site.history.record(HistoryEvent::Rejected {
+    fn reject(&self, request: &RawRequest, status: &str) -> RawAnswer {
+        self.context.history.record(HistoryEvent::Rejected {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
         });
         refusal(request, status)
     }
 
-    fn record_run(&self, id: &str, adapter: &str, breaks_off: bool) {
-        let noted = match self.site.defect {
+    fn record_run(&self, id: &str, adapter: &str, is_truncated: bool) {
+        let recorded = match self.context.defect {
             InjectedDefect::WrongAdapter => "another",
             _ => adapter,
         };
-        let runs = 1 + usize::from(self.site.defect == InjectedDefect::DuplicateRun);
+        let runs = 1 + usize::from(self.context.defect == InjectedDefect::DuplicateRun);
         for _ in 0..runs {
-            self.site.history.record(HistoryEvent::Ran {
+            self.context.history.record(HistoryEvent::Ran {
                 id: id.to_owned(),
                 target: self.name.clone(),
-                adapter: noted.to_owned(),
-                breaks_off,
+                adapter: recorded.to_owned(),
+                is_truncated,
             });
         }
     }
 
-    /// Uses what is kept of a prompt; what another engine keeps is here a moment later, as it stands there by then.
-    fn read_prompt(self: &Arc<Self>, id: &str, prompt: ReceivedPrompt, reading: PrefillWork) {
-        if !reading.is_fetch {
-            self.use_memory(id, &prompt);
+    /// Uses the cached parts of a prompt. Parts of another engine are read after [`CACHE_FETCH_TIME`], in the state that its
+    /// cache has by then.
+    fn use_prompt_cache(self: &Arc<Self>, id: &str, prompt: ReceivedPrompt, prefill: PrefillWork) {
+        if !prefill.is_fetch {
+            self.read_cache(id, &prompt);
             return;
         }
-        self.site.history.record(HistoryEvent::CacheFetched {
+        self.context.history.record(HistoryEvent::CacheFetched {
             id: id.to_owned(),
             target: self.name.clone(),
         });
         let (handler, id) = (Arc::clone(self), id.to_owned());
         tokio::spawn(async move {
             sleep(CACHE_FETCH_TIME).await;
-            handler.use_memory(&id, &prompt);
+            handler.read_cache(&id, &prompt);
         });
     }
 
-    fn use_memory(&self, id: &str, prompt: &ReceivedPrompt) {
-        if let Some(made_under) = prompt.read_into(self.address(), &self.site.memory) {
-            self.site.history.record(HistoryEvent::CacheMismatch {
+    fn read_cache(&self, id: &str, prompt: &ReceivedPrompt) {
+        if let Some(made_under) = prompt.read_into(self.address(), &self.context.caches) {
+            self.context.history.record(HistoryEvent::CacheMismatch {
                 id: id.to_owned(),
                 target: self.name.clone(),
                 adapter: prompt.adapter.clone(),
@@ -529,32 +539,32 @@
     }
 }
 
-/// Whether a request is for an adapter in this version, or says nothing of one.
-fn is_meant(request: &RawRequest, version: u64) -> bool {
+/// Whether a request expects this adapter version, or any version.
+fn expects_version(request: &RawRequest, version: u64) -> bool {
     request
         .header(EXPECT_VERSION)
-        .is_none_or(|meant| meant.parse() == Ok(version))
+        .is_none_or(|expected| expected.parse() == Ok(version))
 }
 
-fn plain_answer(request: &RawRequest, id: &str, breaks_off: bool) -> RawAnswer {
+fn plain_answer(request: &RawRequest, id: &str, is_truncated: bool) -> RawAnswer {
     let body = expected_body(CallKind::Once, id, 0);
-    let mut answer = RawAnswer::whole("200 OK", &sealed(request), &body);
+    let mut answer = RawAnswer::whole("200 OK", &internal_headers(request), &body);
     answer.pieces[0].0 = PLAIN_CALL_TIME;
-    if breaks_off {
+    if is_truncated {
         answer.pieces[0].1.truncate(40);
         answer.closes = true;
     }
     answer
 }
 
-/// A stream as an engine gives it.
+/// Answer of an engine to a streaming request.
 struct StreamAnswer {
     id: String,
     versions: WeightVersions,
-    /// Time until the prompt is read.
-    reading: Duration,
-    breaks_off: bool,
-    /// An event that is left out.
+    /// Time until the prompt is processed, including prompts queued before it.
+    prefill: Duration,
+    is_truncated: bool,
+    /// Number of an event to omit.
     skipped: Option<u32>,
 }
 
@@ -567,13 +577,13 @@
             .unwrap_or(0);
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}{WEIGHT_VERSIONS}: {}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-            sealed(request),
+            internal_headers(request),
             self.versions.base
         );
-        let mut pieces = vec![(self.reading, head.into_bytes())];
+        let mut pieces = vec![(self.prefill, head.into_bytes())];
         for event in from + 1..=EVENTS_PER_STREAM {
             let text = event_text(&self.id, event);
-            if self.breaks_off && event >= TRUNCATE_AT_EVENT {
+            if self.is_truncated && event >= TRUNCATE_AT_EVENT {
                 pieces.push((EVENT_INTERVAL, chunk(&text[..8])));
                 return RawAnswer {
                     pieces,
@@ -593,11 +603,11 @@
 }
 
 fn refusal(request: &RawRequest, status: &str) -> RawAnswer {
-    let headers = format!("{}{NOT_EXECUTED}: 1\r\n", sealed(request));
+    let headers = format!("{}{NOT_EXECUTED}: 1\r\n", internal_headers(request));
     RawAnswer::whole(status, &headers, "")
 }
 
-fn sealed(request: &RawRequest) -> String {
+fn internal_headers(request: &RawRequest) -> String {
     let id = request.header(REQUEST_ID).unwrap_or_default();
     format!("{REQUEST_ID}: {id}\r\n{SEAL}: seal\r\n")
 }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -29,7 +29,7 @@
         id: id.into(),
         target: target.into(),
         adapter: adapter.into(),
-        breaks_off: false,
+        is_truncated: false,
     };
     at(ms, event)
 }
@@ -396,7 +396,7 @@
     let rest = HistoryEvent::RetryAfterSent {
         id: "r0".into(),
         target: "i-1".into(),
-        rest: Duration::from_secs(3),
+        retry_after: Duration::from_secs(3),
     };
     let mut history = vec![
         sent(0, "r0", CallKind::Idempotent, ""),
