--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -333,8 +333,7 @@
                 && !is_disturbed(history, row.vm, *since, *at)
             {
                 let description = format!(
-                    "{id} ran at {target} at {at:?}, which announced draining to VM {} at {since:?}",
-                    row.vm
+                    "{id} ran at {target} at {at:?}, which announced draining to this VM at {since:?}"
                 );
                 found.push(violation(Guarantee::AnnouncedDraining, description));
             }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -317,11 +317,7 @@
                 }
             }
         };
-        let on_timeout = |_| {
-            io::Error::other(
-                "not every VM served the first configuration within 20 s; see the daemon logs in the run's directory",
-            )
-        };
+        let on_timeout = |_| io::Error::other("fleet not ready after 20 s; see the daemon logs");
         timeout(START_TIMEOUT, ready).await.map_err(on_timeout)
     }
 
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each check finds the fault that it is for, in histories made by hand.
+//! Each check finds the violation that it is for and accepts correct behaviour, in handwritten histories.
 
 use hoplanding_soak::{
     adapter_store::WeightVersions,
@@ -58,21 +58,22 @@
     at(ms, event)
 }
 
-fn struck(ms: u64, is_planned: bool) -> TimedEntry {
+fn vm_disturbed(ms: u64, is_planned: bool) -> TimedEntry {
     at(ms, HistoryEvent::VmDisturbed { vm: 0, is_planned })
 }
 
-fn found(history: &[TimedEntry]) -> Vec<Guarantee> {
+fn violated(history: &[TimedEntry]) -> Vec<Guarantee> {
     check(history)
         .into_iter()
         .map(|violation| violation.guarantee)
         .collect()
 }
 
+/// A second run violates a guarantee only for requests that are not idempotent.
 #[test]
-fn a_second_run_counts_only_where_it_was_promised_not_to_happen() {
+fn second_run_is_a_violation_only_for_non_idempotent_requests() {
     let twice = |kind| {
-        found(&[
+        violated(&[
             sent(0, "r1", kind, ""),
             ran(1, "r1", "i-1", ""),
             ran(2, "r1", "i-2", ""),
@@ -82,30 +83,32 @@
     assert_eq!(twice(CallKind::Idempotent), []);
 }
 
+/// A daemon may answer "not executed" after the target ran the request, or send the request after that answer.
 #[test]
-fn what_was_refused_as_not_run_must_not_run_before_or_after() {
+fn request_refused_as_not_executed_must_not_run_before_or_after() {
     let refusal = answered(5, "r1", CallAnswer::Complete(503, String::new()));
     let sent = sent(0, "r1", CallKind::Idempotent, "");
     let after = [sent.clone(), refusal.clone(), ran(9, "r1", "i-1", "")];
-    assert_eq!(found(&after), [Guarantee::NotRun]);
+    assert_eq!(violated(&after), [Guarantee::NotRun]);
     let before = [sent.clone(), ran(2, "r1", "i-1", ""), refusal.clone()];
-    assert_eq!(found(&before), [Guarantee::NotRun]);
-    assert_eq!(found(&[sent, refusal]), []);
+    assert_eq!(violated(&before), [Guarantee::NotRun]);
+    assert_eq!(violated(&[sent, refusal]), []);
 }
 
 #[test]
-fn a_run_on_another_adapter_is_found() {
+fn run_on_another_adapter_is_found() {
     let history = [
         sent(0, "r1", CallKind::Stream, "a1"),
         ran(1, "r1", "i-1", "a2"),
     ];
-    assert_eq!(found(&history), [Guarantee::NamedAdapter]);
+    assert_eq!(violated(&history), [Guarantee::NamedAdapter]);
 }
 
+/// Cached prompt parts must match the versions of both the adapter and the base model; a fetch alone is no violation.
 #[test]
-fn a_run_on_memory_of_another_version_is_found() {
+fn use_of_cached_parts_of_another_version_is_found() {
     let versions = |base, adapter| WeightVersions { base, adapter };
-    let mixed = |made_under, runs_under| HistoryEvent::CacheMismatch {
+    let mismatch = |made_under, runs_under| HistoryEvent::CacheMismatch {
         id: "r1".into(),
         target: "i-1".into(),
         adapter: "a1".into(),
@@ -121,30 +124,34 @@
         ran(1, "r1", "i-1", "a1"),
         at(1, cache_fetches),
     ];
-    assert_eq!(found(&own), []);
+    assert_eq!(violated(&own), []);
     for made_under in [versions(1, 1), versions(2, 7)] {
-        let mixed = mixed(made_under, versions(1, 7));
-        let other = [own.as_slice(), &[at(21, mixed)]].concat();
-        assert_eq!(found(&other), [Guarantee::CacheVersion]);
+        let mismatch = mismatch(made_under, versions(1, 7));
+        let other = [own.as_slice(), &[at(21, mismatch)]].concat();
+        assert_eq!(violated(&other), [Guarantee::CacheVersion]);
     }
 }
 
 #[test]
-fn a_forged_header_that_reached_a_target_is_found() {
+fn forged_header_at_a_target_is_found() {
     let forged = HistoryEvent::ForgedHeader {
         id: "r1".into(),
         target: "i-1".into(),
     };
     let sent = sent(0, "r1", CallKind::Once, "");
-    assert_eq!(found(std::slice::from_ref(&sent)), []);
-    assert_eq!(found(&[sent, at(1, forged)]), [Guarantee::ReservedHeaders]);
+    assert_eq!(violated(std::slice::from_ref(&sent)), []);
+    assert_eq!(
+        violated(&[sent, at(1, forged)]),
+        [Guarantee::ReservedHeaders]
+    );
 }
 
+/// An answer with complete framing must have the target's content; a visibly truncated answer is allowed.
 #[test]
-fn an_answer_that_looks_whole_has_every_event_once() {
+fn complete_answer_has_every_event_once() {
     let whole = expected_body(CallKind::Stream, "r1", EVENTS_PER_STREAM);
     let verdict = |answer: CallAnswer| {
-        found(&[
+        violated(&[
             sent(0, "r1", CallKind::Stream, "a1"),
             ran(1, "r1", "i-1", "a1"),
             answered(9, "r1", answer),
@@ -164,46 +171,58 @@
     assert_eq!(verdict(CallAnswer::Truncated(200)), []);
 }
 
+/// A disturbance of the VM or the log within the contact window excuses a with_late_run request to a draining target.
 #[test]
-fn a_leaving_target_gets_nothing_new_from_a_vm_in_touch() {
+fn draining_target_gets_nothing_new_from_a_vm_in_contact() {
     let leaving = at(
         5_000,
         HistoryEvent::TargetDraining {
             target: "i-1".into(),
         },
     );
-    let late = |extra: Vec<TimedEntry>| {
+    let with_late_run = |extra: Vec<TimedEntry>| {
         let mut history = vec![
             leaving.clone(),
             sent(7_400, "r1", CallKind::Once, ""),
             ran(7_500, "r1", "i-1", ""),
         ];
         history.extend(extra);
-        found(&history)
+        violated(&history)
     };
-    assert_eq!(late(Vec::new()), [Guarantee::Draining]);
-    assert_eq!(late(vec![struck(6_000, false)]), []);
-    assert_eq!(late(vec![at(6_000, HistoryEvent::LogDisturbed)]), []);
+    assert_eq!(with_late_run(Vec::new()), [Guarantee::Draining]);
+    assert_eq!(with_late_run(vec![vm_disturbed(6_000, false)]), []);
+    assert_eq!(
+        with_late_run(vec![at(6_000, HistoryEvent::LogDisturbed)]),
+        []
+    );
 }
 
+/// An interrupted request is a violation unless a fault other than the planned stop may have caused it.
 #[test]
-fn a_planned_stop_interrupts_nothing() {
-    let broken = |strikes: Vec<TimedEntry>| {
+fn planned_stop_interrupts_nothing() {
+    let interrupted_with = |strikes: Vec<TimedEntry>| {
         let mut history = vec![
             sent(900, "r1", CallKind::Stream, "a1"),
             ran(950, "r1", "i-1", "a1"),
             answered(3_000, "r1", CallAnswer::Truncated(200)),
         ];
         history.extend(strikes);
-        found(&history)
+        violated(&history)
     };
-    assert_eq!(broken(vec![struck(1_000, true)]), [Guarantee::PlannedStop]);
-    assert_eq!(broken(vec![struck(1_000, true), struck(2_000, false)]), []);
+    assert_eq!(
+        interrupted_with(vec![vm_disturbed(1_000, true)]),
+        [Guarantee::PlannedStop]
+    );
+    assert_eq!(
+        interrupted_with(vec![vm_disturbed(1_000, true), vm_disturbed(2_000, false)]),
+        []
+    );
 }
 
+/// As for planned stops; a reload at another VM explains nothing.
 #[test]
-fn a_change_of_settings_interrupts_nothing() {
-    let broken = |vm, extra: Vec<TimedEntry>| {
+fn settings_reload_interrupts_nothing() {
+    let interrupted_with = |vm, extra: Vec<TimedEntry>| {
         let mut history = vec![
             sent(900, "r1", CallKind::Stream, "a1"),
             ran(950, "r1", "i-1", "a1"),
@@ -211,16 +230,16 @@
             answered(3_000, "r1", CallAnswer::Truncated(200)),
         ];
         history.extend(extra);
-        found(&history)
+        violated(&history)
     };
-    assert_eq!(broken(0, Vec::new()), [Guarantee::PlannedStop]);
-    assert_eq!(broken(1, Vec::new()), []);
-    assert_eq!(broken(0, vec![struck(2_000, false)]), []);
+    assert_eq!(interrupted_with(0, Vec::new()), [Guarantee::PlannedStop]);
+    assert_eq!(interrupted_with(1, Vec::new()), []);
+    assert_eq!(interrupted_with(0, vec![vm_disturbed(2_000, false)]), []);
 }
 
-/// It is no fault that excuses what reaches a leaving target.
+/// A settings reload is no fault and does not excuse a with_late_run request to a draining target.
 #[test]
-fn a_change_of_settings_leaves_a_vm_in_touch() {
+fn settings_reload_leaves_a_vm_in_contact() {
     let target = "i-1".into();
     let history = [
         at(5_000, HistoryEvent::TargetDraining { target }),
@@ -229,57 +248,60 @@
         ran(7_500, "r1", "i-1", ""),
         answered(7_600, "r1", CallAnswer::Complete(200, "done r1".into())),
     ];
-    assert_eq!(found(&history), [Guarantee::Draining]);
+    assert_eq!(violated(&history), [Guarantee::Draining]);
 }
 
 #[test]
-fn a_configuration_goes_back_only_with_its_process() {
+fn configuration_may_go_back_only_with_a_new_process() {
     let history = [probed(1, 1, 3, true), probed(2, 1, 2, false)];
-    assert_eq!(found(&history), [Guarantee::ConfigMonotonic]);
+    assert_eq!(violated(&history), [Guarantee::ConfigMonotonic]);
     let restarted = [probed(1, 1, 3, true), probed(2, 2, 2, false)];
-    assert_eq!(found(&restarted), []);
+    assert_eq!(violated(&restarted), []);
 }
 
 #[test]
-fn orders_come_from_one_holder_a_token_and_tokens_only_rise() {
-    assert_eq!(found(&[ordered(1, "vm-1", 4), ordered(2, "vm-2", 5)]), []);
-    let back = [ordered(1, "vm-1", 4), ordered(2, "vm-2", 3)];
-    assert_eq!(found(&back), [Guarantee::SingleHolder]);
+fn fencing_tokens_have_one_holder_and_never_decrease() {
+    assert_eq!(
+        violated(&[ordered(1, "vm-1", 4), ordered(2, "vm-2", 5)]),
+        []
+    );
+    let decreased = [ordered(1, "vm-1", 4), ordered(2, "vm-2", 3)];
+    assert_eq!(violated(&decreased), [Guarantee::SingleHolder]);
     let shared = [ordered(1, "vm-1", 4), ordered(2, "vm-2", 4)];
-    assert_eq!(found(&shared), [Guarantee::SingleHolder]);
+    assert_eq!(violated(&shared), [Guarantee::SingleHolder]);
     let target = "i-1".into();
     assert_eq!(
-        found(&[at(1, HistoryEvent::SlotsExceeded { target })]),
+        violated(&[at(1, HistoryEvent::SlotsExceeded { target })]),
         [Guarantee::AdapterSlots]
     );
 }
 
 #[test]
-fn repeats_beyond_the_budget_are_found() {
+fn retries_beyond_the_budget_are_found() {
     let mut history = vec![sent(0, "r1", CallKind::Idempotent, "")];
     history.extend((0..60).map(|n| ran(n, "r1", "i-1", "")));
-    assert_eq!(found(&history), [Guarantee::RetryBudget]);
+    assert_eq!(violated(&history), [Guarantee::RetryBudget]);
 }
 
-/// What the whole run allows may be spent neither in one window nor by another service.
+/// The retry budget of a whole run must be usable neither within one window nor by another service.
 #[test]
-fn repeats_are_judged_by_service_and_in_every_window() {
+fn retries_are_counted_per_service_and_in_every_window() {
     let spread = |requests: u64, kind| {
         let calls = (0..requests).map(move |n| sent(n * 100, &format!("r{n}"), kind, "a1"));
         calls.collect::<Vec<_>>()
     };
-    // 600 requests in a minute allow 170 repeats; 80 of them come within one second.
+    // 600 requests in a minute allow 170 retries; 80 of them arrive within one second.
     let mut history = spread(600, CallKind::Idempotent);
     history.extend((0..80).map(|n| rejected(30_000 + n * 10, "r290")));
-    assert_eq!(found(&history), [Guarantee::RetryBudget]);
+    assert_eq!(violated(&history), [Guarantee::RetryBudget]);
     let mut within = spread(600, CallKind::Idempotent);
     within.extend((0..60).map(|n| rejected(30_000 + n * 10, "r290")));
-    assert_eq!(found(&within), []);
-    // Streams do not pay for plain calls.
+    assert_eq!(violated(&within), []);
+    // Requests for streams do not extend the budget of plain calls.
     let mut other = spread(600, CallKind::Stream);
     other.push(sent(29_000, "plain", CallKind::Idempotent, ""));
     other.extend((0..60).map(|n| rejected(30_000 + n * 10, "plain")));
-    assert_eq!(found(&other), [Guarantee::RetryBudget]);
+    assert_eq!(violated(&other), [Guarantee::RetryBudget]);
 }
 
 fn rejected(ms: u64, id: &str) -> TimedEntry {
@@ -290,13 +312,14 @@
     at(ms, event)
 }
 
-fn keyed(id: &str, key: &str) -> TimedEntry {
+fn key_sent(id: &str, key: &str) -> TimedEntry {
     let (id, key) = (id.into(), key.into());
     at(0, HistoryEvent::KeySent { id, key })
 }
 
+/// A call with a revoked key is a violation only if it starts later than the revocation bound.
 #[test]
-fn a_run_under_a_key_that_is_gone_counts_from_the_bound_on() {
+fn run_with_a_revoked_key_is_found_from_the_bound_on() {
     let history = |sent_ms| {
         vec![
             at(
@@ -305,87 +328,94 @@
                     key: "mill-v1".into(),
                 },
             ),
-            // Taken away again by every later configuration: the first time counts.
+            // Every later configuration revokes the key again; only the first time counts.
             at(
                 9_000,
                 HistoryEvent::Revoked {
                     key: "mill-v1".into(),
                 },
             ),
-            keyed("r1", "mill-v1"),
+            key_sent("r1", "mill-v1"),
             sent(sent_ms, "r1", CallKind::Once, ""),
             ran(sent_ms + 10, "r1", "i-1", ""),
         ]
     };
-    assert!(found(&history(5_900)).is_empty());
-    assert_eq!(found(&history(6_100)), [Guarantee::Revocation]);
+    assert!(violated(&history(5_900)).is_empty());
+    assert_eq!(violated(&history(6_100)), [Guarantee::Revocation]);
 }
 
 #[test]
-fn a_run_for_another_organisation_than_its_keys_is_found() {
+fn run_for_another_organisation_than_that_of_its_key_is_found() {
     let ran_for = |organisation: &str| {
         let organisation = organisation.into();
         let id = "r1".into();
         vec![
             sent(0, "r1", CallKind::Once, ""),
-            keyed("r1", "mill-key"),
+            key_sent("r1", "mill-key"),
             at(5, HistoryEvent::RanForOrganisation { id, organisation }),
         ]
     };
-    assert!(found(&ran_for("mill")).is_empty());
-    assert_eq!(found(&ran_for("port")), [Guarantee::CallerOrganisation]);
-    assert_eq!(found(&ran_for("")), [Guarantee::CallerOrganisation]);
+    assert!(violated(&ran_for("mill")).is_empty());
+    assert_eq!(violated(&ran_for("port")), [Guarantee::CallerOrganisation]);
+    assert_eq!(violated(&ran_for("")), [Guarantee::CallerOrganisation]);
 }
 
 #[test]
-fn an_organisation_over_its_quota_is_found_in_any_window() {
+fn organisation_over_its_quota_is_found_in_any_window() {
     let history = |count: u64| {
         let calls = (0..count).flat_map(|number| {
             let id = format!("r{number}");
-            // The last moments of one second and the first of another.
+            // The requests span the end of one second and the start of the next.
             let ms = 3_900 + number * 5;
             [
-                keyed(&id, "port-key"),
+                key_sent(&id, "port-key"),
                 sent(ms, &id, CallKind::Once, ""),
                 ran(ms + 1, &id, "i-1", ""),
             ]
         });
         calls.collect::<Vec<_>>()
     };
-    // 36 beside a tenth and 4.
-    assert!(found(&history(43)).is_empty());
-    assert_eq!(found(&history(44)), [Guarantee::Quota]);
+    // The quota of 36, a tenth of it and a slack of 4.
+    assert!(violated(&history(43)).is_empty());
+    assert_eq!(violated(&history(44)), [Guarantee::Quota]);
 }
 
+/// The VM knows of the draining from an answer, so a disturbance of the log does not excuse a with_late_run call; one of the VM does.
 #[test]
-fn a_call_to_a_target_that_told_its_vm_that_it_leaves_is_found_unless_the_vm_was_struck_since() {
-    let said = |ms| {
+fn call_after_announced_draining_is_found_unless_the_vm_was_disturbed() {
+    let announced = |ms| {
         let event = HistoryEvent::DrainingAnnounced {
             id: "r1".into(),
             target: "i-1".into(),
         };
         at(ms, event)
     };
-    let first = [sent(0, "r1", CallKind::Idempotent, ""), said(10)];
-    let late = [
+    let first = [sent(0, "r1", CallKind::Idempotent, ""), announced(10)];
+    let with_late_run = [
         sent(2_100, "r2", CallKind::Idempotent, ""),
         ran(2_110, "r2", "i-1", ""),
     ];
-    let history = [first.to_vec(), late.to_vec()].concat();
-    assert_eq!(found(&history), [Guarantee::AnnouncedDraining]);
+    let history = [first.to_vec(), with_late_run.to_vec()].concat();
+    assert_eq!(violated(&history), [Guarantee::AnnouncedDraining]);
     let disturbed = [
         first.to_vec(),
         vec![at(50, HistoryEvent::LogDisturbed)],
-        late.to_vec(),
+        with_late_run.to_vec(),
+    ]
+    .concat();
+    assert_eq!(violated(&disturbed), [Guarantee::AnnouncedDraining]);
+    let excused = [
+        first.to_vec(),
+        vec![vm_disturbed(50, false)],
+        with_late_run.to_vec(),
     ]
     .concat();
-    assert_eq!(found(&disturbed), [Guarantee::AnnouncedDraining]);
-    let excused = [first.to_vec(), vec![struck(50, false)], late.to_vec()].concat();
-    assert_eq!(found(&excused), []);
+    assert_eq!(violated(&excused), []);
 }
 
+/// Requests in flight at the `Retry-After` answer and requests after the period do not count.
 #[test]
-fn more_than_two_requests_of_a_vm_in_the_rest_that_it_was_asked_for_are_found() {
+fn more_than_two_requests_within_a_retry_after_period_are_found() {
     let rejected = |ms, id: &str| {
         let event = HistoryEvent::Rejected {
             id: id.into(),
@@ -412,25 +442,28 @@
         } else {
             Vec::new()
         };
-        assert_eq!(found(&history), expected, "{ms}");
+        assert_eq!(violated(&history), expected, "{ms}");
     }
 }
 
 #[test]
-fn a_configuration_that_is_late_at_a_vm_in_touch_is_found() {
+fn late_configuration_at_a_vm_in_contact_is_found() {
     let configured = at(0, HistoryEvent::ConfigAccepted { version: 2 });
     let early = probed(1_900, 1, 2, false);
-    let late = probed(2_100, 1, 2, false);
-    assert_eq!(found(&[configured.clone(), early]), []);
+    let with_late_run = probed(2_100, 1, 2, false);
+    assert_eq!(violated(&[configured.clone(), early]), []);
     assert_eq!(
-        found(&[configured.clone(), late.clone()]),
+        violated(&[configured.clone(), with_late_run.clone()]),
         [Guarantee::ConfigDeadline]
     );
-    assert_eq!(found(&[configured, struck(100, false), late]), []);
+    assert_eq!(
+        violated(&[configured, vm_disturbed(100, false), with_late_run]),
+        []
+    );
 }
 
 #[test]
-fn a_flood_of_calls_to_the_log_is_found() {
+fn excessive_log_calls_are_found() {
     let calls = |calls| {
         let within = Duration::from_secs(1);
         [
@@ -438,14 +471,17 @@
             at(1_000, HistoryEvent::LogCalls { calls, within }),
         ]
     };
-    assert_eq!(found(&calls(20)), []);
-    assert_eq!(found(&calls(900)), [Guarantee::LogCallRate]);
-    // A start makes some calls of its own.
-    assert_eq!(found(&calls(40)), [Guarantee::LogCallRate]);
+    assert_eq!(violated(&calls(20)), []);
+    assert_eq!(violated(&calls(900)), [Guarantee::LogCallRate]);
+    // A starting daemon makes additional calls.
+    assert_eq!(violated(&calls(40)), [Guarantee::LogCallRate]);
     let started = vec![at(200, HistoryEvent::VmStarted { vm: 0 })];
-    assert_eq!(found(&[started.clone(), calls(40).to_vec()].concat()), []);
     assert_eq!(
-        found(&[started, calls(60).to_vec()].concat()),
+        violated(&[started.clone(), calls(40).to_vec()].concat()),
+        []
+    );
+    assert_eq!(
+        violated(&[started, calls(60).to_vec()].concat()),
         [Guarantee::LogCallRate]
     );
 }
--- a/crates/soak/tests/seeded.rs
+++ b/crates/soak/tests/seeded.rs
@@ -1,4 +1,5 @@
-//! The same seed gives the same faults; a short run holds every promise, and finds faults that were planted.
+//! Short runs with real daemons: schedules are reproducible, no guarantee is violated under faults, and the checks detect
+//! injected defects.
 
 use hoplanding_soak::{
     checks::Guarantee,
@@ -19,7 +20,7 @@
 };
 use tokio::time::sleep;
 
-/// The daemon beside this test's own program; built first where only this crate's tests were asked for.
+/// Path of the daemon in the target directory of this test. Builds it first if only this crate was built.
 fn daemon() -> PathBuf {
     let tests = std::env::current_exe().expect("a path");
     let folder = tests.parent().and_then(|deps| deps.parent());
@@ -64,14 +65,15 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_faults_each_time() {
+fn seed_gives_the_same_faults_each_time() {
     let span = Duration::from_secs(60);
     assert_eq!(seeded_faults(3, span, 40), seeded_faults(3, span, 40));
     assert_ne!(seeded_faults(3, span, 40), seeded_faults(4, span, 40));
 }
 
+/// Faults of daemons, log, targets and operators that overlap must not violate a guarantee.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_run_under_overlapping_faults_holds_every_promise() {
+async fn overlapping_faults_violate_no_guarantee() {
     let mut plan = plan("holds", 240);
     plan.faults = Some(vec![
         fault(300, FaultKind::Kill, 0, 500),
@@ -84,18 +86,18 @@
         fault(2_000, FaultKind::Break, 0, 500),
         fault(2_300, FaultKind::LogLosesAnswers, 0, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     let figures = hoplanding_soak::report::figures(&outcome.history);
     assert!(figures.answered * 2 > figures.sent, "{figures:?}");
     assert!(hoplanding_soak::report::page(&[outcome]).is_ok());
 }
 
-/// What users saw as repeats beyond the fleet's budget, on real processes: all targets turn most calls away while all daemons
-/// are killed again and again. Before processes that start shared a part of their own, a service had 116 repeats within
-/// ten seconds where 106 were allowed, and the other one 112 of 107.
+/// Guards against retries beyond the fleet's budget when all daemons are killed repeatedly while all targets shed load. Without
+/// a share of the budget for starting processes, the services had 116 retries within 10 s with 106 allowed, and 112 with 107
+/// allowed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fleet_that_is_killed_again_and_again_keeps_to_its_retry_budget() {
+async fn repeatedly_killed_fleet_keeps_to_its_retry_budget() {
     let mut plan = plan("series", 900);
     plan.seed = 1;
     plan.faults = Some(vec![
@@ -104,15 +106,14 @@
         fault(4_500, FaultKind::KillSeries, 0, 0),
         fault(8_500, FaultKind::KillSeries, 0, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// What callers saw: calls ran at a target for 2.3 s after it had said that it leaves. Three zones of six VMs had just
-/// started, and nobody in them read the target list for the first three seconds, the holders included (the whole story is at
-/// the top of the core's `direct_duty`). Four calls each in two plays before.
+/// Guards against calls to a target up to 2.3 s after its draining. They occur when no VM of large zones, lease holders
+/// included, reads the target list in the first 3 s after the start (see `direct_duty` in the core crate).
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_leaves_while_large_zones_start_gets_nothing_late() {
+async fn target_that_drains_while_large_zones_start_gets_nothing_late() {
     let mut plan = plan("large-zones", 1_500);
     plan.seed = 7101;
     plan.zones = 3;
@@ -121,27 +122,27 @@
     plan.adapters = 12;
     plan.faults = None;
     plan.fault_count = 12;
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// Twelve starts a second make 130 calls to the log, 11 each: the check of its rates took them for a flood.
+/// Guards against a false violation of the log call rate: 12 starts per second make 130 log calls, 11 each.
 #[tokio::test(flavor = "multi_thread")]
-async fn two_series_of_kills_at_once_break_no_promise() {
+async fn two_simultaneous_kill_series_violate_no_guarantee() {
     let mut plan = plan("two-series", 360);
     plan.seed = 3;
     plan.faults = Some(vec![
         fault(1_000, FaultKind::KillSeries, 0, 0),
         fault(1_350, FaultKind::KillSeries, 0, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// What users saw, on real processes: targets that say in their answers that they leave, targets that ask for rest, and a log that
-/// comes back from a copy, beside kills, an outage and a frozen VM.
+/// Targets that announce draining in answers, targets that send `Retry-After` and a log that is restored from a snapshot must
+/// not violate a guarantee, also together with kills, a log outage and a suspended VM.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_targets_say_and_a_log_from_a_copy_break_no_promise() {
+async fn target_announcements_and_log_restores_violate_no_guarantee() {
     let mut plan = plan("copies", 900);
     plan.engines_per_zone = 2;
     plan.faults = Some(vec![
@@ -161,13 +162,13 @@
         fault(9_500, FaultKind::Configure, 0, 0),
         fault(10_000, FaultKind::LeaveInAnswers, 0, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// Faults that overlap start a VM at the same moment. A second daemon of it was left running behind the run.
+/// Guards against a second daemon that outlives the run when overlapping faults start a VM at the same time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_several_faults_start_at_once_runs_one_daemon() {
+async fn vm_started_by_several_faults_at_once_runs_one_daemon() {
     let log = KeyedLog::start().await.expect("a log");
     let plan = plan("starts", 1);
     fs::create_dir_all(&plan.folder).expect("a folder");
@@ -195,8 +196,9 @@
     assert_eq!(run, Some(1));
 }
 
+/// Guards against checks that pass because they detect nothing: each defect of the stand-ins must violate its guarantee.
 #[tokio::test(flavor = "multi_thread")]
-async fn faults_planted_in_the_stand_ins_are_found() {
+async fn defects_of_the_stand_ins_are_found() {
     for (defect, guarantee) in [
         (InjectedDefect::DuplicateRun, Guarantee::AtMostOnce),
         (InjectedDefect::WrongAdapter, Guarantee::NamedAdapter),
@@ -206,7 +208,7 @@
         let mut plan = plan(&format!("{defect:?}"), 40);
         plan.defect = defect;
         if defect == InjectedDefect::StaleCache {
-            // It shows where an adapter that was used is replaced, and used again.
+            // Shows only when an adapter is used, replaced and used again.
             plan.requests = 480;
             plan.faults = Some(
                 [800, 3_600]
@@ -216,7 +218,7 @@
                     .collect(),
             );
         }
-        let outcome = run_soak(&plan).await.expect("it plays");
+        let outcome = run_soak(&plan).await.expect("the run executes");
         let found: Vec<_> = outcome
             .violations
             .iter()
@@ -226,7 +228,7 @@
     }
 }
 
-/// Several engines a zone, of which adapters in demand stand on more than one: the plan of runs by hand.
+/// Plan with two engines per zone, so that popular adapters are loaded on several engines.
 fn spread_plan(name: &str) -> RunPlan {
     let mut plan = plan(name, 600);
     plan.seed = 23;
@@ -235,20 +237,20 @@
     plan
 }
 
-/// Without it, promises about moved memory would hold as nothing moves.
+/// Guards against runs without cache fetches, in which the guarantee on cached prompt parts would hold trivially.
 #[tokio::test(flavor = "multi_thread")]
-async fn prompts_move_between_engines_of_the_same_versions() {
+async fn engines_fetch_cached_parts_of_the_same_versions() {
     let plan = spread_plan("moves");
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     let figures = hoplanding_soak::report::figures(&outcome.history);
     assert!(figures.cache_fetches > 0, "{figures:?}");
 }
 
-/// What users saw as memory of another version, on real processes: adapters in demand get new versions in series, while engines
-/// are replaced. Engines that have the new version took parts of prompts from neighbours whose copies were in use and behind.
+/// Guards against the use of cached prompt parts of another version. Popular adapters get several versions while engines are
+/// replaced; engines with the new version may fetch parts from engines whose adapter is in use and still has the old one.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_run_uses_memory_of_another_version_while_versions_come_in_series() {
+async fn no_run_uses_cached_parts_of_another_version_during_version_series() {
     let mut plan = spread_plan("versions");
     plan.faults = Some(vec![
         fault(1_000, FaultKind::VersionSeries, 0, 0),
@@ -258,13 +260,14 @@
         fault(4_500, FaultKind::Vanish, 1, 0),
         fault(5_000, FaultKind::VersionSeries, 1, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// The same for weights of the base model: engines that come empty load the newest, and their neighbours keep the first.
+/// Guards against the use of parts cached with another base model: engines that start empty load the newest weights, and the
+/// other engines keep the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_run_uses_memory_of_other_weights_of_the_base_model() {
+async fn no_run_uses_cached_parts_of_other_base_model_weights() {
     let mut plan = spread_plan("weights");
     plan.faults = Some(vec![
         fault(500, FaultKind::WeightSeries, 0, 0),
@@ -273,13 +276,14 @@
         fault(4_000, FaultKind::WeightSeries, 0, 0),
         fault(6_000, FaultKind::Vanish, 2, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// The same beside orders that are carried out late, and holders that are killed, stand still or lose the log.
+/// Guards against cached prompt parts of another version when engines execute orders late and lease holders are killed, are
+/// suspended or lose the log.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_run_uses_memory_of_another_version_beside_late_orders_and_takeovers() {
+async fn no_run_uses_cached_parts_of_another_version_during_late_orders_and_takeovers() {
     let mut plan = spread_plan("takeovers");
     plan.faults = Some(vec![
         fault(1_000, FaultKind::VersionSeries, 0, 0),
@@ -295,26 +299,26 @@
         fault(6_000, FaultKind::LogSilent, 1, 1_500),
         fault(6_500, FaultKind::VersionSeries, 1, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// Settings change again and again while calls run: every daemon takes each change over, and nothing is interrupted.
+/// Every daemon must apply each of many settings changes without interrupting the calls that run meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_that_change_again_and_again_interrupt_nothing() {
+async fn repeated_settings_changes_interrupt_nothing() {
     let mut plan = plan("reloads", 300);
     plan.faults = Some(vec![
         fault(500, FaultKind::ReloadSeries, 0, 0),
         fault(600, FaultKind::Shed, 0, 2_000),
         fault(2_500, FaultKind::ReloadSeries, 0, 0),
     ]);
-    let outcome = run_soak(&plan).await.expect("it plays");
+    let outcome = run_soak(&plan).await.expect("the run executes");
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
     for vm in 0..4 {
         let log = fs::read_to_string(plan.folder.join(format!("vm-{vm}.log"))).expect("a log");
         let changes = log.matches("changed settings taken over").count();
         let refused = log.matches("changed settings refused").count();
-        // Two changes within one look are taken over as one.
+        // Changes between two polls of the settings file are applied as one.
         assert!(
             changes >= 6 && refused == 0,
             "VM {vm}: {changes}, {refused}"
@@ -322,14 +326,15 @@
     }
 }
 
-/// The callers' address that a daemon named in its log.
-fn address_in(log: &str) -> Option<SocketAddr> {
+/// Caller address in a daemon's log.
+fn caller_address_in(log: &str) -> Option<SocketAddr> {
     let text = log.split("callers ").nth(1)?;
     text.split(',').next()?.parse().ok()
 }
 
+/// Guards against daemons that keep running after the soak was ended by a signal.
 #[test]
-fn an_interrupted_soak_ends_the_daemons_that_it_started() {
+fn interrupted_soak_ends_its_daemons() {
     let out = std::env::temp_dir().join(format!("hoplanding-soak-{}-ends", std::process::id()));
     let mut soak = Command::new(env!("CARGO_BIN_EXE_hoplanding-soak"))
         .args(["--requests", "6000", "--faults", "0", "--daemon"])
@@ -342,7 +347,7 @@
     let started = || {
         (0..4)
             .filter_map(|vm| fs::read_to_string(out.join(format!("seed-1/vm-{vm}.log"))).ok())
-            .filter_map(|log| address_in(&log))
+            .filter_map(|log| caller_address_in(&log))
             .collect::<Vec<_>>()
     };
     for _ in 0..400 {
