--- a/crates/soak/src/adapter_store.rs
+++ b/crates/soak/src/adapter_store.rs
@@ -7,7 +7,7 @@
 use std::{collections::BTreeMap, fmt, time::Duration};
 use tokio::time::Instant;
 
-/// Maximum number of adapters that an engine is_satisfied_by.
+/// Maximum number of adapters that an engine holds.
 pub const ADAPTER_SLOTS: usize = 4;
 /// Name of the base model that all engines serve.
 pub const BASE_MODEL: &str = "base";
@@ -108,7 +108,7 @@
 
 /// State of an adapter as a request finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CopyStatus {
+pub enum AdapterStatus {
     /// Loaded, with these versions.
     Loaded(WeightVersions),
     /// Being replaced or unloaded.
@@ -126,7 +126,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct LoadedCopy {
+struct LoadedAdapter {
     version: u64,
     /// End of the last request that runs on it.
     runs_until: Instant,
@@ -136,7 +136,7 @@
 #[derive(Debug)]
 pub struct AdapterStore {
     base: Option<u64>,
-    loaded: BTreeMap<String, LoadedCopy>,
+    loaded: BTreeMap<String, LoadedAdapter>,
     changes: BTreeMap<String, PendingChange>,
     accepted_orders: u64,
     token: u64,
@@ -201,8 +201,8 @@
             return self.base.is_some();
         }
         let version = order.version.unwrap_or(newest);
-        let held = self.loaded.get(&order.adapter);
-        !order.is_unload && held.is_some_and(|copy| copy.version == version)
+        let loaded = self.loaded.get(&order.adapter);
+        !order.is_unload && loaded.is_some_and(|adapter| adapter.version == version)
     }
 
     /// Change that an order starts, and the time at which it ends.
@@ -210,8 +210,8 @@
         if order.adapter.is_empty() {
             return (PendingChange::Load(newest), now + BASE_LOAD_TIME);
         }
-        let held = self.loaded.get(&order.adapter);
-        let runs_until = held.map_or(now, |copy| copy.runs_until.max(now));
+        let loaded = self.loaded.get(&order.adapter);
+        let runs_until = loaded.map_or(now, |adapter| adapter.runs_until.max(now));
         if order.is_unload {
             return (PendingChange::Unload, runs_until);
         }
@@ -227,11 +227,11 @@
         match self.changes.remove(adapter) {
             Some(PendingChange::Load(version)) if adapter.is_empty() => self.base = Some(version),
             Some(PendingChange::Load(version)) => {
-                let copy = LoadedCopy {
+                let loaded = LoadedAdapter {
                     version,
                     runs_until: Instant::now(),
                 };
-                self.loaded.insert(adapter.to_owned(), copy);
+                self.loaded.insert(adapter.to_owned(), loaded);
             }
             Some(PendingChange::Unload) => {
                 self.loaded.remove(adapter);
@@ -242,21 +242,21 @@
 
     /// State of an adapter for a new request.
     #[must_use]
-    pub fn copy_status(&self, adapter: &str) -> CopyStatus {
+    pub fn adapter_status(&self, adapter: &str) -> AdapterStatus {
         match (self.loaded.get(adapter), self.base) {
-            (Some(_), _) if self.changes.contains_key(adapter) => CopyStatus::Changing,
-            (Some(copy), Some(base)) => CopyStatus::Loaded(WeightVersions {
+            (Some(_), _) if self.changes.contains_key(adapter) => AdapterStatus::Changing,
+            (Some(loaded), Some(base)) => AdapterStatus::Loaded(WeightVersions {
                 base,
-                adapter: copy.version,
+                adapter: loaded.version,
             }),
-            _ => CopyStatus::Absent,
+            _ => AdapterStatus::Absent,
         }
     }
 
     /// Records a request that runs on an adapter until the given time.
     pub fn record_run(&mut self, adapter: &str, until: Instant) {
-        if let Some(copy) = self.loaded.get_mut(adapter) {
-            copy.runs_until = copy.runs_until.max(until);
+        if let Some(loaded) = self.loaded.get_mut(adapter) {
+            loaded.runs_until = loaded.runs_until.max(until);
         }
     }
 
@@ -286,13 +286,13 @@
         let Some(base) = self.base else {
             return json!([]);
         };
-        let is_kept =
+        let is_listed =
             |adapter: &str| !matches!(self.changes.get(adapter), Some(PendingChange::Load(_)));
         let adapters: Vec<_> = self
             .loaded
             .iter()
-            .filter(|(adapter, _)| is_kept(adapter))
-            .map(|(adapter, copy)| format!("{adapter}@{}", copy.version))
+            .filter(|(adapter, _)| is_listed(adapter))
+            .map(|(adapter, loaded)| format!("{adapter}@{}", loaded.version))
             .collect();
         json!([{ "name": BASE_MODEL, "version": base, "adapters": adapters }])
     }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -333,7 +333,7 @@
                 && !is_disturbed(history, row.vm, *since, *at)
             {
                 let description = format!(
-                    "{id} ran at {target} at {at:?}, which announced draining to this VM at {since:?}"
+                    "{id} ran at {target} at {at:?}, which announced draining to the sending VM at {since:?}"
                 );
                 found.push(violation(Guarantee::AnnouncedDraining, description));
             }
@@ -452,7 +452,7 @@
         let Some((at, answer)) = row.answer else {
             continue;
         };
-        let is_broken = matches!(answer, CallAnswer::Truncated(_) | CallAnswer::NoAnswer);
+        let is_interrupted = matches!(answer, CallAnswer::Truncated(_) | CallAnswer::NoAnswer);
         let disturbances: Vec<_> = history
             .iter()
             .filter(|entry| row.sent <= entry.at + CONTACT_WINDOW && entry.at <= at)
@@ -466,7 +466,7 @@
         let only_planned =
             !disturbances.is_empty() && disturbances.iter().all(|is_planned| *is_planned);
         let has_run = !row.runs.is_empty() && row.runs.iter().all(|run| !run.is_truncated);
-        if is_broken && only_planned && has_run {
+        if is_interrupted && only_planned && has_run {
             let description = format!(
                 "{id} was interrupted at {at:?} by the planned stop or the reload of VM {}",
                 row.vm
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -85,8 +85,8 @@
 }
 
 impl ReceivedPrompt {
-    /// Reads the prompt into the cache of the engine at `at`. Returns the versions of the cached parts used if they differ from
-    /// the prompt's prefill_time.
+    /// Reads the prompt into the cache of the engine at `at`. Returns the versions of the cached parts that it uses if they
+    /// differ from `versions`.
     #[must_use]
     pub fn read_into(&self, at: SocketAddr, caches: &MemoryNet) -> Option<WeightVersions> {
         let ids = self.ids();
@@ -144,11 +144,12 @@
         let cached = caches.found(at, &prompt.cache_key(&ids, None));
         let found = caches.found(at, &prompt.cache_key(&ids, prompt.source));
         let is_fetch = found > cached;
-        let unread = prompt.parts[found..]
+        let unprocessed_tokens = prompt.parts[found..]
             .iter()
             .map(|part| part.tokens)
             .sum::<u32>();
-        let mut prefill_time = Duration::from_millis(u64::from(unread / PREFILL_TOKENS_PER_MS));
+        let mut prefill_time =
+            Duration::from_millis(u64::from(unprocessed_tokens / PREFILL_TOKENS_PER_MS));
         if is_fetch {
             prefill_time += CACHE_FETCH_TIME;
         }
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     adapter_store::{
-        AdapterOrder, AdapterStore, BASE_MODEL, CopyStatus, FIRST_VERSION, OrderOutcome,
+        AdapterOrder, AdapterStatus, AdapterStore, BASE_MODEL, FIRST_VERSION, OrderOutcome,
         WeightVersions,
     },
     callers::FORGED,
@@ -121,7 +121,7 @@
     is_truncating: bool,
     is_shedding: bool,
     /// Number of requests received, of which shedding serves every third.
-    shed_count: u64,
+    request_count: u64,
     /// End of the period in which every request is rejected with `Retry-After`.
     reject_until: Option<Instant>,
     /// Whether answers carry the draining header.
@@ -130,7 +130,7 @@
     /// Number of orders received while delaying orders.
     order_count: u64,
     /// Models in the last list entry; `None` once the entry is removed or marked as draining.
-    listed: Option<Value>,
+    listed_models: Option<Value>,
 }
 
 impl TargetState {
@@ -140,12 +140,12 @@
             prompts: PromptQueue::default(),
             is_truncating: false,
             is_shedding: false,
-            shed_count: 0,
+            request_count: 0,
             reject_until: None,
             is_announcing: false,
             is_delaying_orders: false,
             order_count: 0,
-            listed: Some(Value::Null),
+            listed_models: Some(Value::Null),
         }
     }
 }
@@ -231,12 +231,12 @@
     #[must_use]
     pub fn changed_entry(&self) -> Option<String> {
         let mut state = lock(&self.state);
-        let holds = state.adapter_store.model_list();
-        let listed = state.listed.as_mut()?;
-        if *listed == holds {
+        let models = state.adapter_store.model_list();
+        let listed_models = state.listed_models.as_mut()?;
+        if *listed_models == models {
             return None;
         }
-        *listed = holds;
+        *listed_models = models;
         Some(self.entry(&state, "ready"))
     }
 
@@ -244,7 +244,7 @@
     #[must_use]
     pub fn draining_entry(&self) -> String {
         let mut state = lock(&self.state);
-        state.listed = None;
+        state.listed_models = None;
         self.entry(&state, "draining")
     }
 
@@ -293,7 +293,7 @@
         }
         let answer = match path {
             REPORT_PATH => self.report(),
-            ORDER_PATH => self.take_order(request),
+            ORDER_PATH => self.answer_order(request),
             _ => self.run(request, path),
         };
         self.with_announcement(request, answer)
@@ -327,7 +327,7 @@
         RawAnswer::whole("200 OK", "", &report.to_string())
     }
 
-    fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
+    fn answer_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
         let order = AdapterOrder::decode(&request.body);
         if let Some(order_delay) = self.order_delay() {
             let handler = Arc::clone(self);
@@ -364,9 +364,9 @@
     fn execute_order(self: &Arc<Self>, order: &AdapterOrder) -> OrderOutcome {
         let newest = self.context.newest(&order.adapter);
         let mut state = lock(&self.state);
-        let verdict = state.adapter_store.apply(order, newest, Instant::now());
-        if !verdict.is_accepted() {
-            return verdict;
+        let outcome = state.adapter_store.apply(order, newest, Instant::now());
+        if !outcome.is_accepted() {
+            return outcome;
         }
         self.context.history.record(HistoryEvent::OrderAccepted {
             target: self.name.clone(),
@@ -378,7 +378,7 @@
                 target: self.name.clone(),
             });
         }
-        match verdict {
+        match outcome {
             OrderOutcome::InProgress(at) => {
                 let (handler, adapter) = (Arc::clone(self), order.adapter.clone());
                 tokio::spawn(async move {
@@ -391,7 +391,7 @@
             _ if order.is_unload => self.drop_cache(&order.adapter),
             _ => {}
         }
-        verdict
+        outcome
     }
 
     /// Drops the cached prompt parts of an adapter that was replaced or unloaded.
@@ -423,18 +423,20 @@
         if let Some(until) = state.reject_until.filter(|until| now < *until) {
             return self.reject_with_retry_after(request, until - now);
         }
-        state.shed_count += 1;
-        if state.is_shedding && !state.shed_count.is_multiple_of(3) {
+        state.request_count += 1;
+        if state.is_shedding && !state.request_count.is_multiple_of(3) {
             return self.reject(request, "503 Service Unavailable");
         }
         if adapter.is_empty() {
             self.record_run(&id, adapter, state.is_truncating);
             return plain_answer(request, &id, state.is_truncating);
         }
-        let versions = match state.adapter_store.copy_status(adapter) {
-            CopyStatus::Loaded(versions) if expects_version(request, versions.adapter) => versions,
-            CopyStatus::Changing => return self.reject(request, "503 Service Unavailable"),
-            CopyStatus::Loaded(_) | CopyStatus::Absent => {
+        let versions = match state.adapter_store.adapter_status(adapter) {
+            AdapterStatus::Loaded(versions) if expects_version(request, versions.adapter) => {
+                versions
+            }
+            AdapterStatus::Changing => return self.reject(request, "503 Service Unavailable"),
+            AdapterStatus::Loaded(_) | AdapterStatus::Absent => {
                 return self.reject(request, "421 Misdirected Request");
             }
         };
@@ -508,7 +510,7 @@
     /// cache has by then.
     fn use_prompt_cache(self: &Arc<Self>, id: &str, prompt: ReceivedPrompt, prefill: PrefillWork) {
         if !prefill.is_fetch {
-            self.read_cache(id, &prompt);
+            self.use_cached_parts(id, &prompt);
             return;
         }
         self.context.history.record(HistoryEvent::CacheFetched {
@@ -518,11 +520,11 @@
         let (handler, id) = (Arc::clone(self), id.to_owned());
         tokio::spawn(async move {
             sleep(CACHE_FETCH_TIME).await;
-            handler.read_cache(&id, &prompt);
+            handler.use_cached_parts(&id, &prompt);
         });
     }
 
-    fn read_cache(&self, id: &str, prompt: &ReceivedPrompt) {
+    fn use_cached_parts(&self, id: &str, prompt: &ReceivedPrompt) {
         if let Some(made_under) = prompt.read_into(self.address(), &self.context.caches) {
             self.context.history.record(HistoryEvent::CacheMismatch {
                 id: id.to_owned(),
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -171,7 +171,7 @@
     assert_eq!(verdict(CallAnswer::Truncated(200)), []);
 }
 
-/// A disturbance of the VM or the log within the contact window excuses a with_late_run request to a draining target.
+/// A disturbance of the VM or the log within the contact window excuses a late request to a draining target.
 #[test]
 fn draining_target_gets_nothing_new_from_a_vm_in_contact() {
     let leaving = at(
@@ -200,13 +200,13 @@
 /// An interrupted request is a violation unless a fault other than the planned stop may have caused it.
 #[test]
 fn planned_stop_interrupts_nothing() {
-    let interrupted_with = |strikes: Vec<TimedEntry>| {
+    let interrupted_with = |disturbances: Vec<TimedEntry>| {
         let mut history = vec![
             sent(900, "r1", CallKind::Stream, "a1"),
             ran(950, "r1", "i-1", "a1"),
             answered(3_000, "r1", CallAnswer::Truncated(200)),
         ];
-        history.extend(strikes);
+        history.extend(disturbances);
         violated(&history)
     };
     assert_eq!(
@@ -237,7 +237,7 @@
     assert_eq!(interrupted_with(0, vec![vm_disturbed(2_000, false)]), []);
 }
 
-/// A settings reload is no fault and does not excuse a with_late_run request to a draining target.
+/// A settings reload is no fault and does not excuse a late request to a draining target.
 #[test]
 fn settings_reload_leaves_a_vm_in_contact() {
     let target = "i-1".into();
@@ -380,7 +380,7 @@
     assert_eq!(violated(&history(44)), [Guarantee::Quota]);
 }
 
-/// The VM knows of the draining from an answer, so a disturbance of the log does not excuse a with_late_run call; one of the VM does.
+/// The VM knows of the draining from an answer, so a disturbance of the log does not excuse a late call; one of the VM does.
 #[test]
 fn call_after_announced_draining_is_found_unless_the_vm_was_disturbed() {
     let announced = |ms| {
@@ -423,7 +423,7 @@
         };
         at(ms, event)
     };
-    let rest = HistoryEvent::RetryAfterSent {
+    let retry_after = HistoryEvent::RetryAfterSent {
         id: "r0".into(),
         target: "i-1".into(),
         retry_after: Duration::from_secs(3),
@@ -431,7 +431,7 @@
     let mut history = vec![
         sent(0, "r0", CallKind::Idempotent, ""),
         rejected(1, "r0"),
-        at(1, rest),
+        at(1, retry_after),
     ];
     for (number, ms) in [400, 1_000, 2_000, 2_900, 3_100].into_iter().enumerate() {
         let id = format!("r{}", number + 1);
