--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -228,7 +228,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, ProcessState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 }
 
@@ -272,7 +272,7 @@
                 .as_str()
                 .and_then(|text| text.split("callers ").nth(1)?.split(',').next())
                 .and_then(|text| text.parse().ok());
-            let mut state = state.lock().expect("no holder of the lock panics");
+            let mut state = state.lock().expect("the lock is not poisoned");
             if state.run == run {
                 state.callers = callers;
             }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -250,7 +250,7 @@
     /// Panics if another thread panicked while it held the lock.
     pub fn record(&self, event: HistoryEvent) {
         let at = self.start.elapsed();
-        let mut entries = self.entries.lock().expect("no holder of the lock panics");
+        let mut entries = self.entries.lock().expect("the lock is not poisoned");
         entries.push(TimedEntry { at, event });
     }
 
@@ -262,7 +262,7 @@
     pub fn entries(&self) -> Vec<TimedEntry> {
         self.entries
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("the lock is not poisoned")
             .clone()
     }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -130,10 +130,12 @@
     targets: Mutex<Vec<Arc<SoakTarget>>>,
     zones: Vec<String>,
     history: SharedHistory,
+    /// Version of the newest configuration.
     version: AtomicU64,
     /// Newest version of any adapter or base model. The lock is held until the version is written, so that the log has
     /// versions in ascending order.
     newest_version: Mutex<u64>,
+    /// Number of adapters that requests name.
     adapters: usize,
     target_context: TargetContext,
     /// Last value that operators and targets wrote under each key, for rewriting records that a restored log lacks.
@@ -263,14 +265,14 @@
 
     /// Writes a record on behalf of an operator or a target, and keeps it for [`Self::rewrite_lost_records`].
     fn write(&self, topic: &'static str, key: &str, value: Option<&str>) {
-        let mut written = self.written.lock().expect("no holder of the lock panics");
+        let mut written = self.written.lock().expect("the lock is not poisoned");
         written.insert((topic, key.to_owned()), value.map(str::to_owned));
         self.log.put(topic, key, value);
     }
 
     /// Rewrites the records of operators and targets that the restored log lacks.
     fn rewrite_lost_records(&self) {
-        let written = self.written.lock().expect("no holder of the lock panics");
+        let written = self.written.lock().expect("the lock is not poisoned");
         for ((topic, key), value) in written.iter() {
             if self.log.newest(topic, key) != *value {
                 self.log.put(topic, key, value.as_deref());
@@ -541,7 +543,7 @@
         let mut newest = self
             .newest_version
             .lock()
-            .expect("no holder of the lock panics");
+            .expect("the lock is not poisoned");
         *newest += 1;
         let version = *newest;
         let mut value = json!({ "model": BASE_MODEL, "version": version });
@@ -627,6 +629,6 @@
     }
 
     fn lock_targets(&self) -> std::sync::MutexGuard<'_, Vec<Arc<SoakTarget>>> {
-        self.targets.lock().expect("no holder of the lock panics")
+        self.targets.lock().expect("the lock is not poisoned")
     }
 }
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -186,7 +186,9 @@
             state: Arc::clone(&state),
         });
         let server = RawTarget::start(move |request: &RawRequest| handler.answer(request)).await?;
-        address.set(server.address).expect("it is set once");
+        address
+            .set(server.address)
+            .expect("the address is set once");
         Ok(Self {
             name: name.to_owned(),
             role,
@@ -619,5 +621,5 @@
 }
 
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
-    state.lock().expect("no holder of the lock panics")
+    state.lock().expect("the lock is not poisoned")
 }
--- a/crates/soak/tests/seeded.rs
+++ b/crates/soak/tests/seeded.rs
@@ -185,7 +185,7 @@
     let vm = vm.await.expect("a VM");
     thread::scope(|scope| {
         for _ in 0..8 {
-            scope.spawn(|| vm.start().expect("it starts"));
+            scope.spawn(|| vm.start().expect("the daemon starts"));
         }
     });
     while vm.caller_endpoint().is_none() {
@@ -343,7 +343,7 @@
         .arg(&out)
         .stdout(Stdio::null())
         .spawn()
-        .expect("it starts");
+        .expect("the soak starts");
     let started = || {
         (0..4)
             .filter_map(|vm| fs::read_to_string(out.join(format!("seed-1/vm-{vm}.log"))).ok())
@@ -362,7 +362,7 @@
         .args(["-TERM", &soak.id().to_string()])
         .status();
     assert!(sent.expect("kill runs").success());
-    assert!(!soak.wait().expect("it ends").success());
+    assert!(!soak.wait().expect("the soak exits").success());
     for address in addresses {
         assert!(
             TcpStream::connect(address).is_err(),
