--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -355,7 +355,7 @@
         }
     }
 
-    /// Makes an unreachable plain service eligible again after one tick of a second.
+    /// Marks an unreachable plain service as reachable again, at the next one-second tick.
     fn retry_service(&mut self, target: &TargetName) {
         if let Some(runtime) = self.held_targets.get_mut(target) {
             runtime.is_reachable = true;
--- a/crates/daemon/src/app/membership.rs
+++ b/crates/daemon/src/app/membership.rs
@@ -25,7 +25,7 @@
 const MAX_FULL_MESH_REMOTE_PEERS: usize = 24;
 /// Links per remote zone in a large fleet.
 const REMOTE_ZONE_LINKS: usize = 2;
-/// Ratio of the heartbeat interval to other zones to that within the zone.
+/// Factor by which the heartbeat interval to other zones is longer than that within the zone.
 const REMOTE_HEARTBEAT_FACTOR: u32 = 2;
 /// Heartbeat interval per peer of the zone, so that heartbeat traffic does not grow with the square of the zone size.
 const HEARTBEAT_INTERVAL_PER_PEER: Duration = Duration::from_millis(50);
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -370,7 +370,7 @@
         if matches!(report.result, Err(OrderError::Stale)) {
             event!(
                 Event::TargetLost,
-                "{}: the target refused the fencing token for a newer one",
+                "{}: the target refused the fencing token because it knows a newer one",
                 report.target
             );
         }
