--- a/crates/cli/tests/tool.rs
+++ b/crates/cli/tests/tool.rs
@@ -26,7 +26,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn statements_tables_json_and_exit_codes() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 1, 3))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 3))
         .await
         .expect("the site starts");
     let url = site.url("a1");
--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -7,7 +7,7 @@
     CallerClient, CompletionCall, SiteConfig, TestSite,
     load::percentile,
     site::NORMAL_TOKEN,
-    usage::{resident_bytes, thread_seconds},
+    usage::{resident_bytes, thread_cpu_seconds},
 };
 use std::{io, time::Duration};
 use tokio::{
@@ -46,8 +46,8 @@
     }
     let mut times = Vec::new();
     while let Some(Ok(result)) = calls.join_next().await {
-        assert!(result.complete, "{} {}", result.status, result.message);
-        times.push(result.first_token.as_micros() as u64);
+        assert!(result.is_complete, "{} {}", result.status, result.message);
+        times.push(result.time_to_first_token.as_micros() as u64);
     }
     times.sort_unstable();
     times
@@ -68,7 +68,7 @@
 async fn many_streams(site: &TestSite, gateway: &str) {
     let caller = site.caller(gateway, NORMAL_TOKEN);
     let memory = resident_bytes();
-    let cpu = thread_seconds("d-");
+    let cpu = thread_cpu_seconds("d-");
     let began = Instant::now();
     let mut calls = JoinSet::new();
     for number in 0..STREAMS {
@@ -86,7 +86,7 @@
         equal += usize::from(is_equal);
     }
     let seconds = began.elapsed().as_secs_f64();
-    let cpu = thread_seconds("d-") - cpu;
+    let cpu = thread_cpu_seconds("d-") - cpu;
     let frames = (STREAMS * STREAM_TOKENS) as f64;
     println!("streams at once     {STREAMS}, equal byte for byte {equal}");
     println!(
@@ -110,7 +110,7 @@
 }
 
 async fn run() -> io::Result<()> {
-    let mut config = SiteConfig::zones(1, 2, 1, 1);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 1);
     config.model = EngineModel {
         batch: 4096,
         step_us: 300,
@@ -122,14 +122,14 @@
     config.engines[0].checks_fencing = false;
     config.overrides = serde_json::json!({ "limits": { "waiting_per_target": 4096 } });
     let site = TestSite::start(config).await?;
-    site.operate(
+    site.execute_statement(
         "a1",
         "set quota of normal-desk to 100000 per second waiting 100000",
     )
     .await
     .map_err(io::Error::other)?;
     let shown = site
-        .operate("a1", "show targets where target = engine-a1")
+        .execute_statement("a1", "show targets where target = engine-a1")
         .await
         .map_err(io::Error::other)?;
     let holder = shown["table"]["rows"][0][4]
@@ -145,15 +145,15 @@
         &format!("http://{}", site.engines["engine-a1"].address()),
         "",
     );
-    let cpu = thread_seconds("d-");
+    let cpu = thread_cpu_seconds("d-");
     let direct = first_tokens(&direct_caller, "adapter-0000@v1").await;
     print_latency("direct", &direct, &direct);
     let local = first_tokens(&site.caller(&holder, NORMAL_TOKEN), "adapter-0000").await;
     print_latency("gateway = holder", &local, &direct);
-    let local_cpu = thread_seconds("d-") - cpu;
+    let local_cpu = thread_cpu_seconds("d-") - cpu;
     let hop = first_tokens(&site.caller(other, NORMAL_TOKEN), "adapter-0000").await;
     print_latency("one peer hop", &hop, &direct);
-    let hop_cpu = thread_seconds("d-") - cpu - local_cpu;
+    let hop_cpu = thread_cpu_seconds("d-") - cpu - local_cpu;
     println!(
         "daemon time         {:.0} us a request at the holder, {:.0} us with one hop (both daemons); {:.0} and {:.0} requests a second and core",
         local_cpu / REQUESTS as f64 * 1e6,
--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -65,7 +65,7 @@
 /// Waits until a daemon has folded an offset.
 async fn wait_applied(caller: &CallerClient, offset: u64) {
     loop {
-        if let Ok(answer) = caller.operate("show lag here").await
+        if let Ok(answer) = caller.execute_statement("show lag here").await
             && answer["table"]["rows"][0][2].as_f64().unwrap_or(0.0) as u64 >= offset
         {
             return;
@@ -85,7 +85,7 @@
     for number in 0..count {
         let began = Instant::now();
         let answer = callers[number % callers.len()]
-            .operate(&format!("create adapter {tag}-{number} version v1"))
+            .execute_statement(&format!("create adapter {tag}-{number} version v1"))
             .await;
         let Ok(answer) = answer else {
             println!("  refused: {answer:?}");
@@ -103,7 +103,7 @@
 }
 
 async fn in_force() -> io::Result<()> {
-    let mut config = SiteConfig::zones(4, 2, 1, 10);
+    let mut config = SiteConfig::with_zones(4, 2, 1, 10);
     config.daemons.truncate(7);
     let site = TestSite::start(config).await?;
     print_times(
@@ -130,7 +130,7 @@
 }
 
 async fn start_from_nothing() -> io::Result<()> {
-    let mut site = TestSite::start(SiteConfig::zones(1, 2, 1, 37_000)).await?;
+    let mut site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 37_000)).await?;
     let bytes = site.platform.append_counts().2;
     let mut times = Vec::new();
     for round in 0..10 {
@@ -144,7 +144,7 @@
         let caller = site.caller("a2", OPERATOR_TOKEN);
         loop {
             if site.daemons["a2"].is_ready().await
-                && let Ok(answer) = caller.operate("show lag here").await
+                && let Ok(answer) = caller.execute_statement("show lag here").await
                 && answer["table"]["rows"][0][6].as_f64() == Some(37_000.0)
             {
                 break;
@@ -162,14 +162,14 @@
 async fn killed_holders() -> io::Result<()> {
     let (mut times, mut saved, mut lost) = (Vec::new(), 0, 0);
     for _ in 0..8 {
-        let mut config = SiteConfig::zones(1, 3, 3, 12);
+        let mut config = SiteConfig::with_zones(1, 3, 3, 12);
         config.model = EngineModel {
             step_us: 8000,
             ..EngineModel::default()
         };
         let mut site = TestSite::start(config).await?;
         let shown = site
-            .operate("a1", "show targets where target = engine-a1")
+            .execute_statement("a1", "show targets where target = engine-a1")
             .await
             .map_err(io::Error::other)?;
         let holder = shown["table"]["rows"][0][4]
@@ -230,7 +230,7 @@
             sleep(Duration::from_millis(50)).await;
             continue;
         };
-        let caller = client.at(&base, URGENT_TOKEN);
+        let caller = client.with_endpoint(&base, URGENT_TOKEN);
         if token.is_none() {
             token = caller.issue_token().await;
         }
@@ -240,7 +240,7 @@
         };
         let result = caller.post_scan(&body, Some(key)).await;
         match result.error.as_deref() {
-            None if result.complete => return "answered",
+            None if result.is_complete => return "answered",
             Some("outcome_unknown") => return "outcome unknown",
             Some("not_run") => last = "not run",
             _ => last = "no answer at the caller's last try",
@@ -252,8 +252,8 @@
 
 async fn at_most_once() -> io::Result<()> {
     for log_out in [false, true] {
-        let mut site = TestSite::start(SiteConfig::zones(2, 3, 1, 2)).await?;
-        site.operate(
+        let mut site = TestSite::start(SiteConfig::with_zones(2, 3, 1, 2)).await?;
+        site.execute_statement(
             "a1",
             "set quota of urgent-desk to 100000 per second waiting 100000",
         )
@@ -305,7 +305,7 @@
             "10,000 calls, {kills} crashes, log {}: {:?}; run twice {}; run at all {}",
             if log_out { "out" } else { "well" },
             ends.lock().expect("no holder of the lock panics"),
-            site.repeated().len(),
+            site.repeated_calls().len(),
             site.services
                 .values()
                 .map(hoplanding_standins::service::ServiceStandin::ran)
--- a/crates/daemon/examples/site.rs
+++ b/crates/daemon/examples/site.rs
@@ -39,15 +39,15 @@
     }
     println!("starting 4 daemons in 2 availability zones, 4 engines with 3 slots, 200 adapters");
     let config = SiteConfig {
-        load: Duration::from_millis(25),
-        ..SiteConfig::zones(2, 2, 2, 200)
+        load_time: Duration::from_millis(25),
+        ..SiteConfig::with_zones(2, 2, 2, 200)
     };
     let site = TestSite::start(config).await?;
     print_lines_to_type(&site);
     println!("sending {} requests", args.requests);
     let config = LoadConfig {
         requests: args.requests,
-        at_once: args.at_once,
+        concurrency: args.at_once,
         skew: 1.3,
         seed: args.seed,
         progress: true,
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -20,7 +20,7 @@
 };
 use hoplanding_testbed::{
     SiteConfig, TestSite,
-    usage::{resident_bytes, thread_seconds},
+    usage::{resident_bytes, thread_cpu_seconds},
 };
 use hoplandingd::{
     calls::{CallFrame, CallId, NumberedFrame},
@@ -631,7 +631,7 @@
 
 /// A zone of letter 1, for real: 22 daemons before 413 engines, at rest.
 async fn zone(as_json: bool) -> io::Result<()> {
-    let mut config = SiteConfig::zones(1, 22, 413, 2_000);
+    let mut config = SiteConfig::with_zones(1, 22, 413, 2_000);
     config.service_zones.clear();
     config.overrides = json!({
         "platform": { "timeout_ms": 5000, "list_every_ms": 1000 },
@@ -644,12 +644,12 @@
     // Until the spreading of the targets is over.
     tokio::time::sleep(span).await;
     let (cpu, bytes, appends) = (
-        thread_seconds("d-"),
+        thread_cpu_seconds("d-"),
         encoded_bytes(),
         site.platform.append_counts(),
     );
     tokio::time::sleep(span).await;
-    let cpu = (thread_seconds("d-") - cpu) / 22.0 / span.as_secs_f64();
+    let cpu = (thread_cpu_seconds("d-") - cpu) / 22.0 / span.as_secs_f64();
     let bytes = (encoded_bytes() - bytes) as f64 / 22.0 / span.as_secs_f64();
     let after = site.platform.append_counts();
     let appended = (after.0 - appends.0) as f64 / span.as_secs_f64();
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -31,7 +31,7 @@
 /// Holder of a target, by the answer of a daemon.
 async fn holder_of(site: &TestSite, vm: &str, target: &str) -> String {
     let shown = site
-        .operate(vm, &format!("show targets where target = \"{target}\""))
+        .execute_statement(vm, &format!("show targets where target = \"{target}\""))
         .await
         .expect("rows");
     let row = &shown["table"]["rows"][0];
@@ -50,7 +50,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_holders_streams_are_resumed_and_its_targets_served_again() {
-    let mut config = SiteConfig::zones(1, 2, 2, 12);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
     let target = "engine-a1";
@@ -84,7 +84,7 @@
     assert_eq!(holder_of(&site, gateway, target).await, gateway);
     wait_for("settling", async || {
         let shown = site
-            .operate(gateway, "show targets where predecessors > 0")
+            .execute_statement(gateway, "show targets where predecessors > 0")
             .await
             .expect("rows");
         shown["table"]["rows"].as_array().is_some_and(Vec::is_empty)
@@ -95,7 +95,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_peer_link_is_reattached() {
-    let mut config = SiteConfig::zones(1, 2, 1, 4);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 4);
     config.relays = true;
     config.model = slow_steps();
     let site = TestSite::start(config).await.expect("the site starts");
@@ -105,9 +105,9 @@
     let stream = tokio::spawn(async move { caller.complete(&call("adapter-0001", 120)).await });
     for _ in 0..3 {
         sleep(Duration::from_millis(250)).await;
-        site.set_links("a1", "a2", LinkState::Cut);
+        site.set_link_state("a1", "a2", LinkState::Cut);
         sleep(Duration::from_millis(60)).await;
-        site.set_links("a1", "a2", LinkState::Open);
+        site.set_link_state("a1", "a2", LinkState::Open);
     }
     let result = stream.await.expect("no task panics");
     assert_eq!(
@@ -121,7 +121,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_off_zone_goes_on_serving_and_heals() {
-    let mut config = SiteConfig::zones(2, 2, 2, 8);
+    let mut config = SiteConfig::with_zones(2, 2, 2, 8);
     config.relays = true;
     let site = TestSite::start(config).await.expect("the site starts");
     for number in 0..8 {
@@ -129,9 +129,9 @@
             .caller("b1", NORMAL_TOKEN)
             .complete(&call(&format!("adapter-{number:04}"), 4))
             .await;
-        assert!(result.complete, "{}", result.message);
+        assert!(result.is_complete, "{}", result.message);
     }
-    site.set_zone_cut("zone-b", true);
+    site.set_zone_partitioned("zone-b", true);
     sleep(Duration::from_millis(900)).await;
     for vm in ["a1", "b1", "b2"] {
         for number in 0..4 {
@@ -140,24 +140,24 @@
                 .complete(&call(&format!("adapter-{number:04}"), 4))
                 .await;
             assert!(
-                result.complete,
+                result.is_complete,
                 "{vm}: {} {}",
                 result.status, result.message
             );
         }
     }
     let refused = site
-        .operate("b1", "create adapter new-one")
+        .execute_statement("b1", "create adapter new-one")
         .await
         .expect_err("the log is out of reach");
     assert!(refused.contains("log is out of reach"), "{refused}");
-    site.operate("a1", "create adapter new-one version v1")
+    site.execute_statement("a1", "create adapter new-one version v1")
         .await
         .expect("the rest goes on");
-    site.set_zone_cut("zone-b", false);
+    site.set_zone_partitioned("zone-b", false);
     wait_for("the change in the healed zone", async || {
         let shown = site
-            .operate("b2", "show adapters where adapter = new-one")
+            .execute_statement("b2", "show adapters where adapter = new-one")
             .await
             .expect("rows");
         shown["table"]["rows"]
@@ -173,8 +173,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn with_the_log_out_work_goes_on_and_holders_stay() {
-    let mut config = SiteConfig::zones(1, 2, 2, 30);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 30);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let before = [
         holder_of(&site, "a1", "engine-a1").await,
@@ -183,7 +183,7 @@
     site.platform.set_faults(|faults| faults.out = true);
     let load = LoadConfig {
         requests: 150,
-        at_once: 16,
+        concurrency: 16,
         skew: 1.2,
         seed: 3,
         progress: false,
@@ -198,7 +198,7 @@
     assert_eq!(before, after);
     site.platform.set_faults(|faults| faults.out = false);
     wait_for("a change after the outage", async || {
-        site.operate("a1", "keep adapter adapter-0001 ready")
+        site.execute_statement("a1", "keep adapter adapter-0001 ready")
             .await
             .is_ok()
     })
@@ -207,15 +207,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_append_answer_is_found_by_reading_forward() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
     site.platform.set_faults(|faults| faults.lose_answers = 1);
-    site.operate("a1", "create adapter found-again version v1")
+    site.execute_statement("a1", "create adapter found-again version v1")
         .await
         .expect("read back though its answer was lost");
     let shown = site
-        .operate("a2", "show changes where text like \"*found-again*\"")
+        .execute_statement("a2", "show changes where text like \"*found-again*\"")
         .await
         .expect("rows");
     assert_eq!(
@@ -227,10 +227,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_race_and_the_loser_is_told() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
-    site.operate(
+    site.execute_statement(
         "a1",
         "publish version v2 of adapter-0000; publish version v3 of adapter-0000",
     )
@@ -241,8 +241,8 @@
     site.platform
         .set_faults(|faults| faults.append_delay = Duration::from_millis(200));
     let (one, two) = tokio::join!(
-        site.operate("a1", "make current version v2 of adapter-0000"),
-        site.operate("a2", "make current version v3 of adapter-0000"),
+        site.execute_statement("a1", "make current version v2 of adapter-0000"),
+        site.execute_statement("a2", "make current version v3 of adapter-0000"),
     );
     let (won, lost) = if one.is_ok() { (one, two) } else { (two, one) };
     assert!(won.is_ok(), "{won:?}");
@@ -257,7 +257,7 @@
         let mut currents = Vec::new();
         for vm in ["a1", "a2"] {
             let shown = site
-                .operate(vm, "show adapters where adapter = adapter-0000")
+                .execute_statement(vm, "show adapters where adapter = adapter-0000")
                 .await
                 .expect("rows");
             currents.push(shown["table"]["rows"][0][1].clone());
@@ -269,8 +269,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restarted_engine_is_found_empty_and_refilled() {
-    let mut config = SiteConfig::zones(1, 1, 2, 6);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 1, 2, 6);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let caller = site.caller("a1", NORMAL_TOKEN);
     for round in 0..3 {
@@ -278,7 +278,7 @@
             let result = caller
                 .complete(&call(&format!("adapter-{number:04}"), 3))
                 .await;
-            assert!(result.complete, "round {round}: {}", result.message);
+            assert!(result.is_complete, "round {round}: {}", result.message);
         }
         site.engines
             .values()
@@ -296,7 +296,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn failing_loads_back_off_and_the_requests_are_refused_as_not_run() {
-    let site = TestSite::start(SiteConfig::zones(1, 1, 1, 3))
+    let site = TestSite::start(SiteConfig::with_zones(1, 1, 1, 3))
         .await
         .expect("the site starts");
     let engine = &site.engines["engine-a1"];
@@ -311,7 +311,7 @@
         "{}",
         result.message
     );
-    assert!(result.retry_after);
+    assert!(result.has_retry_after);
     assert_eq!(
         engine.truth().ran,
         0,
@@ -321,14 +321,14 @@
         site.caller("a1", NORMAL_TOKEN)
             .complete(&call("adapter-0001", 3))
             .await
-            .complete
+            .is_complete
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_ran_once_is_never_called_not_run() {
-    let mut config = SiteConfig::zones(1, 1, 1, 3);
+    let mut config = SiteConfig::with_zones(1, 1, 1, 3);
     // No token comes before the restart, so the request may be repeated.
     config.model = EngineModel {
         step_us: 3_000_000,
@@ -353,15 +353,15 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_answers_to_orders_are_resolved_by_asking() {
-    let mut config = SiteConfig::zones(1, 1, 2, 10);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 1, 2, 10);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     for engine in site.engines.values() {
         engine.set_faults(|faults| faults.lose_order_answers = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     wait_for("an answer after lost ones", async || {
-        caller.complete(&call("adapter-0003", 3)).await.complete
+        caller.complete(&call("adapter-0003", 3)).await.is_complete
     })
     .await;
     assert!(site.violations().is_empty(), "{:?}", site.violations());
@@ -369,7 +369,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_streams_are_resumed_without_a_gap() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 2, 4))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 2, 4))
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
@@ -393,7 +393,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_target_gets_no_new_work() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 2, 6))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 2, 6))
         .await
         .expect("the site starts");
     let caller = site.caller("a1", NORMAL_TOKEN);
@@ -401,7 +401,7 @@
     for witness in 0..3 {
         match witness {
             0 => {
-                site.operate("a2", "drain target engine-a1")
+                site.execute_statement("a2", "drain target engine-a1")
                     .await
                     .expect("drained");
             }
@@ -410,7 +410,7 @@
         }
         wait_for("the drain", async || {
             let shown = site
-                .operate("a1", "show targets where target = engine-a1")
+                .execute_statement("a1", "show targets where target = engine-a1")
                 .await
                 .expect("rows");
             matches!(
@@ -430,7 +430,7 @@
         assert_eq!(site.engines["engine-a1"].truth().ran, before);
         match witness {
             0 => {
-                site.operate("a2", "undrain target engine-a1")
+                site.execute_statement("a2", "undrain target engine-a1")
                     .await
                     .expect("undrained");
             }
@@ -443,7 +443,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_interrupts_nothing() {
-    let mut config = SiteConfig::zones(1, 3, 3, 12);
+    let mut config = SiteConfig::with_zones(1, 3, 3, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
     let mut streams = JoinSet::new();
@@ -477,20 +477,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_holder_wakes_and_does_no_harm() {
-    let mut config = SiteConfig::zones(1, 2, 2, 16);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 16);
     config.relays = true;
-    config.load = Duration::from_millis(10);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     // To the others a daemon whose links are frozen and which the log does not reach looks as if it were paused.
     let holder = holder_of(&site, "a1", "engine-a1").await;
     let other = if holder == "a1" { "a2" } else { "a1" };
-    site.set_links("a1", "a2", LinkState::Frozen);
+    site.set_link_state("a1", "a2", LinkState::Frozen);
     site.platform.set_faults(|faults| {
         faults.cut.insert(holder.clone());
     });
     wait_for("the takeover", async || {
         let shown = site
-            .operate(other, "show targets here where state = serving")
+            .execute_statement(other, "show targets here where state = serving")
             .await
             .expect("rows");
         shown["table"]["rows"]
@@ -507,18 +507,18 @@
         let call = call(&format!("adapter-{number:04}"), 6);
         let (first, second) = tokio::join!(one.complete(&call), two.complete(&call));
         for result in [first, second] {
-            let fine = result.complete || result.error.as_deref() == Some("not_run");
+            let fine = result.is_complete || result.error.as_deref() == Some("not_run");
             assert!(fine, "adapter {number}: {result:?}");
         }
     }
-    site.set_links("a1", "a2", LinkState::Open);
+    site.set_link_state("a1", "a2", LinkState::Open);
     site.platform.set_faults(|faults| faults.cut.clear());
     site.wait_until_serving(Duration::from_secs(15))
         .await
         .expect("healed");
     wait_for("settling", async || {
         let shown = site
-            .operate(other, "show targets where predecessors > 0")
+            .execute_statement(other, "show targets where predecessors > 0")
             .await
             .expect("rows");
         shown["table"]["rows"].as_array().is_some_and(Vec::is_empty)
@@ -529,7 +529,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_start_from_nothing_after_everything_expired() {
-    let mut config = SiteConfig::zones(1, 2, 1, 40);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 40);
     config.overrides = json!({ "snapshot_every": 10 });
     let mut site = TestSite::start(config).await.expect("the site starts");
     // By a peer alone: the log kept nothing.
@@ -540,13 +540,13 @@
         .await
         .expect("every target is served");
     let shown = site
-        .operate("a2", "show adapters here")
+        .execute_statement("a2", "show adapters here")
         .await
         .expect("rows");
     assert_eq!(shown["table"]["rows"].as_array().map(Vec::len), Some(40));
     // By the log alone: a snapshot is there, and every daemon goes.
     for number in 0..14 {
-        site.operate("a1", &format!("create adapter later-{number} version v1"))
+        site.execute_statement("a1", &format!("create adapter later-{number} version v1"))
             .await
             .expect("created");
     }
@@ -565,7 +565,7 @@
         .await
         .expect("every target is served");
     let shown = site
-        .operate("a2", "show adapters here")
+        .execute_statement("a2", "show adapters here")
         .await
         .expect("rows");
     assert_eq!(shown["table"]["rows"].as_array().map(Vec::len), Some(54));
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 async fn site(zones: usize, daemons: usize) -> TestSite {
-    TestSite::start(SiteConfig::zones(zones, daemons, 1, 2))
+    TestSite::start(SiteConfig::with_zones(zones, daemons, 1, 2))
         .await
         .expect("the site starts")
 }
@@ -187,7 +187,7 @@
     let token = caller.issue_token().await.expect("a token");
     let first = caller.post_scan("scan", Some(&token)).await;
     assert!(
-        !first.complete,
+        !first.is_complete,
         "a broken answer never looks like a complete one: {first:?}"
     );
     let again = site
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -18,7 +18,7 @@
 }
 
 async fn small_site() -> TestSite {
-    TestSite::start(SiteConfig::zones(1, 2, 2, 20))
+    TestSite::start(SiteConfig::with_zones(1, 2, 2, 20))
         .await
         .expect("the site starts")
 }
@@ -33,7 +33,7 @@
                 .complete(&call("adapter-0003", 9, stream))
                 .await;
             assert_eq!(result.status, 200, "{}", result.message);
-            assert!(result.complete);
+            assert!(result.is_complete);
             assert_eq!(result.model, "adapter-0003@v1");
             assert_eq!(
                 result.text,
@@ -70,7 +70,7 @@
         Some(20)
     );
 
-    site.operate("a2", "publish version v2 of adapter-0001")
+    site.execute_statement("a2", "publish version v2 of adapter-0001")
         .await
         .expect("published");
     let bare = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -78,7 +78,7 @@
         bare.model, "adapter-0001@v1",
         "publishing changes no current version"
     );
-    site.operate("a1", "make current version v2 of adapter-0001")
+    site.execute_statement("a1", "make current version v2 of adapter-0001")
         .await
         .expect("made current");
     let bare = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -184,7 +184,7 @@
     );
     let result = stranger.complete(&call("adapter-0001", 3, false)).await;
     assert_eq!(result.status, 401, "{}", result.message);
-    site.operate("a1", "revoke normal-desk on all adapters")
+    site.execute_statement("a1", "revoke normal-desk on all adapters")
         .await
         .expect("revoked");
     let result = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -198,7 +198,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_body_ends_in_time() {
-    let mut config = SiteConfig::zones(1, 1, 1, 2);
+    let mut config = SiteConfig::with_zones(1, 1, 1, 2);
     config.overrides = json!({ "limits": { "body_timeout_ms": 100 } });
     let site = TestSite::start(config).await.expect("the site starts");
     let stuck = futures_util::stream::pending::<Result<Vec<u8>, std::io::Error>>();
@@ -240,7 +240,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_slow_caller_holds_up_nobody() {
-    let mut config = SiteConfig::zones(1, 2, 1, 4);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 4);
     config.model = EngineModel {
         step_us: 500,
         sequence_us: 10,
@@ -274,7 +274,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_answers_nonsense_or_another_adapter() {
-    let site = TestSite::start(SiteConfig::zones(1, 1, 2, 8))
+    let site = TestSite::start(SiteConfig::with_zones(1, 1, 2, 8))
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
@@ -299,7 +299,7 @@
         result.message
     );
     let shown = site
-        .operate("a1", "show targets where state = quarantined")
+        .execute_statement("a1", "show targets where state = quarantined")
         .await
         .expect("rows");
     assert_eq!(
@@ -312,7 +312,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn quotas_refuse_early_as_not_run() {
     let site = small_site().await;
-    site.operate("a1", "set quota of normal-desk to 1 per second")
+    site.execute_statement("a1", "set quota of normal-desk to 1 per second")
         .await
         .expect("set");
     let caller = site.caller("a1", NORMAL_TOKEN);
@@ -321,7 +321,7 @@
         let result = caller.complete(&call("adapter-0001", 2, false)).await;
         if result.error.as_deref() == Some("not_run") {
             assert_eq!(result.status, 429);
-            assert!(result.retry_after);
+            assert!(result.has_retry_after);
             refused += 1;
         }
     }
@@ -333,12 +333,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_mixed_load_over_two_zones_is_clean() {
-    let mut config = SiteConfig::zones(2, 2, 2, 40);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(2, 2, 2, 40);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let load = LoadConfig {
         requests: 400,
-        at_once: 32,
+        concurrency: 32,
         skew: 1.3,
         seed: 5,
         progress: false,
--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -34,17 +34,17 @@
     /// Target that the response names.
     pub target: String,
     /// Whether a streamed answer ended as complete, or a whole one came.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Code of the error, if there was one.
     pub error: Option<String>,
     /// Message of the error.
     pub message: String,
     /// Whether the response said when to come back.
-    pub retry_after: bool,
+    pub has_retry_after: bool,
     /// Time to the first token.
-    pub first_token: Duration,
+    pub time_to_first_token: Duration,
     /// Time to the end.
-    pub total: Duration,
+    pub total_time: Duration,
     /// Load stall that the response names, in milliseconds.
     pub load_stall_ms: u64,
 }
@@ -77,7 +77,7 @@
 
     /// The same caller at another daemon or with another token, sharing its connections.
     #[must_use]
-    pub fn at(&self, base: &str, token: &str) -> Self {
+    pub fn with_endpoint(&self, base: &str, token: &str) -> Self {
         Self {
             http: self.http.clone(),
             base: base.to_owned(),
@@ -101,14 +101,14 @@
             read_stream(response, began, &mut result).await;
         } else {
             let body: Value = response.json().await.unwrap_or_default();
-            result.first_token = began.elapsed();
+            result.time_to_first_token = began.elapsed();
             result.text = body["choices"][0]["text"]
                 .as_str()
                 .unwrap_or_default()
                 .to_owned();
-            result.complete = body["choices"][0]["finish_reason"].is_string();
+            result.is_complete = body["choices"][0]["finish_reason"].is_string();
         }
-        result.total = began.elapsed();
+        result.total_time = began.elapsed();
         result
     }
 
@@ -129,11 +129,11 @@
         match response.text().await {
             Ok(text) => {
                 result.text = text;
-                result.complete = true;
+                result.is_complete = true;
             }
             Err(error) => result.message = error.to_string(),
         }
-        result.total = began.elapsed();
+        result.total_time = began.elapsed();
         result
     }
 
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// Returns the daemon's message.
-    pub async fn operate(&self, text: &str) -> Result<Value, String> {
+    pub async fn execute_statement(&self, text: &str) -> Result<Value, String> {
         let request = self.post("/operators/v1/statements").body(text.to_owned());
         let response = request.send().await.map_err(|error| error.to_string())?;
         let is_ok = response.status().is_success();
@@ -202,7 +202,7 @@
         model: header("x-hoplanding-model"),
         target: header("x-hoplanding-target"),
         load_stall_ms: header("x-hoplanding-load-stall-ms").parse().unwrap_or(0),
-        retry_after: response.headers().contains_key("retry-after"),
+        has_retry_after: response.headers().contains_key("retry-after"),
         ..CallResult::default()
     }
 }
@@ -221,7 +221,7 @@
     let mut events = response.bytes_stream().eventsource();
     while let Some(Ok(event)) = events.next().await {
         if event.data == "[DONE]" {
-            result.complete = true;
+            result.is_complete = true;
             return;
         }
         let chunk: Value = serde_json::from_str(&event.data).unwrap_or_default();
@@ -234,7 +234,7 @@
             return;
         }
         if result.text.is_empty() {
-            result.first_token = began.elapsed();
+            result.time_to_first_token = began.elapsed();
         }
         result
             .text
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -32,7 +32,7 @@
     /// Requests.
     pub requests: usize,
     /// Requests at once.
-    pub at_once: usize,
+    pub concurrency: usize,
     /// Skew of the adapters' popularity (Zipf exponent).
     pub skew: f64,
     /// Seed of the mix.
@@ -165,7 +165,7 @@
     let before = steps(site);
     let client = CallerClient::new(&bases[0], "");
     let mut workers = JoinSet::new();
-    for _ in 0..config.at_once {
+    for _ in 0..config.concurrency {
         let (calls, bases, next, report) = (
             Arc::clone(&calls),
             Arc::clone(&bases),
@@ -192,7 +192,7 @@
     let seats = (after.0 - before.0) * site.config.model.batch as u64;
     report.batch_efficiency = (after.1 - before.1) as f64 / seats.max(1) as f64;
     report.violations = site.violations();
-    report.repeated = site.repeated().len();
+    report.repeated = site.repeated_calls().len();
     report
         .first_token_us
         .iter_mut()
@@ -223,10 +223,13 @@
     for attempt in 0..RESENDS {
         result = match call {
             PlannedCall::Completion(class, call) => {
-                client.at(base, CLASSES[*class].1).complete(call).await
+                client
+                    .with_endpoint(base, CLASSES[*class].1)
+                    .complete(call)
+                    .await
             }
             PlannedCall::Scan(body) => {
-                let caller = client.at(base, URGENT_TOKEN);
+                let caller = client.with_endpoint(base, URGENT_TOKEN);
                 let token = caller.issue_token().await;
                 caller.post_scan(body, token.as_deref()).await
             }
@@ -254,7 +257,7 @@
             report.failed.push(format!("{code}: {}", result.message));
             return;
         }
-        None if !result.complete => {
+        None if !result.is_complete => {
             report.lost += 1;
             return;
         }
@@ -266,7 +269,7 @@
             report.wrong += 1;
             return;
         }
-        report.first_token_us[*class].push(result.first_token.as_micros() as u64);
+        report.first_token_us[*class].push(result.time_to_first_token.as_micros() as u64);
         report.load_stalls_ms.push(result.load_stall_ms);
     }
     report.answered += 1;
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -52,7 +52,7 @@
     /// Sizes and speeds of the engines.
     pub model: EngineModel,
     /// Time of a load alone.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Adapters `adapter-0000` onwards, each with version `v1`.
     pub adapters: usize,
     /// Records that the log keeps.
@@ -66,7 +66,7 @@
 impl SiteConfig {
     /// Zones named `zone-a` onwards, each with as many daemons, engines and services as given.
     #[must_use]
-    pub fn zones(zones: usize, daemons: usize, engines: usize, adapters: usize) -> Self {
+    pub fn with_zones(zones: usize, daemons: usize, engines: usize, adapters: usize) -> Self {
         let names: Vec<String> = (0..zones)
             .map(|index| format!("zone-{}", (b'a' + index as u8) as char))
             .collect();
@@ -86,7 +86,7 @@
             engines: engines.collect(),
             service_zones: names.clone(),
             model: EngineModel::default(),
-            load: Duration::from_millis(60),
+            load_time: Duration::from_millis(60),
             adapters,
             retention: 100_000,
             relays: false,
@@ -96,12 +96,12 @@
 }
 
 /// A daemon with a runtime of its own, so that killing it ends every task of it at once.
-pub struct DaemonProcess {
+pub struct IsolatedDaemon {
     daemon: Option<RunningDaemon>,
     runtime: Option<Runtime>,
 }
 
-impl DaemonProcess {
+impl IsolatedDaemon {
     async fn start(settings: Settings) -> io::Result<Self> {
         let thread_name = format!("d-{}", settings.vm);
         let runtime = Builder::new_multi_thread()
@@ -117,7 +117,7 @@
     }
 }
 
-impl Deref for DaemonProcess {
+impl Deref for IsolatedDaemon {
     type Target = RunningDaemon;
 
     fn deref(&self) -> &RunningDaemon {
@@ -127,7 +127,7 @@
     }
 }
 
-impl Drop for DaemonProcess {
+impl Drop for IsolatedDaemon {
     fn drop(&mut self) {
         drop(self.daemon.take());
         if let Some(runtime) = self.runtime.take() {
@@ -149,7 +149,7 @@
     /// Instances of the service `ledger` by target name.
     pub services: BTreeMap<String, ServiceStandin>,
     /// Daemons by VM.
-    pub daemons: BTreeMap<String, DaemonProcess>,
+    pub daemons: BTreeMap<String, IsolatedDaemon>,
     relays: BTreeMap<(String, String), LinkRelay>,
 }
 
@@ -167,7 +167,7 @@
             let _ = simplelog::SimpleLogger::init(simplelog::LevelFilter::Debug, config);
         }
         let platform = PlatformStandin::start(config.retention).await?;
-        let store = Arc::new(WeightStore::new(config.load));
+        let store = Arc::new(WeightStore::new(config.load_time));
         let mut engines = BTreeMap::new();
         for spec in &config.engines {
             let engine = EngineStandin::start(
@@ -262,7 +262,7 @@
     pub async fn start_daemon(&mut self, vm: &str) -> io::Result<()> {
         let settings = Settings::parse(&self.settings_json(vm).to_string())
             .expect("a site's settings are in order");
-        let daemon = DaemonProcess::start(settings).await?;
+        let daemon = IsolatedDaemon::start(settings).await?;
         for ((_, to), relay) in &self.relays {
             if to == vm {
                 relay.set_target(daemon.peer_address);
@@ -293,7 +293,7 @@
     }
 
     /// Sets the state of the links between two daemons, both ways.
-    pub fn set_links(&self, one: &str, other: &str, state: LinkState) {
+    pub fn set_link_state(&self, one: &str, other: &str, state: LinkState) {
         for ((from, to), relay) in &self.relays {
             if (from == one && to == other) || (from == other && to == one) {
                 relay.set(state);
@@ -302,7 +302,7 @@
     }
 
     /// Cuts a zone off from the other zones and from the platform, or heals it.
-    pub fn set_zone_cut(&self, zone: &str, is_cut: bool) {
+    pub fn set_zone_partitioned(&self, zone: &str, is_cut: bool) {
         let state = if is_cut {
             LinkState::Cut
         } else {
@@ -350,8 +350,10 @@
     ///
     /// # Errors
     /// Returns the message of the daemon.
-    pub async fn operate(&self, vm: &str, text: &str) -> Result<Value, String> {
-        self.caller(vm, OPERATOR_TOKEN).operate(text).await
+    pub async fn execute_statement(&self, vm: &str, text: &str) -> Result<Value, String> {
+        self.caller(vm, OPERATOR_TOKEN)
+            .execute_statement(text)
+            .await
     }
 
     async fn configure(&self) -> io::Result<()> {
@@ -372,7 +374,7 @@
             commands.join("; ")
         }));
         for text in texts {
-            self.operate(&first, &text)
+            self.execute_statement(&first, &text)
                 .await
                 .map_err(io::Error::other)?;
         }
@@ -445,7 +447,9 @@
         for vm in self.daemons.keys() {
             self.wait_ready(vm).await?;
             loop {
-                let answer = self.operate(vm, "show targets where state = serving").await;
+                let answer = self
+                    .execute_statement(vm, "show targets where state = serving")
+                    .await;
                 let (rows, missing) = match &answer {
                     Ok(answer) => (
                         answer["table"]["rows"].as_array().map_or(0, Vec::len),
@@ -479,12 +483,12 @@
                 .into_iter()
                 .map(move |violation| format!("{name}: {violation}"))
         });
-        engines.chain(self.repeated()).collect()
+        engines.chain(self.repeated_calls()).collect()
     }
 
     /// Service calls that ran more than once, over all instances.
     #[must_use]
-    pub fn repeated(&self) -> Vec<String> {
+    pub fn repeated_calls(&self) -> Vec<String> {
         self.services
             .values()
             .flat_map(ServiceStandin::repeated)
--- a/crates/testbed/src/usage.rs
+++ b/crates/testbed/src/usage.rs
@@ -21,7 +21,7 @@
 
 /// Processor seconds of the threads whose name starts with a prefix.
 #[must_use]
-pub fn thread_seconds(prefix: &str) -> f64 {
+pub fn thread_cpu_seconds(prefix: &str) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else {
         return 0.0;
     };
