--- a/crates/cli/src/account/cause.rs
+++ b/crates/cli/src/account/cause.rs
@@ -1,139 +1,145 @@
-//! Why a request was late, refused or failed.
+//! Classifies how a request ended and why, from the events and messages of its log lines.
+//!
+//! The classification matches words of the daemon's log messages, so these words are part of the log format.
 
 use crate::account::requests::SourceLine;
 use serde::Serialize;
 use std::collections::HashMap;
 
-const STREAM_BROKEN_OFF: u16 = 601;
+const ANSWER_INCOMPLETE: u16 = 601;
 const REFUSED: u16 = 800;
 const FAILED: u16 = 801;
 const NO_ROUTE: u16 = 802;
 const STREAM_ANSWERED: u16 = 804;
-const UNREACHED: u16 = 810;
-const UNANSWERED: u16 = 811;
-const TURNED_AWAY: u16 = 812;
-const FOREIGN: u16 = 813;
-const BROKEN: u16 = 814;
+const CONNECT_FAILED: u16 = 810;
+const NO_ANSWER: u16 = 811;
+const REJECTED_BY_TARGET: u16 = 812;
+const MISMATCHED_ANSWER: u16 = 813;
+const ANSWER_BROKEN: u16 = 814;
 const STREAM_BROKEN: u16 = 815;
-const REPEAT_DENIED: u16 = 831;
+const RETRY_DENIED: u16 = 831;
 
-/// A first event this much later than its holder expected shows a slow target.
+/// Ratio of actual to expected time to first event above which the target counts as slow.
 const SLOW_FACTOR: f64 = 1.5;
-/// And by this much at the least, in milliseconds: ways and scatter of short prompts.
-const SLOW_MS: f64 = 100.0;
+/// Minimum excess over the expected time; network latency and jitter of short prompts stay below it.
+const MIN_SLOW_EXCESS_MS: f64 = 100.0;
 
-/// How a request ended.
+/// Final state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestEnd {
-    /// Its first event came within the objective.
+    /// The first event came within the latency objective.
     InTime,
-    /// It came later.
+    /// The first event came after the latency objective.
     Late,
-    /// It was refused as not run.
+    /// Refused, with a guarantee that no target ran it.
     Refused,
-    /// It failed without a promise.
+    /// Failed; a target may have run it.
     Failed,
-    /// Its stream broke off.
+    /// The stream ended before the answer was complete.
     BrokenOff,
 }
 
-/// What a request's end is put down to.
+/// Most likely cause of a request's delay, refusal or failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossCause {
-    /// Nothing was lost.
+    /// Answered in time.
     None,
-    /// It waited for a target, or none had a place.
+    /// Waited for capacity on a target, or no target had any.
     PlaceAwaited,
-    /// It waited for its adapter, or the adapter could not be had.
+    /// Waited for its adapter to load, or the adapter could not be loaded.
     AdapterAwaited,
-    /// Prompts queued before it, and its own.
+    /// Prefill of the prompts queued before it and of its own.
     PromptsRead,
-    /// Its target took much longer than was expected.
+    /// The target took much longer than its holder expected.
     TargetSlow,
-    /// Its target could not be reached.
+    /// The target could not be reached.
     TargetOutOfReach,
-    /// Its target failed it, answered nothing, or broke off.
+    /// The target returned an error, no answer or an incomplete one.
     TargetFailed,
-    /// Its target lacked the adapter or its version.
+    /// The target did not have the adapter, or not the requested version.
     WrongTarget,
-    /// Targets turned it away as full.
+    /// Targets rejected it because they were full.
     TargetFull,
-    /// The retry budget did not pay for another try.
+    /// The retry budget was used up.
     RetryBudget,
-    /// Its deadline passed.
+    /// The request's deadline passed.
     Deadline,
     /// The VM was stopping.
     VmStopped,
-    /// The VM knew no configuration yet, or no service for its route.
+    /// The VM had no configuration yet, or no service for the request's route.
     NoConfiguration,
-    /// The configuration in force had no route for it.
+    /// The active configuration had no matching route.
     NoRoute,
-    /// No zone was heard, or no target is listed.
+    /// No zone answered, or no target is listed.
     NoTarget,
-    /// The lines don't tell.
+    /// The log lines do not show a cause.
     Unknown,
 }
 
-/// A request's end.
+/// How and why a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RequestLoss {
-    /// How it ended.
+pub struct RequestOutcome {
+    /// Final state.
     pub end: RequestEnd,
-    /// What that is put down to.
+    /// Most likely cause of that state.
     pub cause: LossCause,
-    /// Its route, where a line names it.
+    /// Route, or `?` if the last line does not name it.
     pub route: String,
-    /// How long it was held, in milliseconds, where a line tells.
+    /// Time that the request was held, in milliseconds; 0 if the last line does not state it.
     pub held_ms: f64,
 }
 
-/// How a request ended by its last line that tells, and why; nothing if no line tells.
+/// Classifies a request by its last line with a final event; `None` if there is no such line.
+///
+/// `lines` are ordered by time.
 #[must_use]
-pub fn judge(lines: &[SourceLine]) -> Option<RequestLoss> {
+pub fn classify(lines: &[SourceLine]) -> Option<RequestOutcome> {
     let last = lines.iter().rev().find(|line| {
         matches!(
             line.line.event,
-            STREAM_BROKEN_OFF | REFUSED | FAILED | NO_ROUTE | STREAM_ANSWERED
+            ANSWER_INCOMPLETE | REFUSED | FAILED | NO_ROUTE | STREAM_ANSWERED
         )
     })?;
     let message = &last.line.message;
-    let seen = |event| lines.iter().any(|line| line.line.event == event);
+    let has_event = |event| lines.iter().any(|line| line.line.event == event);
     let (end, cause) = match last.line.event {
-        STREAM_ANSWERED => judge_answered(message),
-        REFUSED => (RequestEnd::Refused, judge_refused(message, lines)),
+        STREAM_ANSWERED => classify_answered(message),
+        REFUSED => (RequestEnd::Refused, refusal_cause(message, lines)),
         NO_ROUTE => (RequestEnd::Refused, LossCause::NoRoute),
-        STREAM_BROKEN_OFF if message.contains("deadline") => {
+        ANSWER_INCOMPLETE if message.contains("deadline") => {
             (RequestEnd::BrokenOff, LossCause::Deadline)
         }
-        STREAM_BROKEN_OFF if seen(REPEAT_DENIED) => (RequestEnd::BrokenOff, LossCause::RetryBudget),
-        STREAM_BROKEN_OFF if seen(STREAM_BROKEN) => {
+        ANSWER_INCOMPLETE if has_event(RETRY_DENIED) => {
+            (RequestEnd::BrokenOff, LossCause::RetryBudget)
+        }
+        ANSWER_INCOMPLETE if has_event(STREAM_BROKEN) => {
             (RequestEnd::BrokenOff, LossCause::TargetFailed)
         }
-        STREAM_BROKEN_OFF => (RequestEnd::BrokenOff, LossCause::Unknown),
-        _ => (RequestEnd::Failed, judge_failed(message, &seen)),
+        ANSWER_INCOMPLETE => (RequestEnd::BrokenOff, LossCause::Unknown),
+        _ => (RequestEnd::Failed, failure_cause(message, &has_event)),
     };
-    Some(RequestLoss {
+    Some(RequestOutcome {
         end,
         cause,
-        route: route_of(message),
-        held_ms: held_ms(message),
+        route: parse_route(message),
+        held_ms: parse_held_ms(message),
     })
 }
 
-/// The largest part of a late stream's time to its first event.
-fn judge_answered(message: &str) -> (RequestEnd, LossCause) {
-    let steps = steps_of(message);
-    let step = |name| steps.get(name).copied();
-    let (Some(first), Some(objective)) = (step("first"), step("objective")) else {
+/// Attributes a late stream to the longest phase before its first event.
+fn classify_answered(message: &str) -> (RequestEnd, LossCause) {
+    let phases = parse_phases(message);
+    let phase = |name| phases.get(name).copied();
+    let (Some(first), Some(objective)) = (phase("first"), phase("objective")) else {
         return (RequestEnd::InTime, LossCause::None);
     };
     if first <= objective {
         return (RequestEnd::InTime, LossCause::None);
     }
-    let placed = step("placed").unwrap_or(0.0);
-    let there = step("there").unwrap_or(placed);
+    let placed = phase("placed").unwrap_or(0.0);
+    let there = phase("there").unwrap_or(placed);
     let parts = [
         (placed, LossCause::PlaceAwaited),
         (there - placed, LossCause::AdapterAwaited),
@@ -143,27 +149,27 @@
         .into_iter()
         .max_by(|left, right| left.0.total_cmp(&right.0));
     let cause = largest.map_or(LossCause::Unknown, |(_, cause)| cause);
-    let expected = step("expected").unwrap_or(first);
-    let is_slow = first > expected * SLOW_FACTOR && first > expected + SLOW_MS;
+    let expected = phase("expected").unwrap_or(first);
+    let is_slow = first > expected * SLOW_FACTOR && first > expected + MIN_SLOW_EXCESS_MS;
     match cause {
         LossCause::PromptsRead if is_slow => (RequestEnd::Late, LossCause::TargetSlow),
         cause => (RequestEnd::Late, cause),
     }
 }
 
-fn judge_refused(message: &str, lines: &[SourceLine]) -> LossCause {
-    let events = |event| lines.iter().filter(move |line| line.line.event == event);
+fn refusal_cause(message: &str, lines: &[SourceLine]) -> LossCause {
+    let with_event = |event| lines.iter().filter(move |line| line.line.event == event);
     if message.contains("this VM stops") {
         LossCause::VmStopped
     } else if message.contains("no configuration") || message.contains("no known service") {
         LossCause::NoConfiguration
-    } else if events(REPEAT_DENIED).next().is_some() {
+    } else if with_event(RETRY_DENIED).next().is_some() {
         LossCause::RetryBudget
-    } else if events(TURNED_AWAY).any(|line| line.line.message.contains("Misdirected")) {
+    } else if with_event(REJECTED_BY_TARGET).any(|line| line.line.message.contains("Misdirected")) {
         LossCause::WrongTarget
-    } else if events(TURNED_AWAY).next().is_some() {
+    } else if with_event(REJECTED_BY_TARGET).next().is_some() {
         LossCause::TargetFull
-    } else if events(UNREACHED).next().is_some() {
+    } else if with_event(CONNECT_FAILED).next().is_some() {
         LossCause::TargetOutOfReach
     } else if message.contains("LoadLate") || message.contains("LoadsFailed") {
         LossCause::AdapterAwaited
@@ -178,24 +184,27 @@
     }
 }
 
-fn judge_failed(message: &str, seen: &impl Fn(u16) -> bool) -> LossCause {
-    if seen(REPEAT_DENIED) {
+fn failure_cause(message: &str, has_event: &impl Fn(u16) -> bool) -> LossCause {
+    if has_event(RETRY_DENIED) {
         LossCause::RetryBudget
     } else if message.contains("passes on") {
         LossCause::TargetFailed
     } else if message.contains("ends with 504") {
         LossCause::Deadline
-    } else if [UNANSWERED, FOREIGN, BROKEN].into_iter().any(seen) {
+    } else if [NO_ANSWER, MISMATCHED_ANSWER, ANSWER_BROKEN]
+        .into_iter()
+        .any(has_event)
+    {
         LossCause::TargetFailed
-    } else if seen(UNREACHED) {
+    } else if has_event(CONNECT_FAILED) {
         LossCause::TargetOutOfReach
     } else {
         LossCause::Unknown
     }
 }
 
-/// Names and milliseconds of a stream's steps, as `placed 2 expected 91`.
-fn steps_of(message: &str) -> HashMap<&str, f64> {
+/// Parses the name and milliseconds of each phase from text such as `placed 2 expected 91`.
+fn parse_phases(message: &str) -> HashMap<&str, f64> {
     let words: Vec<_> = message.split_whitespace().collect();
     let pairs = words.windows(2);
     pairs
@@ -203,10 +212,10 @@
         .collect()
 }
 
-/// The route that a message names as `route NAME`; the text of an event itself may say `no route for a request`.
-fn route_of(message: &str) -> String {
-    let (_, told) = message.split_once(": ").unwrap_or(("", message));
-    word_after(told, "route").unwrap_or_else(|| "?".to_owned())
+/// Parses `route NAME` from the part after the event text, which may itself contain the word `route`.
+fn parse_route(message: &str) -> String {
+    let (_, detail) = message.split_once(": ").unwrap_or(("", message));
+    word_after(detail, "route").unwrap_or_else(|| "?".to_owned())
 }
 
 fn word_after(message: &str, word: &str) -> Option<String> {
@@ -217,17 +226,17 @@
         .map(|next| next.trim_end_matches([',', ':']).to_owned())
 }
 
-/// Time that a request was held, as `after 358.5ms` or `end 2332` tells.
-fn held_ms(message: &str) -> f64 {
-    let after = word_after(message, "after").and_then(|span| span_ms(&span));
+/// Parses the time that a request was held, from `after 358.5ms` or `end 2332`.
+fn parse_held_ms(message: &str) -> f64 {
+    let after = word_after(message, "after").and_then(|duration| parse_duration_ms(&duration));
     after
-        .or_else(|| steps_of(message).get("end").copied())
+        .or_else(|| parse_phases(message).get("end").copied())
         .unwrap_or(0.0)
 }
 
-fn span_ms(span: &str) -> Option<f64> {
+fn parse_duration_ms(duration: &str) -> Option<f64> {
     for (unit, factor) in [("ms", 1.0), ("µs", 1e-3), ("ns", 1e-6), ("s", 1e3)] {
-        if let Some(number) = span.strip_suffix(unit) {
+        if let Some(number) = duration.strip_suffix(unit) {
             return Some(number.parse::<f64>().ok()? * factor);
         }
     }
--- a/crates/cli/src/account/mod.rs
+++ b/crates/cli/src/account/mod.rs
@@ -1,17 +1,17 @@
-//! What became of requests, and why, from the logs of several daemons.
+//! Summary of late, refused and failed requests by cause, built from the logs of several daemons.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`requests`] | what the lines say of each request |
-//! | [`cause`] | why one was late, refused or failed |
-//! | [`sums`] | counts by route, zone, span and cause, with the ids of the worst |
+//! | [`requests`] | groups log lines by request |
+//! | [`cause`] | classifies how and why one request ended |
+//! | [`summary`] | counts by route, zone, time span and cause, with the requests held longest |
 //!
-//! Requests that were answered in time leave a line only if their answer was a stream. So the sums tell how many were late,
-//! refused and failed; not what part of all requests they are.
+//! Requests that were answered in time leave a log line only if the answer was a stream. The summary therefore gives the
+//! number of late, refused and failed requests, but not their share of all requests.
 
 pub mod cause;
 pub mod requests;
-pub mod sums;
+pub mod summary;
 
 pub use requests::RequestLog;
-pub use sums::{AccountTable, account};
+pub use summary::{AccountTable, summarize};
--- a/crates/cli/src/account/requests.rs
+++ b/crates/cli/src/account/requests.rs
@@ -1,53 +1,53 @@
-//! What the lines say of each request.
+//! Groups the log lines of several daemons by request id.
 
-use crate::log_lines::{LogError, WrittenLine, parse_line, read_log};
+use crate::log_lines::{LogEntry, LogError, parse_line, read_log};
 use std::collections::{BTreeMap, HashMap};
 
-/// Event of a daemon's start, which names its VM and zone.
+/// Event of a daemon's start; its message names the VM and zone.
 const STARTED: u16 = 100;
 
-/// Everything that was read.
+/// Log lines of several files, grouped by request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLog {
-    /// Lines about requests by id, each with the daemon that wrote it, in the order of their times.
+    /// Lines of each request id; [`RequestLog::read`] orders them by time.
     pub requests: BTreeMap<String, Vec<SourceLine>>,
-    /// Zone of each daemon that said where it started.
+    /// Zone of each daemon whose start is logged.
     pub zones: HashMap<String, String>,
-    /// Lines of each file that are no lines of a daemon.
+    /// Files with lines that could not be parsed, and how many.
     pub unreadable: Vec<(String, usize)>,
-    /// Time of the first line, in milliseconds since 1970.
+    /// Earliest timestamp, in milliseconds since the Unix epoch.
     pub begin: Option<i64>,
 }
 
-/// A line, and the daemon that wrote it: the word before the line's object, or else the file.
+/// A log line with its source.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceLine {
-    /// The daemon.
+    /// Daemon that wrote the line: the last word before the JSON object, or the file name if there is none.
     pub source: String,
-    /// The line.
-    pub line: WrittenLine,
+    /// Parsed log line.
+    pub line: LogEntry,
 }
 
 impl RequestLog {
-    /// Reads files.
+    /// Reads all `files` and orders the lines of each request by time.
     ///
     /// # Errors
-    /// When one can't be read.
+    /// Returns an error if a file can't be read.
     pub fn read(files: &[String]) -> Result<Self, LogError> {
         let mut log = Self::default();
         for file in files {
             let text = read_log(file)?;
-            log.take(file, &text);
+            log.add_lines(file, &text);
         }
         for lines in log.requests.values_mut() {
-            // Clocks of several VMs differ a little: the order is that of their times, which is close.
+            // The order across VMs is approximate, because their clocks differ slightly.
             lines.sort_by_key(|line| line.line.timestamp);
         }
         Ok(log)
     }
 
-    /// Takes the lines of one file.
-    pub fn take(&mut self, file: &str, text: &str) {
+    /// Adds the lines of one file, without ordering them.
+    pub fn add_lines(&mut self, file: &str, text: &str) {
         let mut unreadable = 0;
         for text in text.lines().filter(|text| !text.trim().is_empty()) {
             let Some((before, line)) = parse_line(text) else {
@@ -57,10 +57,10 @@
             let source = before.split_whitespace().next_back().unwrap_or(file);
             self.begin = Some(
                 self.begin
-                    .map_or(line.timestamp, |at| at.min(line.timestamp)),
+                    .map_or(line.timestamp, |begin| begin.min(line.timestamp)),
             );
             if line.event == STARTED
-                && let Some(zone) = started_zone(&line.message)
+                && let Some(zone) = parse_started_zone(&line.message)
             {
                 self.zones.insert(source.to_owned(), zone);
             }
@@ -76,8 +76,8 @@
     }
 }
 
-/// The zone in `daemon started: VM in ZONE: ...`.
-fn started_zone(message: &str) -> Option<String> {
+/// Parses the zone from `daemon started: VM in ZONE: ...`.
+fn parse_started_zone(message: &str) -> Option<String> {
     let (_, rest) = message.split_once(" in ")?;
     let (zone, _) = rest.split_once(':')?;
     Some(zone.to_owned())
--- a/crates/cli/src/account/sums.rs
+++ b/crates/cli/src/account/summary.rs
@@ -1,68 +1,68 @@
-//! Counts by route, zone, span and cause, with the ids of the worst.
+//! Counts requests by route, zone, time span, final state and cause, and lists those held longest.
 
 use crate::account::{
-    cause::{LossCause, RequestEnd, judge},
+    cause::{LossCause, RequestEnd, classify},
     requests::{RequestLog, SourceLine},
 };
 use comfy_table::{ContentArrangement, Table, presets};
 use serde::Serialize;
 use std::{collections::BTreeMap, fmt};
 
-/// Ids that a row names.
-const WORST: usize = 5;
+/// Requests listed by id in each row.
+const MAX_WORST: usize = 5;
 
-/// Requests of one route, zone and span with one end and cause.
+/// Requests of one route, zone and time span with the same final state and cause.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AccountRow {
-    /// The route; `?` where no line names it.
+    /// Route, or `?` if no line names it.
     pub route: String,
-    /// Zone of the VM that had it; `?` where its start is in no log.
+    /// Zone of the daemon that logged the first line, or `?` if its start is in no log.
     pub zone: String,
-    /// Seconds from the first line to the span's begin.
+    /// Start of the span, in seconds after the first log line.
     pub from_s: i64,
-    /// How they ended.
+    /// Final state of the requests.
     pub end: RequestEnd,
-    /// Why.
+    /// Cause of that state.
     pub cause: LossCause,
-    /// How many.
+    /// Number of requests.
     pub count: usize,
-    /// Those that were held the longest, with milliseconds.
+    /// Requests held longest: id and time in milliseconds, longest first.
     pub worst: Vec<(String, f64)>,
 }
 
-/// The account.
+/// Summary of all requests in the logs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct AccountTable {
-    /// Its rows, the most frequent loss first.
+    /// Rows by span; within a span those in time come last, and larger counts first.
     pub rows: Vec<AccountRow>,
-    /// Requests whose lines don't tell how they ended.
+    /// Requests without a line that tells how they ended.
     pub untold: usize,
-    /// Lines of each file that are no lines of a daemon.
+    /// Files with lines that could not be parsed, and how many.
     pub unreadable: Vec<(String, usize)>,
 }
 
-/// Sums what was read; `span_s` seconds a span, all in one where it is 0.
+/// Summarizes `log` in spans of `span_s` seconds; 0 puts all requests into one span.
 #[must_use]
-pub fn account(log: &RequestLog, span_s: u32) -> AccountTable {
+pub fn summarize(log: &RequestLog, span_s: u32) -> AccountTable {
     let mut groups = BTreeMap::<_, Vec<(String, f64)>>::new();
     let mut untold = 0;
     for (id, lines) in &log.requests {
-        let Some(loss) = judge(lines) else {
+        let Some(outcome) = classify(lines) else {
             untold += 1;
             continue;
         };
         let zone = zone_of(log, lines);
-        let from_s = span_begin(log, lines, span_s);
+        let from_s = span_start_s(log, lines, span_s);
         groups
-            .entry((loss.route, zone, from_s, loss.end, loss.cause))
+            .entry((outcome.route, zone, from_s, outcome.end, outcome.cause))
             .or_default()
-            .push((id.clone(), loss.held_ms));
+            .push((id.clone(), outcome.held_ms));
     }
     let rows = groups.into_iter().map(|(group, mut held)| {
         let (route, zone, from_s, end, cause) = group;
         let count = held.len();
         held.sort_by(|left, right| right.1.total_cmp(&left.1));
-        held.truncate(WORST);
+        held.truncate(MAX_WORST);
         AccountRow {
             route,
             zone,
@@ -93,7 +93,7 @@
     zone.cloned().unwrap_or_else(|| "?".to_owned())
 }
 
-fn span_begin(log: &RequestLog, lines: &[SourceLine], span_s: u32) -> i64 {
+fn span_start_s(log: &RequestLog, lines: &[SourceLine], span_s: u32) -> i64 {
     let (Some(begin), Some(line)) = (log.begin, lines.first()) else {
         return 0;
     };
@@ -106,8 +106,8 @@
 
 impl fmt::Display for AccountTable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut shown = Table::new();
-        shown
+        let mut table = Table::new();
+        table
             .load_preset(presets::NOTHING)
             .set_content_arrangement(ContentArrangement::Disabled)
             .set_header(["from s", "route", "zone", "end", "cause", "count", "worst"]);
@@ -118,7 +118,7 @@
             } else {
                 worst.collect::<Vec<_>>().join(", ")
             };
-            shown.add_row([
+            table.add_row([
                 row.from_s.to_string(),
                 row.route.clone(),
                 row.zone.clone(),
@@ -128,7 +128,7 @@
                 worst,
             ]);
         }
-        writeln!(f, "{}", shown.trim_fmt())?;
+        writeln!(f, "{}", table.trim_fmt())?;
         write!(f, "({} rows)", self.rows.len())?;
         if self.untold > 0 {
             write!(
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,13 +1,15 @@
-//! Arguments of the tool.
+//! Command-line arguments.
+//!
+//! `gumdrop` prints the doc comments of option structs as help text.
 
 use gumdrop::{Options, ParsingStyle};
 
-/// How answers are shown.
+/// Output format of answers and errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutputFormat {
-    /// Tables, for people.
+    /// Aligned text.
     Table,
-    /// JSON, for scripts.
+    /// JSON on one line, for scripts.
     Json,
 }
 
@@ -17,7 +19,7 @@
     /// Prints the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Address of a daemon.
+    /// URL of a daemon.
     #[options(
         help = "URL of any daemon (default: $HOPLANDING_URL, or http://127.0.0.1:7400)",
         meta = "URL"
@@ -29,21 +31,21 @@
         meta = "TOKEN"
     )]
     pub token: Option<String>,
-    /// Shows JSON.
+    /// Selects JSON output.
     #[options(help = "show JSON in place of tables")]
     pub json: bool,
     /// Prints the version.
     #[options(no_short, help = "print the version")]
     pub version: bool,
-    /// The subcommand.
+    /// Subcommand; without one the interactive prompt opens.
     #[options(command)]
     pub command: Option<CliCommand>,
 }
 
-/// Subcommands for what is typed most.
+/// Subcommands of `hoplanding`.
 #[derive(Debug, Options)]
 pub enum CliCommand {
-    /// Sends a statement.
+    /// Sends a statement as typed.
     #[options(help = "send a statement: do 'TEXT'")]
     Do(StatementArgs),
     /// Shows a table.
@@ -55,13 +57,13 @@
     /// Drains a target.
     #[options(help = "drain a target: drain NAME")]
     Drain(StatementArgs),
-    /// Undrains a target.
+    /// Returns a drained target to service.
     #[options(help = "give a drained target work again: undrain NAME")]
     Undrain(StatementArgs),
     /// Explains a request or a target from logs.
     #[options(help = "explain from logs: explain-log REQUEST-OR-TARGET FILE...")]
     ExplainLog(LogArgs),
-    /// Sums what became of requests, from logs.
+    /// Summarizes late, refused and failed requests from logs.
     #[options(help = "late, refused and failed requests by cause, from logs: account FILE...")]
     Account(AccountArgs),
 }
@@ -72,10 +74,10 @@
     /// Prints the help.
     #[options(help = "print this help; docs/OPERATIONS.md says what the causes mean")]
     pub help: bool,
-    /// Seconds of a span; all in one if 0.
+    /// Length of a time span in seconds; 0 puts everything into one span.
     #[options(help = "seconds of a span (default: all in one)", meta = "SECONDS")]
     pub span: u32,
-    /// Logs of daemons.
+    /// Log files of the daemons.
     #[options(free, help = "files that the daemons' output went to")]
     pub files: Vec<String>,
 }
@@ -89,7 +91,7 @@
     /// Id of a request, or name of a target.
     #[options(free, required, help = "id of a request, or name of a target")]
     pub subject: String,
-    /// Logs of daemons.
+    /// Log files of the daemons.
     #[options(free, help = "files that the daemons' output went to")]
     pub files: Vec<String>,
 }
@@ -100,13 +102,13 @@
     /// Prints the help.
     #[options(help = "print this help; docs/LANGUAGE.md has every statement")]
     pub help: bool,
-    /// The words.
+    /// Words of the statement, joined by spaces.
     #[options(free, help = "the rest of the statement")]
     pub words: Vec<String>,
 }
 
 impl CliCommand {
-    /// The statement that the subcommand stands for; none where it asks no daemon.
+    /// Statement that the subcommand sends; `None` for those that read only logs.
     #[must_use]
     pub fn statement(&self) -> Option<String> {
         let (prefix, args) = match self {
@@ -121,7 +123,7 @@
     }
 }
 
-/// Subcommands; any other first word begins a statement.
+/// Names of the subcommands; any other first word begins a statement.
 const COMMANDS: [&str; 7] = [
     "do",
     "show",
@@ -131,21 +133,21 @@
     "explain-log",
     "account",
 ];
-/// Options that take a value.
-const WITH_VALUE: [&str; 4] = ["-u", "--url", "-t", "--token"];
+/// Options followed by a value.
+const VALUE_OPTIONS: [&str; 4] = ["-u", "--url", "-t", "--token"];
 
 impl CliArgs {
-    /// Parses the process's arguments; `hoplanding 'TEXT'` stands for `hoplanding do 'TEXT'`.
+    /// Parses the arguments; `hoplanding 'TEXT'` is short for `hoplanding do 'TEXT'`.
     ///
     /// # Errors
-    /// Says what is wrong with them.
+    /// Returns a message for the user if an argument is unknown or a value is missing.
     pub fn parse(words: &[String]) -> Result<Self, String> {
-        let words = with_command(words);
+        let words = insert_default_command(words);
         let args = Self::parse_args(&words, ParsingStyle::AllOptions);
         args.map_err(|error| format!("{error}: see hoplanding --help"))
     }
 
-    /// The help that was asked for.
+    /// Help text, if `--help` was given.
     #[must_use]
     pub fn help_text(&self) -> Option<String> {
         match &self.command {
@@ -162,7 +164,7 @@
         }
     }
 
-    /// URL of the daemon.
+    /// URL of the daemon: `--url`, `HOPLANDING_URL` or the default port on this machine.
     #[must_use]
     pub fn daemon_url(&self) -> String {
         let url = self
@@ -172,7 +174,7 @@
         url.unwrap_or_else(|| "http://127.0.0.1:7400".to_owned())
     }
 
-    /// Token of the operator.
+    /// Token of the operator: `--token`, `HOPLANDING_TOKEN` or empty.
     #[must_use]
     pub fn operator_token(&self) -> String {
         let token = self
@@ -183,14 +185,14 @@
     }
 }
 
-/// Puts `do` before a statement that is given without a subcommand.
-fn with_command(words: &[String]) -> Vec<String> {
+/// Inserts `do` before a statement that is given without a subcommand.
+fn insert_default_command(words: &[String]) -> Vec<String> {
     let mut index = 0;
     while let Some(word) = words.get(index) {
         if !word.starts_with('-') {
             break;
         }
-        index += if WITH_VALUE.contains(&word.as_str()) {
+        index += if VALUE_OPTIONS.contains(&word.as_str()) {
             2
         } else {
             1
@@ -198,7 +200,7 @@
     }
     let mut words = words.to_vec();
     if let Some(position) = words.iter().position(|word| word == "--json") {
-        // It may stand behind the statement too.
+        // `--json` is also accepted after the statement.
         let json = words.remove(position);
         words.insert(0, json);
         index += usize::from(position >= index);
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,49 +1,49 @@
-//! The daemon's operators' interface.
+//! HTTP client of the daemons' operator API.
 
 use hoplanding_core::language::DataTable;
 use reqwest::Client;
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Time for an answer; a daemon gives up on a change before that.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+/// Longer than a daemon's own timeout for a change, so that its answer arrives first.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a daemon answered.
+/// Successful answer to a statement.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StatementAnswer {
-    /// Rows.
+    /// Result of a query.
     Table(DataTable),
-    /// A change is in force at the daemon.
+    /// The change is active at the daemon that answered.
     Accepted(AcceptedChange),
 }
 
-/// A change that is in force.
+/// Identification of an accepted change.
 #[derive(Clone, Debug, Deserialize, serde::Serialize)]
 pub struct AcceptedChange {
-    /// Its id.
+    /// Change id.
     pub id: String,
-    /// Its offset in the log.
+    /// Offset of the change in the log.
     pub offset: u64,
 }
 
-/// Why there is no answer.
+/// Failure of a statement.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum StatementError {
-    /// No daemon answered.
+    /// The daemon could not be reached, or its answer could not be read.
     #[error("{url} can't be reached ({cause}): name another daemon with --url or HOPLANDING_URL")]
     Unreachable {
-        /// The URL.
+        /// URL of the daemon.
         url: String,
-        /// The error.
+        /// Error of the HTTP client.
         cause: String,
     },
-    /// The daemon refused the statement.
+    /// The daemon rejected the statement.
     #[error("{message}")]
     Refused {
-        /// Machine-readable code.
+        /// Machine-readable error code.
         code: String,
-        /// What to do about it.
+        /// Error message with the remedy.
         message: String,
     },
 }
@@ -68,7 +68,7 @@
 }
 
 impl DaemonClient {
-    /// A client with an operator's token.
+    /// Creates a client that authenticates with an operator's token.
     #[must_use]
     pub fn new(url: &str, token: &str) -> Self {
         Self {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Sends a statement.
+    /// Sends a statement and waits up to 20 seconds for the answer.
     ///
     /// # Errors
-    /// Tells a daemon out of reach from one that refused the statement.
+    /// Returns whether the daemon was unreachable or rejected the statement.
     pub async fn send(&self, text: &str) -> Result<StatementAnswer, StatementError> {
         let request = self
             .http
             .post(format!("{}/operators/v1/statements", self.url));
         let request = request
             .bearer_auth(&self.token)
-            .timeout(ANSWER_WITHIN)
+            .timeout(ANSWER_TIMEOUT)
             .body(text.to_owned());
         let response = request
             .send()
--- a/crates/cli/src/explain_log.rs
+++ b/crates/cli/src/explain_log.rs
@@ -1,21 +1,21 @@
-//! What happened to a request or a target, from the logs of several daemons.
+//! Finds the log lines of several daemons that mention one request or target.
 //!
-//! Lines of all files that name it are put in the order of their times; the last event of a request says how it ended.
+//! The lines of all files are merged by time; the last final event of a request tells how it ended.
 
 use crate::log_lines::{LogError, parse_line, read_log};
 use jiff::Timestamp;
 use std::fmt;
 
-/// A line that names what is asked for.
+/// A log line that mentions the subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogLine {
-    /// Its time, RFC 3339 in UTC, which sorts as text.
+    /// RFC 3339 time in UTC with milliseconds; sorts as text.
     pub time: String,
-    /// The file that it stands in.
+    /// Path of the log file.
     pub file: String,
-    /// Number of its event.
+    /// Event number.
     pub event: u16,
-    /// The rest of the line.
+    /// Message, with the request id before it if there is one.
     pub text: String,
 }
 
@@ -29,52 +29,52 @@
     }
 }
 
-/// Finds the lines of files that name `subject`, in the order of their times.
+/// Finds the lines of `files` that mention `subject`, ordered by time.
 ///
 /// # Errors
-/// When a file can't be read.
+/// Returns an error if a file can't be read.
 pub fn find_lines(subject: &str, files: &[String]) -> Result<Vec<LogLine>, LogError> {
     let mut lines = Vec::new();
     for file in files {
         let text = read_log(file)?;
         lines.extend(
             text.lines()
-                .filter(|line| names(line, subject))
-                .filter_map(|line| log_line(file, line)),
+                .filter(|line| mentions(line, subject))
+                .filter_map(|line| to_log_line(file, line)),
         );
     }
     lines.sort();
     Ok(lines)
 }
 
-/// Whether a line names a subject as a word of its own.
-fn names(line: &str, subject: &str) -> bool {
-    let is_part = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '/';
+/// Whether a line contains the subject as a whole word, so that an id does not match a longer one.
+fn mentions(line: &str, subject: &str) -> bool {
+    let is_word_char = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '/';
     line.match_indices(subject).any(|(at, _)| {
         let before = line[..at].chars().next_back();
         let after = line[at + subject.len()..].chars().next();
-        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+        !before.is_some_and(is_word_char) && !after.is_some_and(is_word_char)
     })
 }
 
-fn log_line(file: &str, line: &str) -> Option<LogLine> {
-    let (_, written) = parse_line(line)?;
-    let time = Timestamp::from_millisecond(written.timestamp).ok()?;
-    let text = match written.request {
-        Some(request) => format!("[{request}] {}", written.message),
-        None => written.message,
+fn to_log_line(file: &str, line: &str) -> Option<LogLine> {
+    let (_, entry) = parse_line(line)?;
+    let time = Timestamp::from_millisecond(entry.timestamp).ok()?;
+    let text = match entry.request {
+        Some(request) => format!("[{request}] {}", entry.message),
+        None => entry.message,
     };
     Some(LogLine {
         time: format!("{time:.3}"),
         file: file.to_owned(),
-        event: written.event,
+        event: entry.event,
         text,
     })
 }
 
-/// Says in words how a request ended, by its last event; nothing if no line tells.
+/// Describes how a request ended, by its last final event; `None` if no line has one.
 #[must_use]
-pub fn verdict(lines: &[LogLine]) -> Option<&'static str> {
+pub fn describe_outcome(lines: &[LogLine]) -> Option<&'static str> {
     let last = lines
         .iter()
         .rev()
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' tool: sends statements to any daemon and shows what it answers.
+//! Command-line tool for operators: sends statements to any daemon and prints the answers.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`account`] | what became of requests, and why, from the logs of several daemons |
-//! | [`args`] | arguments and subcommands |
-//! | [`client`] | the daemon's operators' interface |
-//! | [`explain_log`] | a request's way through the logs of several daemons |
-//! | [`log_lines`] | lines of the daemons' logs |
-//! | [`show`] | tables and JSON for people and scripts |
-//! | [`prompt`] | the prompt that `hoplanding` alone opens |
+//! | [`account`] | summary of late, refused and failed requests by cause, from logs |
+//! | [`args`] | command-line arguments and subcommands |
+//! | [`client`] | HTTP client of the daemons' operator API |
+//! | [`explain_log`] | log lines of several daemons about one request or target |
+//! | [`log_lines`] | parser of the daemons' log lines |
+//! | [`show`] | output as tables or JSON |
+//! | [`prompt`] | interactive prompt, opened when no statement is given |
 
 pub mod account;
 pub mod args;
@@ -21,14 +21,16 @@
 pub use args::CliArgs;
 
 use crate::{
-    account::{RequestLog, account},
+    account::{RequestLog, summarize},
     args::{AccountArgs, CliCommand, LogArgs, OutputFormat},
     client::{DaemonClient, StatementError},
-    explain_log::{find_lines, verdict},
+    explain_log::{describe_outcome, find_lines},
 };
 use std::process::ExitCode;
 
-/// Runs the tool. Exit codes: 0 done, 1 refused, 2 wrong use, 3 daemon out of reach, 4 outcome unknown.
+/// Runs the tool.
+///
+/// Exit codes: 0 success, 1 refused by the daemon, 2 usage error, 3 daemon unreachable, 4 outcome unknown.
 pub async fn run(args: CliArgs) -> ExitCode {
     if args.version {
         println!("hoplanding {}", env!("CARGO_PKG_VERSION"));
@@ -55,12 +57,12 @@
     }
 }
 
-/// Shows the lines of logs that name a request or a target, and how the request ended.
+/// Prints the log lines that mention a request or target, and how the request ended.
 fn explain_logs(args: &LogArgs) -> ExitCode {
     match find_lines(&args.subject, &args.files) {
         Ok(lines) if lines.is_empty() => {
             println!(
-                "no line names {}: name the logs of all VMs, or look whether lines of its time are there at all",
+                "no log line mentions {}: name the logs of all VMs, and check that they cover the time in question",
                 args.subject
             );
             ExitCode::from(1)
@@ -69,8 +71,8 @@
             for line in &lines {
                 println!("{line}");
             }
-            if let Some(verdict) = verdict(&lines) {
-                println!("\n{verdict}");
+            if let Some(outcome) = describe_outcome(&lines) {
+                println!("\n{outcome}");
             }
             ExitCode::SUCCESS
         }
@@ -81,10 +83,10 @@
     }
 }
 
-/// Shows what became of the requests in logs, and why.
+/// Prints the summary of requests by cause.
 fn show_account(args: &AccountArgs, format: OutputFormat) -> ExitCode {
     if args.files.is_empty() {
-        eprintln!("no log is named: name the files that the daemons' output went to");
+        eprintln!("no log file given: name the files that the daemons' output went to");
         return ExitCode::from(2);
     }
     let log = match RequestLog::read(&args.files) {
@@ -94,7 +96,7 @@
             return ExitCode::from(2);
         }
     };
-    let table = account(&log, args.span);
+    let table = summarize(&log, args.span);
     match format {
         OutputFormat::Table => println!("{table}"),
         OutputFormat::Json => println!("{}", serde_json::json!(table)),
@@ -102,7 +104,7 @@
     ExitCode::SUCCESS
 }
 
-/// Sends one statement and shows the answer.
+/// Sends one statement, prints the answer or error, and returns the exit code (see [`run`]).
 pub async fn run_statement(client: &DaemonClient, text: &str, format: OutputFormat) -> ExitCode {
     match client.send(text).await {
         Ok(answer) => {
--- a/crates/cli/src/log_lines.rs
+++ b/crates/cli/src/log_lines.rs
@@ -1,35 +1,35 @@
-//! Lines of the daemons' logs.
+//! Reads log files and parses the JSON lines that daemons write.
 
 use serde::Deserialize;
 use std::{fs, io};
 
-/// A line as the daemon writes it.
+/// Fields of one JSON log line.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
-pub struct WrittenLine {
-    /// Milliseconds since 1970.
+pub struct LogEntry {
+    /// Milliseconds since the Unix epoch.
     pub timestamp: i64,
-    /// Number of its event.
+    /// Event number.
     pub event: u16,
-    /// What it says.
+    /// Event text, with details after it.
     pub message: String,
-    /// The request that it is about.
+    /// Request id, if the event concerns one request.
     pub request: Option<String>,
 }
 
-/// A log that can't be read.
+/// A log file could not be read.
 #[derive(Debug, thiserror::Error)]
 #[error("log {file} can't be read ({source}): name the files that the daemons' output went to")]
 pub struct LogError {
-    /// The file.
+    /// Path as given.
     pub file: String,
-    /// The error of the system.
+    /// Cause.
     pub source: io::Error,
 }
 
-/// Reads a log.
+/// Reads a log file; invalid UTF-8 is replaced.
 ///
 /// # Errors
-/// When the file can't be read.
+/// Returns an error if the file can't be read.
 pub fn read_log(file: &str) -> Result<String, LogError> {
     let bytes = fs::read(file).map_err(|source| LogError {
         file: file.to_owned(),
@@ -38,10 +38,12 @@
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
-/// Parses a JSON line of the daemon, and what stands before the object; nothing for any other text.
+/// Splits a log line into the text before the JSON object and the parsed object.
+///
+/// Returns `None` for text that a daemon did not write.
 #[must_use]
-pub fn parse_line(line: &str) -> Option<(&str, WrittenLine)> {
+pub fn parse_line(line: &str) -> Option<(&str, LogEntry)> {
     let start = line.find('{')?;
-    let written = serde_json::from_str(&line[start..]).ok()?;
-    Some((&line[..start], written))
+    let entry = serde_json::from_str(&line[start..]).ok()?;
+    Some((&line[..start], entry))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,9 @@
-//! Entry of the operators' tool.
+//! Entry point of the `hoplanding` command.
 
 use hoplanding::{CliArgs, run};
 use std::process::ExitCode;
 
-/// Exit code for arguments that can't be used.
+/// Exit code for invalid arguments.
 const EXIT_USAGE: u8 = 2;
 
 #[tokio::main]
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Tables and JSON.
+//! Prints answers and errors as tables or JSON.
 
 use crate::{
     args::OutputFormat,
@@ -8,11 +8,11 @@
 use hoplanding_core::language::{CellValue, DataTable};
 use serde_json::{Map, Value, json};
 
-/// Prints an answer.
+/// Prints an answer to standard output.
 pub fn print_answer(answer: &StatementAnswer, format: OutputFormat) {
     match (answer, format) {
-        (StatementAnswer::Table(table), OutputFormat::Table) => println!("{}", text_of(table)),
-        (StatementAnswer::Table(table), OutputFormat::Json) => println!("{}", json_of(table)),
+        (StatementAnswer::Table(table), OutputFormat::Table) => println!("{}", format_table(table)),
+        (StatementAnswer::Table(table), OutputFormat::Json) => println!("{}", table_json(table)),
         (StatementAnswer::Accepted(change), OutputFormat::Table) => {
             println!("accepted as {} at offset {}", change.id, change.offset);
         }
@@ -30,18 +30,18 @@
     }
 }
 
-/// A table for people; the parts that could not be reached stand below it.
+/// Formats a table as aligned text, followed by the row count and the parts that could not be reached.
 #[must_use]
-pub fn text_of(table: &DataTable) -> String {
-    let mut shown = Table::new();
-    shown
+pub fn format_table(table: &DataTable) -> String {
+    let mut output = Table::new();
+    output
         .load_preset(presets::NOTHING)
         .set_content_arrangement(ContentArrangement::Disabled);
-    shown.set_header(&table.columns);
+    output.set_header(&table.columns);
     for row in &table.rows {
-        shown.add_row(row.iter().map(ToString::to_string));
+        output.add_row(row.iter().map(ToString::to_string));
     }
-    let mut text = shown.trim_fmt();
+    let mut text = output.trim_fmt();
     text.push_str(&format!("\n({} rows)", table.rows.len()));
     for missing in &table.missing {
         text.push_str(&format!("\nmissing: {missing}"));
@@ -49,7 +49,7 @@
     text
 }
 
-fn json_of(table: &DataTable) -> Value {
+fn table_json(table: &DataTable) -> Value {
     let rows = table.rows.iter().map(|row| {
         let cells = table.columns.iter().cloned().zip(row.iter().map(cell_json));
         Value::Object(cells.collect::<Map<_, _>>())
--- a/crates/cli/tests/account.rs
+++ b/crates/cli/tests/account.rs
@@ -1,12 +1,13 @@
-//! What became of requests, and why, from logs.
+//! Summary of requests by cause, from synthetic log lines.
 
 use hoplanding::account::{
-    RequestLog, account,
+    RequestLog,
     cause::{LossCause, RequestEnd},
+    summarize,
 };
 use std::{fs, process::Command};
 
-fn line(at_ms: i64, event: u16, request: &str, message: &str) -> String {
+fn log_line(at_ms: i64, event: u16, request: &str, message: &str) -> String {
     serde_json::json!({
         "event": event, "level": "INFO", "message": message, "request": request,
         "target": "hoplanding", "timestamp": 1_771_682_788_000_i64 + at_ms,
@@ -14,46 +15,48 @@
     .to_string()
 }
 
-/// The end and cause of one request by its lines.
-fn judged(lines: &[(u16, &str)]) -> (RequestEnd, LossCause) {
+/// Final state and cause of one request with these events and messages.
+fn classify_lines(lines: &[(u16, &str)]) -> (RequestEnd, LossCause) {
     let text: Vec<_> = lines
         .iter()
         .enumerate()
-        .map(|(at, (event, message))| line(at as i64, *event, "r1", message))
+        .map(|(at, (event, message))| log_line(at as i64, *event, "r1", message))
         .collect();
     let mut log = RequestLog::default();
-    log.take("a.log", &text.join("\n"));
-    let table = account(&log, 0);
+    log.add_lines("a.log", &text.join("\n"));
+    let table = summarize(&log, 0);
     assert_eq!(table.rows.len(), 1, "{table}");
     (table.rows[0].end, table.rows[0].cause)
 }
 
-fn stream(steps: &str) -> (RequestEnd, LossCause) {
-    let message = format!("stream answered: route r objective 600 prompt 464 at i-1: {steps}");
-    judged(&[(804, &message)])
+fn classify_stream(phases: &str) -> (RequestEnd, LossCause) {
+    let message = format!("stream answered: route r objective 600 prompt 464 at i-1: {phases}");
+    classify_lines(&[(804, &message)])
 }
 
+/// Guards against blaming the wrong phase of a late stream, and against blaming a target that only met its own estimate.
 #[test]
-fn a_late_stream_is_put_down_to_the_largest_part_of_its_wait() {
-    let in_time = stream("placed 2 expected 91 there 51 first 588 pause 131 end 959");
+fn a_late_stream_is_attributed_to_its_longest_phase() {
+    let in_time = classify_stream("placed 2 expected 91 there 51 first 588 pause 131 end 959");
     assert_eq!(in_time, (RequestEnd::InTime, LossCause::None));
-    let place = stream("placed 500 expected 700 there 510 first 690 pause 1 end 959");
+    let place = classify_stream("placed 500 expected 700 there 510 first 690 pause 1 end 959");
     assert_eq!(place, (RequestEnd::Late, LossCause::PlaceAwaited));
-    let adapter = stream("placed 10 expected 700 there 510 first 690 pause 1 end 959");
+    let adapter = classify_stream("placed 10 expected 700 there 510 first 690 pause 1 end 959");
     assert_eq!(adapter, (RequestEnd::Late, LossCause::AdapterAwaited));
-    let prompts = stream("placed 10 expected 650 there 20 first 690 pause 1 end 959");
+    let prompts = classify_stream("placed 10 expected 650 there 20 first 690 pause 1 end 959");
     assert_eq!(prompts, (RequestEnd::Late, LossCause::PromptsRead));
-    let slow = stream("placed 10 expected 250 there 20 first 690 pause 1 end 959");
+    let slow = classify_stream("placed 10 expected 250 there 20 first 690 pause 1 end 959");
     assert_eq!(slow, (RequestEnd::Late, LossCause::TargetSlow));
 }
 
+/// A refusal's own message tells only the last state; earlier events, such as a rejection by a target, take precedence.
 #[test]
-fn a_refusal_is_put_down_to_what_came_before_it() {
+fn a_refusal_is_attributed_to_earlier_events_of_the_request() {
     let refused = |before: &[(u16, &str)], rest: &str| {
         let message = format!("request refused as not run: route r {rest}");
         let mut lines = before.to_vec();
         lines.push((800, &message));
-        let (end, cause) = judged(&lines);
+        let (end, cause) = classify_lines(&lines);
         assert_eq!(end, RequestEnd::Refused);
         cause
     };
@@ -76,26 +79,29 @@
     );
 }
 
+/// Guards against taking an error that a target returned for a deadline, or the other way round.
 #[test]
-fn failures_name_the_target_or_the_deadline() {
+fn failures_are_attributed_to_the_target_or_the_deadline() {
     let failed = |rest: &str| {
         let message = format!("request failed: route r {rest}");
-        judged(&[(801, &message)])
+        classify_lines(&[(801, &message)])
     };
     let own = failed("passes on 500 Internal Server Error after 140.1ms, 2 runs");
     assert_eq!(own, (RequestEnd::Failed, LossCause::TargetFailed));
     let late = failed("ends with 504 Gateway Timeout after 1.5s, 1 runs");
     assert_eq!(late, (RequestEnd::Failed, LossCause::Deadline));
-    let broken = judged(&[
+    let broken = classify_lines(&[
         (815, "stream broken off by a target: at i-1: reset"),
         (601, "answer could not be completed: reset, last event None"),
     ]);
     assert_eq!(broken, (RequestEnd::BrokenOff, LossCause::TargetFailed));
 }
 
+/// Guards against lost or miscounted requests when logs have prefixes, truncated lines, foreign text or requests without a
+/// final event.
 #[test]
-fn rows_tell_zone_and_span_and_name_the_worst_five() {
-    let mut first = vec![
+fn rows_have_zone_span_and_the_five_requests_held_longest() {
+    let mut lines = vec![
         "  -9.9 vm-1 {\"event\":100,\"level\":\"INFO\",\"message\":\"daemon started: vm-1 in hall: \
          callers 127.0.0.1:1, peers 127.0.0.1:2\",\"target\":\"hoplanding\",\"timestamp\":1771682778000}"
             .to_owned(),
@@ -105,36 +111,36 @@
             "request refused as not run: route r not run after {}ms, zones []",
             number * 10
         );
-        first.push(format!(
+        lines.push(format!(
             "  0.1 vm-1 {}",
-            line(12_000, 800, &format!("r{number}"), &held)
+            log_line(12_000, 800, &format!("r{number}"), &held)
         ));
     }
     let mut log = RequestLog::default();
-    log.take("a.log", &first.join("\n"));
-    // Out of order, cut, mixed with other text, and a request whose end is in no line.
-    let cut = &line(1, 800, "r9", "request refused")[..40];
-    let other = [
-        line(
+    log.add_lines("a.log", &lines.join("\n"));
+    // Lines out of order, a truncated line, foreign text, and a request without a final event.
+    let truncated = &log_line(1, 800, "r9", "request refused")[..40];
+    let other_lines = [
+        log_line(
             12_500,
             812,
             "r0",
             "request turned away by a target: at i-1: NotRun 503",
         ),
-        cut.to_owned(),
+        truncated.to_owned(),
         "class                asked".to_owned(),
-        line(
+        log_line(
             3,
             812,
             "r8",
             "request turned away by a target: at i-1: NotRun 503",
         ),
     ];
-    log.take("b.log", &other.join("\n"));
+    log.add_lines("b.log", &other_lines.join("\n"));
     for lines in log.requests.values_mut() {
         lines.sort_by_key(|line| line.line.timestamp);
     }
-    let table = account(&log, 10);
+    let table = summarize(&log, 10);
     assert_eq!(table.untold, 1);
     assert_eq!(table.unreadable, [("b.log".to_owned(), 2)]);
     let row = &table.rows[0];
@@ -146,9 +152,10 @@
     assert_eq!(table.rows.iter().map(|row| row.count).sum::<usize>(), 7);
 }
 
+/// Checks both output formats, and that a missing argument or file gives exit code 2 with a remedy.
 #[test]
-fn the_tool_prints_a_table_or_json_and_says_what_it_lacks() {
-    let run = |args: &[&str]| {
+fn account_command_prints_a_table_or_json_and_reports_missing_files() {
+    let run_tool = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_hoplanding"))
             .args(args)
             .output()
@@ -161,18 +168,18 @@
     };
     let path = std::env::temp_dir().join(format!("hoplanding-{}-account", std::process::id()));
     let message = "request refused as not run: route r not run after 5ms, zones []";
-    fs::write(&path, line(1, 800, "r1", message)).expect("a file");
+    fs::write(&path, log_line(1, 800, "r1", message)).expect("temporary file is writable");
     let file = path.to_string_lossy();
-    let (code, text) = run(&["account", &file]);
+    let (code, text) = run_tool(&["account", &file]);
     assert!(code == Some(0) && text.contains("NoTarget"), "{text}");
-    let (code, text) = run(&["--json", "account", "--span", "5", &file]);
+    let (code, text) = run_tool(&["--json", "account", "--span", "5", &file]);
     let value: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!(
         (code, value["rows"][0]["cause"].as_str()),
         (Some(0), Some("no_target"))
     );
-    let (code, text) = run(&["account"]);
+    let (code, text) = run_tool(&["account"]);
     assert!(code == Some(2) && text.contains("name the files"), "{text}");
-    let (code, text) = run(&["account", "/nowhere/x.log"]);
+    let (code, text) = run_tool(&["account", "/nowhere/x.log"]);
     assert!(code == Some(2) && text.contains("can't be read"), "{text}");
 }
--- a/crates/cli/tests/explain_log.rs
+++ b/crates/cli/tests/explain_log.rs
@@ -1,42 +1,47 @@
-//! A request's way through the logs of several daemons.
+//! Lines about one request from the logs of several daemons.
 
-use hoplanding::explain_log::{find_lines, verdict};
+use hoplanding::explain_log::{describe_outcome, find_lines};
 use std::{fs, process::Command};
 
-const FIRST: &str = r#"
+const FIRST_LOG: &str = r#"
 {"event":812,"level":"INFO","message":"request turned away by a target: at i-e032: Misdirected 421","request":"562d93ff","target":"hoplanding","timestamp":1771682788659}
 {"event":812,"level":"INFO","message":"request turned away by a target: at i-e032: Misdirected 421","request":"562d93ff00","target":"hoplanding","timestamp":1771682788700}
 noise without a time
 {"event":800,"level":"INFO","message":"request refused as not run: route r after 1.2s","request":"562d93ff","target":"hoplanding","timestamp":1771682789900}
 "#;
-const SECOND: &str = r#"
+const SECOND_LOG: &str = r#"
    0.5 vm-2 {"event":810,"level":"INFO","message":"target out of reach for a request: at i-a8: refused","request":"562d93ff","target":"hoplanding","timestamp":1771682788100}
 "#;
 
-fn written(name: &str, text: &str) -> String {
+fn write_log(name: &str, text: &str) -> String {
     let path = std::env::temp_dir().join(format!("hoplanding-{}-{name}", std::process::id()));
-    fs::write(&path, text).expect("a file");
+    fs::write(&path, text).expect("temporary file is writable");
     path.to_string_lossy().into_owned()
 }
 
+/// Guards against unordered lines from several files, and against matching an id that is a prefix of a longer one.
 #[test]
-fn lines_of_all_files_come_in_order_and_the_last_one_tells_the_end() {
-    let files = [written("a.log", FIRST), written("b.log", SECOND)];
+fn lines_of_all_files_are_ordered_and_the_last_event_tells_the_outcome() {
+    let files = [
+        write_log("a.log", FIRST_LOG),
+        write_log("b.log", SECOND_LOG),
+    ];
     let lines = find_lines("562d93ff", &files).expect("lines");
     let events: Vec<_> = lines.iter().map(|line| line.event).collect();
     assert_eq!(events, [810, 812, 800]);
     assert_eq!(lines[0].time, "2026-02-21T14:06:28.100Z");
     assert!(
-        verdict(&lines)
-            .expect("a verdict")
+        describe_outcome(&lines)
+            .expect("an outcome")
             .contains("No target ran it")
     );
     assert_eq!(find_lines("i-a8", &files).expect("lines").len(), 1);
 }
 
+/// An unknown subject gives exit code 1 and an unreadable file gives 2, each with a remedy.
 #[test]
-fn the_tool_says_what_to_do_where_nothing_is_found_or_read() {
-    let run = |args: &[&str]| {
+fn explain_log_command_gives_a_remedy_if_nothing_is_found_or_a_file_is_unreadable() {
+    let run_tool = |args: &[&str]| {
         let output = Command::new(env!("CARGO_BIN_EXE_hoplanding"))
             .arg("explain-log")
             .args(args)
@@ -48,14 +53,14 @@
             String::from_utf8_lossy(&text).into_owned(),
         )
     };
-    let file = written("c.log", FIRST);
-    let (code, text) = run(&["562d93ff", &file]);
+    let file = write_log("c.log", FIRST_LOG);
+    let (code, text) = run_tool(&["562d93ff", &file]);
     assert!(code == Some(0) && text.contains("E800"), "{text}");
-    let (code, text) = run(&["nobody", &file]);
+    let (code, text) = run_tool(&["nobody", &file]);
     assert!(
         code == Some(1) && text.contains("name the logs of all VMs"),
         "{text}"
     );
-    let (code, text) = run(&["562d93ff", "/nowhere/x.log"]);
+    let (code, text) = run_tool(&["562d93ff", "/nowhere/x.log"]);
     assert!(code == Some(2) && text.contains("can't be read"), "{text}");
 }
--- a/crates/cli/tests/tool.rs
+++ b/crates/cli/tests/tool.rs
@@ -1,9 +1,9 @@
-//! The real tool against a real daemon.
+//! The `hoplanding` binary against running daemons.
 
 use hoplanding_testbed::{SiteConfig, TestSite, site::OPERATOR_TOKEN};
 use std::process::{Command, Output};
 
-async fn tool(url: String, args: &[&str]) -> (Option<i32>, String, String) {
+async fn run_tool(url: String, args: &[&str]) -> (Option<i32>, String, String) {
     let args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let run = move || -> std::io::Result<Output> {
         Command::new(env!("CARGO_BIN_EXE_hoplanding"))
@@ -24,19 +24,20 @@
     )
 }
 
+/// Checks output formats and exit codes: 0 success, 1 refused, 2 invalid statement, 3 daemon unreachable.
 #[tokio::test(flavor = "multi_thread")]
-async fn statements_tables_json_and_exit_codes() {
+async fn statements_give_tables_json_and_exit_codes() {
     let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 3))
         .await
         .expect("the site starts");
     let url = site.url("a1");
-    let (code, shown, _) = tool(url.clone(), &["show adapters order by adapter"]).await;
+    let (code, shown, _) = run_tool(url.clone(), &["show adapters order by adapter"]).await;
     assert_eq!(code, Some(0));
     assert!(
         shown.contains("adapter-0002") && shown.contains("(3 rows)"),
         "{shown}"
     );
-    let (code, shown, _) = tool(
+    let (code, shown, _) = run_tool(
         url.clone(),
         &["show", "targets", "where", "role", "=", "engine", "--json"],
     )
@@ -44,26 +45,26 @@
     assert_eq!(code, Some(0));
     let rows: serde_json::Value = serde_json::from_str(&shown).expect("JSON");
     assert_eq!(rows["rows"][0]["target"], "engine-a1");
-    let (code, shown, _) = tool(
+    let (code, shown, _) = run_tool(
         url.clone(),
         &["create adapter new-one version v1; keep adapter new-one ready"],
     )
     .await;
     assert_eq!(code, Some(0), "{shown}");
     assert!(shown.starts_with("accepted as"), "{shown}");
-    let (code, _, error) = tool(url.clone(), &["create adapter new-one"]).await;
+    let (code, _, error) = run_tool(url.clone(), &["create adapter new-one"]).await;
     assert_eq!(code, Some(1));
     assert!(error.contains("already exists"), "{error}");
-    let (code, _, error) = tool(url.clone(), &["show tragets"]).await;
+    let (code, _, error) = run_tool(url.clone(), &["show tragets"]).await;
     assert_eq!(code, Some(2));
     assert!(error.contains("^^^^^^^"), "{error}");
-    let (code, _, error) = tool(url.clone(), &["--token", "wrong", "show targets"]).await;
+    let (code, _, error) = run_tool(url.clone(), &["--token", "wrong", "show targets"]).await;
     assert_eq!(code, Some(1));
     assert!(error.contains("HOPLANDING_TOKEN"), "{error}");
-    let (code, _, error) = tool("http://127.0.0.1:9".to_owned(), &["show targets"]).await;
+    let (code, _, error) = run_tool("http://127.0.0.1:9".to_owned(), &["show targets"]).await;
     assert_eq!(code, Some(3));
     assert!(error.contains("--url"), "{error}");
-    let (code, help, _) = tool(url, &["show", "--help"]).await;
+    let (code, help, _) = run_tool(url, &["show", "--help"]).await;
     assert_eq!(code, Some(0));
     assert!(help.contains("LANGUAGE.md"), "{help}");
 }
