--- a/crates/testbed/src/caller.rs
+++ b/crates/testbed/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests and says what came back.
+//! HTTP client that sends requests as a caller or operator and records the answers.
 
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
@@ -6,50 +6,50 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Time after which a caller gives up.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of one request, including its answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One completion to ask for.
+/// Parameters of one completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionCall {
-    /// Model as named, with or without version.
+    /// Model name, with or without version.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// Tokens.
+    /// Number of tokens to generate.
     pub tokens: usize,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-/// What came back.
+/// Answer to one request, or what is known of its failure.
 #[derive(Clone, Debug, Default)]
 pub struct CallResult {
-    /// HTTP status; zero if there was no answer.
+    /// HTTP status; 0 if there was no answer.
     pub status: u16,
-    /// The text.
+    /// Answer text received.
     pub text: String,
-    /// Model that the response names.
+    /// Model that the response header names.
     pub model: String,
-    /// Target that the response names.
+    /// Target that the response header names.
     pub target: String,
-    /// Whether a streamed answer ended as complete, or a whole one came.
+    /// Whether the whole answer arrived; a stream must also have ended with its end marker.
     pub is_complete: bool,
-    /// Code of the error, if there was one.
+    /// Error code, if the request failed.
     pub error: Option<String>,
-    /// Message of the error.
+    /// Error message; empty if there is none.
     pub message: String,
-    /// Whether the response said when to come back.
+    /// Whether the response has a `retry-after` header.
     pub has_retry_after: bool,
-    /// Time to the first token.
+    /// Time from the request to the first token, or to the whole answer if it was not streamed.
     pub time_to_first_token: Duration,
-    /// Time to the end.
+    /// Time from the request to the end of the answer.
     pub total_time: Duration,
-    /// Load stall that the response names, in milliseconds.
+    /// Time that the request waited for an adapter load, as the response header states, in milliseconds.
     pub load_stall_ms: u64,
 }
 
-/// A caller that talks to one daemon.
+/// Client of one daemon.
 #[derive(Clone, Debug)]
 pub struct CallerClient {
     http: Client,
@@ -58,16 +58,16 @@
 }
 
 impl CallerClient {
-    /// A caller with a bearer token.
+    /// Creates a client with a base URL and bearer token.
     ///
     /// # Panics
-    /// Only if the system has no HTTP client to give.
+    /// Panics if the HTTP client can't be built.
     #[must_use]
     pub fn new(base: &str, token: &str) -> Self {
         let http = Client::builder()
-            .timeout(PATIENCE)
+            .timeout(REQUEST_TIMEOUT)
             .build()
-            .expect("a client without TLS needs nothing");
+            .expect("an HTTP client without TLS can be built");
         Self {
             http,
             base: base.to_owned(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The same caller at another daemon or with another token, sharing its connections.
+    /// Creates a client for another daemon or token that shares the connection pool.
     #[must_use]
     pub fn with_endpoint(&self, base: &str, token: &str) -> Self {
         Self {
@@ -85,36 +85,36 @@
         }
     }
 
-    /// Asks for a completion.
+    /// Requests a completion and reads the answer to its end.
     pub async fn complete(&self, call: &CompletionCall) -> CallResult {
         let body = json!({ "model": call.model, "prompt": call.prompt, "max_tokens": call.tokens, "stream": call.stream });
-        let began = Instant::now();
+        let started_at = Instant::now();
         let sent = self.post("/v1/completions").json(&body).send().await;
         let Ok(response) = sent else {
             return CallResult::default();
         };
-        let mut result = head_of(&response);
+        let mut result = result_from_headers(&response);
         if response.status() != StatusCode::OK {
-            return with_error(result, response).await;
+            return add_error(result, response).await;
         }
         if call.stream {
-            read_stream(response, began, &mut result).await;
+            read_stream(response, started_at, &mut result).await;
         } else {
             let body: Value = response.json().await.unwrap_or_default();
-            result.time_to_first_token = began.elapsed();
+            result.time_to_first_token = started_at.elapsed();
             result.text = body["choices"][0]["text"]
                 .as_str()
                 .unwrap_or_default()
                 .to_owned();
             result.is_complete = body["choices"][0]["finish_reason"].is_string();
         }
-        result.total_time = began.elapsed();
+        result.total_time = started_at.elapsed();
         result
     }
 
-    /// Calls the service `ledger`.
+    /// Posts a scan to the service `ledger`, with an idempotency key if one is given.
     pub async fn post_scan(&self, body: &str, key: Option<&str>) -> CallResult {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut request = self.post("/services/ledger/scans").body(body.to_owned());
         if let Some(key) = key {
             request = request.header("idempotency-key", key);
@@ -122,9 +122,9 @@
         let Ok(response) = request.send().await else {
             return CallResult::default();
         };
-        let mut result = head_of(&response);
+        let mut result = result_from_headers(&response);
         if response.status() != StatusCode::OK {
-            return with_error(result, response).await;
+            return add_error(result, response).await;
         }
         match response.text().await {
             Ok(text) => {
@@ -133,21 +133,21 @@
             }
             Err(error) => result.message = error.to_string(),
         }
-        result.total_time = began.elapsed();
+        result.total_time = started_at.elapsed();
         result
     }
 
-    /// Asks for an idempotency token.
+    /// Requests an idempotency token; `None` if none was issued.
     pub async fn issue_token(&self) -> Option<String> {
         let response = self.post("/v1/idempotency_tokens").send().await.ok()?;
         let body: Value = response.json().await.ok()?;
         body["token"].as_str().map(str::to_owned)
     }
 
-    /// Sends a statement as an operator.
+    /// Sends an operator's statement and returns the JSON answer.
     ///
     /// # Errors
-    /// Returns the daemon's message.
+    /// Returns the daemon's error message, or that of the HTTP client.
     pub async fn execute_statement(&self, text: &str) -> Result<Value, String> {
         let request = self.post("/operators/v1/statements").body(text.to_owned());
         let response = request.send().await.map_err(|error| error.to_string())?;
@@ -163,14 +163,14 @@
         }
     }
 
-    /// A request with this caller's token, to be completed by the caller of this.
+    /// Starts a POST request with the bearer token; the body is left to the calling code.
     pub fn post(&self, path: &str) -> reqwest::RequestBuilder {
         self.http
             .post(format!("{}{path}", self.base))
             .bearer_auth(&self.token)
     }
 
-    /// Reads a path; status and body.
+    /// Sends a GET request; returns status and body, or status 0 if there was no answer.
     pub async fn get(&self, path: &str) -> (u16, String) {
         let sent = self
             .http
@@ -188,7 +188,7 @@
     }
 }
 
-fn head_of(response: &Response) -> CallResult {
+fn result_from_headers(response: &Response) -> CallResult {
     let header = |name: &str| {
         response
             .headers()
@@ -207,7 +207,7 @@
     }
 }
 
-async fn with_error(mut result: CallResult, response: Response) -> CallResult {
+async fn add_error(mut result: CallResult, response: Response) -> CallResult {
     let body: Value = response.json().await.unwrap_or_default();
     result.error = body["error"]["code"].as_str().map(str::to_owned);
     result.message = body["error"]["message"]
@@ -217,7 +217,7 @@
     result
 }
 
-async fn read_stream(response: Response, began: Instant, result: &mut CallResult) {
+async fn read_stream(response: Response, started_at: Instant, result: &mut CallResult) {
     let mut events = response.bytes_stream().eventsource();
     while let Some(Ok(event)) = events.next().await {
         if event.data == "[DONE]" {
@@ -234,7 +234,7 @@
             return;
         }
         if result.text.is_empty() {
-            result.time_to_first_token = began.elapsed();
+            result.time_to_first_token = started_at.elapsed();
         }
         result
             .text
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,11 @@
-//! Whole small sites in one process: the stand-ins, daemons over real sockets, and a caller.
+//! Complete small sites in one process: stand-ins, daemons over real sockets, and clients, for tests and benchmarks.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`site`] | starts a site, and makes it fail |
-//! | [`caller`] | sends requests as a caller, and says what came back |
-//! | [`usage`] | processor time and memory of this process |
-//! | [`load`] | a mix of requests, and the report of what became of it |
+//! | [`site`] | starts a site and injects faults |
+//! | [`caller`] | HTTP client of callers and operators |
+//! | [`usage`] | CPU time and memory of this process |
+//! | [`load`] | load generator with a report of the outcomes |
 
 pub mod caller;
 pub mod load;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! A mix of urgent, quick and long requests and service calls, and what became of them.
+//! Load generator: a seeded mix of completions of three classes and service calls, with a report of the outcomes.
 
 use crate::{
     caller::{CallResult, CallerClient, CompletionCall},
@@ -17,59 +17,59 @@
 };
 use tokio::{task::JoinSet, time::sleep};
 
-/// Classes in the order of the report.
+/// Priority classes and their caller tokens, in the order of the report.
 const CLASSES: [(&str, &str); 3] = [
     ("urgent", URGENT_TOKEN),
     ("normal", NORMAL_TOKEN),
     ("batch", BATCH_TOKEN),
 ];
-/// Refused requests are sent again this often.
-const RESENDS: usize = 20;
+/// Attempts per request; only a request refused as `not_run` is sent again.
+const MAX_ATTEMPTS: usize = 20;
 
-/// What is sent.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Requests at once.
+    /// Requests in flight at once.
     pub concurrency: usize,
-    /// Skew of the adapters' popularity (Zipf exponent).
+    /// Zipf exponent of the adapters' popularity; must be positive.
     pub skew: f64,
-    /// Seed of the mix.
+    /// Random seed of the mix.
     pub seed: u64,
-    /// Whether progress is printed.
+    /// Whether to print progress to standard output.
     pub progress: bool,
 }
 
-/// What became of it.
+/// Outcomes of a load run.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
     /// Requests sent.
     pub requests: usize,
-    /// Answers in full from the adapter that was named.
+    /// Complete and correct answers.
     pub answered: usize,
-    /// Answers of another adapter or with another text.
+    /// Answers from another adapter or version, or with unexpected text.
     pub wrong: usize,
-    /// Requests without an answer and without a statement about it.
+    /// Requests with neither a complete answer nor an error.
     pub lost: usize,
-    /// Requests that were refused to the last as not run.
+    /// Requests that were refused as not run on every attempt.
     pub not_run: usize,
-    /// Requests that failed, or whose outcome is unknown.
+    /// Code and message of requests that failed or whose outcome is unknown.
     pub failed: Vec<String>,
-    /// Calls that ran twice.
+    /// Number of service calls that ran more than once.
     pub repeated: usize,
-    /// Broken promises that the engines recorded.
+    /// Contract violations that the stand-ins recorded.
     pub violations: Vec<String>,
-    /// Times to first token by class, in microseconds, sorted.
+    /// Times to first token of each class, in microseconds, ascending.
     pub first_token_us: [Vec<u64>; 3],
-    /// Load stalls in milliseconds, sorted.
+    /// Load stalls of all answers, in milliseconds, ascending.
     pub load_stalls_ms: Vec<u64>,
-    /// Share of the engines' seats used in their steps.
+    /// Share of the engines' batch slots that were in use, over all steps of the run; 0 to 1.
     pub batch_efficiency: f64,
 }
 
 impl LoadReport {
-    /// Whether nothing was wrong, lost or repeated.
+    /// Whether no request was wrong, lost, repeated or failed, and no contract was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.wrong == 0
@@ -80,7 +80,7 @@
     }
 }
 
-/// A value of a sorted list; zero if it is empty.
+/// Returns the value at `share` (0 to 1) of a list in ascending order; 0 if the list is empty.
 #[must_use]
 pub fn percentile(sorted: &[u64], share: f64) -> u64 {
     let index = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
@@ -128,13 +128,13 @@
     Scan(String),
 }
 
-fn plan(config: &LoadConfig, adapters: usize) -> Vec<PlannedCall> {
+fn plan_calls(config: &LoadConfig, adapters: usize) -> Vec<PlannedCall> {
     let mut random = StdRng::seed_from_u64(config.seed);
     let zipf = Zipf::new(adapters as f64, config.skew).expect("the skew is a positive number");
     let calls = (0..config.requests).map(|number| {
         let pick: f64 = random.random();
         let adapter = zipf.sample(&mut random) as usize - 1;
-        // A tenth are service calls; the rest urgent, quick and long.
+        // 10% service calls, 20% urgent, 50% normal and 20% batch completions.
         let (class, tokens) = match pick {
             pick if pick < 0.1 => {
                 return PlannedCall::Scan(format!("scan {} {number}", config.seed));
@@ -156,13 +156,13 @@
     calls.collect()
 }
 
-/// Sends a mix to all daemons of a site and reports what became of it.
+/// Sends a mix of requests to all daemons of a site, in turn, and reports the outcomes.
 pub async fn run_load(site: &TestSite, config: &LoadConfig) -> LoadReport {
-    let calls = Arc::new(plan(config, site.config.adapters.max(1)));
+    let calls = Arc::new(plan_calls(config, site.config.adapters.max(1)));
     let bases: Arc<Vec<String>> = Arc::new(site.daemons.keys().map(|vm| site.url(vm)).collect());
     let next = Arc::new(AtomicUsize::new(0));
     let report = Arc::new(Mutex::new(LoadReport::default()));
-    let before = steps(site);
+    let before = step_totals(site);
     let client = CallerClient::new(&bases[0], "");
     let mut workers = JoinSet::new();
     for _ in 0..config.concurrency {
@@ -179,7 +179,7 @@
                 let Some(call) = calls.get(number) else {
                     return;
                 };
-                send(&client, &bases, number, call, &report).await;
+                send_until_run(&client, &bases, number, call, &report).await;
                 if progress && (number + 1) % (calls.len() / 10).max(1) == 0 {
                     println!("  {:>6} of {} requests", number + 1, calls.len());
                 }
@@ -188,7 +188,7 @@
     }
     while workers.join_next().await.is_some() {}
     let mut report = std::mem::take(&mut *report.lock().expect("no holder of the lock panics"));
-    let after = steps(site);
+    let after = step_totals(site);
     let seats = (after.0 - before.0) * site.config.model.batch as u64;
     report.batch_efficiency = (after.1 - before.1) as f64 / seats.max(1) as f64;
     report.violations = site.violations();
@@ -201,7 +201,7 @@
     report
 }
 
-fn steps(site: &TestSite) -> (u64, u64) {
+fn step_totals(site: &TestSite) -> (u64, u64) {
     let truths = site
         .engines
         .values()
@@ -211,7 +211,7 @@
     })
 }
 
-async fn send(
+async fn send_until_run(
     client: &CallerClient,
     bases: &[String],
     number: usize,
@@ -220,7 +220,7 @@
 ) {
     let base = &bases[number % bases.len()];
     let mut result = CallResult::default();
-    for attempt in 0..RESENDS {
+    for attempt in 0..MAX_ATTEMPTS {
         result = match call {
             PlannedCall::Completion(class, call) => {
                 client
@@ -239,14 +239,14 @@
         }
         sleep(Duration::from_millis(50 * (attempt as u64 + 1).min(10))).await;
     }
-    note(
+    record_result(
         &mut report.lock().expect("no holder of the lock panics"),
         call,
         &result,
     );
 }
 
-fn note(report: &mut LoadReport, call: &PlannedCall, result: &CallResult) {
+fn record_result(report: &mut LoadReport, call: &PlannedCall, result: &CallResult) {
     report.requests += 1;
     match result.error.as_deref() {
         Some("not_run") => {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site: platform, engines, services and daemons, all in this process and over loopback.
+//! A small site: stand-ins for the platform, engines and services, and real daemons, all in this process over loopback.
 
 use crate::caller::CallerClient;
 use hoplanding_standins::{
@@ -16,7 +16,7 @@
     time::{Instant, sleep},
 };
 
-/// Token of the operator that every daemon of a site knows.
+/// Token of the administrator in every daemon's settings.
 pub const OPERATOR_TOKEN: &str = "operator-secret";
 /// Token of the caller with urgent priority.
 pub const URGENT_TOKEN: &str = "urgent-secret";
@@ -24,47 +24,47 @@
 pub const NORMAL_TOKEN: &str = "normal-secret";
 /// Token of the caller with batch priority.
 pub const BATCH_TOKEN: &str = "batch-secret";
-/// Threads of one daemon.
+/// Worker threads of one daemon's runtime.
 const DAEMON_THREADS: usize = 2;
-/// Records of one change that declares adapters.
-const ADAPTERS_A_CHANGE: usize = 500;
+/// Adapters created by one statement.
+const MAX_ADAPTERS_PER_CHANGE: usize = 500;
 
-/// An engine of a site.
+/// Properties of one engine.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// Its name.
+    /// Target name.
     pub name: String,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Whether it checks fencing tokens.
+    /// Whether the engine checks fencing tokens.
     pub checks_fencing: bool,
 }
 
-/// What a site consists of.
+/// Components and parameters of a site.
 #[derive(Clone, Debug)]
 pub struct SiteConfig {
-    /// Daemons: VM and zone.
+    /// VM and zone of each daemon.
     pub daemons: Vec<(String, String)>,
-    /// Engines.
+    /// Engines of all zones.
     pub engines: Vec<TargetSpec>,
-    /// Zones with an instance of the service `ledger`.
+    /// Zones that have an instance of the service `ledger`.
     pub service_zones: Vec<String>,
-    /// Sizes and speeds of the engines.
+    /// Capacity and speed of every engine.
     pub model: EngineModel,
-    /// Time of a load alone.
+    /// Duration of one adapter load with no other load at the same time.
     pub load_time: Duration,
-    /// Adapters `adapter-0000` onwards, each with version `v1`.
+    /// Number of adapters, named from `adapter-0000`, each with version `v1`.
     pub adapters: usize,
-    /// Records that the log keeps.
+    /// Records that the platform's log retains.
     pub retention: usize,
-    /// Whether links between daemons go through relays that can be cut.
+    /// Whether links between daemons go through relays that can be cut or frozen.
     pub relays: bool,
-    /// Settings that replace the defaults of a site.
+    /// JSON object merged over the default daemon settings.
     pub overrides: Value,
 }
 
 impl SiteConfig {
-    /// Zones named `zone-a` onwards, each with as many daemons, engines and services as given.
+    /// Creates zones named from `zone-a`, each with this many daemons and engines and one instance of `ledger`.
     #[must_use]
     pub fn with_zones(zones: usize, daemons: usize, engines: usize, adapters: usize) -> Self {
         let names: Vec<String> = (0..zones)
@@ -95,7 +95,7 @@
     }
 }
 
-/// A daemon with a runtime of its own, so that killing it ends every task of it at once.
+/// A daemon on its own runtime, so that dropping it ends all its tasks at once, as a crash does.
 pub struct IsolatedDaemon {
     daemon: Option<RunningDaemon>,
     runtime: Option<Runtime>,
@@ -123,7 +123,7 @@
     fn deref(&self) -> &RunningDaemon {
         self.daemon
             .as_ref()
-            .expect("the daemon is there until it is dropped")
+            .expect("the daemon is present until it is stopped or dropped")
     }
 }
 
@@ -138,32 +138,32 @@
 
 /// A running site.
 pub struct TestSite {
-    /// What it consists of.
+    /// Configuration that the site was started with.
     pub config: SiteConfig,
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: PlatformStandin,
-    /// The weight store.
+    /// Weight store shared by the engines.
     pub store: Arc<WeightStore>,
-    /// Engines by name.
+    /// Engines by target name.
     pub engines: BTreeMap<String, EngineStandin>,
     /// Instances of the service `ledger` by target name.
     pub services: BTreeMap<String, ServiceStandin>,
-    /// Daemons by VM.
+    /// Running daemons by VM.
     pub daemons: BTreeMap<String, IsolatedDaemon>,
     relays: BTreeMap<(String, String), LinkRelay>,
 }
 
 impl TestSite {
-    /// Starts a site and waits until every daemon serves and every target has a holder.
+    /// Starts a site and waits until every daemon is ready and every target has a holder.
     ///
     /// # Errors
-    /// Returns an error when a port can't be had, or the site does not come up in time.
+    /// Returns an error if a port can't be bound, or the site is not ready in time.
     pub async fn start(config: SiteConfig) -> io::Result<Self> {
         if std::env::var_os("HOPLANDING_TEST_LOG").is_some() {
             let config = simplelog::ConfigBuilder::new()
                 .add_filter_allow_str("hoplanding")
                 .build();
-            // Another site of this process may have set it.
+            // Fails if another site of this process has set the logger already, which is fine.
             let _ = simplelog::SimpleLogger::init(simplelog::LevelFilter::Debug, config);
         }
         let platform = PlatformStandin::start(config.retention).await?;
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Settings of one daemon.
+    /// Settings of one daemon as JSON, with the overrides applied.
     #[must_use]
     pub fn settings_json(&self, vm: &str) -> Value {
         let zone = self.zone_of(vm);
@@ -238,11 +238,11 @@
             "stop": { "grace_ms": 200, "bound_ms": 20_000 },
             "log": { "level": "info" },
         });
-        merge(&mut settings, &self.config.overrides);
+        merge_settings(&mut settings, &self.config.overrides);
         settings
     }
 
-    /// Zone of a daemon.
+    /// Zone of a VM; empty if the VM is unknown.
     #[must_use]
     pub fn zone_of(&self, vm: &str) -> String {
         let mut daemons = self.config.daemons.iter();
@@ -252,16 +252,16 @@
             .unwrap_or_default()
     }
 
-    /// Starts a daemon, for the first time or anew.
+    /// Starts or restarts a daemon and lists its VM as live.
     ///
     /// # Errors
-    /// Returns an error when a port can't be had.
+    /// Returns an error if a port can't be bound.
     ///
     /// # Panics
-    /// If the site's own settings are wrong.
+    /// Panics if the settings are invalid.
     pub async fn start_daemon(&mut self, vm: &str) -> io::Result<()> {
         let settings = Settings::parse(&self.settings_json(vm).to_string())
-            .expect("a site's settings are in order");
+            .expect("the site's settings are valid");
         let daemon = IsolatedDaemon::start(settings).await?;
         for ((_, to), relay) in &self.relays {
             if to == vm {
@@ -279,12 +279,12 @@
         Ok(())
     }
 
-    /// Ends a daemon as a crash would; the platform's list is as slow as the caller of this makes it.
+    /// Ends a daemon as a crash would. The VM stays in the platform's list until the calling code removes it.
     pub fn kill_daemon(&mut self, vm: &str) {
         drop(self.daemons.remove(vm));
     }
 
-    /// A planned stop of a daemon.
+    /// Stops a daemon in an orderly way and removes its VM from the platform's list; `None` if it is not running.
     pub async fn stop_daemon(&mut self, vm: &str) -> Option<StopReport> {
         let mut process = self.daemons.remove(vm)?;
         let report = process.daemon.take()?.stop().await;
@@ -292,7 +292,7 @@
         Some(report)
     }
 
-    /// Sets the state of the links between two daemons, both ways.
+    /// Sets the state of the links between two daemons, in both directions.
     pub fn set_link_state(&self, one: &str, other: &str, state: LinkState) {
         for ((from, to), relay) in &self.relays {
             if (from == one && to == other) || (from == other && to == one) {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Cuts a zone off from the other zones and from the platform, or heals it.
+    /// Partitions a zone from the other zones and the platform, or ends the partition.
     pub fn set_zone_partitioned(&self, zone: &str, is_cut: bool) {
         let state = if is_cut {
             LinkState::Cut
@@ -313,15 +313,15 @@
                 relay.set(state);
             }
         }
-        let inside: Vec<_> = self
+        let zone_vms: Vec<_> = self
             .config
             .daemons
             .iter()
-            .filter(|(_, name)| name == zone)
+            .filter(|(_, vm_zone)| vm_zone == zone)
             .map(|(vm, _)| vm.clone())
             .collect();
         self.platform.set_faults(|faults| {
-            for vm in inside {
+            for vm in zone_vms {
                 if is_cut {
                     faults.cut.insert(vm);
                 } else {
@@ -334,22 +334,25 @@
     /// Base URL of a daemon.
     ///
     /// # Panics
-    /// If the daemon does not run.
+    /// Panics if the daemon is not running.
     #[must_use]
     pub fn url(&self, vm: &str) -> String {
         format!("http://{}", self.daemons[vm].caller_address)
     }
 
-    /// A caller that talks to one daemon.
+    /// Creates a client of one daemon.
+    ///
+    /// # Panics
+    /// Panics if the daemon is not running.
     #[must_use]
     pub fn caller(&self, vm: &str, token: &str) -> CallerClient {
         CallerClient::new(&self.url(vm), token)
     }
 
-    /// Sends a statement to a daemon; the answer's JSON, or the error's message.
+    /// Sends a statement to a daemon as the administrator and returns the JSON answer.
     ///
     /// # Errors
-    /// Returns the message of the daemon.
+    /// Returns the daemon's error message.
     pub async fn execute_statement(&self, vm: &str, text: &str) -> Result<Value, String> {
         self.caller(vm, OPERATOR_TOKEN)
             .execute_statement(text)
@@ -361,12 +364,14 @@
             .config
             .daemons
             .first()
-            .ok_or_else(|| io::Error::other("a site needs a daemon"))?
+            .ok_or_else(|| {
+                io::Error::other("site configuration has no daemon: at least one is required")
+            })?
             .clone();
         self.wait_ready(&first).await?;
         let mut texts = vec![self.base_commands()];
         let numbers: Vec<_> = (0..self.config.adapters).collect();
-        texts.extend(numbers.chunks(ADAPTERS_A_CHANGE).map(|chunk| {
+        texts.extend(numbers.chunks(MAX_ADAPTERS_PER_CHANGE).map(|chunk| {
             let commands: Vec<_> = chunk
                 .iter()
                 .map(|number| format!("create adapter {} version v1", adapter_name(*number)))
@@ -419,31 +424,33 @@
     }
 
     async fn wait_ready(&self, vm: &str) -> io::Result<()> {
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         while !self.daemons[vm].is_ready().await {
-            if Instant::now() > until {
-                return Err(io::Error::other(format!("{vm} did not become ready")));
+            if Instant::now() > deadline {
+                return Err(io::Error::other(format!(
+                    "{vm} did not become ready within 10 s"
+                )));
             }
             sleep(Duration::from_millis(10)).await;
         }
         Ok(())
     }
 
-    /// Waits until every target is served and every daemon ready.
+    /// Waits until every daemon is ready and reports all targets as serving.
     ///
     /// # Errors
-    /// Says what is missing when the time is over.
-    pub async fn wait_until_serving(&self, most: Duration) -> io::Result<()> {
+    /// Returns an error that names the lagging daemon if this takes longer than `timeout`.
+    pub async fn wait_until_serving(&self, timeout: Duration) -> io::Result<()> {
         let wanted = self.engines.len() + self.services.len();
-        self.wait_until_served(wanted, most).await
+        self.wait_until_served(wanted, timeout).await
     }
 
-    /// Waits until as many targets are served, by the answer of each daemon.
+    /// Waits until every daemon is ready and reports at least `wanted` targets as serving.
     ///
     /// # Errors
-    /// Says what is missing when the time is over.
-    pub async fn wait_until_served(&self, wanted: usize, most: Duration) -> io::Result<()> {
-        let until = Instant::now() + most;
+    /// Returns an error that names the lagging daemon if this takes longer than `timeout`.
+    pub async fn wait_until_served(&self, wanted: usize, timeout: Duration) -> io::Result<()> {
+        let deadline = Instant::now() + timeout;
         for vm in self.daemons.keys() {
             self.wait_ready(vm).await?;
             loop {
@@ -460,20 +467,20 @@
                 if rows >= wanted && missing == 0 {
                     break;
                 }
-                if Instant::now() > until {
+                if Instant::now() > deadline {
                     return Err(io::Error::other(format!(
-                        "{vm} sees {rows} of {wanted} targets: {answer:?}"
+                        "{vm} reports {rows} of {wanted} targets as serving after {timeout:?}: {answer:?}"
                     )));
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         }
-        // One more round of heartbeats, so that gateways have heard of every target.
+        // Time for another round of heartbeats (50 ms apart), so that every gateway knows every target.
         sleep(Duration::from_millis(150)).await;
         Ok(())
     }
 
-    /// Broken promises that the stand-ins recorded.
+    /// Contract violations that the stand-ins recorded, including repeated service calls.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let engines = self.engines.iter().flat_map(|(name, engine)| {
@@ -486,7 +493,7 @@
         engines.chain(self.repeated_calls()).collect()
     }
 
-    /// Service calls that ran more than once, over all instances.
+    /// Service calls that ran more than once on one instance.
     #[must_use]
     pub fn repeated_calls(&self) -> Vec<String> {
         self.services
@@ -496,7 +503,7 @@
             .collect()
     }
 
-    /// How often a service call ran, over all instances.
+    /// Number of times that the service call with this body ran, over all instances.
     #[must_use]
     pub fn runs_of(&self, body: &str) -> u32 {
         self.services
@@ -506,20 +513,20 @@
     }
 }
 
-/// Name of an adapter of a site.
+/// Name of the adapter with this number.
 #[must_use]
 pub fn adapter_name(number: usize) -> String {
     format!("adapter-{number:04}")
 }
 
-fn merge(settings: &mut Value, overrides: &Value) {
+fn merge_settings(settings: &mut Value, overrides: &Value) {
     let (Some(settings), Some(overrides)) = (settings.as_object_mut(), overrides.as_object())
     else {
         return;
     };
     for (key, value) in overrides {
         match settings.get_mut(key) {
-            Some(old) if old.is_object() => merge(old, value),
+            Some(old) if old.is_object() => merge_settings(old, value),
             _ => {
                 settings.insert(key.clone(), value.clone());
             }
