--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -1,6 +1,6 @@
-//! The path's cost: the same load direct to the stand-in engine and through the system, in one run.
+//! Overhead of the request path: the same load sent directly to the stand-in engine and through the daemons.
 //!
-//! `cargo bench --bench path`. Wall-clock figures, so this is no part of CI.
+//! `cargo bench --bench path`. The figures are wall-clock times, so this is not part of CI.
 
 use hoplanding_standins::engine::{EngineModel, expected_answer};
 use hoplanding_testbed::{
@@ -15,16 +15,16 @@
     time::{Instant, interval},
 };
 
-/// Requests a second of the latency run.
-const RATE: u64 = 1000;
+/// Request rate of a latency run.
+const REQUESTS_PER_SECOND: u64 = 1000;
 /// Requests of one latency run.
 const REQUESTS: usize = 5000;
-/// Streams at once.
+/// Concurrent streams of the throughput run.
 const STREAMS: usize = 2000;
-/// Tokens of each of these streams.
+/// Tokens per stream of the throughput run.
 const STREAM_TOKENS: usize = 100;
 
-fn call(prompt: String, tokens: usize) -> CompletionCall {
+fn streamed_call(prompt: String, tokens: usize) -> CompletionCall {
     CompletionCall {
         model: "adapter-0000".to_owned(),
         prompt,
@@ -33,14 +33,14 @@
     }
 }
 
-/// Times to the first token, in microseconds, sorted.
-async fn first_tokens(caller: &CallerClient, model: &str) -> Vec<u64> {
-    let mut pace = interval(Duration::from_micros(1_000_000 / RATE));
+/// Times to first token of one latency run, in microseconds, ascending.
+async fn measure_first_tokens(caller: &CallerClient, model: &str) -> Vec<u64> {
+    let mut ticks = interval(Duration::from_micros(1_000_000 / REQUESTS_PER_SECOND));
     let mut calls = JoinSet::new();
     for number in 0..REQUESTS {
-        pace.tick().await;
+        ticks.tick().await;
         let caller = caller.clone();
-        let mut call = call(format!("p{}", number % 50), 2);
+        let mut call = streamed_call(format!("p{}", number % 50), 2);
         call.model = model.to_owned();
         calls.spawn(async move { caller.complete(&call).await });
     }
@@ -54,38 +54,38 @@
 }
 
 fn print_latency(name: &str, times: &[u64], direct: &[u64]) {
-    let of = |share| percentile(times, share) as f64 / 1000.0;
-    let added = |share| of(share) - percentile(direct, share) as f64 / 1000.0;
+    let ms_at = |share| percentile(times, share) as f64 / 1000.0;
+    let added = |share| ms_at(share) - percentile(direct, share) as f64 / 1000.0;
     println!(
         "first token {name:<18} p50 {:>7.3} ms  p99 {:>7.3} ms   added p50 {:>7.3} ms  p99 {:>7.3} ms",
-        of(0.5),
-        of(0.99),
+        ms_at(0.5),
+        ms_at(0.99),
         added(0.5),
         added(0.99)
     );
 }
 
-async fn many_streams(site: &TestSite, gateway: &str) {
+async fn measure_streams(site: &TestSite, gateway: &str) {
     let caller = site.caller(gateway, NORMAL_TOKEN);
-    let memory = resident_bytes();
+    let bytes_before = resident_bytes();
     let cpu = thread_cpu_seconds("d-");
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut calls = JoinSet::new();
     for number in 0..STREAMS {
         let caller = caller.clone();
         calls.spawn(async move {
-            let call = call(format!("stream {number}"), STREAM_TOKENS);
+            let call = streamed_call(format!("stream {number}"), STREAM_TOKENS);
             let result = caller.complete(&call).await;
             result.text == expected_answer("adapter-0000@v1", &call.prompt, STREAM_TOKENS)
         });
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let grown = resident_bytes().saturating_sub(memory);
+    let added_bytes = resident_bytes().saturating_sub(bytes_before);
     let mut equal = 0;
     while let Some(Ok(is_equal)) = calls.join_next().await {
         equal += usize::from(is_equal);
     }
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let cpu = thread_cpu_seconds("d-") - cpu;
     let frames = (STREAMS * STREAM_TOKENS) as f64;
     println!("streams at once     {STREAMS}, equal byte for byte {equal}");
@@ -97,7 +97,7 @@
     );
     println!(
         "memory a stream     {:.1} KiB, caller, both daemons and engine together",
-        grown as f64 / STREAMS as f64 / 1024.0
+        added_bytes as f64 / STREAMS as f64 / 1024.0
     );
     assert_eq!(equal, STREAMS);
 }
@@ -118,7 +118,7 @@
         prefill_us: 0,
         ..EngineModel::default()
     };
-    // The direct load carries no token.
+    // Direct requests carry no fencing token.
     config.engines[0].checks_fencing = false;
     config.overrides = serde_json::json!({ "limits": { "waiting_per_target": 4096 } });
     let site = TestSite::start(config).await?;
@@ -137,22 +137,22 @@
         .unwrap_or_default()
         .to_owned();
     let other = if holder == "a1" { "a2" } else { "a1" };
-    // The first request loads the adapter.
+    // Warm-up: the first request loads the adapter.
     site.caller(other, NORMAL_TOKEN)
-        .complete(&call("warm".to_owned(), 2))
+        .complete(&streamed_call("warm".to_owned(), 2))
         .await;
     let direct_caller = CallerClient::new(
         &format!("http://{}", site.engines["engine-a1"].address()),
         "",
     );
     let cpu = thread_cpu_seconds("d-");
-    let direct = first_tokens(&direct_caller, "adapter-0000@v1").await;
+    let direct = measure_first_tokens(&direct_caller, "adapter-0000@v1").await;
     print_latency("direct", &direct, &direct);
-    let local = first_tokens(&site.caller(&holder, NORMAL_TOKEN), "adapter-0000").await;
+    let local = measure_first_tokens(&site.caller(&holder, NORMAL_TOKEN), "adapter-0000").await;
     print_latency("gateway = holder", &local, &direct);
     let local_cpu = thread_cpu_seconds("d-") - cpu;
-    let hop = first_tokens(&site.caller(other, NORMAL_TOKEN), "adapter-0000").await;
-    print_latency("one peer hop", &hop, &direct);
+    let one_hop = measure_first_tokens(&site.caller(other, NORMAL_TOKEN), "adapter-0000").await;
+    print_latency("one peer hop", &one_hop, &direct);
     let hop_cpu = thread_cpu_seconds("d-") - cpu - local_cpu;
     println!(
         "daemon time         {:.0} us a request at the holder, {:.0} us with one hop (both daemons); {:.0} and {:.0} requests a second and core",
@@ -161,6 +161,6 @@
         REQUESTS as f64 / local_cpu,
         REQUESTS as f64 / hop_cpu
     );
-    many_streams(&site, other).await;
+    measure_streams(&site, other).await;
     Ok(())
 }
--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -1,5 +1,11 @@
-//! Experiments behind docs/MEASUREMENTS.md: changes in force, starts from nothing, at most once under crashes, and
-//! killed holders. `cargo run --release --example experiments -- all`
+//! Experiments behind docs/MEASUREMENTS.md, each on a site with stand-ins and real daemons:
+//!
+//! - `in-force`: time until a change is active at all daemons, with a normal, slow and just recovered log
+//! - `start`: start of a daemon without local state, from the log or from a peer's snapshot
+//! - `once`: at-most-once calls while daemons crash
+//! - `kill`: takeover of a killed holder's targets, with streams open
+//!
+//! `cargo run --release --example experiments -- all`
 
 use gumdrop::Options;
 use hoplanding_standins::engine::{EngineModel, expected_answer};
@@ -31,21 +37,21 @@
 #[tokio::main]
 async fn main() -> io::Result<()> {
     let args = ExperimentArgs::parse_args_default_or_exit();
-    let wants = |name: &str| {
+    let is_selected = |name: &str| {
         args.names
             .iter()
-            .any(|given| given == name || given == "all")
+            .any(|selected| selected == name || selected == "all")
     };
-    if wants("in-force") {
-        in_force().await?;
+    if is_selected("in-force") {
+        change_latency().await?;
     }
-    if wants("start") {
-        start_from_nothing().await?;
+    if is_selected("start") {
+        start_without_state().await?;
     }
-    if wants("kill") {
-        killed_holders().await?;
+    if is_selected("kill") {
+        holder_takeover().await?;
     }
-    if wants("once") {
+    if is_selected("once") {
         at_most_once().await?;
     }
     Ok(())
@@ -53,16 +59,16 @@
 
 fn print_times(name: &str, mut times: Vec<u64>) {
     times.sort_unstable();
-    let of = |share| percentile(&times, share) as f64 / 1000.0;
+    let ms_at = |share| percentile(&times, share) as f64 / 1000.0;
     println!(
         "{name:<44} p50 {:>8.1} ms  p99 {:>8.1} ms  ({} times)",
-        of(0.5),
-        of(0.99),
+        ms_at(0.5),
+        ms_at(0.99),
         times.len()
     );
 }
 
-/// Waits until a daemon has folded an offset.
+/// Waits until a daemon has applied the log up to `offset`.
 async fn wait_applied(caller: &CallerClient, offset: u64) {
     loop {
         if let Ok(answer) = caller.execute_statement("show lag here").await
@@ -74,8 +80,8 @@
     }
 }
 
-/// Time from the operator's command to its being in force at the last of 7 daemons.
-async fn change_times(site: &TestSite, count: usize, tag: &str) -> Vec<u64> {
+/// Times from an operator's statement until the change is active at every daemon, in microseconds.
+async fn measure_changes(site: &TestSite, count: usize, tag: &str) -> Vec<u64> {
     let callers: Vec<_> = site
         .daemons
         .keys()
@@ -83,38 +89,38 @@
         .collect();
     let mut times = Vec::new();
     for number in 0..count {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let answer = callers[number % callers.len()]
             .execute_statement(&format!("create adapter {tag}-{number} version v1"))
             .await;
         let Ok(answer) = answer else {
-            println!("  refused: {answer:?}");
+            println!("  statement failed: {answer:?}");
             continue;
         };
         let offset = answer["accepted"]["offset"].as_u64().unwrap_or(0);
-        let mut waits = JoinSet::new();
+        let mut waiters = JoinSet::new();
         for caller in callers.clone() {
-            waits.spawn(async move { wait_applied(&caller, offset).await });
+            waiters.spawn(async move { wait_applied(&caller, offset).await });
         }
-        while waits.join_next().await.is_some() {}
-        times.push(began.elapsed().as_micros() as u64);
+        while waiters.join_next().await.is_some() {}
+        times.push(started_at.elapsed().as_micros() as u64);
     }
     times
 }
 
-async fn in_force() -> io::Result<()> {
+async fn change_latency() -> io::Result<()> {
     let mut config = SiteConfig::with_zones(4, 2, 1, 10);
     config.daemons.truncate(7);
     let site = TestSite::start(config).await?;
     print_times(
         "in force at 7 daemons, log well",
-        change_times(&site, 300, "well").await,
+        measure_changes(&site, 300, "well").await,
     );
     site.platform
         .set_faults(|faults| faults.append_delay = Duration::from_millis(500));
     print_times(
         "in force at 7 daemons, appends take 500 ms",
-        change_times(&site, 20, "slow").await,
+        measure_changes(&site, 20, "slow").await,
     );
     site.platform.set_faults(|faults| {
         faults.append_delay = Duration::ZERO;
@@ -124,22 +130,22 @@
     site.platform.set_faults(|faults| faults.out = false);
     print_times(
         "in force at 7 daemons, just after an outage",
-        change_times(&site, 20, "back").await,
+        measure_changes(&site, 20, "back").await,
     );
     Ok(())
 }
 
-async fn start_from_nothing() -> io::Result<()> {
+async fn start_without_state() -> io::Result<()> {
     let mut site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 37_000)).await?;
-    let bytes = site.platform.append_counts().2;
+    let log_bytes = site.platform.append_counts().2;
     let mut times = Vec::new();
     for round in 0..10 {
         site.kill_daemon("a2");
         if round >= 5 {
-            // By the peer's snapshot alone.
+            // With the log expired, the peer's snapshot is the only source.
             site.platform.expire_all();
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         site.start_daemon("a2").await?;
         let caller = site.caller("a2", OPERATOR_TOKEN);
         loop {
@@ -151,15 +157,15 @@
             }
             sleep(Duration::from_millis(2)).await;
         }
-        times.push(began.elapsed().as_micros() as u64);
+        times.push(started_at.elapsed().as_micros() as u64);
     }
-    println!("log of 37,000 adapters                       {bytes} B");
+    println!("log of 37,000 adapters                       {log_bytes} B");
     print_times("start from the log, 37,000 adapters", times[..5].to_vec());
     print_times("start from a peer, 37,000 adapters", times[5..].to_vec());
     Ok(())
 }
 
-async fn killed_holders() -> io::Result<()> {
+async fn holder_takeover() -> io::Result<()> {
     let (mut times, mut saved, mut lost) = (Vec::new(), 0, 0);
     for _ in 0..8 {
         let mut config = SiteConfig::with_zones(1, 3, 3, 12);
@@ -197,12 +203,12 @@
             });
         }
         sleep(Duration::from_millis(800)).await;
-        let began = Instant::now();
+        let started_at = Instant::now();
         site.kill_daemon(&holder);
         site.platform.unlist_vm(&holder);
         site.wait_until_served(4, Duration::from_secs(20)).await?;
-        // The wait itself ends with a pause of 150 ms.
-        times.push(began.elapsed().as_micros() as u64 - 150_000);
+        // `wait_until_served` ends with a pause of 150 ms.
+        times.push(started_at.elapsed().as_micros() as u64 - 150_000);
         while let Some(Ok(complete)) = streams.join_next().await {
             if complete { saved += 1 } else { lost += 1 }
         }
@@ -213,10 +219,14 @@
     Ok(())
 }
 
-/// Calls with a token, repeated through other daemons until they are answered or their outcome is unknown.
-async fn one_call(bases: Arc<Mutex<BTreeMap<String, String>>>, number: usize) -> &'static str {
+/// Sends one call with an idempotency token through random daemons, until it is answered, its outcome is unknown or it has
+/// been tried 12 times. Returns the outcome.
+async fn call_with_retries(
+    bases: Arc<Mutex<BTreeMap<String, String>>>,
+    number: usize,
+) -> &'static str {
     let mut random = StdRng::seed_from_u64(number as u64);
-    let mut pick = || {
+    let mut random_base = || {
         let bases = bases.lock().expect("no holder of the lock panics");
         let index = random.random_range(0..bases.len().max(1));
         bases.values().nth(index).cloned()
@@ -224,9 +234,9 @@
     let client = CallerClient::new("", "");
     let body = format!("call {number}");
     let mut token = None;
-    let mut last = "lost without a word";
+    let mut outcome = "no attempt possible";
     for _ in 0..12 {
-        let Some(base) = pick() else {
+        let Some(base) = random_base() else {
             sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -242,16 +252,16 @@
         match result.error.as_deref() {
             None if result.is_complete => return "answered",
             Some("outcome_unknown") => return "outcome unknown",
-            Some("not_run") => last = "not run",
-            _ => last = "no answer at the caller's last try",
+            Some("not_run") => outcome = "not run",
+            _ => outcome = "no answer to the last attempt",
         }
         sleep(Duration::from_millis(40)).await;
     }
-    last
+    outcome
 }
 
 async fn at_most_once() -> io::Result<()> {
-    for log_out in [false, true] {
+    for is_log_out in [false, true] {
         let mut site = TestSite::start(SiteConfig::with_zones(2, 3, 1, 2)).await?;
         site.execute_statement(
             "a1",
@@ -260,25 +270,25 @@
         .await
         .map_err(io::Error::other)?;
         let bases = Arc::new(Mutex::new(BTreeMap::new()));
-        let fill = |site: &TestSite| {
+        let update_bases = |site: &TestSite| {
             let urls = site.daemons.keys().map(|vm| (vm.clone(), site.url(vm)));
             *bases.lock().expect("no holder of the lock panics") = urls.collect();
         };
-        fill(&site);
-        site.platform.set_faults(|faults| faults.out = log_out);
-        let ends = Arc::new(Mutex::new(BTreeMap::new()));
+        update_bases(&site);
+        site.platform.set_faults(|faults| faults.out = is_log_out);
+        let outcomes = Arc::new(Mutex::new(BTreeMap::new()));
         let mut calls = JoinSet::new();
         let mut random = StdRng::seed_from_u64(11);
         let vms: Vec<_> = site.daemons.keys().cloned().collect();
-        let mut kills = 0;
+        let mut crashes = 0;
         for number in 0..10_000 {
-            let (bases, ends) = (Arc::clone(&bases), Arc::clone(&ends));
+            let (bases, outcomes) = (Arc::clone(&bases), Arc::clone(&outcomes));
             calls.spawn(async move {
-                let end = one_call(bases, number).await;
-                *ends
+                let outcome = call_with_retries(bases, number).await;
+                *outcomes
                     .lock()
                     .expect("no holder of the lock panics")
-                    .entry(end)
+                    .entry(outcome)
                     .or_insert(0) += 1;
             });
             if number % 10 == 9 {
@@ -289,22 +299,22 @@
                     .values()
                     .for_each(|service| service.set_faults(|faults| faults.lose_answers = 2));
             }
-            // With the log out a daemon that starts anew finds no holder's place, so crashes are fewer.
-            if number % if log_out { 4000 } else { 800 } == 799 {
+            // During a log outage a restarted daemon can't become a holder, so crashes are fewer.
+            if number % if is_log_out { 4000 } else { 800 } == 799 {
                 let vm = &vms[random.random_range(0..vms.len())];
                 site.kill_daemon(vm);
-                fill(&site);
+                update_bases(&site);
                 sleep(Duration::from_millis(30)).await;
                 site.start_daemon(vm).await?;
-                fill(&site);
-                kills += 1;
+                update_bases(&site);
+                crashes += 1;
             }
         }
         while calls.join_next().await.is_some() {}
         println!(
-            "10,000 calls, {kills} crashes, log {}: {:?}; run twice {}; run at all {}",
-            if log_out { "out" } else { "well" },
-            ends.lock().expect("no holder of the lock panics"),
+            "10,000 calls, {crashes} crashes, log {}: {:?}; run twice {}; run at all {}",
+            if is_log_out { "out" } else { "well" },
+            outcomes.lock().expect("no holder of the lock panics"),
             site.repeated_calls().len(),
             site.services
                 .values()
--- a/crates/daemon/examples/site.rs
+++ b/crates/daemon/examples/site.rs
@@ -1,5 +1,5 @@
-//! A whole small site in one process: two availability zones with two daemons each, four engines with three slots,
-//! 200 adapters, and a mix of requests. It stays up for `hoplanding` and curl; with `--once` it ends.
+//! A complete small site in one process: two availability zones with two daemons each, four engines with three slots,
+//! 200 adapters, and a mix of requests. The site then stays up for use with `hoplanding` and curl, unless `--once` is given.
 
 use gumdrop::Options;
 use hoplanding_testbed::{
@@ -43,7 +43,7 @@
         ..SiteConfig::with_zones(2, 2, 2, 200)
     };
     let site = TestSite::start(config).await?;
-    print_lines_to_type(&site);
+    print_sample_commands(&site);
     println!("sending {} requests", args.requests);
     let config = LoadConfig {
         requests: args.requests,
@@ -64,16 +64,16 @@
             ExitCode::FAILURE
         });
     }
-    println!("\nthe site stays up; end it with Ctrl-C");
+    println!("\nthe site keeps running; stop it with Ctrl-C");
     tokio::signal::ctrl_c().await?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_lines_to_type(site: &TestSite) {
+fn print_sample_commands(site: &TestSite) {
     let (Some(first), Some(last)) = (site.daemons.keys().next(), site.daemons.keys().last()) else {
         return;
     };
-    println!("\nlines to type in another terminal:");
+    println!("\ncommands to try in another terminal:");
     println!(
         "  export HOPLANDING_URL={} HOPLANDING_TOKEN={OPERATOR_TOKEN}",
         site.url(first)
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -1,6 +1,7 @@
-//! Slopes behind docs/CAPACITY.md: each at three sizes or more, with a line fit and its largest relative error.
+//! Scaling measurements behind docs/CAPACITY.md: memory, CPU time and message sizes against the number of objects.
 //!
-//! `cargo run --release --example slopes -- --json`; with `--zone` also a zone of 22 daemons before 413 engines.
+//! Each is taken at three or more sizes and fitted with a line; the largest relative error of the fit is printed with it.
+//! `cargo run --release --example slopes -- --json`; with `--zone` also runs a zone of 22 daemons and 413 engines.
 
 use cap::Cap;
 use gumdrop::Options;
@@ -29,7 +30,7 @@
 use serde_json::json;
 use std::{alloc::System, hint::black_box, io, time::Duration};
 
-/// Counts what is allocated.
+/// Allocator that counts allocated bytes.
 #[global_allocator]
 static ALLOCATED: Cap<System> = Cap::new(System, usize::MAX);
 
@@ -46,16 +47,18 @@
     zone: bool,
 }
 
-/// A measured line: what, against what, in which unit.
+/// One quantity, measured at several sizes.
 struct Slope {
     name: &'static str,
+    /// Kind of object that the size counts.
     against: &'static str,
     unit: &'static str,
+    /// Size and measured value.
     points: Vec<(f64, f64)>,
 }
 
 impl Slope {
-    /// Slope and value at zero of the best line, and the largest error relative to the measured value.
+    /// Fits a line by least squares; returns slope, value at zero and largest error relative to the measured value.
     fn fit(&self) -> (f64, f64, f64) {
         let count = self.points.len() as f64;
         let mean_x = self.points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -104,41 +107,41 @@
 fn main() -> io::Result<()> {
     let args = SlopeArgs::parse_args_default_or_exit();
     let slopes = vec![
-        memory(
+        measure_memory(
             "memory of a routed target",
             "target",
             &[103, 206, 413],
             router,
         ),
-        memory(
+        measure_memory(
             "memory of a VM in membership",
             "VM",
             &[110, 330, 990],
             members,
         ),
-        memory(
+        measure_memory(
             "memory of a used token",
             "token",
             &[20_000, 50_000, 100_000],
             tokens,
         ),
-        memory(
+        measure_memory(
             "memory of a claimed key",
             "key",
             &[16_000, 32_000, 64_000],
             keys,
         ),
-        memory(
+        measure_memory(
             "memory of an active adapter",
             "adapter",
             &[3_000, 12_000, 37_000],
-            tracked,
+            popularity_tracker,
         ),
-        memory(
+        measure_memory(
             "memory of an idle adapter",
             "adapter",
             &[3_000, 12_000, 37_000],
-            folded,
+            folded_state,
         ),
         snapshot_bytes(),
         snapshot_seconds(),
@@ -160,13 +163,13 @@
         tokio::runtime::Builder::new_multi_thread()
             .enable_all()
             .build()?
-            .block_on(zone(args.json))?;
+            .block_on(measure_zone(args.json))?;
     }
     Ok(())
 }
 
-/// Allocated memory against the number of things.
-fn memory<T>(
+/// Measures allocated memory against the number of objects that `build` creates.
+fn measure_memory<T>(
     name: &'static str,
     against: &'static str,
     sizes: &[usize],
@@ -188,13 +191,14 @@
     }
 }
 
-fn seconds(mut act: impl FnMut(), times: usize) -> f64 {
-    act();
-    let began = std::time::Instant::now();
+/// Mean time of one run in seconds, after one unmeasured warm-up run.
+fn mean_seconds(mut run: impl FnMut(), times: usize) -> f64 {
+    run();
+    let started_at = std::time::Instant::now();
     for _ in 0..times {
-        act();
+        run();
     }
-    began.elapsed().as_secs_f64() / times as f64
+    started_at.elapsed().as_secs_f64() / times as f64
 }
 
 fn adapter(number: usize) -> String {
@@ -216,7 +220,7 @@
     })
 }
 
-fn folded(count: usize) -> FoldedState {
+fn folded_state(count: usize) -> FoldedState {
     let mut state = FoldedState::default();
     for (batch, numbers) in (0..count).collect::<Vec<_>>().chunks(500).enumerate() {
         let changes = numbers.iter().flat_map(|number| {
@@ -237,7 +241,7 @@
     state
 }
 
-fn tracked(count: usize) -> PopularityTracker {
+fn popularity_tracker(count: usize) -> PopularityTracker {
     let mut tracker = PopularityTracker::default();
     for number in 0..count {
         tracker.record(
@@ -322,7 +326,7 @@
 
 fn snapshot_bytes() -> Slope {
     let points = [3_000, 12_000, 37_000].map(|count| {
-        let parts = folded(count).snapshot_parts(1);
+        let parts = folded_state(count).snapshot_parts(1);
         (
             count as f64,
             parts.iter().map(|part| part.text.len()).sum::<usize>() as f64,
@@ -338,15 +342,15 @@
 
 fn snapshot_seconds() -> Slope {
     let points = [3_000, 12_000, 37_000].map(|count| {
-        let state = folded(count);
-        let spent = seconds(
+        let state = folded_state(count);
+        let elapsed = mean_seconds(
             || {
                 let text = serde_json::to_string(&state).expect("JSON");
                 black_box(serde_json::from_str::<FoldedState>(&text).expect("JSON"));
             },
             3,
         );
-        (count as f64, spent * 1e3)
+        (count as f64, elapsed * 1e3)
     });
     Slope {
         name: "snapshot written and read",
@@ -358,9 +362,9 @@
 
 fn change_seconds() -> Slope {
     let points = [3_000, 12_000, 37_000].map(|count| {
-        let mut state = folded(count);
+        let mut state = folded_state(count);
         let mut offset = state.applied.0;
-        let spent = seconds(
+        let elapsed = mean_seconds(
             || {
                 offset += 1;
                 let adapter = adapter(offset as usize % count);
@@ -373,7 +377,7 @@
             },
             2_000,
         );
-        (count as f64, spent * 1e6)
+        (count as f64, elapsed * 1e6)
     });
     Slope {
         name: "a change folded",
@@ -383,10 +387,10 @@
     }
 }
 
-/// One dispatch decision: the route, the queue, the dispatch and the end.
+/// Mean time of one dispatch decision in microseconds: routing, queueing, dispatch and completion.
 fn decision_us(adapters: usize, targets: usize) -> f64 {
     let mut router = router(targets);
-    let mut tracker = tracked(adapters);
+    let mut tracker = popularity_tracker(adapters);
     let mut schedulers: Vec<_> = (0..targets).map(scheduler).collect();
     let names: Vec<_> = (0..targets)
         .map(|number| format!("engine-{number:04}"))
@@ -396,11 +400,11 @@
         .collect();
     let (weights, zone) = (PolicyWeights::default(), AvailabilityZone::new("zone-a"));
     let mut counter = 0;
-    let spent = seconds(
+    let elapsed = mean_seconds(
         || {
             counter += 1;
             let now = Instant(1_000_000 + counter * 10);
-            // Three of four ask for a loaded adapter, as in a skewed mix.
+            // Three of four requests name a loaded adapter, as with skewed popularity.
             let index = if counter % 4 == 0 {
                 counter as usize * 7919 % adapters
             } else {
@@ -445,7 +449,7 @@
         },
         200_000,
     );
-    spent * 1e6
+    elapsed * 1e6
 }
 
 fn decision_by_adapters() -> Slope {
@@ -507,7 +511,7 @@
         let message = heartbeat(count, false);
         let mut router = router(count);
         let zone = AvailabilityZone::new("zone-a");
-        let spent = seconds(
+        let elapsed = mean_seconds(
             || {
                 let decoded = decode(&encode(std::slice::from_ref(&message))).expect("CBOR");
                 if let PeerMessage::Heartbeat(heartbeat) = &decoded[0] {
@@ -519,7 +523,7 @@
             },
             2_000,
         );
-        (count as f64, spent * 1e6)
+        (count as f64, elapsed * 1e6)
     });
     Slope {
         name: "a heartbeat sent and taken",
@@ -558,13 +562,13 @@
 fn frame_seconds() -> Slope {
     let points = [1, 8, 32, 64].map(|count| {
         let batch = frames(count);
-        let spent = seconds(
+        let elapsed = mean_seconds(
             || {
                 black_box(decode(&encode(&batch)).expect("CBOR"));
             },
             5_000,
         );
-        (count as f64, spent * 1e6)
+        (count as f64, elapsed * 1e6)
     });
     Slope {
         name: "frames encoded and decoded",
@@ -588,14 +592,14 @@
     let points = [110, 330, 990].map(|count| {
         let mut table = members(count);
         let mut now = 2_000_000;
-        let spent = seconds(
+        let elapsed = mean_seconds(
             || {
                 now += 25_000;
                 black_box(table.tick(Instant(now)));
             },
             5_000,
         );
-        (count as f64, spent * 1e6)
+        (count as f64, elapsed * 1e6)
     });
     Slope {
         name: "a tick of membership",
@@ -606,7 +610,7 @@
 }
 
 fn record_sizes(as_json: bool) {
-    let state = folded(1_000);
+    let state = folded_state(1_000);
     let publish = ConfigChange::PublishVersion {
         adapter: adapter(7).as_str().into(),
         version: "v2".into(),
@@ -629,30 +633,30 @@
     }
 }
 
-/// A zone of letter 1, for real: 22 daemons before 413 engines, at rest.
-async fn zone(as_json: bool) -> io::Result<()> {
+/// Measures an idle zone of 22 real daemons and 413 engines.
+async fn measure_zone(as_json: bool) -> io::Result<()> {
     let mut config = SiteConfig::with_zones(1, 22, 413, 2_000);
     config.service_zones.clear();
     config.overrides = json!({
         "platform": { "timeout_ms": 5000, "list_every_ms": 1000 },
         "membership": { "heartbeat_ms": 200, "suspect_after_ms": 6000, "take_over_after_ms": 20_000, "delivery_bound_ms": 5000 },
     });
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let site = TestSite::start(config).await?;
-    let up = began.elapsed().as_secs_f64();
-    let span = Duration::from_secs(10);
-    // Until the spreading of the targets is over.
-    tokio::time::sleep(span).await;
+    let startup_seconds = started_at.elapsed().as_secs_f64();
+    let interval = Duration::from_secs(10);
+    // Until the targets are distributed over the daemons.
+    tokio::time::sleep(interval).await;
     let (cpu, bytes, appends) = (
         thread_cpu_seconds("d-"),
         encoded_bytes(),
         site.platform.append_counts(),
     );
-    tokio::time::sleep(span).await;
-    let cpu = (thread_cpu_seconds("d-") - cpu) / 22.0 / span.as_secs_f64();
-    let bytes = (encoded_bytes() - bytes) as f64 / 22.0 / span.as_secs_f64();
+    tokio::time::sleep(interval).await;
+    let cpu = (thread_cpu_seconds("d-") - cpu) / 22.0 / interval.as_secs_f64();
+    let bytes = (encoded_bytes() - bytes) as f64 / 22.0 / interval.as_secs_f64();
     let after = site.platform.append_counts();
-    let appended = (after.0 - appends.0) as f64 / span.as_secs_f64();
+    let appended = (after.0 - appends.0) as f64 / interval.as_secs_f64();
     let mut kinds = std::collections::BTreeMap::new();
     for (_, record) in site
         .platform
@@ -667,11 +671,11 @@
     if as_json {
         println!(
             "{}",
-            json!({ "name": "zone at rest", "up_s": up, "core_share_a_daemon": cpu, "bytes_s_a_daemon": bytes, "appends_s": appended, "resident_bytes_all": resident_bytes() })
+            json!({ "name": "zone at rest", "up_s": startup_seconds, "core_share_a_daemon": cpu, "bytes_s_a_daemon": bytes, "appends_s": appended, "resident_bytes_all": resident_bytes() })
         );
     } else {
         println!(
-            "zone at rest: up in {up:.1} s; a daemon uses {:.2}% of a core and sends {bytes:.0} B/s; {appended:.2} appends/s; {} MB for all",
+            "zone at rest: up in {startup_seconds:.1} s; a daemon uses {:.2}% of a core and sends {bytes:.0} B/s; {appended:.2} appends/s; {} MB for all",
             cpu * 100.0,
             resident_bytes() >> 20
         );
