--- a/crates/cli/src/account/cause.rs
+++ b/crates/cli/src/account/cause.rs
@@ -98,13 +98,13 @@
 pub fn classify(lines: &[SourceLine]) -> Option<RequestOutcome> {
     let last = lines.iter().rev().find(|line| {
         matches!(
-            line.line.event,
+            line.entry.event,
             ANSWER_INCOMPLETE | REFUSED | FAILED | NO_ROUTE | STREAM_ANSWERED
         )
     })?;
-    let message = &last.line.message;
-    let has_event = |event| lines.iter().any(|line| line.line.event == event);
-    let (end, cause) = match last.line.event {
+    let message = &last.entry.message;
+    let has_event = |event| lines.iter().any(|line| line.entry.event == event);
+    let (end, cause) = match last.entry.event {
         STREAM_ANSWERED => classify_answered(message),
         REFUSED => (RequestEnd::Refused, refusal_cause(message, lines)),
         NO_ROUTE => (RequestEnd::Refused, LossCause::NoRoute),
@@ -158,14 +158,15 @@
 }
 
 fn refusal_cause(message: &str, lines: &[SourceLine]) -> LossCause {
-    let with_event = |event| lines.iter().filter(move |line| line.line.event == event);
+    let with_event = |event| lines.iter().filter(move |line| line.entry.event == event);
     if message.contains("this VM stops") {
         LossCause::VmStopped
     } else if message.contains("no configuration") || message.contains("no known service") {
         LossCause::NoConfiguration
     } else if with_event(RETRY_DENIED).next().is_some() {
         LossCause::RetryBudget
-    } else if with_event(REJECTED_BY_TARGET).any(|line| line.line.message.contains("Misdirected")) {
+    } else if with_event(REJECTED_BY_TARGET).any(|line| line.entry.message.contains("Misdirected"))
+    {
         LossCause::WrongTarget
     } else if with_event(REJECTED_BY_TARGET).next().is_some() {
         LossCause::TargetFull
--- a/crates/cli/src/account/requests.rs
+++ b/crates/cli/src/account/requests.rs
@@ -24,8 +24,8 @@
 pub struct SourceLine {
     /// Daemon that wrote the line: the last word before the JSON object, or the file name if there is none.
     pub source: String,
-    /// Parsed log line.
-    pub line: LogEntry,
+    /// Parsed JSON object of the line.
+    pub entry: LogEntry,
 }
 
 impl RequestLog {
@@ -41,7 +41,7 @@
         }
         for lines in log.requests.values_mut() {
             // The order across VMs is approximate, because their clocks differ slightly.
-            lines.sort_by_key(|line| line.line.timestamp);
+            lines.sort_by_key(|line| line.entry.timestamp);
         }
         Ok(log)
     }
@@ -49,25 +49,25 @@
     /// Adds the lines of one file, without ordering them.
     pub fn add_lines(&mut self, file: &str, text: &str) {
         let mut unreadable = 0;
-        for text in text.lines().filter(|text| !text.trim().is_empty()) {
-            let Some((before, line)) = parse_line(text) else {
+        for line in text.lines().filter(|line| !line.trim().is_empty()) {
+            let Some((before, entry)) = parse_line(line) else {
                 unreadable += 1;
                 continue;
             };
             let source = before.split_whitespace().next_back().unwrap_or(file);
             self.begin = Some(
                 self.begin
-                    .map_or(line.timestamp, |begin| begin.min(line.timestamp)),
+                    .map_or(entry.timestamp, |begin| begin.min(entry.timestamp)),
             );
-            if line.event == STARTED
-                && let Some(zone) = parse_started_zone(&line.message)
+            if entry.event == STARTED
+                && let Some(zone) = parse_started_zone(&entry.message)
             {
                 self.zones.insert(source.to_owned(), zone);
             }
-            if let Some(request) = line.request.clone() {
+            if let Some(request) = entry.request.clone() {
                 let source = source.to_owned();
                 let lines = self.requests.entry(request).or_default();
-                lines.push(SourceLine { source, line });
+                lines.push(SourceLine { source, entry });
             }
         }
         if unreadable > 0 {
--- a/crates/cli/src/account/summary.rs
+++ b/crates/cli/src/account/summary.rs
@@ -101,7 +101,7 @@
     if span == 0 {
         return 0;
     }
-    (line.line.timestamp - begin) / 1_000 / span * span
+    (line.entry.timestamp - begin) / 1_000 / span * span
 }
 
 impl fmt::Display for AccountTable {
@@ -133,15 +133,12 @@
         if self.untold > 0 {
             write!(
                 f,
-                "\n{} requests: no line tells how they ended",
+                "\n{} requests have no line that tells how they ended",
                 self.untold
             )?;
         }
         for (file, count) in &self.unreadable {
-            write!(
-                f,
-                "\n{file}: {count} lines are none of a daemon, and are left out"
-            )?;
+            write!(f, "\n{file}: skipped {count} lines that no daemon wrote")?;
         }
         Ok(())
     }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -62,7 +62,7 @@
     Undrain(StatementArgs),
     /// Explains a request or a target from logs.
     #[options(help = "explain from logs: explain-log REQUEST-OR-TARGET FILE...")]
-    ExplainLog(LogArgs),
+    ExplainLog(ExplainLogArgs),
     /// Summarizes late, refused and failed requests from logs.
     #[options(help = "late, refused and failed requests by cause, from logs: account FILE...")]
     Account(AccountArgs),
@@ -84,7 +84,7 @@
 
 /// What is looked for, and in which logs.
 #[derive(Debug, Options)]
-pub struct LogArgs {
+pub struct ExplainLogArgs {
     /// Prints the help.
     #[options(help = "print this help; docs/EVENTS.md has every event")]
     pub help: bool,
--- a/crates/cli/src/explain_log.rs
+++ b/crates/cli/src/explain_log.rs
@@ -81,18 +81,18 @@
         .find(|line| matches!(line.event, 600 | 601 | 800..=802 | 815))?;
     Some(match last.event {
         600 => {
-            "Its stream broke and went on at another target; no line says that it failed after that."
+            "The stream broke and was resumed at another target; no line reports a failure after that."
         }
         601 => {
-            "Its answer broke off, so the caller's connection was closed: the last target line says why."
+            "The answer was incomplete, so the caller's connection was closed: the last line about a target says why."
         }
         800 => {
-            "No target ran it: it was refused with a promise and the time to come back. The line says why."
+            "No target ran it: it was refused with a guarantee of that and a retry time. The line says why."
         }
-        801 => "It may have run, and failed without a promise: the lines of its targets say where.",
+        801 => "It failed and may have run: the lines about its targets say where.",
         802 => {
-            "No route of the configuration in force had its host and path: compare E302 of that time."
+            "No route of the active configuration matched its host and path: compare E302 of that time."
         }
-        _ => "A target broke its stream off; no line says that it went on.",
+        _ => "A target broke the stream off; no line reports that it was resumed.",
     })
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -7,7 +7,7 @@
 //! | [`client`] | HTTP client of the daemons' operator API |
 //! | [`explain_log`] | log lines of several daemons about one request or target |
 //! | [`log_lines`] | parser of the daemons' log lines |
-//! | [`show`] | output as tables or JSON |
+//! | [`output`] | output as tables or JSON |
 //! | [`prompt`] | interactive prompt, opened when no statement is given |
 
 pub mod account;
@@ -15,14 +15,14 @@
 pub mod client;
 pub mod explain_log;
 pub mod log_lines;
+pub mod output;
 pub mod prompt;
-pub mod show;
 
 pub use args::CliArgs;
 
 use crate::{
     account::{RequestLog, summarize},
-    args::{AccountArgs, CliCommand, LogArgs, OutputFormat},
+    args::{AccountArgs, CliCommand, ExplainLogArgs, OutputFormat},
     client::{DaemonClient, StatementError},
     explain_log::{describe_outcome, find_lines},
 };
@@ -58,7 +58,7 @@
 }
 
 /// Prints the log lines that mention a request or target, and how the request ended.
-fn explain_logs(args: &LogArgs) -> ExitCode {
+fn explain_logs(args: &ExplainLogArgs) -> ExitCode {
     match find_lines(&args.subject, &args.files) {
         Ok(lines) if lines.is_empty() => {
             println!(
@@ -108,11 +108,11 @@
 pub async fn run_statement(client: &DaemonClient, text: &str, format: OutputFormat) -> ExitCode {
     match client.send(text).await {
         Ok(answer) => {
-            show::print_answer(&answer, format);
+            output::print_answer(&answer, format);
             ExitCode::SUCCESS
         }
         Err(error) => {
-            show::print_error(&error, format);
+            output::print_error(&error, format);
             ExitCode::from(exit_code(&error))
         }
     }
--- a/crates/cli/tests/account.rs
+++ b/crates/cli/tests/account.rs
@@ -138,7 +138,7 @@
     ];
     log.add_lines("b.log", &other_lines.join("\n"));
     for lines in log.requests.values_mut() {
-        lines.sort_by_key(|line| line.line.timestamp);
+        lines.sort_by_key(|line| line.entry.timestamp);
     }
     let table = summarize(&log, 10);
     assert_eq!(table.untold, 1);
--- a/crates/cli/tests/tool.rs
+++ b/crates/cli/tests/tool.rs
@@ -31,39 +31,39 @@
         .await
         .expect("the site starts");
     let url = site.url("a1");
-    let (code, shown, _) = run_tool(url.clone(), &["show adapters order by adapter"]).await;
+    let (code, stdout, _) = run_tool(url.clone(), &["show adapters order by adapter"]).await;
     assert_eq!(code, Some(0));
     assert!(
-        shown.contains("adapter-0002") && shown.contains("(3 rows)"),
-        "{shown}"
+        stdout.contains("adapter-0002") && stdout.contains("(3 rows)"),
+        "{stdout}"
     );
-    let (code, shown, _) = run_tool(
+    let (code, stdout, _) = run_tool(
         url.clone(),
         &["show", "targets", "where", "role", "=", "engine", "--json"],
     )
     .await;
     assert_eq!(code, Some(0));
-    let rows: serde_json::Value = serde_json::from_str(&shown).expect("JSON");
+    let rows: serde_json::Value = serde_json::from_str(&stdout).expect("JSON");
     assert_eq!(rows["rows"][0]["target"], "engine-a1");
-    let (code, shown, _) = run_tool(
+    let (code, stdout, _) = run_tool(
         url.clone(),
         &["create adapter new-one version v1; keep adapter new-one ready"],
     )
     .await;
-    assert_eq!(code, Some(0), "{shown}");
-    assert!(shown.starts_with("accepted as"), "{shown}");
-    let (code, _, error) = run_tool(url.clone(), &["create adapter new-one"]).await;
+    assert_eq!(code, Some(0), "{stdout}");
+    assert!(stdout.starts_with("accepted as"), "{stdout}");
+    let (code, _, stderr) = run_tool(url.clone(), &["create adapter new-one"]).await;
     assert_eq!(code, Some(1));
-    assert!(error.contains("already exists"), "{error}");
-    let (code, _, error) = run_tool(url.clone(), &["show tragets"]).await;
+    assert!(stderr.contains("already exists"), "{stderr}");
+    let (code, _, stderr) = run_tool(url.clone(), &["show tragets"]).await;
     assert_eq!(code, Some(2));
-    assert!(error.contains("^^^^^^^"), "{error}");
-    let (code, _, error) = run_tool(url.clone(), &["--token", "wrong", "show targets"]).await;
+    assert!(stderr.contains("^^^^^^^"), "{stderr}");
+    let (code, _, stderr) = run_tool(url.clone(), &["--token", "wrong", "show targets"]).await;
     assert_eq!(code, Some(1));
-    assert!(error.contains("HOPLANDING_TOKEN"), "{error}");
-    let (code, _, error) = run_tool("http://127.0.0.1:9".to_owned(), &["show targets"]).await;
+    assert!(stderr.contains("HOPLANDING_TOKEN"), "{stderr}");
+    let (code, _, stderr) = run_tool("http://127.0.0.1:9".to_owned(), &["show targets"]).await;
     assert_eq!(code, Some(3));
-    assert!(error.contains("--url"), "{error}");
+    assert!(stderr.contains("--url"), "{stderr}");
     let (code, help, _) = run_tool(url, &["show", "--help"]).await;
     assert_eq!(code, Some(0));
     assert!(help.contains("LANGUAGE.md"), "{help}");
--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -136,9 +136,9 @@
         .as_str()
         .unwrap_or_default()
         .to_owned();
-    let other = if holder == "a1" { "a2" } else { "a1" };
+    let gateway = if holder == "a1" { "a2" } else { "a1" };
     // Warm-up: the first request loads the adapter.
-    site.caller(other, NORMAL_TOKEN)
+    site.caller(gateway, NORMAL_TOKEN)
         .complete(&streamed_call("warm".to_owned(), 2))
         .await;
     let direct_caller = CallerClient::new(
@@ -151,7 +151,7 @@
     let local = measure_first_tokens(&site.caller(&holder, NORMAL_TOKEN), "adapter-0000").await;
     print_latency("gateway = holder", &local, &direct);
     let local_cpu = thread_cpu_seconds("d-") - cpu;
-    let one_hop = measure_first_tokens(&site.caller(other, NORMAL_TOKEN), "adapter-0000").await;
+    let one_hop = measure_first_tokens(&site.caller(gateway, NORMAL_TOKEN), "adapter-0000").await;
     print_latency("one peer hop", &one_hop, &direct);
     let hop_cpu = thread_cpu_seconds("d-") - cpu - local_cpu;
     println!(
@@ -161,6 +161,6 @@
         REQUESTS as f64 / local_cpu,
         REQUESTS as f64 / hop_cpu
     );
-    measure_streams(&site, other).await;
+    measure_streams(&site, gateway).await;
     Ok(())
 }
--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Times from an operator's statement until the change is active at every daemon, in microseconds.
+/// Times from an operator's statement until the change is active at all 7 daemons, in microseconds.
 async fn measure_changes(site: &TestSite, count: usize, tag: &str) -> Vec<u64> {
     let callers: Vec<_> = site
         .daemons
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -195,7 +195,7 @@
         for (vm, _) in site.config.daemons.clone() {
             site.start_daemon(&vm).await?;
         }
-        site.configure().await?;
+        site.apply_configuration().await?;
         site.wait_until_serving(Duration::from_secs(20)).await?;
         Ok(site)
     }
@@ -359,7 +359,7 @@
             .await
     }
 
-    async fn configure(&self) -> io::Result<()> {
+    async fn apply_configuration(&self) -> io::Result<()> {
         let (first, _) = self
             .config
             .daemons
@@ -369,7 +369,7 @@
             })?
             .clone();
         self.wait_ready(&first).await?;
-        let mut texts = vec![self.base_commands()];
+        let mut texts = vec![self.base_statement()];
         let numbers: Vec<_> = (0..self.config.adapters).collect();
         texts.extend(numbers.chunks(MAX_ADAPTERS_PER_CHANGE).map(|chunk| {
             let commands: Vec<_> = chunk
@@ -386,7 +386,7 @@
         Ok(())
     }
 
-    fn base_commands(&self) -> String {
+    fn base_statement(&self) -> String {
         let mut text = format!(
             "create caller urgent-desk token {URGENT_TOKEN}; create caller normal-desk token {NORMAL_TOKEN}; \
              create caller batch-desk token {BATCH_TOKEN}; \
