--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 async fn site(zones: usize, daemons: usize) -> TestSite {
-    TestSite::start(SiteConfig::zones(zones, daemons, 1, 2))
+    TestSite::start(SiteConfig::with_zones(zones, daemons, 1, 2))
         .await
         .expect("the site starts")
 }
@@ -196,7 +196,7 @@
     let token = caller.issue_token().await.expect("a token");
     let first = caller.post_scan("scan", Some(&token)).await;
     assert!(
-        !first.complete,
+        !first.is_complete,
         "a broken answer never looks like a complete one: {first:?}"
     );
     let again = site
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -18,7 +18,7 @@
 }
 
 async fn small_site() -> TestSite {
-    TestSite::start(SiteConfig::zones(1, 2, 2, 20))
+    TestSite::start(SiteConfig::with_zones(1, 2, 2, 20))
         .await
         .expect("the site starts")
 }
@@ -34,7 +34,7 @@
                 .complete(&call("adapter-0003", 9, stream))
                 .await;
             assert_eq!(result.status, 200, "{}", result.message);
-            assert!(result.complete);
+            assert!(result.is_complete);
             assert_eq!(result.model, "adapter-0003@v1");
             assert_eq!(
                 result.text,
@@ -73,7 +73,7 @@
         Some(20)
     );
 
-    site.operate("a2", "publish version v2 of adapter-0001")
+    site.execute_statement("a2", "publish version v2 of adapter-0001")
         .await
         .expect("published");
     let unversioned = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -81,7 +81,7 @@
         unversioned.model, "adapter-0001@v1",
         "publishing changes no current version"
     );
-    site.operate("a1", "make current version v2 of adapter-0001")
+    site.execute_statement("a1", "make current version v2 of adapter-0001")
         .await
         .expect("made current");
     let unversioned = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -191,7 +191,7 @@
         .complete(&call("adapter-0001", 3, false))
         .await;
     assert_eq!(result.status, 401, "{}", result.message);
-    site.operate("a1", "revoke normal-desk on all adapters")
+    site.execute_statement("a1", "revoke normal-desk on all adapters")
         .await
         .expect("revoked");
     let result = caller.complete(&call("adapter-0001", 3, false)).await;
@@ -210,7 +210,7 @@
 /// A request body that never ends must not keep its connection open beyond the body timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_request_body_times_out() {
-    let mut config = SiteConfig::zones(1, 1, 1, 2);
+    let mut config = SiteConfig::with_zones(1, 1, 1, 2);
     config.overrides = json!({ "limits": { "body_timeout_ms": 100 } });
     let site = TestSite::start(config).await.expect("the site starts");
     let pending_body = futures_util::stream::pending::<Result<Vec<u8>, std::io::Error>>();
@@ -254,7 +254,7 @@
 /// A caller that does not read its stream fills its buffer; other streams must continue.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_reader_does_not_block_other_callers() {
-    let mut config = SiteConfig::zones(1, 2, 1, 4);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 4);
     config.model = EngineModel {
         step_us: 500,
         sequence_us: 10,
@@ -290,7 +290,7 @@
 /// request answered by the other engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_stream_is_resumed_and_wrong_adapter_is_quarantined() {
-    let site = TestSite::start(SiteConfig::zones(1, 1, 2, 8))
+    let site = TestSite::start(SiteConfig::with_zones(1, 1, 2, 8))
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
@@ -315,7 +315,7 @@
         result.message
     );
     let shown = site
-        .operate("a1", "show targets where state = quarantined")
+        .execute_statement("a1", "show targets where state = quarantined")
         .await
         .expect("rows");
     assert_eq!(
@@ -329,7 +329,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_over_quota_are_refused_as_not_run() {
     let site = small_site().await;
-    site.operate("a1", "set quota of normal-desk to 1 per second")
+    site.execute_statement("a1", "set quota of normal-desk to 1 per second")
         .await
         .expect("set");
     let caller = site.caller("a1", NORMAL_TOKEN);
@@ -338,7 +338,7 @@
         let result = caller.complete(&call("adapter-0001", 2, false)).await;
         if result.error.as_deref() == Some("not_run") {
             assert_eq!(result.status, 429);
-            assert!(result.retry_after);
+            assert!(result.has_retry_after);
             refused += 1;
         }
     }
@@ -351,12 +351,12 @@
 /// A mixed load over two zones must cause no failed requests and no violated invariants.
 #[tokio::test(flavor = "multi_thread")]
 async fn mixed_load_over_two_zones_has_no_violations() {
-    let mut config = SiteConfig::zones(2, 2, 2, 40);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(2, 2, 2, 40);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let load = LoadConfig {
         requests: 400,
-        at_once: 32,
+        concurrency: 32,
         skew: 1.3,
         seed: 5,
         progress: false,
