--- a/crates/daemon/benches/path.rs
+++ b/crates/daemon/benches/path.rs
@@ -2,7 +2,7 @@
 //!
 //! `cargo bench --bench path`. Wall-clock figures, so this is no part of CI.
 
-use hoplanding_standins::engine::{EngineModel, expected_answer};
+use hoplanding_standins::engine::{EngineModel, expected_completion};
 use hoplanding_testbed::{
     CallerClient, CompletionCall, SiteConfig, TestSite,
     load::percentile,
@@ -76,7 +76,7 @@
         calls.spawn(async move {
             let call = call(format!("stream {number}"), STREAM_TOKENS);
             let result = caller.complete(&call).await;
-            result.text == expected_answer("adapter-0000@v1", &call.prompt, STREAM_TOKENS)
+            result.text == expected_completion("adapter-0000@v1", &call.prompt, STREAM_TOKENS)
         });
     }
     tokio::time::sleep(Duration::from_millis(700)).await;
--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -2,7 +2,7 @@
 //! killed holders. `cargo run --release --example experiments -- all`
 
 use gumdrop::Options;
-use hoplanding_standins::engine::{EngineModel, expected_answer};
+use hoplanding_standins::engine::{EngineModel, expected_completion};
 use hoplanding_testbed::{
     CallerClient, CompletionCall, SiteConfig, TestSite,
     load::percentile,
@@ -118,10 +118,11 @@
     );
     site.platform.set_faults(|faults| {
         faults.append_delay = Duration::ZERO;
-        faults.out = true;
+        faults.is_unavailable = true;
     });
     sleep(Duration::from_secs(2)).await;
-    site.platform.set_faults(|faults| faults.out = false);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = false);
     print_times(
         "in force at 7 daemons, just after an outage",
         change_times(&site, 20, "back").await,
@@ -131,7 +132,7 @@
 
 async fn start_from_nothing() -> io::Result<()> {
     let mut site = TestSite::start(SiteConfig::zones(1, 2, 1, 37_000)).await?;
-    let bytes = site.platform.append_counts().2;
+    let bytes = site.platform.append_totals().2;
     let mut times = Vec::new();
     for round in 0..10 {
         site.kill_daemon("a2");
@@ -193,13 +194,13 @@
             };
             streams.spawn(async move {
                 let result = caller.complete(&call).await;
-                result.text == expected_answer(&format!("{}@v1", call.model), &call.prompt, 150)
+                result.text == expected_completion(&format!("{}@v1", call.model), &call.prompt, 150)
             });
         }
         sleep(Duration::from_millis(800)).await;
         let began = Instant::now();
         site.kill_daemon(&holder);
-        site.platform.unlist_vm(&holder);
+        site.platform.remove_vm(&holder);
         site.wait_until_served(4, Duration::from_secs(20)).await?;
         // The wait itself ends with a pause of 150 ms.
         times.push(began.elapsed().as_micros() as u64 - 150_000);
@@ -265,7 +266,8 @@
             *bases.lock().expect("no holder of the lock panics") = urls.collect();
         };
         fill(&site);
-        site.platform.set_faults(|faults| faults.out = log_out);
+        site.platform
+            .set_faults(|faults| faults.is_unavailable = log_out);
         let ends = Arc::new(Mutex::new(BTreeMap::new()));
         let mut calls = JoinSet::new();
         let mut random = StdRng::seed_from_u64(11);
@@ -287,7 +289,7 @@
             if number % 400 == 399 {
                 site.services
                     .values()
-                    .for_each(|service| service.set_faults(|faults| faults.lose_answers = 2));
+                    .for_each(|service| service.set_faults(|faults| faults.lost_responses = 2));
             }
             // With the log out a daemon that starts anew finds no holder's place, so crashes are fewer.
             if number % if log_out { 4000 } else { 800 } == 799 {
@@ -308,7 +310,7 @@
             site.repeated().len(),
             site.services
                 .values()
-                .map(hoplanding_standins::service::ServiceStandin::ran)
+                .map(hoplanding_standins::service::ServiceStandin::distinct_calls)
                 .sum::<usize>()
         );
     }
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -646,12 +646,12 @@
     let (cpu, bytes, appends) = (
         thread_seconds("d-"),
         encoded_bytes(),
-        site.platform.append_counts(),
+        site.platform.append_totals(),
     );
     tokio::time::sleep(span).await;
     let cpu = (thread_seconds("d-") - cpu) / 22.0 / span.as_secs_f64();
     let bytes = (encoded_bytes() - bytes) as f64 / 22.0 / span.as_secs_f64();
-    let after = site.platform.append_counts();
+    let after = site.platform.append_totals();
     let appended = (after.0 - appends.0) as f64 / span.as_secs_f64();
     let mut kinds = std::collections::BTreeMap::new();
     for (_, record) in site
--- a/crates/daemon/tests/direct/calls.rs
+++ b/crates/daemon/tests/direct/calls.rs
@@ -7,7 +7,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::direct::{daemon::DirectDaemon, settings::DirectSettings};
 use std::sync::{
@@ -60,7 +60,7 @@
     assert!(answer.has_header("hoplanding-server-seal: seal"));
     let seen = target.requests();
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].line(), "POST /scan/x%20y?q=1 HTTP/1.1");
+    assert_eq!(seen[0].request_line(), "POST /scan/x%20y?q=1 HTTP/1.1");
     assert_eq!(seen[0].body, b"body");
     assert_eq!(seen[0].header("x-own"), Some("7"));
     assert_eq!(seen[0].header("hoplanding-expect-instance"), Some("i-1"));
@@ -164,7 +164,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|_| {
         let headers = "Hoplanding-Request-Id: other\r\nHoplanding-Server-Seal: seal\r\n";
-        RawAnswer::whole("200 OK", headers, "not yours")
+        RawResponse::complete("200 OK", headers, "not yours")
     })
     .await
     .expect("a target");
@@ -189,7 +189,7 @@
         let target = RawTarget::start(move |request: &RawRequest| {
             let id = request.header("hoplanding-request-id").unwrap_or_default();
             let headers = format!("Hoplanding-Request-Id: {id}\r\n{extra}");
-            RawAnswer::whole("200 OK", &headers, "bytes")
+            RawResponse::complete("200 OK", &headers, "bytes")
         })
         .await
         .expect("a target");
@@ -205,7 +205,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(|request: &RawRequest| {
         let mut answer = good_answer(request);
-        let extra = RawAnswer::whole("200 OK", &seal_headers(request), "again");
+        let extra = RawResponse::complete("200 OK", &seal_headers(request), "again");
         answer.pieces.extend(extra.pieces);
         answer
     })
@@ -231,10 +231,10 @@
 #[tokio::test]
 async fn a_non_idempotent_call_is_sent_once_and_fails_with_502() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start(|_| RawAnswer::close())
+    let target = RawTarget::start(|_| RawResponse::close())
         .await
         .expect("a target");
-    let other = RawTarget::start(|_| RawAnswer::close())
+    let other = RawTarget::start(|_| RawResponse::close())
         .await
         .expect("a target");
     let targets = [
@@ -254,10 +254,10 @@
     let first = AtomicUsize::new(0);
     let answer_in_turn = Arc::new(move |request: &RawRequest| {
         if first.fetch_add(1, Ordering::SeqCst) == 0 {
-            RawAnswer::close()
+            RawResponse::close()
         } else {
             let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-            RawAnswer::whole("503 Service Unavailable", &headers, "")
+            RawResponse::complete("503 Service Unavailable", &headers, "")
         }
     });
     let (one, two) = (Arc::clone(&answer_in_turn), answer_in_turn);
@@ -281,7 +281,7 @@
 async fn a_call_rejected_by_its_target_goes_elsewhere_or_ends_with_503() {
     let refuse = |request: &RawRequest| {
         let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-        RawAnswer::whole("503 Service Unavailable", &headers, "")
+        RawResponse::complete("503 Service Unavailable", &headers, "")
     };
     let log = KeyedLog::start().await.expect("a log");
     let full = RawTarget::start(refuse).await.expect("a target");
@@ -330,7 +330,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let broken = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
-        let is_call = !request.line().contains("/hoplanding/");
+        let is_call = !request.request_line().contains("/hoplanding/");
         let breaks = is_call && broken.fetch_add(1, Ordering::SeqCst) == 0;
         stream_answer(request, breaks.then_some(4))
     });
--- a/crates/daemon/tests/direct/connections.rs
+++ b/crates/daemon/tests/direct/connections.rs
@@ -11,7 +11,7 @@
 use futures_util::future::join_all;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::direct::daemon::DirectDaemon;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 /// Concurrent calls of a VM.
 const CONCURRENT_CALLS: usize = 3;
 
-fn slow(request: &RawRequest) -> RawAnswer {
+fn slow(request: &RawRequest) -> RawResponse {
     let mut answer = good_answer(request);
     answer.pieces[0].0 = Duration::from_millis(60);
     answer
@@ -31,7 +31,7 @@
 #[tokio::test]
 async fn vms_share_the_connection_limit_of_a_target() {
     let log = KeyedLog::start().await.expect("a log");
-    let target = RawTarget::start_bounded(slow, MAX_CONNECTIONS)
+    let target = RawTarget::start_with_connection_limit(slow, MAX_CONNECTIONS)
         .await
         .expect("a target");
     let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
--- a/crates/daemon/tests/direct/copies.rs
+++ b/crates/daemon/tests/direct/copies.rs
@@ -93,7 +93,7 @@
     let served = target.requests();
     let served = served
         .iter()
-        .filter(|request| request.line().contains("/scan/"));
+        .filter(|request| request.request_line().contains("/scan/"));
     assert_eq!(served.count(), 1);
 }
 
--- a/crates/daemon/tests/direct/engine_simulator.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -8,8 +8,8 @@
 
 use crate::support::{chunk, seal_headers, stream_event};
 use hoplanding_standins::{
-    kept_memory::{MemoryMismatch, MemoryNet, ReadPrompt},
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    prompt_cache::{CacheMismatch, PromptCaches, ReceivedPrompt},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use serde::Deserialize;
 use serde_json::json;
@@ -61,7 +61,7 @@
 /// The simulated engines of a site.
 #[derive(Default)]
 pub struct EngineSimulator {
-    net: MemoryNet,
+    net: PromptCaches,
     state: Mutex<SimulatorState>,
 }
 
@@ -70,7 +70,7 @@
     newest: u64,
     engines: BTreeMap<String, SimulatedEngine>,
     runs: Vec<PromptRun>,
-    mismatches: Vec<MemoryMismatch>,
+    mismatches: Vec<CacheMismatch>,
     /// Number of load orders still to be delayed.
     orders_to_delay: usize,
     /// Number of delayed orders that were applied.
@@ -239,7 +239,7 @@
     }
 
     /// Runs that used a cache computed by another version.
-    pub fn mismatches(&self) -> Vec<MemoryMismatch> {
+    pub fn mismatches(&self) -> Vec<CacheMismatch> {
         self.lock().mismatches.clone()
     }
 
@@ -274,7 +274,7 @@
         state
     }
 
-    fn answer(&self, name: &str, request: &RawRequest) -> RawAnswer {
+    fn answer(&self, name: &str, request: &RawRequest) -> RawResponse {
         let mut state = self.settled();
         let is_meant = request
             .header("hoplanding-expect-instance")
@@ -282,10 +282,10 @@
         if !is_meant {
             return rejection(request, "421 Misdirected Request");
         }
-        if request.line().starts_with("GET /hoplanding/report") {
+        if request.request_line().starts_with("GET /hoplanding/report") {
             return state.engines[name].report();
         }
-        if request.line().starts_with("POST /hoplanding/order") {
+        if request.request_line().starts_with("POST /hoplanding/order") {
             return state.order(name, request);
         }
         match state.run(name, request, &self.net) {
@@ -296,7 +296,7 @@
 }
 
 impl SimulatorState {
-    fn order(&mut self, name: &str, request: &RawRequest) -> RawAnswer {
+    fn order(&mut self, name: &str, request: &RawRequest) -> RawResponse {
         let order: WireOrder = serde_json::from_slice(&request.body).expect("an order");
         let now = Instant::now();
         let newest = self.newest;
@@ -313,15 +313,15 @@
             412 => "412 Precondition Failed",
             _ => "400 Bad Request",
         };
-        RawAnswer::whole(status, "", "")
+        RawResponse::complete(status, "", "")
     }
 
     fn run(
         &mut self,
         name: &str,
         request: &RawRequest,
-        net: &MemoryNet,
-    ) -> Result<RawAnswer, &'static str> {
+        net: &PromptCaches,
+    ) -> Result<RawResponse, &'static str> {
         if self.requests_to_reject > 0 {
             self.requests_to_reject -= 1;
             return Err("503 Service Unavailable");
@@ -357,13 +357,14 @@
         }
         let prompt = prompt_parts(request);
         let parts: Vec<_> = prompt.iter().map(|(part, _)| *part).collect();
-        let read = ReadPrompt {
+        let read = ReceivedPrompt {
             adapter,
             version: engine.base * BASE_VERSION_FACTOR + version,
             parts: &parts,
             source,
         };
-        self.mismatches.extend(net.read(engine.address, &read));
+        self.mismatches
+            .extend(net.process_prompt(engine.address, &read));
         let now = Instant::now();
         let took = reading_time(&prompt, &copy.cached_parts, &lent);
         copy.cached_parts.extend(prompt);
@@ -398,7 +399,7 @@
         name: &str,
         request: &RawRequest,
         expected: Option<u64>,
-    ) -> Result<RawAnswer, &'static str> {
+    ) -> Result<RawResponse, &'static str> {
         let version = self.engines[name].base;
         if expected.is_some_and(|expected| expected != version) {
             self.misdirected_requests += 1;
@@ -479,23 +480,23 @@
         }
     }
 
-    fn report(&self) -> RawAnswer {
+    fn report(&self) -> RawResponse {
         match self.report_history.front() {
             Some((_, report)) if self.delayed_orders.is_empty() => {
-                RawAnswer::whole("200 OK", "", report)
+                RawResponse::complete("200 OK", "", report)
             }
             _ => no_answer(),
         }
     }
 
     /// Applies the changes that are due, and drops the cached parts of the adapters concerned.
-    fn apply_changes(&mut self, net: &MemoryNet, now: Instant) {
+    fn apply_changes(&mut self, net: &PromptCaches, now: Instant) {
         let address = self.address;
         self.copies.retain(|adapter, copy| {
             let Some(change) = copy.change.filter(|change| change.at <= now) else {
                 return true;
             };
-            net.drop_adapter(address, adapter);
+            net.evict_adapter(address, adapter);
             copy.cached_parts.clear();
             copy.change = None;
             copy.version = change.to;
@@ -505,16 +506,16 @@
 }
 
 /// Closes the connection without an answer, after the holder has stopped waiting.
-fn no_answer() -> RawAnswer {
-    RawAnswer {
+fn no_answer() -> RawResponse {
+    RawResponse {
         pieces: vec![(ORDER_DELAY, Vec::new())],
-        closes: true,
+        closes_connection: true,
     }
 }
 
-fn rejection(request: &RawRequest, status: &str) -> RawAnswer {
+fn rejection(request: &RawRequest, status: &str) -> RawResponse {
     let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-    RawAnswer::whole(status, &headers, "")
+    RawResponse::complete(status, &headers, "")
 }
 
 fn number(request: &RawRequest, name: &str) -> Option<u64> {
@@ -558,7 +559,7 @@
 }
 
 /// A stream whose first event comes when the prompt has been read. Its head states the version of the base model.
-fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawAnswer {
+fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawResponse {
     let headers = seal_headers(request);
     let head = format!(
         "HTTP/1.1 200 OK\r\n{headers}Hoplanding-Weight-Versions: {base}\r\n\
@@ -568,8 +569,8 @@
     pieces.push((Duration::ZERO, chunk(&stream_event(1))));
     pieces.extend((2..=tokens).map(|id| (TIME_PER_OUTPUT_TOKEN, chunk(&stream_event(id)))));
     pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
-    RawAnswer {
+    RawResponse {
         pieces,
-        closes: false,
+        closes_connection: false,
     }
 }
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -8,7 +8,7 @@
 use hoplanding_core::ids::{AvailabilityZone, VmName};
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
     relay::{LinkRelay, LinkState},
 };
 use hoplandingd::direct::daemon::DirectDaemon;
@@ -64,12 +64,12 @@
     log.put("keyed.op", "config", Some("{\"version\": \"no number\"}"));
     log.put("keyed.servers", "i-1", Some("not JSON"));
     log.put("keyed.servers", "i-9", Some("{\"address\": 7}"));
-    log.set_faults(|faults| faults.talks_nonsense = true);
+    log.set_faults(|faults| faults.has_malformed_reads = true);
     sleep(Duration::from_millis(300)).await;
     let answer = send_request(daemon.caller_address, &post_request("/lookup/1", "r1", "")).await;
     assert_eq!(answer.status, 200);
     assert!(is_ready(&daemon).await);
-    log.set_faults(|faults| faults.talks_nonsense = false);
+    log.set_faults(|faults| faults.has_malformed_reads = false);
     log.put("keyed.op", "config", Some(&config_json(7)));
     wait_for("the next configuration", async || {
         daemon
@@ -100,7 +100,7 @@
     };
     wait_for("version 2", async || is_in_force(2)).await;
     sleep(Duration::from_millis(100)).await;
-    log.set_faults(|faults| faults.is_deaf = true);
+    log.set_faults(|faults| faults.suppresses_wakeups = true);
     log.put("keyed.op", "config", Some(&config_json(3)));
     wait_for("version 3", async || is_in_force(3)).await;
 }
@@ -112,11 +112,11 @@
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let daemon = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
-    log.set_faults(|faults| faults.is_out = true);
+    log.set_faults(|faults| faults.is_unavailable = true);
     sleep(Duration::from_millis(100)).await;
     log.put("keyed.op", "config", Some(&config_json(3)));
     log.compact("keyed.op");
-    log.set_faults(|faults| faults.is_out = false);
+    log.set_faults(|faults| faults.is_unavailable = false);
     wait_for("the newer configuration", async || {
         daemon
             .fleet()
@@ -134,7 +134,7 @@
     let target = RawTarget::start(good_answer).await.expect("a target");
     let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let (second, relay) = start_second_vm(&log).await;
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     log.put(
         "keyed.servers",
         "i-1",
@@ -167,7 +167,7 @@
     })
     .await;
     log.set_faults(|faults| {
-        faults.unlisted = vec!["keyed.op".into(), "keyed.servers".into()];
+        faults.refused_listings = vec!["keyed.op".into(), "keyed.servers".into()];
     });
     let second = DirectDaemon::start(vm_settings("vm-2", &log))
         .await
@@ -183,8 +183,8 @@
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     log.set_faults(|faults| {
-        faults.page_keys = Some(4);
-        faults.silent_pages = 2;
+        faults.max_page_keys = Some(4);
+        faults.unanswered_pages = 2;
     });
     let names: Vec<_> = (0..18).map(|number| format!("i-{number}")).collect();
     let targets: Vec<_> = names
@@ -227,8 +227,8 @@
 async fn absent_adapter_is_ordered_once_while_its_calls_wait() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
-        if request.line().contains("/hoplanding/order") {
-            RawAnswer::whole("202 Accepted", "", "")
+        if request.request_line().contains("/hoplanding/order") {
+            RawResponse::complete("202 Accepted", "", "")
         } else {
             good_answer(request)
         }
@@ -245,7 +245,7 @@
     let seen = engine.requests();
     let orders: Vec<_> = seen
         .iter()
-        .filter(|request| request.line().contains("order"))
+        .filter(|request| request.request_line().contains("order"))
         .collect();
     assert_eq!(orders.len(), 1);
     let order: serde_json::Value = serde_json::from_slice(&orders[0].body).expect("JSON");
@@ -263,8 +263,8 @@
 async fn fenced_holder_gives_no_more_orders() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
-        if request.line().contains("/hoplanding/order") {
-            RawAnswer::whole("412 Precondition Failed", "", "")
+        if request.request_line().contains("/hoplanding/order") {
+            RawResponse::complete("412 Precondition Failed", "", "")
         } else {
             good_answer(request)
         }
@@ -282,7 +282,7 @@
     let orders = engine
         .requests()
         .iter()
-        .filter(|request| request.line().contains("order"))
+        .filter(|request| request.request_line().contains("order"))
         .count();
     assert_eq!(orders, 1);
 }
@@ -427,8 +427,8 @@
 async fn weak_holder_hands_zone_over_to_stronger_vm() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
-        if request.line().contains("/hoplanding/order") {
-            RawAnswer::whole("202 Accepted", "", "")
+        if request.request_line().contains("/hoplanding/order") {
+            RawResponse::complete("202 Accepted", "", "")
         } else {
             good_answer(request)
         }
@@ -476,7 +476,7 @@
     let orders: Vec<serde_json::Value> = engine
         .requests()
         .iter()
-        .filter(|request| request.line().contains("order"))
+        .filter(|request| request.request_line().contains("order"))
         .map(|request| serde_json::from_slice(&request.body).expect("JSON"))
         .collect();
     assert!(orders.iter().all(|order| order["holder"] == "vm-2"));
@@ -551,7 +551,7 @@
         second.fleet().is_ready()
     })
     .await;
-    relay.set(LinkState::Frozen);
+    relay.set_state(LinkState::Frozen);
     log.put("keyed.op", "config", Some(&config_json(4)));
     wait_for("the configuration at the holder", async || {
         first
@@ -579,12 +579,12 @@
     let first_order = Arc::new(Mutex::new(None));
     let seen = Arc::clone(&first_order);
     let engine = RawTarget::start(move |request: &RawRequest| {
-        if request.line().contains("/hoplanding/order") {
+        if request.request_line().contains("/hoplanding/order") {
             let mut first = seen
                 .lock()
                 .expect("no thread panics while it holds the lock");
             first.get_or_insert_with(Instant::now);
-            return RawAnswer::whole("202 Accepted", "", "");
+            return RawResponse::complete("202 Accepted", "", "");
         }
         stream_answer(request, None)
     });
--- a/crates/daemon/tests/direct/headers.rs
+++ b/crates/daemon/tests/direct/headers.rs
@@ -6,7 +6,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use std::sync::{
     Arc,
@@ -21,7 +21,7 @@
 /// Calls that a target received, without requests of the gateways' own.
 fn calls(target: &RawTarget) -> Vec<RawRequest> {
     let mut seen = target.requests();
-    seen.retain(|request| !request.line().contains("/hoplanding/"));
+    seen.retain(|request| !request.request_line().contains("/hoplanding/"));
     seen
 }
 
@@ -37,9 +37,9 @@
     // The target that gets the first send breaks it off, so that a retry goes to the other one.
     let calls_seen = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
-        let is_call = !request.line().contains("/hoplanding/");
+        let is_call = !request.request_line().contains("/hoplanding/");
         if is_call && calls_seen.fetch_add(1, Ordering::SeqCst) == 0 {
-            return RawAnswer::close();
+            return RawResponse::close();
         }
         good_answer(request)
     });
@@ -78,7 +78,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let broken = AtomicUsize::new(0);
     let serve = Arc::new(move |request: &RawRequest| {
-        let is_call = !request.line().contains("/hoplanding/");
+        let is_call = !request.request_line().contains("/hoplanding/");
         let breaks = is_call && broken.fetch_add(1, Ordering::SeqCst) == 0;
         stream_answer(request, breaks.then_some(4))
     });
--- a/crates/daemon/tests/direct/keys.rs
+++ b/crates/daemon/tests/direct/keys.rs
@@ -6,7 +6,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
     relay::{LinkRelay, LinkState},
 };
 use hoplandingd::direct::{daemon::DirectDaemon, settings::DirectSettings};
@@ -62,7 +62,7 @@
 /// The requests of callers that a target received.
 fn received_calls(target: &RawTarget) -> Vec<RawRequest> {
     let mut seen = target.requests();
-    seen.retain(|request| !request.line().contains("/hoplanding/"));
+    seen.retain(|request| !request.request_line().contains("/hoplanding/"));
     seen
 }
 
@@ -164,7 +164,7 @@
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
     let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
-    log.set_faults(|faults| faults.is_out = true);
+    log.set_faults(|faults| faults.is_unavailable = true);
     sleep(REVOCATION_BOUND).await;
     for headers in [KEY, "Authorization: Bearer k2\r\n", ""] {
         let answer = send_call(&daemon, "/scan/1", "r1", headers).await;
@@ -174,7 +174,7 @@
     assert!(!is_ready(&daemon).await);
     assert_eq!(send_call(&daemon, "/open/1", "r2", "").await.status, 200);
     assert_eq!(received_calls(&target).len(), 1);
-    log.set_faults(|faults| faults.is_out = false);
+    log.set_faults(|faults| faults.is_unavailable = false);
     wait_for("the log's return", async || {
         send_call(&daemon, "/scan/1", "r3", KEY).await.status == 200
     })
@@ -189,7 +189,7 @@
     let target = RawTarget::start(good_answer).await.expect("a target");
     let targets = [("i-1", "ledger", target.address)];
     let daemon = start_keyed_daemon(&log, &targets, &json!([test_organisation(&["k1"])])).await;
-    log.set_faults(|faults| faults.is_deaf = true);
+    log.set_faults(|faults| faults.suppresses_wakeups = true);
     log.put("keyed.op", "config", Some(&keyed_config(3, &json!([]))));
     sleep(REVOCATION_BOUND).await;
     assert_eq!(send_call(&daemon, "/scan/1", "r1", KEY).await.status, 401);
@@ -208,7 +208,7 @@
     settings.platform_address = relay.address;
     let second = DirectDaemon::start(settings).await.expect("it starts");
     wait_for("readiness", async || is_ready(&second).await).await;
-    relay.set(LinkState::Frozen);
+    relay.set_state(LinkState::Frozen);
     sleep(REVOCATION_BOUND * 2).await;
     assert_eq!(send_call(&second, "/scan/1", "r1", KEY).await.status, 200);
     drop(daemon);
@@ -277,7 +277,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let full = RawTarget::start(|request: &RawRequest| {
         let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-        RawAnswer::whole("503 Service Unavailable", &headers, "")
+        RawResponse::complete("503 Service Unavailable", &headers, "")
     })
     .await
     .expect("a target");
@@ -291,9 +291,9 @@
 
 /// An engine that crashes when it receives the body `kill`, and streams an answer to any other request.
 async fn engine_crashed_by_kill() -> RawTarget {
-    RawTarget::start_mortal(
+    RawTarget::start_crashable(
         |request: &RawRequest| {
-            if request.line().contains("/hoplanding/report") {
+            if request.request_line().contains("/hoplanding/report") {
                 return good_answer(request);
             }
             let mut answer = stream_answer(request, None);
@@ -377,10 +377,10 @@
 async fn request_is_not_suspected_for_a_broken_connection_to_a_running_target() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
-        if request.line().contains("/hoplanding/") {
+        if request.request_line().contains("/hoplanding/") {
             return good_answer(request);
         }
-        RawAnswer::close()
+        RawResponse::close()
     })
     .await
     .expect("an engine");
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -39,16 +39,16 @@
     let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let (second, relay) = start_second_vm(&log).await;
     // The log fails for the second VM only, and serves it again.
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     wait_for("a failed call", async || list_calls(&second, "Failed") > 0).await;
-    relay.set(LinkState::Open);
+    relay.set_state(LinkState::Open);
     let before = list_calls(&second, "Answered");
     wait_for("a successful call", async || {
         list_calls(&second, "Answered") > before
     })
     .await;
     // From here on the second VM learns of the list through the first one only, in the order of the log.
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     sleep(Duration::from_millis(50)).await;
     log.put("keyed.servers", "i-1", None);
     wait_for("the removal at the first VM", async || {
@@ -91,11 +91,11 @@
     }
     // By now only the holder reads the log; the other VMs have stopped.
     sleep(Duration::from_millis(3_500)).await;
-    log.set_faults(|faults| faults.is_out = true);
-    let is_out = |daemon: &DirectDaemon| list_calls(daemon, "Failed") > 0;
-    wait_for("the outage", async || fleet.iter().any(is_out)).await;
+    log.set_faults(|faults| faults.is_unavailable = true);
+    let is_unavailable = |daemon: &DirectDaemon| list_calls(daemon, "Failed") > 0;
+    wait_for("the outage", async || fleet.iter().any(is_unavailable)).await;
     log.put("keyed.servers", "i-1", None);
-    log.set_faults(|faults| faults.is_out = false);
+    log.set_faults(|faults| faults.is_unavailable = false);
     for daemon in &fleet {
         wait_for("the removal at every VM", async || {
             daemon.fleet().is_leaving("i-1")
--- a/crates/daemon/tests/direct/limits.rs
+++ b/crates/daemon/tests/direct/limits.rs
@@ -7,7 +7,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use std::time::{Duration, Instant};
 
@@ -19,13 +19,13 @@
     1.5 * LIMIT_PER_S * span.as_secs_f64().max(4.0) + 5.0
 }
 
-fn limited(answer: RawAnswer) -> RawAnswer {
+fn limited(answer: RawResponse) -> RawResponse {
     answer.with_header(&format!("Server-Limit: {LIMIT_PER_S:.1}\r\n"))
 }
 
 fn calls(target: &RawTarget, path: &str) -> usize {
     let seen = target.requests();
-    let is_call = |request: &&RawRequest| request.line().contains(path);
+    let is_call = |request: &&RawRequest| request.request_line().contains(path);
     seen.iter().filter(is_call).count()
 }
 
@@ -55,7 +55,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let narrow = RawTarget::start(|request: &RawRequest| {
         let answer = stream_answer(request, None);
-        if request.line().contains("/plan/") {
+        if request.request_line().contains("/plan/") {
             return limited(answer);
         }
         answer
@@ -109,12 +109,12 @@
 #[tokio::test]
 async fn a_limit_that_a_target_no_longer_states_is_lifted() {
     let log = KeyedLog::start().await.expect("a log");
-    let is_need = |request: &RawRequest| request.line().contains("/lookup/need");
+    let is_need = |request: &RawRequest| request.request_line().contains("/lookup/need");
     let target = RawTarget::start(move |request: &RawRequest| {
         if is_need(request) {
             return limited(good_answer(request));
         }
-        RawAnswer::whole("200 OK", &seal_headers(request), "done")
+        RawResponse::complete("200 OK", &seal_headers(request), "done")
     });
     let target = target.await.expect("a target");
     let listed = [("l-1", "ledger", target.address)];
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::direct::daemon::DirectDaemon;
 use std::{
@@ -30,7 +30,8 @@
 const MAX_DURING_BACKOFF: usize = 2;
 
 fn is_call(request: &RawRequest) -> bool {
-    request.line().starts_with("POST /lookup/") || request.line().starts_with("POST /plan/")
+    request.request_line().starts_with("POST /lookup/")
+        || request.request_line().starts_with("POST /plan/")
 }
 
 /// Calls that reached a target, with time and request id.
@@ -65,18 +66,18 @@
     }
 }
 
-fn rejection(request: &RawRequest, retry_after: &str) -> RawAnswer {
+fn rejection(request: &RawRequest, retry_after: &str) -> RawResponse {
     let id = request.header("hoplanding-request-id").unwrap_or_default();
     let headers = format!(
         "Hoplanding-Request-Id: {id}\r\nHoplanding-Not-Executed: 1\r\nRetry-After: {retry_after}\r\n"
     );
-    RawAnswer::whole("503 Service Unavailable", &headers, "")
+    RawResponse::complete("503 Service Unavailable", &headers, "")
 }
 
 /// A target that answers calls by `answer`, and all other requests with success.
 async fn target(
     log: &ArrivalLog,
-    answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
 ) -> RawTarget {
     let log = log.clone();
     let target = RawTarget::start(move |request: &RawRequest| {
@@ -91,8 +92,8 @@
 }
 
 /// A successful answer to a plain call or a stream.
-fn success(request: &RawRequest) -> RawAnswer {
-    if request.line().contains("/plan/") {
+fn success(request: &RawRequest) -> RawResponse {
+    if request.request_line().contains("/plan/") {
         stream_answer(request, None)
     } else {
         good_answer(request)
@@ -117,7 +118,7 @@
     log: &KeyedLog,
     service: &str,
     arrivals: &ArrivalLog,
-    answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
 ) -> (DirectDaemon, [RawTarget; 2]) {
     let named = target(arrivals, answer).await;
     let other = target(&ArrivalLog::default(), success).await;
@@ -162,10 +163,10 @@
 
 #[tokio::test]
 async fn a_target_may_announce_leaving_in_answers_of_every_kind() {
-    type MakeAnswer = fn(&RawRequest) -> RawAnswer;
+    type MakeAnswer = fn(&RawRequest) -> RawResponse;
     let kinds: [(&str, MakeAnswer); 3] = [
         ("a failure", |request| {
-            RawAnswer::whole("500 Internal Server Error", &seal_headers(request), "")
+            RawResponse::complete("500 Internal Server Error", &seal_headers(request), "")
         }),
         ("a refusal", |request| rejection(request, "0")),
         ("a success", good_answer),
@@ -202,9 +203,9 @@
     let arrivals = ArrivalLog::default();
     let answer = |request: &RawRequest| {
         let strange = if request.header("hoplanding-request-id") == Some("first-0") {
-            RawAnswer::whole("421 Misdirected Request", &seal_headers(request), "")
+            RawResponse::complete("421 Misdirected Request", &seal_headers(request), "")
         } else {
-            RawAnswer::whole("200 OK", "Hoplanding-Request-Id: another\r\n", "")
+            RawResponse::complete("200 OK", "Hoplanding-Request-Id: another\r\n", "")
         };
         strange
             .with_header(LEAVING)
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -59,7 +59,7 @@
             }
             answer
         };
-        let engine = RawTarget::start_mortal(answer, is_deadly.clone()).await;
+        let engine = RawTarget::start_crashable(answer, is_deadly.clone()).await;
         engines.push(engine.expect("an engine"));
     }
     engines
@@ -107,7 +107,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..4 {
-        let target = RawTarget::start_mortal(good_answer, is_poison).await;
+        let target = RawTarget::start_crashable(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4"];
@@ -199,7 +199,7 @@
 async fn a_suspect_runs_once_at_a_time_in_the_whole_fleet() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
     let log = KeyedLog::start().await.expect("a log");
-    let is_suspect = |request: &RawRequest| request.line().contains("/plan/suspect");
+    let is_suspect = |request: &RawRequest| request.request_line().contains("/plan/suspect");
     // The first target crashes; the later ones run the request without harm.
     let has_crashed = Arc::new(AtomicBool::new(false));
     let ends_once = move |request: &RawRequest| {
@@ -385,7 +385,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..8 {
-        let target = RawTarget::start_mortal(good_answer, is_poison).await;
+        let target = RawTarget::start_crashable(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4", "l-5", "l-6", "l-7", "l-8"];
@@ -462,9 +462,9 @@
 async fn a_crash_during_a_log_outage_is_recorded_afterwards() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
-    site.log.set_faults(|faults| faults.is_out = true);
+    site.log.set_faults(|faults| faults.is_unavailable = true);
     send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
-    site.log.set_faults(|faults| faults.is_out = false);
+    site.log.set_faults(|faults| faults.is_unavailable = false);
     let before = site.crashed();
     sleep(Duration::from_millis(1_500)).await;
     life.shutdown_background();
@@ -510,8 +510,9 @@
     let mut site = KilledSite::start(3).await;
     let (life, _) = site.start_vm().await;
     life.shutdown_background();
-    let unlisted = vec!["keyed.fleet".to_owned()];
-    site.log.set_faults(|faults| faults.unlisted = unlisted);
+    let refused_listings = vec!["keyed.fleet".to_owned()];
+    site.log
+        .set_faults(|faults| faults.refused_listings = refused_listings);
     let unaware = DirectDaemon::start(vm_settings("vm-2", &site.log)).await;
     let unaware = unaware.expect("the daemon starts");
     sleep(Duration::from_secs(1)).await;
--- a/crates/daemon/tests/direct/reloads.rs
+++ b/crates/daemon/tests/direct/reloads.rs
@@ -11,7 +11,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::direct::{daemon::DirectDaemon, settings::DirectSettings};
 use std::{collections::HashSet, time::Duration};
@@ -20,14 +20,14 @@
 /// A plain service that answers each call after 150 ms.
 async fn slow_service() -> RawTarget {
     let answer = |request: &RawRequest| {
-        let whole = RawAnswer::whole("200 OK", &seal_headers(request), "done");
+        let whole = RawResponse::complete("200 OK", &seal_headers(request), "done");
         let pieces = whole
             .pieces
             .into_iter()
             .map(|(pause, bytes)| (pause + Duration::from_millis(150), bytes));
-        RawAnswer {
+        RawResponse {
             pieces: pieces.collect(),
-            closes: whole.closes,
+            closes_connection: whole.closes_connection,
         }
     };
     RawTarget::start(answer).await.expect("a target")
@@ -126,7 +126,7 @@
     let ranks: HashSet<_> = engine
         .requests()
         .iter()
-        .filter(|request| request.line().starts_with("POST /plan"))
+        .filter(|request| request.request_line().starts_with("POST /plan"))
         .map(|request| {
             request
                 .header("hoplanding-request-priority")
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/repeats.rs
@@ -10,7 +10,7 @@
 use hoplanding_core::ids::ServiceName;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::{
     clock,
@@ -21,9 +21,9 @@
 const RATIO: f64 = 0.2;
 const FIXED: f64 = 50.0;
 
-fn reject(request: &RawRequest) -> RawAnswer {
+fn reject(request: &RawRequest) -> RawResponse {
     let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-    RawAnswer::whole("503 Service Unavailable", &headers, "")
+    RawResponse::complete("503 Service Unavailable", &headers, "")
 }
 
 /// All targets reject all calls, while the only process is replaced by a new one after every few calls.
@@ -60,7 +60,7 @@
             assert_eq!(answer.status, 503);
         }
     }
-    let is_lookup = |request: &RawRequest| request.line().contains("/lookup/");
+    let is_lookup = |request: &RawRequest| request.request_line().contains("/lookup/");
     let arrivals: usize = targets
         .iter()
         .map(|target| {
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -12,7 +12,7 @@
 };
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
     relay::{LinkRelay, LinkState},
 };
 use hoplandingd::direct::{daemon::DirectDaemon, message::FeedTopic};
@@ -126,7 +126,7 @@
         version(vm) == 6
     })
     .await;
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     log.restore(&[(OPERATORS, 3), (TARGETS, 1)]);
     sleep(Duration::from_secs(1)).await;
     log.put(OPERATORS, "config", Some(&config_json(7)));
@@ -159,7 +159,7 @@
     let [plain, engine] = targets().await;
     let vms = three_vms(&log, &plain, &engine).await;
     // The era does not show that the offsets went back.
-    log.set_faults(|faults| faults.tells_era = Some("1".to_owned()));
+    log.set_faults(|faults| faults.reported_era = Some("1".to_owned()));
     log.restore(&[(OPERATORS, 3), (TARGETS, 3)]);
     let before = log.calls();
     sleep(Duration::from_secs(3)).await;
@@ -278,8 +278,8 @@
 
 impl AcceptedOrders {
     /// Answer of an engine that rejects tokens below the highest one it has seen.
-    fn answer(&self, request: &RawRequest) -> Option<RawAnswer> {
-        if !request.line().contains("/hoplanding/order") {
+    fn answer(&self, request: &RawRequest) -> Option<RawResponse> {
+        if !request.request_line().contains("/hoplanding/order") {
             return None;
         }
         let order: serde_json::Value = serde_json::from_slice(&request.body).ok()?;
@@ -289,10 +289,10 @@
             .lock()
             .expect("no thread panics while it holds the lock");
         if tokens.iter().any(|seen| *seen > token) {
-            return Some(RawAnswer::whole("412 Precondition Failed", "", ""));
+            return Some(RawResponse::complete("412 Precondition Failed", "", ""));
         }
         tokens.push(token);
-        Some(RawAnswer::whole("202 Accepted", "", ""))
+        Some(RawResponse::complete("202 Accepted", "", ""))
     }
 }
 
@@ -460,7 +460,7 @@
         log.restore(&[]);
         log.put(OPERATORS, "config", Some(&config_json(7)));
         wait_for_all(&vms, "a configuration", |vm| version(vm) == 7).await;
-        log.set_faults(|faults| faults.tells_era = Some(era.to_owned()));
+        log.set_faults(|faults| faults.reported_era = Some(era.to_owned()));
         let before = log.calls();
         sleep(Duration::from_secs(1)).await;
         let calls = log.calls() - before;
@@ -473,7 +473,7 @@
                 send_request(vm.caller_address, &post_request("/lookup/1", "l1", "")).await;
             assert_eq!((answer.status, version(vm)), (200, 7), "{era:?}");
         }
-        log.set_faults(|faults| faults.tells_era = None);
+        log.set_faults(|faults| faults.reported_era = None);
         log.put(OPERATORS, "config", Some(&config_json(8)));
         for vm in &vms {
             wait_for("the next configuration", async || version(vm) == 8).await;
@@ -560,7 +560,7 @@
         lease.is_some_and(|lease| lease.vm == Some(VmName::new("vm-1")))
     })
     .await;
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     let lost = log.len(FLEET) - 1;
     log.restore(&[(FLEET, lost)]);
     log.put(FLEET, "zone/hall", Some(&lease("vm-9", 3).to_string()));
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -318,8 +318,8 @@
         ("e-1", "scribe", engine.address),
     ];
     let _holder = start_daemon(&log, &listed).await;
-    let unlisted = vec!["keyed.servers".to_owned()];
-    log.set_faults(|faults| faults.unlisted = unlisted);
+    let refused_listings = vec!["keyed.servers".to_owned()];
+    log.set_faults(|faults| faults.refused_listings = refused_listings);
     let without_list = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let without_list = without_list.expect("the daemon starts");
     for (path, headers) in [
--- a/crates/daemon/tests/direct/support.rs
+++ b/crates/daemon/tests/direct/support.rs
@@ -3,7 +3,7 @@
 use hoplanding_core::direct::lease::ZoneLease;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
     relay::LinkRelay,
 };
 use hoplandingd::direct::{daemon::DirectDaemon, settings::DirectSettings};
@@ -79,12 +79,12 @@
     format!("Hoplanding-Request-Id: {id}\r\nHoplanding-Server-Seal: seal\r\n")
 }
 
-pub fn good_answer(request: &RawRequest) -> RawAnswer {
-    if request.line().starts_with("GET /hoplanding/report") {
+pub fn good_answer(request: &RawRequest) -> RawResponse {
+    if request.request_line().starts_with("GET /hoplanding/report") {
         let report = json!({ "sequence": 0, "models": [{ "name": "base", "adapters": ["a1@1"] }] });
-        return RawAnswer::whole("200 OK", "", &report.to_string());
+        return RawResponse::complete("200 OK", "", &report.to_string());
     }
-    RawAnswer::whole("200 OK", &seal_headers(request), "done")
+    RawResponse::complete("200 OK", &seal_headers(request), "done")
 }
 
 pub struct Answer {
@@ -270,8 +270,8 @@
 }
 
 /// Streams the events after the request's last event id up to event 6; breaks off inside event `breaks_at`.
-pub fn stream_answer(request: &RawRequest, breaks_at: Option<u32>) -> RawAnswer {
-    if request.line().contains("/hoplanding/report") {
+pub fn stream_answer(request: &RawRequest, breaks_at: Option<u32>) -> RawResponse {
+    if request.request_line().contains("/hoplanding/report") {
         return good_answer(request);
     }
     let last: u32 = request
@@ -283,17 +283,17 @@
         let text = stream_event(id);
         if breaks_at == Some(id) {
             pieces.push((Duration::from_millis(5), chunk(&text[..9])));
-            return RawAnswer {
+            return RawResponse {
                 pieces,
-                closes: true,
+                closes_connection: true,
             };
         }
         pieces.push((Duration::from_millis(5), chunk(&text)));
     }
     pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
-    RawAnswer {
+    RawResponse {
         pieces,
-        closes: false,
+        closes_connection: false,
     }
 }
 
@@ -332,7 +332,8 @@
     let running = tokio::spawn(async move { send_request(address, &request).await });
     wait_for("the stream's start", async || {
         let seen = engine.requests();
-        seen.iter().any(|request| request.line().contains("/plan/"))
+        seen.iter()
+            .any(|request| request.request_line().contains("/plan/"))
     })
     .await;
     running
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -15,7 +15,7 @@
 };
 use hoplanding_core::ids::AdapterName;
 use hoplanding_standins::{
-    kept_memory::MemoryMismatch, keyed_log::KeyedLog, raw_target::RawTarget,
+    keyed_log::KeyedLog, prompt_cache::CacheMismatch, raw_target::RawTarget,
 };
 use hoplandingd::direct::daemon::DirectDaemon;
 use serde_json::json;
@@ -166,7 +166,7 @@
 
 /// Publishes a version while a long answer keeps one engine's copy in use: the other engine gets the new version and
 /// the next call.
-async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<MemoryMismatch> {
+async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<CacheMismatch> {
     let pair = EnginePair::with_same_versions().await;
     let (simulator, address) = (&pair.simulator, pair.daemon.caller_address);
     request_until_served(address, 1, SHORT_ANSWER).await;
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -1,7 +1,7 @@
 //! Failures over real sockets: kills, cuts, freezes, outages, lost answers. docs/FAILURES.md names the cells.
 
 use hoplanding_standins::{
-    engine::{EngineModel, expected_answer},
+    engine::{EngineModel, expected_completion},
     relay::LinkState,
 };
 use hoplanding_testbed::{
@@ -69,13 +69,13 @@
     }
     sleep(Duration::from_millis(700)).await;
     site.kill_daemon(&holder);
-    site.platform.unlist_vm(&holder);
+    site.platform.remove_vm(&holder);
     while let Some(ended) = streams.join_next().await {
         let (model, result) = ended.expect("no task panics");
         assert_eq!(result.error, None, "{}", result.message);
         assert_eq!(
             result.text,
-            expected_answer(&format!("{model}@v1"), "berthing plan", 150)
+            expected_completion(&format!("{model}@v1"), "berthing plan", 150)
         );
     }
     site.wait_until_serving(Duration::from_secs(15))
@@ -112,7 +112,7 @@
     let result = stream.await.expect("no task panics");
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "berthing plan", 120),
+        expected_completion("adapter-0001@v1", "berthing plan", 120),
         "{}",
         result.message
     );
@@ -180,7 +180,8 @@
         holder_of(&site, "a1", "engine-a1").await,
         holder_of(&site, "a1", "engine-a2").await,
     ];
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     let load = LoadConfig {
         requests: 150,
         at_once: 16,
@@ -196,7 +197,8 @@
         holder_of(&site, "a1", "engine-a2").await,
     ];
     assert_eq!(before, after);
-    site.platform.set_faults(|faults| faults.out = false);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = false);
     wait_for("a change after the outage", async || {
         site.operate("a1", "keep adapter adapter-0001 ready")
             .await
@@ -210,7 +212,7 @@
     let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
-    site.platform.set_faults(|faults| faults.lose_answers = 1);
+    site.platform.set_faults(|faults| faults.lost_responses = 1);
     site.operate("a1", "create adapter found-again version v1")
         .await
         .expect("read back though its answer was lost");
@@ -313,7 +315,7 @@
     );
     assert!(result.retry_after);
     assert_eq!(
-        engine.truth().ran,
+        engine.stats().ran,
         0,
         "a request refused as not run was not run"
     );
@@ -338,11 +340,11 @@
     let engine = &site.engines["engine-a1"];
     let caller = site.caller("a1", NORMAL_TOKEN);
     let answer = tokio::spawn(async move { caller.complete(&call("adapter-0001", 3)).await });
-    wait_for("the first run", async || engine.truth().ran == 1).await;
+    wait_for("the first run", async || engine.stats().ran == 1).await;
     engine.set_faults(|faults| faults.fail_loads = 100);
     engine.restart();
     let result = answer.await.expect("no task panics");
-    assert_eq!(engine.truth().ran, 1);
+    assert_eq!(engine.stats().ran, 1);
     assert_eq!(
         result.error.as_deref(),
         Some("failed"),
@@ -357,7 +359,7 @@
     config.load = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     for engine in site.engines.values() {
-        engine.set_faults(|faults| faults.lose_order_answers = 1);
+        engine.set_faults(|faults| faults.lost_order_responses = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     wait_for("an answer after lost ones", async || {
@@ -383,7 +385,7 @@
                 .await;
             assert_eq!(
                 result.text,
-                expected_answer("adapter-0002@v1", "berthing plan", 20),
+                expected_completion("adapter-0002@v1", "berthing plan", 20),
                 "{}",
                 result.message
             );
@@ -405,7 +407,9 @@
                     .await
                     .expect("drained");
             }
-            1 => site.platform.list_vm("engine-a1", "zone-a", "", "leaving"),
+            1 => site
+                .platform
+                .upsert_vm("engine-a1", "zone-a", "", "leaving"),
             _ => site.engines["engine-a1"].set_faults(|faults| faults.leaving = true),
         }
         wait_for("the drain", async || {
@@ -420,21 +424,21 @@
         })
         .await;
         sleep(Duration::from_millis(200)).await;
-        let before = site.engines["engine-a1"].truth().ran;
+        let before = site.engines["engine-a1"].stats().ran;
         for number in 0..6 {
             let result = caller
                 .complete(&call(&format!("adapter-{number:04}"), 3))
                 .await;
             assert_eq!(result.target, "engine-a2", "{}", result.message);
         }
-        assert_eq!(site.engines["engine-a1"].truth().ran, before);
+        assert_eq!(site.engines["engine-a1"].stats().ran, before);
         match witness {
             0 => {
                 site.operate("a2", "undrain target engine-a1")
                     .await
                     .expect("undrained");
             }
-            1 => site.platform.unlist_vm("engine-a1"),
+            1 => site.platform.remove_vm("engine-a1"),
             _ => {}
         }
         sleep(Duration::from_millis(300)).await;
@@ -463,7 +467,7 @@
         let told_to_go_elsewhere = result.error.as_deref() == Some("not_run");
         assert!(
             told_to_go_elsewhere
-                || result.text == expected_answer(&format!("{model}@v1"), "berthing plan", 100),
+                || result.text == expected_completion(&format!("{model}@v1"), "berthing plan", 100),
             "{:?} {}",
             result.error,
             result.message
@@ -486,7 +490,7 @@
     let other = if holder == "a1" { "a2" } else { "a1" };
     site.set_links("a1", "a2", LinkState::Frozen);
     site.platform.set_faults(|faults| {
-        faults.cut.insert(holder.clone());
+        faults.partitioned_vms.insert(holder.clone());
     });
     wait_for("the takeover", async || {
         let shown = site
@@ -512,7 +516,8 @@
         }
     }
     site.set_links("a1", "a2", LinkState::Open);
-    site.platform.set_faults(|faults| faults.cut.clear());
+    site.platform
+        .set_faults(|faults| faults.partitioned_vms.clear());
     site.wait_until_serving(Duration::from_secs(15))
         .await
         .expect("healed");
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -70,7 +70,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn keys_are_refused_with_the_log_out_and_tokens_work() {
     let site = site(1, 2).await;
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     sleep(Duration::from_millis(600)).await;
     let caller = site.caller("a1", URGENT_TOKEN);
     let refused = caller.post_scan("by key", Some("my-key")).await;
@@ -182,7 +183,7 @@
     let site = site(1, 2).await;
     site.services
         .values()
-        .for_each(|service| service.set_faults(|faults| faults.lose_answers = 1));
+        .for_each(|service| service.set_faults(|faults| faults.lost_responses = 1));
     let caller = site.caller("a1", URGENT_TOKEN);
     let token = caller.issue_token().await.expect("a token");
     let first = caller.post_scan("scan", Some(&token)).await;
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,6 +1,6 @@
 //! The whole path over real sockets, and what bad input is told.
 
-use hoplanding_standins::engine::{EngineModel, expected_answer};
+use hoplanding_standins::engine::{EngineModel, expected_completion};
 use hoplanding_testbed::{
     CompletionCall, LoadConfig, SiteConfig, TestSite, run_load,
     site::{BATCH_TOKEN, NORMAL_TOKEN, URGENT_TOKEN},
@@ -37,7 +37,7 @@
             assert_eq!(result.model, "adapter-0003@v1");
             assert_eq!(
                 result.text,
-                expected_answer("adapter-0003@v1", "held reel 4711", 9)
+                expected_completion("adapter-0003@v1", "held reel 4711", 9)
             );
         }
     }
@@ -58,7 +58,7 @@
     assert_eq!(answer["object"], "chat.completion");
     assert_eq!(
         answer["choices"][0]["message"]["content"],
-        expected_answer("adapter-0001@v1", "hi", 4)
+        expected_completion("adapter-0001@v1", "hi", 4)
     );
     assert_eq!(answer["usage"]["completion_tokens"], 4);
     let (status, models) = caller.get("/v1/models").await;
@@ -86,7 +86,7 @@
     let named = caller.complete(&call("adapter-0001@v1", 3, true)).await;
     assert_eq!(
         named.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 3)
+        expected_completion("adapter-0001@v1", "held reel 4711", 3)
     );
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
@@ -226,7 +226,7 @@
     let busy = || {
         site.engines
             .values()
-            .map(hoplanding_standins::engine::EngineStandin::busy)
+            .map(hoplanding_standins::engine::EngineStandin::in_flight)
             .sum::<usize>()
     };
     for _ in 0..200 {
@@ -266,7 +266,7 @@
             .await;
         assert_eq!(
             result.text,
-            expected_answer("adapter-0001@v1", "held reel 4711", 300)
+            expected_completion("adapter-0001@v1", "held reel 4711", 300)
         );
     }
     drop(stuck);
@@ -278,23 +278,23 @@
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
-        engine.set_faults(|faults| faults.nonsense = 1);
+        engine.set_faults(|faults| faults.malformed_responses = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     let result = caller.complete(&call("adapter-0001", 5, false)).await;
     // The stream can be asked for again, so the answer is complete all the same.
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 5),
+        expected_completion("adapter-0001@v1", "held reel 4711", 5),
         "{}",
         result.message
     );
     let first = &site.engines[&result.target];
-    first.set_faults(|faults| faults.wrong_model = 1);
+    first.set_faults(|faults| faults.wrong_model_responses = 1);
     let result = caller.complete(&call("adapter-0001", 5, false)).await;
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 5),
+        expected_completion("adapter-0001@v1", "held reel 4711", 5),
         "{}",
         result.message
     );
--- a/crates/daemon/tests/suspension.rs
+++ b/crates/daemon/tests/suspension.rs
@@ -33,7 +33,7 @@
 
 fn scans(target: &RawTarget) -> Vec<RawRequest> {
     let seen = target.requests().into_iter();
-    seen.filter(|request| request.line().contains("/scan/"))
+    seen.filter(|request| request.request_line().contains("/scan/"))
         .collect()
 }
 
@@ -105,7 +105,7 @@
         active.is_some_and(|active| active.config.version == 2) && call("r1").await == 200
     })
     .await;
-    relay.set(LinkState::Frozen);
+    relay.set_state(LinkState::Frozen);
     clock::simulate_suspension(SUSPENDED);
     assert_eq!(call("r2").await, 503);
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -221,7 +221,7 @@
     /// Makes its way to the log as told.
     pub fn set_log_link(&self, link: LinkState) {
         self.note_strike(false);
-        self.log_link.set(link);
+        self.log_link.set_state(link);
     }
 
     fn lock(&self) -> MutexGuard<'_, ProcessState> {
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -4,7 +4,7 @@
 //! parts that a neighbour has read and they have not.
 
 use crate::shelf::WeightVersions;
-use hoplanding_standins::kept_memory::{MemoryNet, ReadPrompt};
+use hoplanding_standins::prompt_cache::{PromptCaches, ReceivedPrompt};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
@@ -88,18 +88,18 @@
 impl GivenPrompt {
     /// Reads it into an engine's memory; the versions that the memory was made under, if they are others than its own.
     #[must_use]
-    pub fn read(&self, at: SocketAddr, memory: &MemoryNet) -> Option<WeightVersions> {
+    pub fn read(&self, at: SocketAddr, memory: &PromptCaches) -> Option<WeightVersions> {
         let ids = self.ids();
-        let mismatch = memory.read(at, &self.view(&ids, self.source));
-        mismatch.map(|mismatch| WeightVersions::of_mark(mismatch.made_under))
+        let mismatch = memory.process_prompt(at, &self.view(&ids, self.source));
+        mismatch.map(|mismatch| WeightVersions::of_mark(mismatch.cached_version))
     }
 
     fn ids(&self) -> Vec<u64> {
         self.parts.iter().map(|part| part.id).collect()
     }
 
-    fn view<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
-        ReadPrompt {
+    fn view<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReceivedPrompt<'a> {
+        ReceivedPrompt {
             adapter: &self.adapter,
             version: self.versions.mark(),
             parts: ids,
@@ -137,12 +137,12 @@
         &mut self,
         at: SocketAddr,
         prompt: &GivenPrompt,
-        memory: &MemoryNet,
+        memory: &PromptCaches,
         now: Instant,
     ) -> ReadingWork {
         let ids = prompt.ids();
-        let kept = memory.found(at, &prompt.view(&ids, None));
-        let found = memory.found(at, &prompt.view(&ids, prompt.source));
+        let kept = memory.reusable_parts(at, &prompt.view(&ids, None));
+        let found = memory.reusable_parts(at, &prompt.view(&ids, prompt.source));
         let is_move = found > kept;
         let unread = prompt.parts[found..]
             .iter()
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -279,11 +279,11 @@
 
     /// The log is away for a moment, and comes back from a copy that lacks up to so many records of each topic.
     async fn restore_log(&self, lost: usize) {
-        self.disturb(|faults| faults.is_out = true);
+        self.disturb(|faults| faults.is_unavailable = true);
         sleep(AWAY).await;
         let topics = [OPERATOR_TOPIC, TARGET_TOPIC, FLEET_TOPIC];
         self.log.restore(&topics.map(|topic| (topic, lost)));
-        self.disturb(|faults| faults.is_out = false);
+        self.disturb(|faults| faults.is_unavailable = false);
         sleep(WRITTEN_AGAIN).await;
         self.write_again();
         self.disturb(|_| {});
@@ -454,11 +454,11 @@
                 vm.signal(Signal::SIGCONT);
             }
             FaultKind::LogOut => {
-                self.disturb(|faults| faults.is_out = true);
+                self.disturb(|faults| faults.is_unavailable = true);
                 sleep(fault.length()).await;
-                self.disturb(|faults| faults.is_out = false);
+                self.disturb(|faults| faults.is_unavailable = false);
             }
-            FaultKind::LogLosesAnswers => self.disturb(|faults| faults.lose_answers += 2),
+            FaultKind::LogLosesAnswers => self.disturb(|faults| faults.lost_responses += 2),
             FaultKind::LogSilent => self.strike_link(vm, LinkState::Frozen, fault).await,
             FaultKind::LogCut => self.strike_link(vm, LinkState::Cut, fault).await,
             FaultKind::Leave => {
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -15,8 +15,8 @@
     SEAL, WEIGHT_VERSIONS,
 };
 use hoplanding_standins::{
-    kept_memory::MemoryNet,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    prompt_cache::PromptCaches,
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use serde_json::{Value, json};
 use std::{
@@ -79,7 +79,7 @@
     /// What is seen of them.
     pub history: SharedHistory,
     /// What engines keep of prompts.
-    pub memory: Arc<MemoryNet>,
+    pub memory: Arc<PromptCaches>,
     /// The newest version of the base model and of each adapter for which one was named.
     pub versions: Arc<Mutex<BTreeMap<String, u64>>>,
     /// A fault that they have.
@@ -280,8 +280,8 @@
 }
 
 impl TargetDesk {
-    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
-        let path = request.line().split(' ').nth(1).unwrap_or_default();
+    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
+        let path = request.request_line().split(' ').nth(1).unwrap_or_default();
         if request
             .header(EXPECT_INSTANCE)
             .is_some_and(|name| name != self.name)
@@ -297,7 +297,7 @@
     }
 
     /// An answer that says that the target leaves, if it does.
-    fn with_leaving(&self, request: &RawRequest, answer: RawAnswer) -> RawAnswer {
+    fn with_leaving(&self, request: &RawRequest, answer: RawResponse) -> RawResponse {
         if !lock(&self.state).says_leaving {
             return answer;
         }
@@ -310,7 +310,7 @@
         answer.with_header(&format!("{LEAVING}: 1\r\n"))
     }
 
-    fn report(&self) -> RawAnswer {
+    fn report(&self) -> RawResponse {
         let state = lock(&self.state);
         let report = json!({
             "sequence": state.shelf.orders_taken(),
@@ -319,10 +319,10 @@
             "coming": state.shelf.coming(),
             "at_hand": { "in_memory": [], "on_disk": [BASE] },
         });
-        RawAnswer::whole("200 OK", "", &report.to_string())
+        RawResponse::complete("200 OK", "", &report.to_string())
     }
 
-    fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
+    fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
         let order = AdapterOrder::decode(&request.body);
         if let Some(late_by) = self.late_by() {
             let desk = Arc::clone(self);
@@ -330,9 +330,9 @@
                 sleep(late_by).await;
                 desk.carry_out(&order);
             });
-            return RawAnswer {
+            return RawResponse {
                 pieces: vec![(SILENCE, Vec::new())],
-                closes: true,
+                closes_connection: true,
             };
         }
         let status = match self.carry_out(&order) {
@@ -341,7 +341,7 @@
             OrderVerdict::Conflict => "409 Conflict",
             OrderVerdict::Fenced => "412 Precondition Failed",
         };
-        RawAnswer::whole(status, "", "")
+        RawResponse::complete(status, "", "")
     }
 
     /// By how much the next order is late, if it is left without an answer.
@@ -392,11 +392,11 @@
     /// Drops what was kept for an adapter that was replaced or went.
     fn forget(&self, adapter: &str) {
         if self.site.planted != PlantedFault::KeepsMemory {
-            self.site.memory.drop_adapter(self.address(), adapter);
+            self.site.memory.evict_adapter(self.address(), adapter);
         }
     }
 
-    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawAnswer {
+    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawResponse {
         let id = request.header(REQUEST_ID).unwrap_or_default().to_owned();
         self.site.history.add(SeenEntry::RanFor {
             id: id.clone(),
@@ -459,7 +459,7 @@
         stream.answer(request, path)
     }
 
-    fn ask_for_rest(&self, request: &RawRequest, rest: Duration) -> RawAnswer {
+    fn ask_for_rest(&self, request: &RawRequest, rest: Duration) -> RawResponse {
         self.site.history.add(SeenEntry::RestAsked {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
@@ -469,7 +469,7 @@
         answer.with_header(&format!("{RETRY_AFTER}: {:.3}\r\n", rest.as_secs_f64()))
     }
 
-    fn turn_away(&self, request: &RawRequest, status: &str) -> RawAnswer {
+    fn turn_away(&self, request: &RawRequest, status: &str) -> RawResponse {
         self.site.history.add(SeenEntry::TurnedAway {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
@@ -534,13 +534,13 @@
         .is_none_or(|meant| meant.parse() == Ok(version))
 }
 
-fn plain_answer(request: &RawRequest, id: &str, breaks_off: bool) -> RawAnswer {
+fn plain_answer(request: &RawRequest, id: &str, breaks_off: bool) -> RawResponse {
     let body = whole_body(CallKind::Once, id, 0);
-    let mut answer = RawAnswer::whole("200 OK", &sealed(request), &body);
+    let mut answer = RawResponse::complete("200 OK", &sealed(request), &body);
     answer.pieces[0].0 = PLAIN_WORK;
     if breaks_off {
         answer.pieces[0].1.truncate(40);
-        answer.closes = true;
+        answer.closes_connection = true;
     }
     answer
 }
@@ -557,7 +557,7 @@
 }
 
 impl StreamAnswer {
-    fn answer(&self, request: &RawRequest, path: &str) -> RawAnswer {
+    fn answer(&self, request: &RawRequest, path: &str) -> RawResponse {
         let from = request
             .header(LAST_EVENT)
             .and_then(|last| last.parse::<u32>().ok())
@@ -573,9 +573,9 @@
             let text = event_text(&self.id, event);
             if self.breaks_off && event >= BREAKS_AT {
                 pieces.push((EVENT_PAUSE, chunk(&text[..8])));
-                return RawAnswer {
+                return RawResponse {
                     pieces,
-                    closes: true,
+                    closes_connection: true,
                 };
             }
             if self.skipped != Some(event) {
@@ -583,16 +583,16 @@
             }
         }
         pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
-        RawAnswer {
+        RawResponse {
             pieces,
-            closes: false,
+            closes_connection: false,
         }
     }
 }
 
-fn refusal(request: &RawRequest, status: &str) -> RawAnswer {
+fn refusal(request: &RawRequest, status: &str) -> RawResponse {
     let headers = format!("{}{NOT_EXECUTED}: 1\r\n", sealed(request));
-    RawAnswer::whole(status, &headers, "")
+    RawResponse::complete(status, &headers, "")
 }
 
 fn sealed(request: &RawRequest) -> String {
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -55,15 +55,15 @@
     /// Loads that fail.
     pub fail_loads: usize,
     /// Orders whose answer is lost after they took effect.
-    pub lose_order_answers: usize,
+    pub lost_order_responses: usize,
     /// Streams that break off after a few tokens.
     pub break_streams: usize,
     /// Time by which answers to orders are late.
-    pub late: Duration,
+    pub order_delay: Duration,
     /// Answers that name another adapter than the one asked for.
-    pub wrong_model: usize,
+    pub wrong_model_responses: usize,
     /// Answers that are no events at all.
-    pub nonsense: usize,
+    pub malformed_responses: usize,
     /// Whether the load report stands still.
     pub freeze_report: bool,
     /// Whether it says that it is about to leave.
@@ -72,7 +72,7 @@
 
 /// What an engine saw.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct EngineTruth {
+pub struct EngineStats {
     /// Broken promises.
     pub violations: Vec<String>,
     /// Requests that ran.
@@ -139,7 +139,7 @@
     seen: HashSet<String>,
     prefixes: VecDeque<(String, usize)>,
     faults: EngineFaults,
-    truth: EngineTruth,
+    stats: EngineStats,
     report: Option<serde_json::Value>,
     arrivals: u64,
 }
@@ -223,8 +223,8 @@
 
     /// What it saw.
     #[must_use]
-    pub fn truth(&self) -> EngineTruth {
-        self.shared.lock().truth.clone()
+    pub fn stats(&self) -> EngineStats {
+        self.shared.lock().stats.clone()
     }
 
     /// Adapters that are loaded.
@@ -235,7 +235,7 @@
 
     /// Requests that run or wait in it.
     #[must_use]
-    pub fn busy(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         let state = self.shared.lock();
         state.running.len() + state.waiting.len()
     }
@@ -274,7 +274,7 @@
 
 /// The answer of a model to a prompt; the stand-in's notion of the truth.
 #[must_use]
-pub fn expected_answer(model: &str, prompt: &str, tokens: usize) -> String {
+pub fn expected_completion(model: &str, prompt: &str, tokens: usize) -> String {
     (0..tokens)
         .map(|index| token_text(model, prompt, index))
         .collect()
--- a/crates/standins/src/engine/http.rs
+++ b/crates/standins/src/engine/http.rs
@@ -69,7 +69,7 @@
     }
     let token = token.unwrap_or(0);
     if token < state.token {
-        state.truth.refused_stale += 1;
+        state.stats.refused_stale += 1;
         return true;
     }
     state.token = token;
@@ -145,8 +145,8 @@
     let faults = &mut state.faults;
     let counters = [
         (&mut faults.break_streams, StreamFault::Break),
-        (&mut faults.wrong_model, StreamFault::WrongModel),
-        (&mut faults.nonsense, StreamFault::Nonsense),
+        (&mut faults.wrong_model_responses, StreamFault::WrongModel),
+        (&mut faults.malformed_responses, StreamFault::Nonsense),
     ];
     for (left, fault) in counters {
         if *left > 0 {
@@ -170,7 +170,7 @@
         )));
     }
     if !state.residents.contains_key(&body.model) {
-        state.truth.refused_not_loaded += 1;
+        state.stats.refused_not_loaded += 1;
         return Err(Box::new(refuse(
             StatusCode::NOT_FOUND,
             "adapter not loaded",
@@ -178,7 +178,7 @@
     }
     if !id.is_empty() && !state.seen.insert(id.to_owned()) {
         state
-            .truth
+            .stats
             .violations
             .push(format!("request {id} was sent twice"));
         return Err(Box::new(refuse(
@@ -186,7 +186,7 @@
             "repeated request id",
         )));
     }
-    state.truth.ran += 1;
+    state.stats.ran += 1;
     state.arrivals += 1;
     let stream = Arc::new(StreamHandle {
         buffer: Mutex::new(StreamBuffer::default()),
@@ -308,7 +308,7 @@
 ) -> Response {
     let handle = {
         let mut state = shared.lock();
-        state.truth.resumed += 1;
+        state.stats.resumed += 1;
         state.streams.get(&id).cloned()
     };
     match handle {
@@ -329,9 +329,9 @@
 async fn answer_order(shared: &SharedEngine, response: Response) -> Response {
     let (late, lost) = {
         let mut state = shared.lock();
-        let lost = state.faults.lose_order_answers > 0;
-        state.faults.lose_order_answers = state.faults.lose_order_answers.saturating_sub(1);
-        (state.faults.late, lost)
+        let lost = state.faults.lost_order_responses > 0;
+        state.faults.lost_order_responses = state.faults.lost_order_responses.saturating_sub(1);
+        (state.faults.order_delay, lost)
     };
     tokio::time::sleep(if lost { LOST_FOR } else { late }).await;
     response
@@ -369,7 +369,7 @@
             refuse(StatusCode::SERVICE_UNAVAILABLE, "load failed")
         } else {
             state.residents.insert(name.clone(), ());
-            state.truth.loads += 1;
+            state.stats.loads += 1;
             Json(json!({ "loaded": name })).into_response()
         }
     };
@@ -393,11 +393,11 @@
                 "unload of {name} while it serves {} requests",
                 state.in_flight(&name)
             );
-            state.truth.violations.push(violation);
+            state.stats.violations.push(violation);
             return refuse(StatusCode::CONFLICT, "adapter is serving");
         }
         if state.residents.remove(&name).is_some() {
-            state.truth.unloads += 1;
+            state.stats.unloads += 1;
         }
         Json(json!({ "unloaded": name })).into_response()
     };
@@ -454,7 +454,7 @@
     state.running.retain(|sequence| sequence.id != *id);
     state.waiting.retain(|sequence| sequence.id != *id);
     let ended = before - state.running.len() - state.waiting.len();
-    state.truth.cancelled += ended as u64;
+    state.stats.cancelled += ended as u64;
     if ended > 0
         && let Some(stream) = state.streams.get(id)
     {
--- a/crates/standins/src/engine/steps.rs
+++ b/crates/standins/src/engine/steps.rs
@@ -34,8 +34,8 @@
     let micros = model.step_us
         + model.sequence_us * state.running.len() as u64
         + model.prefill_us * prefill as u64;
-    state.truth.steps += 1;
-    state.truth.step_sequences += state.running.len() as u64;
+    state.stats.steps += 1;
+    state.stats.step_sequences += state.running.len() as u64;
     Some(Duration::from_micros(micros))
 }
 
--- a/crates/standins/src/keyed_log.rs
+++ b/crates/standins/src/keyed_log.rs
@@ -28,21 +28,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct LogFaults {
     /// Every call is refused.
-    pub is_out: bool,
+    pub is_unavailable: bool,
     /// Every read answers bytes that are no records.
-    pub talks_nonsense: bool,
+    pub has_malformed_reads: bool,
     /// Appends that are done, but whose answer is lost.
-    pub lose_answers: usize,
+    pub lost_responses: usize,
     /// Reads that wait are not woken by new records.
-    pub is_deaf: bool,
+    pub suppresses_wakeups: bool,
     /// Keys of a listing's page; all if none is set.
-    pub page_keys: Option<usize>,
+    pub max_page_keys: Option<usize>,
     /// Pages behind the first that are never answered.
-    pub silent_pages: usize,
+    pub unanswered_pages: usize,
     /// Topics whose listings are refused.
-    pub unlisted: Vec<String>,
+    pub refused_listings: Vec<String>,
     /// What answers say of the era in place of the truth; an empty text leaves the header out.
-    pub tells_era: Option<String>,
+    pub reported_era: Option<String>,
     /// A key whose appends are done a while after they came, whatever has happened to the log since.
     pub delayed_key: Option<(String, Duration)>,
 }
@@ -82,7 +82,7 @@
     fn with_era(&self, mut answer: Response) -> Response {
         let state = self.lock();
         let truth = (state.restores + 1).to_string();
-        let era = state.faults.tells_era.as_ref().unwrap_or(&truth);
+        let era = state.faults.reported_era.as_ref().unwrap_or(&truth);
         if let Ok(value) = HeaderValue::from_str(era)
             && !era.is_empty()
         {
@@ -99,7 +99,7 @@
     fn refusal(&self) -> Option<Response> {
         let mut state = self.lock();
         state.calls += 1;
-        state.faults.is_out.then(|| {
+        state.faults.is_unavailable.then(|| {
             Response::builder()
                 .status(StatusCode::SERVICE_UNAVAILABLE)
                 .finish()
@@ -115,8 +115,8 @@
             *state.listings.entry(query.topic.clone()).or_default() += 1;
             return false;
         }
-        let is_silent = state.faults.silent_pages > 0;
-        state.faults.silent_pages = state.faults.silent_pages.saturating_sub(1);
+        let is_silent = state.faults.unanswered_pages > 0;
+        state.faults.unanswered_pages = state.faults.unanswered_pages.saturating_sub(1);
         is_silent
     }
 
@@ -144,8 +144,8 @@
         let offset = records.len();
         records.extend(appended);
         let end = records.len();
-        let is_lost = state.faults.lose_answers > 0;
-        state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
+        let is_lost = state.faults.lost_responses > 0;
+        state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
         let answer = json!({ "offset": offset, "end": end }).to_string();
         (Response::builder().body(answer), is_lost)
     }
@@ -361,7 +361,7 @@
                 return;
             }
             grown.await;
-            if shared.lock().faults.is_deaf {
+            if shared.lock().faults.suppresses_wakeups {
                 pending::<()>().await;
             }
         }
@@ -372,7 +372,7 @@
         return refusal;
     }
     let state = shared.lock();
-    if state.faults.talks_nonsense {
+    if state.faults.has_malformed_reads {
         return Response::builder().body("what?");
     }
     let first = state.first.get(&query.topic).copied().unwrap_or(0);
@@ -415,10 +415,10 @@
         pending::<()>().await;
     }
     let state = shared.lock();
-    if state.faults.talks_nonsense {
+    if state.faults.has_malformed_reads {
         return Response::builder().body("what?");
     }
-    if state.faults.unlisted.contains(&query.topic) {
+    if state.faults.refused_listings.contains(&query.topic) {
         return Response::builder()
             .status(StatusCode::SERVICE_UNAVAILABLE)
             .finish();
@@ -432,7 +432,7 @@
         .enumerate()
         .map(|(offset, record)| (&record.key, (offset, &record.value)))
         .collect();
-    let page_keys = state.faults.page_keys.unwrap_or(usize::MAX);
+    let max_page_keys = state.faults.max_page_keys.unwrap_or(usize::MAX);
     let mut behind = newest
         .into_iter()
         .filter_map(|(key, (offset, value))| Some((key, offset, value.as_ref()?)))
@@ -440,7 +440,7 @@
         .peekable();
     let items: Vec<_> = behind
         .by_ref()
-        .take(page_keys)
+        .take(max_page_keys)
         .map(|(key, offset, value)| {
             json!({ "private_key": key, "value": base64(value), "offset": offset })
         })
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -13,9 +13,9 @@
 //! | [`relay`] | a TCP link that can be cut or frozen |
 
 pub mod engine;
-pub mod kept_memory;
 pub mod keyed_log;
 pub mod platform;
+pub mod prompt_cache;
 pub mod raw_target;
 pub mod relay;
 pub mod service;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -30,13 +30,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct PlatformFaults {
     /// Nothing can be read or appended.
-    pub out: bool,
+    pub is_unavailable: bool,
     /// Time that each append takes.
     pub append_delay: Duration,
     /// Appends whose answer is lost after they took effect.
-    pub lose_answers: usize,
+    pub lost_responses: usize,
     /// VMs that are cut off.
-    pub cut: HashSet<String>,
+    pub partitioned_vms: HashSet<String>,
 }
 
 /// A VM of the list.
@@ -84,7 +84,7 @@
     fn is_cut(&self, request: &Request) -> bool {
         let state = self.lock();
         let vm = request.header("x-vm").unwrap_or_default();
-        state.faults.out || state.faults.cut.contains(vm)
+        state.faults.is_unavailable || state.faults.partitioned_vms.contains(vm)
     }
 }
 
@@ -122,7 +122,7 @@
     }
 
     /// Puts a VM in the list, or changes it.
-    pub fn list_vm(&self, vm: &str, zone: &str, peer_address: &str, state: &str) {
+    pub fn upsert_vm(&self, vm: &str, zone: &str, peer_address: &str, state: &str) {
         let entry = PlatformVm {
             vm: vm.to_owned(),
             zone: zone.to_owned(),
@@ -133,7 +133,7 @@
     }
 
     /// Takes a VM off the list.
-    pub fn unlist_vm(&self, vm: &str) {
+    pub fn remove_vm(&self, vm: &str) {
         self.shared.lock().vms.remove(vm);
     }
 
@@ -154,7 +154,7 @@
 
     /// Appends, records and bytes appended so far.
     #[must_use]
-    pub fn append_counts(&self) -> (u64, u64, u64) {
+    pub fn append_totals(&self) -> (u64, u64, u64) {
         let state = self.shared.lock();
         (state.appends, state.appended_records, state.appended_bytes)
     }
@@ -212,8 +212,8 @@
     let (first, lost) = {
         let mut state = shared.lock();
         let first = push_records(&mut state, body.0.records);
-        let lost = state.faults.lose_answers > 0;
-        state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
+        let lost = state.faults.lost_responses > 0;
+        state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
         (first, lost)
     };
     shared.grown.notify_waiters();
@@ -267,7 +267,7 @@
         grown.as_mut().enable();
         {
             let state = shared.lock();
-            if state.first + state.records.len() as u64 > offset || state.faults.out {
+            if state.first + state.records.len() as u64 > offset || state.faults.is_unavailable {
                 return;
             }
         }
--- a/crates/standins/src/kept_memory.rs
+++ b/crates/standins/src/prompt_cache.rs
@@ -12,20 +12,20 @@
 
 /// A run that used memory made under another version than the one that it runs under.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemoryMismatch {
+pub struct CacheMismatch {
     /// Where it ran.
     pub at: SocketAddr,
     /// Its adapter.
     pub adapter: String,
     /// Version that made the memory.
-    pub made_under: u64,
+    pub cached_version: u64,
     /// Version that it runs under.
-    pub runs_under: u64,
+    pub running_version: u64,
 }
 
 /// A prompt as it reaches an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadPrompt<'a> {
+pub struct ReceivedPrompt<'a> {
     /// Its adapter.
     pub adapter: &'a str,
     /// Version of the adapter at the engine.
@@ -41,14 +41,18 @@
 
 /// The memory of all engines of a site.
 #[derive(Debug, Default)]
-pub struct MemoryNet {
+pub struct PromptCaches {
     engines: Mutex<HashMap<SocketAddr, KeptParts>>,
 }
 
-impl MemoryNet {
+impl PromptCaches {
     /// An engine reads a prompt: it uses what it has kept, takes what it lacks from the source as far as the prompt's parts
     /// are there one after the other, and makes the rest itself.
-    pub fn read(&self, at: SocketAddr, prompt: &ReadPrompt<'_>) -> Option<MemoryMismatch> {
+    pub fn process_prompt(
+        &self,
+        at: SocketAddr,
+        prompt: &ReceivedPrompt<'_>,
+    ) -> Option<CacheMismatch> {
         let mut engines = self.lock();
         let theirs = prompt.source.and_then(|source| engines.get(&source));
         let theirs = theirs.cloned().unwrap_or_default();
@@ -61,11 +65,11 @@
             is_found &= made.is_some();
             let made = made.filter(|_| is_found).unwrap_or(prompt.version);
             if made != prompt.version {
-                mismatch.get_or_insert_with(|| MemoryMismatch {
+                mismatch.get_or_insert_with(|| CacheMismatch {
                     at,
                     adapter: prompt.adapter.to_owned(),
-                    made_under: made,
-                    runs_under: prompt.version,
+                    cached_version: made,
+                    running_version: prompt.version,
                 });
             }
             own.insert(key, made);
@@ -75,7 +79,7 @@
 
     /// Parts at the start of a prompt that an engine need not make itself: it has them, or the source does.
     #[must_use]
-    pub fn found(&self, at: SocketAddr, prompt: &ReadPrompt<'_>) -> usize {
+    pub fn reusable_parts(&self, at: SocketAddr, prompt: &ReceivedPrompt<'_>) -> usize {
         let engines = self.lock();
         let holders: Vec<_> = iter::once(at)
             .chain(prompt.source)
@@ -89,14 +93,14 @@
     }
 
     /// An engine replaces or drops an adapter, and what it kept for it.
-    pub fn drop_adapter(&self, at: SocketAddr, adapter: &str) {
+    pub fn evict_adapter(&self, at: SocketAddr, adapter: &str) {
         if let Some(own) = self.lock().get_mut(&at) {
             own.retain(|(kept, _), _| kept != adapter);
         }
     }
 
     /// An engine starts again, or is gone.
-    pub fn forget(&self, at: SocketAddr) {
+    pub fn remove_engine(&self, at: SocketAddr) {
         self.lock().remove(&at);
     }
 
--- a/crates/standins/src/raw_target.rs
+++ b/crates/standins/src/raw_target.rs
@@ -39,29 +39,29 @@
 
     /// Method and path.
     #[must_use]
-    pub fn line(&self) -> &str {
+    pub fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 }
 
 /// What is written for a request.
 #[derive(Clone, Debug)]
-pub struct RawAnswer {
+pub struct RawResponse {
     /// Pieces, each after a pause.
     pub pieces: Vec<(Duration, Vec<u8>)>,
     /// Whether the connection is closed behind them.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
-impl RawAnswer {
+impl RawResponse {
     /// A whole answer with a length.
     #[must_use]
-    pub fn whole(status: &str, headers: &str, body: &str) -> Self {
+    pub fn complete(status: &str, headers: &str, body: &str) -> Self {
         let length = body.len();
         let text = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
         Self {
             pieces: vec![(Duration::ZERO, text.into_bytes())],
-            closes: false,
+            closes_connection: false,
         }
     }
 
@@ -82,7 +82,7 @@
     pub fn close() -> Self {
         Self {
             pieces: Vec::new(),
-            closes: true,
+            closes_connection: true,
         }
     }
 }
@@ -110,7 +110,7 @@
     }
 }
 
-type AnswerFn = dyn Fn(&RawRequest) -> RawAnswer + Send + Sync;
+type AnswerFn = dyn Fn(&RawRequest) -> RawResponse + Send + Sync;
 type DeadlyFn = dyn Fn(&RawRequest) -> bool + Send + Sync;
 
 /// A running target; ends when dropped.
@@ -128,7 +128,7 @@
     /// # Errors
     /// Returns the error of the system when no port can be had.
     pub async fn start(
-        answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
     ) -> io::Result<Self> {
         Self::start_with(answer, |_| false, usize::MAX).await
     }
@@ -137,8 +137,8 @@
     ///
     /// # Errors
     /// Returns the error of the system when no port can be had.
-    pub async fn start_bounded(
-        answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    pub async fn start_with_connection_limit(
+        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
         most: usize,
     ) -> io::Result<Self> {
         Self::start_with(answer, |_| false, most).await
@@ -148,15 +148,15 @@
     ///
     /// # Errors
     /// Returns the error of the system when no port can be had.
-    pub async fn start_mortal(
-        answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    pub async fn start_crashable(
+        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
         is_deadly: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
     ) -> io::Result<Self> {
         Self::start_with(answer, is_deadly, usize::MAX).await
     }
 
     async fn start_with(
-        answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
         is_deadly: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
         most: usize,
     ) -> io::Result<Self> {
@@ -252,7 +252,7 @@
             sleep(pause).await;
             stream.write_all(&piece).await?;
         }
-        if answer.closes {
+        if answer.closes_connection {
             return Ok(());
         }
     }
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -63,7 +63,7 @@
     }
 
     /// Cuts, freezes or opens the link.
-    pub fn set(&self, state: LinkState) {
+    pub fn set_state(&self, state: LinkState) {
         self.state.send_replace(state);
     }
 }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -15,7 +15,7 @@
     /// Time that each call takes.
     pub delay: Duration,
     /// Calls that run, but whose connection breaks before the answer.
-    pub lose_answers: usize,
+    pub lost_responses: usize,
 }
 
 #[derive(Default)]
@@ -55,13 +55,13 @@
 
     /// How often the call with this body ran.
     #[must_use]
-    pub fn runs_of(&self, body: &str) -> u32 {
+    pub fn run_count(&self, body: &str) -> u32 {
         self.lock().runs.get(body).copied().unwrap_or(0)
     }
 
     /// Calls that ran more than once.
     #[must_use]
-    pub fn repeated(&self) -> Vec<String> {
+    pub fn repeated_calls(&self) -> Vec<String> {
         let state = self.lock();
         let repeated = state.runs.iter().filter(|(_, count)| **count > 1);
         repeated.map(|(body, _)| body.clone()).collect()
@@ -69,7 +69,7 @@
 
     /// Calls that ran at least once.
     #[must_use]
-    pub fn ran(&self) -> usize {
+    pub fn distinct_calls(&self) -> usize {
         self.lock().runs.len()
     }
 
@@ -87,8 +87,8 @@
         if request.method() != poem::http::Method::GET {
             *state.runs.entry(text.clone()).or_default() += 1;
         }
-        let lost = state.faults.lose_answers > 0;
-        state.faults.lose_answers = state.faults.lose_answers.saturating_sub(1);
+        let lost = state.faults.lost_responses > 0;
+        state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
         (state.faults.delay, lost)
     };
     tokio::time::sleep(delay).await;
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weights.rs
@@ -13,7 +13,7 @@
 pub struct WeightStore {
     alone: Duration,
     active: AtomicUsize,
-    most_active: AtomicUsize,
+    max_concurrent_fetches: AtomicUsize,
 }
 
 impl WeightStore {
@@ -23,20 +23,21 @@
         Self {
             alone,
             active: AtomicUsize::new(0),
-            most_active: AtomicUsize::new(0),
+            max_concurrent_fetches: AtomicUsize::new(0),
         }
     }
 
     /// Largest number of loads that ran at once.
     #[must_use]
-    pub fn most_active(&self) -> usize {
-        self.most_active.load(Ordering::Relaxed)
+    pub fn max_concurrent_fetches(&self) -> usize {
+        self.max_concurrent_fetches.load(Ordering::Relaxed)
     }
 
     /// Takes as long as a load of one adapter takes beside the others.
     pub async fn fetch(&self) {
         let active = self.active.fetch_add(1, Ordering::Relaxed) + 1;
-        self.most_active.fetch_max(active, Ordering::Relaxed);
+        self.max_concurrent_fetches
+            .fetch_max(active, Ordering::Relaxed);
         let _active = ActiveFetch(&self.active);
         let mut left = self.alone;
         while !left.is_zero() {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -4,7 +4,7 @@
     caller::{CallResult, CallerClient, CompletionCall},
     site::{BATCH_TOKEN, NORMAL_TOKEN, TestSite, URGENT_TOKEN, adapter_name},
 };
-use hoplanding_standins::engine::expected_answer;
+use hoplanding_standins::engine::expected_completion;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rand_distr::{Distribution, Zipf};
 use std::{
@@ -205,7 +205,7 @@
     let truths = site
         .engines
         .values()
-        .map(hoplanding_standins::engine::EngineStandin::truth);
+        .map(hoplanding_standins::engine::EngineStandin::stats);
     truths.fold((0, 0), |sum, truth| {
         (sum.0 + truth.steps, sum.1 + truth.step_sequences)
     })
@@ -261,7 +261,8 @@
         None => {}
     }
     if let PlannedCall::Completion(class, call) = call {
-        let expected = expected_answer(&format!("{}@v1", call.model), &call.prompt, call.tokens);
+        let expected =
+            expected_completion(&format!("{}@v1", call.model), &call.prompt, call.tokens);
         if result.text != expected || result.model != format!("{}@v1", call.model) {
             report.wrong += 1;
             return;
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -274,7 +274,7 @@
             daemon.peer_address.to_string()
         };
         self.platform
-            .list_vm(vm, &self.zone_of(vm), &address, "live");
+            .upsert_vm(vm, &self.zone_of(vm), &address, "live");
         self.daemons.insert(vm.to_owned(), daemon);
         Ok(())
     }
@@ -288,7 +288,7 @@
     pub async fn stop_daemon(&mut self, vm: &str) -> Option<StopReport> {
         let mut process = self.daemons.remove(vm)?;
         let report = process.daemon.take()?.stop().await;
-        self.platform.unlist_vm(vm);
+        self.platform.remove_vm(vm);
         Some(report)
     }
 
@@ -296,7 +296,7 @@
     pub fn set_links(&self, one: &str, other: &str, state: LinkState) {
         for ((from, to), relay) in &self.relays {
             if (from == one && to == other) || (from == other && to == one) {
-                relay.set(state);
+                relay.set_state(state);
             }
         }
     }
@@ -310,7 +310,7 @@
         };
         for ((from, to), relay) in &self.relays {
             if (self.zone_of(from) == zone) != (self.zone_of(to) == zone) {
-                relay.set(state);
+                relay.set_state(state);
             }
         }
         let inside: Vec<_> = self
@@ -323,9 +323,9 @@
         self.platform.set_faults(|faults| {
             for vm in inside {
                 if is_cut {
-                    faults.cut.insert(vm);
+                    faults.partitioned_vms.insert(vm);
                 } else {
-                    faults.cut.remove(&vm);
+                    faults.partitioned_vms.remove(&vm);
                 }
             }
         });
@@ -474,7 +474,7 @@
     pub fn violations(&self) -> Vec<String> {
         let engines = self.engines.iter().flat_map(|(name, engine)| {
             engine
-                .truth()
+                .stats()
                 .violations
                 .into_iter()
                 .map(move |violation| format!("{name}: {violation}"))
@@ -487,7 +487,7 @@
     pub fn repeated(&self) -> Vec<String> {
         self.services
             .values()
-            .flat_map(ServiceStandin::repeated)
+            .flat_map(ServiceStandin::repeated_calls)
             .map(|call| format!("ran twice: {call}"))
             .collect()
     }
@@ -497,7 +497,7 @@
     pub fn runs_of(&self, body: &str) -> u32 {
         self.services
             .values()
-            .map(|service| service.runs_of(body))
+            .map(|service| service.run_count(body))
             .sum()
     }
 }
