--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,7 +1,9 @@
-//! A model engine: adapter slots, continuous batching, prefill, a prefix cache and priorities.
+//! Simulated model engine: adapter slots, continuous batching, prefill, a prefix cache and priorities.
 //!
-//! The text of an answer depends on the model and the prompt only, so answers can be compared byte for byte. Each
-//! broken promise is refused where an engine would refuse it, and always recorded.
+//! The generated text depends only on the model, the prompt and the number of tokens, so a test can compare a response byte
+//! for byte with [`expected_completion`]. Requests that break the engine's protocol (a request id sent twice, an unload of
+//! an adapter that still serves requests) are refused with an HTTP error, as a real engine does, and recorded as violations
+//! in [`EngineStats`]. The HTTP interface is in `http`, the batch scheduler in `steps`.
 
 mod http;
 mod steps;
@@ -16,23 +18,23 @@
 };
 use tokio::{sync::Notify, task::JoinHandle};
 
-/// Ended streams that can still be asked for.
-const KEPT_STREAMS: usize = 4096;
+/// Streams, running or ended, that a client can resume; the oldest are evicted first.
+const MAX_RETAINED_STREAMS: usize = 4096;
 
-/// Sizes and speeds of an engine.
+/// Capacity and timing of a simulated engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Adapter slots.
+    /// Adapters that can be loaded at once.
     pub slots: usize,
-    /// Sequences in a full batch.
+    /// Maximum number of sequences in a batch.
     pub batch: usize,
-    /// Time of an empty step, in microseconds.
+    /// Fixed time of each step, in microseconds.
     pub step_us: u64,
-    /// Time that each sequence adds to a step, in microseconds.
+    /// Time added to a step by each sequence in the batch, in microseconds.
     pub sequence_us: u64,
-    /// Time that each prompt token adds to a step, in microseconds.
+    /// Time added to a step by each prompt token that it prefills, in microseconds.
     pub prefill_us: u64,
-    /// Prompt tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt tokens.
     pub cache_tokens: usize,
 }
 
@@ -49,53 +51,53 @@
     }
 }
 
-/// Faults of an engine.
+/// Faults to inject into an engine. Counters are decremented by each request or order that they affect.
 #[derive(Clone, Debug, Default)]
 pub struct EngineFaults {
-    /// Loads that fail.
+    /// Number of loads still to fail, with status 503.
     pub fail_loads: usize,
-    /// Orders whose answer is lost after they took effect.
+    /// Number of orders still to be processed whose response is lost: the client waits 30 s for it.
     pub lost_order_responses: usize,
-    /// Streams that break off after a few tokens.
+    /// Number of streams still to break off after three tokens.
     pub break_streams: usize,
-    /// Time by which answers to orders are late.
+    /// Delay of each response to an order, after the order was processed.
     pub order_delay: Duration,
-    /// Answers that name another adapter than the one asked for.
+    /// Number of streams still to name another adapter than the requested one.
     pub wrong_model_responses: usize,
-    /// Answers that are no events at all.
+    /// Number of completions still to be answered with plain text instead of an event stream.
     pub malformed_responses: usize,
-    /// Whether the load report stands still.
+    /// Whether the load report keeps its last contents instead of following the engine.
     pub freeze_report: bool,
-    /// Whether it says that it is about to leave.
+    /// Whether the adapter list announces that the engine is about to leave.
     pub leaving: bool,
 }
 
-/// What an engine saw.
+/// Counters and protocol violations that an engine recorded.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EngineStats {
-    /// Broken promises.
+    /// Protocol violations, one description each.
     pub violations: Vec<String>,
-    /// Requests that ran.
+    /// Requests that were accepted to run.
     pub ran: u64,
     /// Requests refused because their adapter was not loaded.
     pub refused_not_loaded: u64,
-    /// Orders refused for an old fencing token.
+    /// Requests and orders refused because of a stale fencing token.
     pub refused_stale: u64,
-    /// Loads that ended well.
+    /// Adapter loads that succeeded.
     pub loads: u64,
-    /// Unloads.
+    /// Adapters that were unloaded.
     pub unloads: u64,
-    /// Steps with at least one sequence.
+    /// Batch steps with at least one sequence.
     pub steps: u64,
-    /// Sequences in all those steps.
+    /// Sum of the batch sizes of these steps.
     pub step_sequences: u64,
-    /// Requests cancelled.
+    /// Requests that were cancelled while running or waiting.
     pub cancelled: u64,
-    /// Streams asked for again.
+    /// Attempts to resume a stream.
     pub resumed: u64,
 }
 
-/// One stream of tokens, kept so that it can be asked for again.
+/// Tokens of one stream, retained so that a client can resume it.
 #[derive(Debug, Default)]
 struct StreamBuffer {
     tokens: Vec<String>,
@@ -106,53 +108,59 @@
 #[derive(Debug)]
 struct StreamHandle {
     buffer: Mutex<StreamBuffer>,
-    grown: Notify,
+    changed: Notify,
     model: String,
 }
 
-/// A sequence in the batch.
+/// A request that runs in the batch or waits for it.
 #[derive(Debug)]
 struct Sequence {
     id: String,
     model: String,
     prompt: String,
-    wanted: usize,
-    made: usize,
-    prefill_left: usize,
+    max_tokens: usize,
+    generated_tokens: usize,
+    remaining_prefill: usize,
     priority: u8,
-    arrived: u64,
+    arrival: u64,
     stream: Arc<StreamHandle>,
 }
 
 #[derive(Default)]
 struct EngineState {
+    /// Incremented by each restart; sent in the `x-engine-boot` header.
     boot: u64,
     model: EngineModel,
     checks_fencing: bool,
+    /// Highest fencing token received.
     token: u64,
-    residents: BTreeMap<String, ()>,
+    loaded_adapters: BTreeMap<String, ()>,
     loading: HashSet<String>,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
+    /// Retained streams by request id.
     streams: HashMap<String, Arc<StreamHandle>>,
+    /// Request ids of `streams`, oldest first, for eviction.
     stream_order: VecDeque<String>,
-    seen: HashSet<String>,
-    prefixes: VecDeque<(String, usize)>,
+    seen_request_ids: HashSet<String>,
+    /// Cached prompt prefixes with their sizes in tokens, least recently used first.
+    cached_prefixes: VecDeque<(String, usize)>,
     faults: EngineFaults,
     stats: EngineStats,
+    /// Last load report, returned again while `freeze_report` is set.
     report: Option<serde_json::Value>,
     arrivals: u64,
 }
 
 struct SharedEngine {
     state: Mutex<EngineState>,
-    work: Notify,
+    work_available: Notify,
     store: Arc<WeightStore>,
 }
 
 impl SharedEngine {
     fn lock(&self) -> MutexGuard<'_, EngineState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state.lock().expect("lock is not poisoned")
     }
 }
 
@@ -162,10 +170,10 @@
         sequences.filter(|sequence| sequence.model == model).count()
     }
 
-    fn keep_stream(&mut self, id: &str, stream: &Arc<StreamHandle>) {
+    fn retain_stream(&mut self, id: &str, stream: &Arc<StreamHandle>) {
         self.streams.insert(id.to_owned(), Arc::clone(stream));
         self.stream_order.push_back(id.to_owned());
-        if self.stream_order.len() > KEPT_STREAMS
+        if self.stream_order.len() > MAX_RETAINED_STREAMS
             && let Some(oldest) = self.stream_order.pop_front()
         {
             self.streams.remove(&oldest);
@@ -173,18 +181,18 @@
     }
 }
 
-/// A running engine.
+/// A simulated engine that serves HTTP on loopback; it stops when dropped.
 pub struct EngineStandin {
     server: RunningServer,
     shared: Arc<SharedEngine>,
-    stepper: JoinHandle<()>,
+    step_task: JoinHandle<()>,
 }
 
 impl EngineStandin {
-    /// Starts an engine that loads from `store`.
+    /// Starts an engine that fetches adapter weights from `store`.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start(
         model: EngineModel,
         checks_fencing: bool,
@@ -198,60 +206,60 @@
         };
         let shared = Arc::new(SharedEngine {
             state: Mutex::new(state),
-            work: Notify::new(),
+            work_available: Notify::new(),
             store,
         });
         let server = RunningServer::start(http::routes(Arc::clone(&shared))).await?;
-        let stepper = tokio::spawn(steps::run(Arc::clone(&shared)));
+        let step_task = tokio::spawn(steps::run(Arc::clone(&shared)));
         Ok(Self {
             server,
             shared,
-            stepper,
+            step_task,
         })
     }
 
-    /// Its address, `IP:port`.
+    /// Listening address, `IP:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address.to_string()
     }
 
-    /// Changes the faults.
+    /// Edits the injected faults in place.
     pub fn set_faults(&self, change: impl FnOnce(&mut EngineFaults)) {
         change(&mut self.shared.lock().faults);
     }
 
-    /// What it saw.
+    /// Returns a copy of the counters and violations so far.
     #[must_use]
     pub fn stats(&self) -> EngineStats {
         self.shared.lock().stats.clone()
     }
 
-    /// Adapters that are loaded.
+    /// Names of the loaded adapters, sorted.
     #[must_use]
     pub fn loaded(&self) -> Vec<String> {
-        self.shared.lock().residents.keys().cloned().collect()
+        self.shared.lock().loaded_adapters.keys().cloned().collect()
     }
 
-    /// Requests that run or wait in it.
+    /// Number of requests that run or wait.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         let state = self.shared.lock();
         state.running.len() + state.waiting.len()
     }
 
-    /// Restarts it: nothing is loaded, nothing runs, every stream is gone.
+    /// Simulates a restart of the process: drops loaded adapters, requests, streams and the fencing token.
     pub fn restart(&self) {
         let mut state = self.shared.lock();
         state.boot += 1;
         state.token = 0;
-        state.residents.clear();
+        state.loaded_adapters.clear();
         state.loading.clear();
         state.running.clear();
         state.waiting.clear();
-        state.prefixes.clear();
+        state.cached_prefixes.clear();
         state.stream_order.clear();
-        state.seen.clear();
+        state.seen_request_ids.clear();
         for (_, stream) in state.streams.drain() {
             break_stream(&stream);
         }
@@ -259,20 +267,20 @@
 }
 
 fn break_stream(stream: &StreamHandle) {
-    let mut buffer = stream.buffer.lock().expect("no holder of the lock panics");
+    let mut buffer = stream.buffer.lock().expect("lock is not poisoned");
     if !buffer.done {
         buffer.broken = true;
     }
-    stream.grown.notify_waiters();
+    stream.changed.notify_waiters();
 }
 
 impl Drop for EngineStandin {
     fn drop(&mut self) {
-        self.stepper.abort();
+        self.step_task.abort();
     }
 }
 
-/// The answer of a model to a prompt; the stand-in's notion of the truth.
+/// Text that an engine generates for a prompt, as the reference for tests.
 #[must_use]
 pub fn expected_completion(model: &str, prompt: &str, tokens: usize) -> String {
     (0..tokens)
--- a/crates/standins/src/engine/http.rs
+++ b/crates/standins/src/engine/http.rs
@@ -1,4 +1,7 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the simulated engine: completions with resumable event streams, adapter orders with fencing tokens,
+//! and the reports.
+//!
+//! When a fault loses the response to an order, the order still takes effect and its client is kept waiting.
 
 use crate::engine::{
     EngineState, Sequence, SharedEngine, StreamBuffer, StreamHandle, break_stream,
@@ -22,12 +25,12 @@
 };
 use tokio::sync::Notify;
 
-/// How long a lost answer keeps its client waiting.
-const LOST_FOR: Duration = Duration::from_secs(30);
-/// Tokens after which a stream that is to break does so.
-const BREAK_AFTER: usize = 3;
-/// Tokens of an answer whose request names no number.
-const DEFAULT_TOKENS: usize = 16;
+/// How long the client of a lost response is kept waiting.
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(30);
+/// Tokens sent on a stream before an injected break.
+const BREAK_AFTER_TOKENS: usize = 3;
+/// Tokens generated when a request has no `max_tokens`.
+const DEFAULT_MAX_TOKENS: usize = 16;
 
 pub(super) fn routes(shared: Arc<SharedEngine>) -> impl Endpoint + use<> {
     let boot = Arc::clone(&shared);
@@ -58,11 +61,11 @@
         .into_response()
 }
 
-fn token_of(request: &Request) -> Option<u64> {
+fn fencing_token(request: &Request) -> Option<u64> {
     request.header("x-fencing-token")?.parse().ok()
 }
 
-/// Whether an order's token is too old; a newer one is remembered.
+/// Whether a fencing token is older than the highest one received, which a newer token replaces.
 fn is_stale(state: &mut EngineState, token: Option<u64>) -> bool {
     if !state.checks_fencing {
         return false;
@@ -109,7 +112,7 @@
     body: Json<CompletionBody>,
     shared: Data<&Arc<SharedEngine>>,
 ) -> Response {
-    let token = token_of(request);
+    let token = fencing_token(request);
     let id = request
         .header("x-request-id")
         .unwrap_or_default()
@@ -117,18 +120,18 @@
     let started = start_sequence(&mut shared.lock(), &id, token, &body);
     match started {
         Err(response) => *response,
-        Ok((_, StreamFault::Nonsense)) => {
-            shared.work.notify_one();
+        Ok((_, StreamFault::Malformed)) => {
+            shared.work_available.notify_one();
             "this is no stream of events".into_response()
         }
         Ok((handle, fault)) => {
-            shared.work.notify_one();
-            let shown = match fault {
+            shared.work_available.notify_one();
+            let reported_model = match fault {
                 StreamFault::WrongModel => "another@v0".to_owned(),
                 _ => handle.model.clone(),
             };
-            let breaks = fault == StreamFault::Break;
-            SSE::new(events(handle, 0, shown, breaks)).into_response()
+            let breaks_early = fault == StreamFault::Break;
+            SSE::new(events(handle, 0, reported_model, breaks_early)).into_response()
         }
     }
 }
@@ -138,7 +141,7 @@
     None,
     Break,
     WrongModel,
-    Nonsense,
+    Malformed,
 }
 
 fn take_fault(state: &mut EngineState) -> StreamFault {
@@ -146,11 +149,11 @@
     let counters = [
         (&mut faults.break_streams, StreamFault::Break),
         (&mut faults.wrong_model_responses, StreamFault::WrongModel),
-        (&mut faults.malformed_responses, StreamFault::Nonsense),
+        (&mut faults.malformed_responses, StreamFault::Malformed),
     ];
-    for (left, fault) in counters {
-        if *left > 0 {
-            *left -= 1;
+    for (remaining, fault) in counters {
+        if *remaining > 0 {
+            *remaining -= 1;
             return fault;
         }
     }
@@ -169,14 +172,14 @@
             "stale fencing token",
         )));
     }
-    if !state.residents.contains_key(&body.model) {
+    if !state.loaded_adapters.contains_key(&body.model) {
         state.stats.refused_not_loaded += 1;
         return Err(Box::new(refuse(
             StatusCode::NOT_FOUND,
             "adapter not loaded",
         )));
     }
-    if !id.is_empty() && !state.seen.insert(id.to_owned()) {
+    if !id.is_empty() && !state.seen_request_ids.insert(id.to_owned()) {
         state
             .stats
             .violations
@@ -190,20 +193,20 @@
     state.arrivals += 1;
     let stream = Arc::new(StreamHandle {
         buffer: Mutex::new(StreamBuffer::default()),
-        grown: Notify::new(),
+        changed: Notify::new(),
         model: body.model.clone(),
     });
-    state.keep_stream(id, &stream);
+    state.retain_stream(id, &stream);
     let prompt = body.prompt_text();
     state.waiting.push_back(Sequence {
         id: id.to_owned(),
         model: body.model.clone(),
-        prefill_left: prompt.len() / 4,
+        remaining_prefill: prompt.len() / 4,
         prompt,
-        wanted: body.max_tokens.unwrap_or(DEFAULT_TOKENS).max(1),
-        made: 0,
+        max_tokens: body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1),
+        generated_tokens: 0,
         priority: body.priority,
-        arrived: state.arrivals,
+        arrival: state.arrivals,
         stream: Arc::clone(&stream),
     });
     Ok((stream, take_fault(state)))
@@ -213,39 +216,39 @@
     handle: Arc<StreamHandle>,
     next: usize,
     model: String,
-    breaks: bool,
-    ready: VecDeque<Event>,
-    ended: bool,
+    breaks_early: bool,
+    queued_events: VecDeque<Event>,
+    is_ended: bool,
 }
 
 fn events(
     handle: Arc<StreamHandle>,
     from: usize,
     model: String,
-    breaks: bool,
+    breaks_early: bool,
 ) -> impl Stream<Item = Event> + use<> {
     let cursor = EventCursor {
         handle,
         next: from,
         model,
-        breaks,
-        ready: VecDeque::new(),
-        ended: false,
+        breaks_early,
+        queued_events: VecDeque::new(),
+        is_ended: false,
     };
     stream::unfold(cursor, |mut cursor| async move {
         loop {
-            if let Some(event) = cursor.ready.pop_front() {
+            if let Some(event) = cursor.queued_events.pop_front() {
                 return Some((event, cursor));
             }
-            if cursor.ended {
+            if cursor.is_ended {
                 return None;
             }
             let handle = Arc::clone(&cursor.handle);
-            let grown = handle.grown.notified();
-            tokio::pin!(grown);
-            grown.as_mut().enable();
-            if !cursor.collect() {
-                grown.await;
+            let changed = handle.changed.notified();
+            tokio::pin!(changed);
+            changed.as_mut().enable();
+            if !cursor.queue_new_events() {
+                changed.await;
             }
         }
     })
@@ -253,43 +256,43 @@
 }
 
 impl EventCursor {
-    /// Takes what is there; false if there is nothing to send and the stream goes on.
-    fn collect(&mut self) -> bool {
-        let buffer = self
-            .handle
-            .buffer
-            .lock()
-            .expect("no holder of the lock panics");
-        let end = if self.breaks {
-            buffer.tokens.len().min(BREAK_AFTER)
+    /// Queues events for the tokens generated since the last call; false if there are none and the stream continues.
+    fn queue_new_events(&mut self) -> bool {
+        let buffer = self.handle.buffer.lock().expect("lock is not poisoned");
+        let end = if self.breaks_early {
+            buffer.tokens.len().min(BREAK_AFTER_TOKENS)
         } else {
             buffer.tokens.len()
         };
         for index in self.next..end {
-            let last = buffer.done && index + 1 == buffer.tokens.len();
-            self.ready.push_back(Event::message(chunk(
+            let is_last = buffer.done && index + 1 == buffer.tokens.len();
+            self.queued_events.push_back(Event::message(chunk_json(
                 &self.model,
                 index,
                 &buffer.tokens[index],
-                last,
+                is_last,
             )));
         }
         self.next = self.next.max(end);
-        if self.breaks && end >= BREAK_AFTER {
-            self.ended = true;
+        if self.breaks_early && end >= BREAK_AFTER_TOKENS {
+            self.is_ended = true;
         } else if buffer.done {
-            self.ready.push_back(Event::message("[DONE]"));
-            self.ended = true;
+            self.queued_events.push_back(Event::message("[DONE]"));
+            self.is_ended = true;
         } else if buffer.broken {
-            self.ended = true;
+            self.is_ended = true;
         }
-        self.ended || !self.ready.is_empty()
+        self.is_ended || !self.queued_events.is_empty()
     }
 }
 
-fn chunk(model: &str, offset: usize, text: &str, last: bool) -> String {
-    let finish = if last { json!("length") } else { Value::Null };
-    let choice = json!({ "index": 0, "text": text, "finish_reason": finish });
+fn chunk_json(model: &str, offset: usize, text: &str, is_last: bool) -> String {
+    let finish_reason = if is_last {
+        json!("length")
+    } else {
+        Value::Null
+    };
+    let choice = json!({ "index": 0, "text": text, "finish_reason": finish_reason });
     json!({ "object": "text_completion", "model": model, "offset": offset, "choices": [choice] })
         .to_string()
 }
@@ -325,15 +328,15 @@
     lora_name: String,
 }
 
-/// Answers an order, late or not at all if a fault says so.
-async fn answer_order(shared: &SharedEngine, response: Response) -> Response {
-    let (late, lost) = {
+/// Returns the response to an order after the delay that the injected faults require.
+async fn delay_order_response(shared: &SharedEngine, response: Response) -> Response {
+    let (delay, is_lost) = {
         let mut state = shared.lock();
-        let lost = state.faults.lost_order_responses > 0;
+        let is_lost = state.faults.lost_order_responses > 0;
         state.faults.lost_order_responses = state.faults.lost_order_responses.saturating_sub(1);
-        (state.faults.order_delay, lost)
+        (state.faults.order_delay, is_lost)
     };
-    tokio::time::sleep(if lost { LOST_FOR } else { late }).await;
+    tokio::time::sleep(if is_lost { LOST_RESPONSE_DELAY } else { delay }).await;
     response
 }
 
@@ -346,13 +349,13 @@
     let name = body.0.lora_name;
     let boot = {
         let mut state = shared.lock();
-        if is_stale(&mut state, token_of(request)) {
+        if is_stale(&mut state, fencing_token(request)) {
             return refuse(StatusCode::CONFLICT, "stale fencing token");
         }
-        if state.residents.contains_key(&name) {
+        if state.loaded_adapters.contains_key(&name) {
             return Json(json!({ "loaded": name })).into_response();
         }
-        if state.residents.len() + state.loading.len() >= state.model.slots {
+        if state.loaded_adapters.len() + state.loading.len() >= state.model.slots {
             return refuse(StatusCode::INSUFFICIENT_STORAGE, "no free adapter slot");
         }
         state.loading.insert(name.clone());
@@ -368,12 +371,12 @@
             state.faults.fail_loads -= 1;
             refuse(StatusCode::SERVICE_UNAVAILABLE, "load failed")
         } else {
-            state.residents.insert(name.clone(), ());
+            state.loaded_adapters.insert(name.clone(), ());
             state.stats.loads += 1;
             Json(json!({ "loaded": name })).into_response()
         }
     };
-    answer_order(&shared, response).await
+    delay_order_response(&shared, response).await
 }
 
 #[handler]
@@ -385,7 +388,7 @@
     let name = body.0.lora_name;
     let response = {
         let mut state = shared.lock();
-        if is_stale(&mut state, token_of(request)) {
+        if is_stale(&mut state, fencing_token(request)) {
             return refuse(StatusCode::CONFLICT, "stale fencing token");
         }
         if state.in_flight(&name) > 0 {
@@ -396,30 +399,30 @@
             state.stats.violations.push(violation);
             return refuse(StatusCode::CONFLICT, "adapter is serving");
         }
-        if state.residents.remove(&name).is_some() {
+        if state.loaded_adapters.remove(&name).is_some() {
             state.stats.unloads += 1;
         }
         Json(json!({ "unloaded": name })).into_response()
     };
-    answer_order(&shared, response).await
+    delay_order_response(&shared, response).await
 }
 
 #[handler]
 async fn fence(request: &Request, shared: Data<&Arc<SharedEngine>>) -> Response {
     let response = {
         let mut state = shared.lock();
-        if is_stale(&mut state, token_of(request)) {
+        if is_stale(&mut state, fencing_token(request)) {
             return refuse(StatusCode::CONFLICT, "stale fencing token");
         }
         Json(json!({ "token": state.token })).into_response()
     };
-    answer_order(&shared, response).await
+    delay_order_response(&shared, response).await
 }
 
 #[handler]
 async fn list(shared: Data<&Arc<SharedEngine>>) -> Response {
     let state = shared.lock();
-    let loaded: Vec<_> = state.residents.keys().collect();
+    let loaded: Vec<_> = state.loaded_adapters.keys().collect();
     let running: Vec<_> = state
         .running
         .iter()
@@ -434,7 +437,7 @@
 async fn report(shared: Data<&Arc<SharedEngine>>) -> Response {
     let mut state = shared.lock();
     if !state.faults.freeze_report || state.report.is_none() {
-        let loaded: Vec<_> = state.residents.keys().cloned().collect();
+        let loaded: Vec<_> = state.loaded_adapters.keys().cloned().collect();
         let report = json!({ "running": state.running.len(), "waiting": state.waiting.len(), "loaded": loaded });
         state.report = Some(report);
     }
@@ -453,12 +456,12 @@
     let before = state.running.len() + state.waiting.len();
     state.running.retain(|sequence| sequence.id != *id);
     state.waiting.retain(|sequence| sequence.id != *id);
-    let ended = before - state.running.len() - state.waiting.len();
-    state.stats.cancelled += ended as u64;
-    if ended > 0
+    let cancelled = before - state.running.len() - state.waiting.len();
+    state.stats.cancelled += cancelled as u64;
+    if cancelled > 0
         && let Some(stream) = state.streams.get(id)
     {
         break_stream(stream);
     }
-    Json(json!({ "cancelled": ended })).into_response()
+    Json(json!({ "cancelled": cancelled })).into_response()
 }
--- a/crates/standins/src/engine/steps.rs
+++ b/crates/standins/src/engine/steps.rs
@@ -1,20 +1,23 @@
-//! The engine's steps: admission by priority, prefill, one token for each sequence.
+//! Batch scheduler of the simulated engine.
+//!
+//! Each step admits waiting requests by priority and arrival, prefills prompts up to a limit and generates one token for
+//! each sequence whose prefill is complete. The step lasts as long as [`EngineModel`](crate::engine::EngineModel) says.
 
 use crate::engine::{EngineState, Sequence, SharedEngine, token_text};
 use std::{sync::Arc, time::Duration};
 
-/// Prompt tokens that one step takes on.
+/// Maximum number of prompt tokens prefilled in one step, over all sequences.
 const PREFILL_CHUNK: usize = 512;
 
 /// Runs steps until the engine is dropped.
 pub(super) async fn run(shared: Arc<SharedEngine>) {
     loop {
-        let work = shared.work.notified();
-        let Some(span) = plan_step(&mut shared.lock()) else {
-            work.await;
+        let work_available = shared.work_available.notified();
+        let Some(duration) = plan_step(&mut shared.lock()) else {
+            work_available.await;
             continue;
         };
-        tokio::time::sleep(span).await;
+        tokio::time::sleep(duration).await;
         finish_step(&mut shared.lock());
     }
 }
@@ -27,7 +30,7 @@
     let prefill = state
         .running
         .iter()
-        .map(|sequence| sequence.prefill_left)
+        .map(|sequence| sequence.remaining_prefill)
         .sum::<usize>()
         .min(PREFILL_CHUNK);
     let model = &state.model;
@@ -45,41 +48,47 @@
             .waiting
             .iter()
             .enumerate()
-            .min_by_key(|(_, sequence)| (sequence.priority, sequence.arrived));
+            .min_by_key(|(_, sequence)| (sequence.priority, sequence.arrival));
         let Some(index) = next.map(|(index, _)| index) else {
             return;
         };
         let Some(mut sequence) = state.waiting.remove(index) else {
             return;
         };
-        sequence.prefill_left = uncached(state, &sequence);
+        sequence.remaining_prefill = count_uncached_tokens(state, &sequence);
         state.running.push(sequence);
     }
 }
 
-/// Prompt tokens that the prefix cache does not hold.
-fn uncached(state: &mut EngineState, sequence: &Sequence) -> usize {
+/// Returns the prompt tokens to prefill and puts the prompt's prefix in the cache.
+///
+/// A prompt whose prefix is cached costs an eighth. Least recently used prefixes are evicted beyond the capacity.
+fn count_uncached_tokens(state: &mut EngineState, sequence: &Sequence) -> usize {
     let key = format!(
         "{}:{}",
         sequence.model,
         sequence.prompt.chars().take(64).collect::<String>()
     );
     let tokens = sequence.prompt.len() / 4;
-    if let Some(position) = state.prefixes.iter().position(|(known, _)| *known == key) {
+    if let Some(position) = state
+        .cached_prefixes
+        .iter()
+        .position(|(cached, _)| *cached == key)
+    {
         let entry = state
-            .prefixes
+            .cached_prefixes
             .remove(position)
-            .expect("the position was just found");
-        state.prefixes.push_back(entry);
+            .expect("the position comes from a search of the same queue");
+        state.cached_prefixes.push_back(entry);
         return tokens / 8;
     }
-    state.prefixes.push_back((key, tokens));
-    let mut held: usize = state.prefixes.iter().map(|(_, tokens)| tokens).sum();
-    while held > state.model.cache_tokens {
-        let Some((_, dropped)) = state.prefixes.pop_front() else {
+    state.cached_prefixes.push_back((key, tokens));
+    let mut cached_tokens: usize = state.cached_prefixes.iter().map(|(_, tokens)| tokens).sum();
+    while cached_tokens > state.model.cache_tokens {
+        let Some((_, evicted)) = state.cached_prefixes.pop_front() else {
             break;
         };
-        held -= dropped;
+        cached_tokens -= evicted;
     }
     tokens
 }
@@ -87,29 +96,25 @@
 fn finish_step(state: &mut EngineState) {
     let mut prefill = PREFILL_CHUNK;
     for sequence in &mut state.running {
-        let taken = sequence.prefill_left.min(prefill);
-        sequence.prefill_left -= taken;
-        prefill -= taken;
-        if sequence.prefill_left == 0 {
-            make_token(sequence);
+        let prefilled = sequence.remaining_prefill.min(prefill);
+        sequence.remaining_prefill -= prefilled;
+        prefill -= prefilled;
+        if sequence.remaining_prefill == 0 {
+            generate_token(sequence);
         }
     }
     state
         .running
-        .retain(|sequence| sequence.made < sequence.wanted);
+        .retain(|sequence| sequence.generated_tokens < sequence.max_tokens);
 }
 
-fn make_token(sequence: &mut Sequence) {
-    let text = token_text(&sequence.model, &sequence.prompt, sequence.made);
-    sequence.made += 1;
+fn generate_token(sequence: &mut Sequence) {
+    let text = token_text(&sequence.model, &sequence.prompt, sequence.generated_tokens);
+    sequence.generated_tokens += 1;
     {
-        let mut buffer = sequence
-            .stream
-            .buffer
-            .lock()
-            .expect("no holder of the lock panics");
+        let mut buffer = sequence.stream.buffer.lock().expect("lock is not poisoned");
         buffer.tokens.push(text);
-        buffer.done = sequence.made >= sequence.wanted;
+        buffer.done = sequence.generated_tokens >= sequence.max_tokens;
     }
-    sequence.stream.grown.notify_waiters();
+    sequence.stream.changed.notify_waiters();
 }
--- a/crates/standins/src/keyed_log.rs
+++ b/crates/standins/src/keyed_log.rs
@@ -1,7 +1,8 @@
-//! The users' platform as the direct mode meets it: a log of keyed topics over HTTP.
+//! The users' platform as the direct mode uses it: a log of keyed topics over HTTP.
 //!
-//! Only what the direct mode uses: appends with and without a condition, reads that wait, and the newest of each key. The
-//! log can come back from a copy: then its last records are gone, their offsets are given out again, and its era rises.
+//! It implements the calls that the direct mode makes: unconditional and conditional appends, long-polling reads, and paged
+//! listings of the newest record of each key. The log can be restored from a backup: its last records are then lost, their
+//! offsets are assigned again, and the era in the `store-era` header increases.
 
 use crate::RunningServer;
 use poem::{
@@ -24,26 +25,26 @@
     time::{sleep, timeout},
 };
 
-/// Faults of the log.
+/// Faults to inject into the log. Counters are decremented by each request that they affect.
 #[derive(Clone, Debug, Default)]
 pub struct LogFaults {
-    /// Every call is refused.
+    /// Every call is refused with status 503.
     pub is_unavailable: bool,
-    /// Every read answers bytes that are no records.
+    /// Every read and listing returns a body that cannot be decoded.
     pub has_malformed_reads: bool,
-    /// Appends that are done, but whose answer is lost.
+    /// Number of appends still to be applied without a response.
     pub lost_responses: usize,
-    /// Reads that wait are not woken by new records.
+    /// Waiting reads are not woken by new records; they end when their wait times out.
     pub suppresses_wakeups: bool,
-    /// Keys of a listing's page; all if none is set.
+    /// Maximum number of keys on a page of a listing; unlimited if none is set.
     pub max_page_keys: Option<usize>,
-    /// Pages behind the first that are never answered.
+    /// Number of listing pages after the first still to be left without a response.
     pub unanswered_pages: usize,
-    /// Topics whose listings are refused.
+    /// Topics whose listings are refused with status 503.
     pub refused_listings: Vec<String>,
-    /// What answers say of the era in place of the truth; an empty text leaves the header out.
+    /// Era reported in place of the real one; an empty string omits the header.
     pub reported_era: Option<String>,
-    /// A key whose appends are done a while after they came, whatever has happened to the log since.
+    /// Key and delay: appends of this key are applied after the delay, to the log as it is then (for example restored).
     pub delayed_key: Option<(String, Duration)>,
 }
 
@@ -55,30 +56,30 @@
 
 #[derive(Default)]
 struct LogState {
-    /// How often the log came back from a copy.
+    /// Number of restores from a backup.
     restores: u64,
     topics: HashMap<String, Vec<StoredRecord>>,
-    /// First offset kept of each topic.
-    first: HashMap<String, usize>,
+    /// First readable offset of each compacted topic; zero for the others.
+    first_offsets: HashMap<String, usize>,
     faults: LogFaults,
     calls: u64,
-    /// Appends that came, by key.
+    /// Received append records by key, whether applied or not.
     appends: HashMap<String, usize>,
-    /// Listings that were begun, by topic.
+    /// Listings started, by topic.
     listings: HashMap<String, usize>,
 }
 
 #[derive(Default)]
 struct SharedLog {
     state: Mutex<LogState>,
-    grown: Notify,
+    changed: Notify,
 }
 
-/// Header: how often the log came back from a copy, counted from one.
-const ERA: &str = "store-era";
+/// Response header with the log's era: one plus the number of restores.
+const ERA_HEADER: &str = "store-era";
 
 impl SharedLog {
-    /// An answer with what it says of the log's era.
+    /// Adds the era header to a response.
     fn with_era(&self, mut answer: Response) -> Response {
         let state = self.lock();
         let truth = (state.restores + 1).to_string();
@@ -86,17 +87,17 @@
         if let Ok(value) = HeaderValue::from_str(era)
             && !era.is_empty()
         {
-            answer.headers_mut().insert(ERA, value);
+            answer.headers_mut().insert(ERA_HEADER, value);
         }
         answer
     }
 
     fn lock(&self) -> MutexGuard<'_, LogState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state.lock().expect("lock is not poisoned")
     }
 
-    /// Refuses a call as the faults say.
-    fn refusal(&self) -> Option<Response> {
+    /// Counts a call and returns a refusal if the log is unavailable.
+    fn refuse_if_unavailable(&self) -> Option<Response> {
         let mut state = self.lock();
         state.calls += 1;
         state.faults.is_unavailable.then(|| {
@@ -108,30 +109,34 @@
 }
 
 impl SharedLog {
-    /// Counts a listing that begins; says whether a later page stays without an answer.
-    fn stays_silent(&self, query: &NewestQuery) -> bool {
+    /// Counts a listing on its first page; whether a later page is left without a response.
+    fn withholds_page(&self, query: &NewestQuery) -> bool {
         let mut state = self.lock();
         if query.after.is_none() {
             *state.listings.entry(query.topic.clone()).or_default() += 1;
             return false;
         }
-        let is_silent = state.faults.unanswered_pages > 0;
+        let is_withheld = state.faults.unanswered_pages > 0;
         state.faults.unanswered_pages = state.faults.unanswered_pages.saturating_sub(1);
-        is_silent
+        is_withheld
     }
 
-    /// Counts an append that came; gives the time after which it is done.
-    fn begin_append(&self, key: &str) -> Option<Duration> {
+    /// Counts an append of a key and returns the injected delay before it is applied.
+    fn register_append(&self, key: &str) -> Option<Duration> {
         let mut state = self.lock();
         *state.appends.entry(key.to_owned()).or_default() += 1;
-        let delayed = state.faults.delayed_key.as_ref();
-        delayed
-            .filter(|(delayed, _)| delayed == key)
+        let delayed_key = state.faults.delayed_key.as_ref();
+        delayed_key
+            .filter(|(delayed_key, _)| delayed_key == key)
             .map(|(_, delay)| *delay)
     }
 
-    /// Appends records if their condition holds; says whether the answer is lost.
-    fn take(&self, query: &AppendQuery, appended: Vec<StoredRecord>) -> (Response, bool) {
+    /// Appends records unless their expected revision differs from the topic's end; also whether the response is lost.
+    fn append_if_current(
+        &self,
+        query: &AppendQuery,
+        appended: Vec<StoredRecord>,
+    ) -> (Response, bool) {
         let mut state = self.lock();
         let records = state.topics.entry(query.topic.clone()).or_default();
         if query.store_revision.is_some_and(|end| end != records.len()) {
@@ -151,17 +156,17 @@
     }
 }
 
-/// A running log.
+/// A log that serves HTTP on loopback; it stops when dropped.
 pub struct KeyedLog {
     server: RunningServer,
     shared: Arc<SharedLog>,
 }
 
 impl KeyedLog {
-    /// Starts an empty log.
+    /// Starts a log without topics.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start() -> io::Result<Self> {
         let shared = Arc::new(SharedLog::default());
         let app = Route::new()
@@ -169,22 +174,22 @@
             .at("/hoplanding/log-read", get(read))
             .at("/hoplanding/log-newest", get(newest))
             .data(Arc::clone(&shared));
-        let told = Arc::clone(&shared);
+        let era_source = Arc::clone(&shared);
         let app = app.after(move |answer| {
-            let told = Arc::clone(&told);
-            async move { answer.map(|answer| told.with_era(answer)) }
+            let era_source = Arc::clone(&era_source);
+            async move { answer.map(|answer| era_source.with_era(answer)) }
         });
         let server = RunningServer::start(app).await?;
         Ok(Self { server, shared })
     }
 
-    /// Its address.
+    /// Listening address.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
         self.server.address
     }
 
-    /// Writes a record, as an operator or a target does; none drops the key.
+    /// Appends a record as another writer (an operator or a target) would; no value is a tombstone that deletes the key.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let record = StoredRecord {
             key: key.to_owned(),
@@ -196,22 +201,24 @@
             .entry(topic.to_owned())
             .or_default()
             .push(record);
-        self.shared.grown.notify_waiters();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Forgets the history of a topic; the newest of each key stay.
+    /// Makes a topic's past records unreadable; listings still return the newest record of each key.
     pub fn compact(&self, topic: &str) {
         let mut state = self.shared.lock();
         let end = state.topics.get(topic).map_or(0, Vec::len);
-        state.first.insert(topic.to_owned(), end);
+        state.first_offsets.insert(topic.to_owned(), end);
         drop(state);
-        self.shared.grown.notify_waiters();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Comes back from a copy that lacks the last records of some topics. What waits at the log goes on waiting.
-    pub fn restore(&self, lost: &[(&str, usize)]) {
+    /// Restores the log from a backup that lacks the given number of last records of some topics, and starts a new era.
+    ///
+    /// Reads that wait at the log are not woken.
+    pub fn restore(&self, dropped: &[(&str, usize)]) {
         let mut state = self.shared.lock();
-        for (topic, count) in lost {
+        for (topic, count) in dropped {
             if let Some(records) = state.topics.get_mut(*topic) {
                 let kept = records.len().saturating_sub(*count);
                 records.truncate(kept);
@@ -220,7 +227,7 @@
         state.restores += 1;
     }
 
-    /// Records of a topic.
+    /// Number of records of a topic, compacted ones included.
     #[must_use]
     pub fn len(&self, topic: &str) -> usize {
         self.shared.lock().topics.get(topic).map_or(0, Vec::len)
@@ -232,7 +239,7 @@
         self.len(topic) == 0
     }
 
-    /// The newest value under a key; none if there is none, or it was dropped.
+    /// Newest value of a key; `None` if there is no record or the newest is a tombstone.
     #[must_use]
     pub fn newest(&self, topic: &str, key: &str) -> Option<String> {
         let state = self.shared.lock();
@@ -242,31 +249,31 @@
         Some(String::from_utf8_lossy(value).into_owned())
     }
 
-    /// Changes the faults.
+    /// Edits the injected faults in place.
     pub fn set_faults(&self, change: impl FnOnce(&mut LogFaults)) {
         change(&mut self.shared.lock().faults);
-        self.shared.grown.notify_waiters();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Listings of a topic that were begun so far.
+    /// Number of listings of a topic started so far.
     #[must_use]
     pub fn listings(&self, topic: &str) -> usize {
         self.shared.lock().listings.get(topic).copied().unwrap_or(0)
     }
 
-    /// Appends of a key that came so far, done or not.
+    /// Number of append records received for a key so far, whether applied or not.
     #[must_use]
     pub fn appends(&self, key: &str) -> usize {
         self.shared.lock().appends.get(key).copied().unwrap_or(0)
     }
 
-    /// Calls so far.
+    /// Number of calls counted so far; a read counts once on arrival and once after its wait.
     #[must_use]
     pub fn calls(&self) -> u64 {
         self.shared.lock().calls
     }
 
-    /// Values under a key, oldest first.
+    /// Values of a key, oldest first, without tombstones.
     #[must_use]
     pub fn values(&self, topic: &str, key: &str) -> Vec<String> {
         let state = self.shared.lock();
@@ -291,39 +298,39 @@
     Query(query): Query<AppendQuery>,
     Data(shared): Data<&Arc<SharedLog>>,
 ) -> Response {
-    if let Some(refusal) = shared.refusal() {
+    if let Some(refusal) = shared.refuse_if_unavailable() {
         return refusal;
     }
     let bytes = body.into_vec().await.unwrap_or_default();
-    let Some(records) = decode_all(&bytes) else {
+    let Some(records) = decode_records(&bytes) else {
         return Response::builder().status(StatusCode::BAD_REQUEST).finish();
     };
     let delays = records
         .iter()
-        .filter_map(|record| shared.begin_append(&record.key));
+        .filter_map(|record| shared.register_append(&record.key));
     if let Some(delay) = delays.max() {
         sleep(delay).await;
     }
-    let (answer, is_lost) = shared.take(&query, records);
-    shared.grown.notify_waiters();
+    let (answer, is_lost) = shared.append_if_current(&query, records);
+    shared.changed.notify_waiters();
     if is_lost {
         pending::<()>().await;
     }
     answer
 }
 
-fn decode_all(mut bytes: &[u8]) -> Option<Vec<StoredRecord>> {
+fn decode_records(mut bytes: &[u8]) -> Option<Vec<StoredRecord>> {
     let mut records = Vec::new();
     while !bytes.is_empty() {
         let (length, rest) = bytes.split_first_chunk::<4>()?;
         let (record, rest) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
-        records.push(decode(record)?);
+        records.push(decode_record(record)?);
         bytes = rest;
     }
     Some(records)
 }
 
-fn decode(record: &[u8]) -> Option<StoredRecord> {
+fn decode_record(record: &[u8]) -> Option<StoredRecord> {
     let (key_length, rest) = record.split_first()?;
     let (key, value) = rest.split_at_checked(usize::from(*key_length))?;
     Some(StoredRecord {
@@ -342,7 +349,7 @@
 
 #[handler]
 async fn read(Query(query): Query<ReadQuery>, Data(shared): Data<&Arc<SharedLog>>) -> Response {
-    if let Some(refusal) = shared.refusal() {
+    if let Some(refusal) = shared.refuse_if_unavailable() {
         return refusal;
     }
     let has_more = || {
@@ -350,32 +357,32 @@
         let end = state.topics.get(&query.topic).map_or(0, Vec::len);
         end != query.from
             || state
-                .first
+                .first_offsets
                 .get(&query.topic)
                 .is_some_and(|first| *first > query.from)
     };
-    let waiting = async {
+    let wait = async {
         loop {
-            let grown = shared.grown.notified();
+            let changed = shared.changed.notified();
             if has_more() {
                 return;
             }
-            grown.await;
+            changed.await;
             if shared.lock().faults.suppresses_wakeups {
                 pending::<()>().await;
             }
         }
     };
-    // Out of time: the answer then holds no records.
-    let _ = timeout(Duration::from_millis(query.wait_ms), waiting).await;
-    if let Some(refusal) = shared.refusal() {
+    // After a timeout the response contains no records.
+    let _ = timeout(Duration::from_millis(query.wait_ms), wait).await;
+    if let Some(refusal) = shared.refuse_if_unavailable() {
         return refusal;
     }
     let state = shared.lock();
     if state.faults.has_malformed_reads {
         return Response::builder().body("what?");
     }
-    let first = state.first.get(&query.topic).copied().unwrap_or(0);
+    let first = state.first_offsets.get(&query.topic).copied().unwrap_or(0);
     let end = state.topics.get(&query.topic).map_or(0, Vec::len);
     if first > query.from || query.from > end {
         return Response::builder()
@@ -408,10 +415,10 @@
 
 #[handler]
 async fn newest(Query(query): Query<NewestQuery>, Data(shared): Data<&Arc<SharedLog>>) -> Response {
-    if let Some(refusal) = shared.refusal() {
+    if let Some(refusal) = shared.refuse_if_unavailable() {
         return refusal;
     }
-    if shared.stays_silent(&query) {
+    if shared.withholds_page(&query) {
         pending::<()>().await;
     }
     let state = shared.lock();
@@ -433,19 +440,19 @@
         .map(|(offset, record)| (&record.key, (offset, &record.value)))
         .collect();
     let max_page_keys = state.faults.max_page_keys.unwrap_or(usize::MAX);
-    let mut behind = newest
+    let mut remaining = newest
         .into_iter()
         .filter_map(|(key, (offset, value))| Some((key, offset, value.as_ref()?)))
         .filter(|(key, ..)| query.after.as_ref().is_none_or(|after| *key > after))
         .peekable();
-    let items: Vec<_> = behind
+    let items: Vec<_> = remaining
         .by_ref()
         .take(max_page_keys)
         .map(|(key, offset, value)| {
             json!({ "private_key": key, "value": base64(value), "offset": offset })
         })
         .collect();
-    let has_more = behind.peek().is_some();
+    let has_more = remaining.peek().is_some();
     let page = json!({ "items": items, "has_more": has_more, "end": records.len() });
     Response::builder().body(page.to_string())
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,15 +1,18 @@
-//! Small stand-ins of the systems that hoplanding serves: the platform, an engine, a plain service and a link that
-//! can be cut. They record each broken promise, so that tests and examples read the truth from them.
+//! In-process stand-ins for the systems around hoplanding: the platform, model engines, plain services and network links.
+//!
+//! Tests, examples and load runs start them on loopback ports and inject faults. The stand-ins speak the same protocols as
+//! the real systems. The engine records violations of its protocol and the service counts how often each call ran, so a
+//! test can compare what happened with what the daemons reported.
 //!
 //! | module | stands in for |
 //! |---|---|
-//! | [`platform`] | the log with offsets and retention, and the list of VMs |
+//! | [`platform`] | the append-only log with offsets and retention, and the list of VMs |
 //! | [`engine`] | a model engine with adapter slots and continuous batching |
-//! | [`weights`] | the weight store, shared by the engines of a site |
-//! | [`service`] | a plain service whose calls count |
-//! | [`kept_memory`] | what engines keep of prompts, by the version that made it |
-//! | [`keyed_log`] | the users' log of keyed topics, as the direct mode reads it |
-//! | [`raw_target`] | a target whose answers are given as bytes |
+//! | [`weights`] | the rate-limited weight store that the engines of a site share |
+//! | [`service`] | a plain service that counts how often each call ran |
+//! | [`prompt_cache`] | the prompt caches of engines, tagged with the adapter version that computed each part |
+//! | [`keyed_log`] | the users' platform as the direct mode uses it: a log of keyed topics |
+//! | [`raw_target`] | a target whose responses are given byte for byte |
 //! | [`relay`] | a TCP link that can be cut or frozen |
 
 pub mod engine;
--- a/crates/standins/src/prompt_cache.rs
+++ b/crates/standins/src/prompt_cache.rs
@@ -1,7 +1,8 @@
-//! What engines keep of the prompts that they read, each part marked with the version of the adapter that made it.
+//! Simulated prompt caches of all engines of a site, with the adapter version that computed each cached part.
 //!
-//! Engines take parts from each other by address, adapter and part, and nothing on the way says which version made them. So a run
-//! can use memory of another version than its own; here it is told when one does.
+//! Engines fetch cached parts from each other by address, adapter and part, and the transfer does not name the version that
+//! computed them. A request can therefore reuse cache entries of another version than the one it runs under;
+//! [`PromptCaches::process_prompt`] detects and reports this.
 
 use std::{
     collections::HashMap,
@@ -10,101 +11,107 @@
     sync::{Mutex, MutexGuard},
 };
 
-/// A run that used memory made under another version than the one that it runs under.
+/// A request that reused a cache entry computed by another adapter version than the one it runs under.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheMismatch {
-    /// Where it ran.
+    /// Address of the engine that ran the request.
     pub at: SocketAddr,
-    /// Its adapter.
+    /// Adapter of the request.
     pub adapter: String,
-    /// Version that made the memory.
+    /// Version that computed the cache entry.
     pub cached_version: u64,
-    /// Version that it runs under.
+    /// Version that the request runs under.
     pub running_version: u64,
 }
 
-/// A prompt as it reaches an engine.
+/// A prompt as an engine receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedPrompt<'a> {
-    /// Its adapter.
+    /// Adapter of the request.
     pub adapter: &'a str,
-    /// Version of the adapter at the engine.
+    /// Version of the adapter that is loaded at the engine.
     pub version: u64,
-    /// Its parts, in order.
+    /// Ids of the prompt's parts, in order.
     pub parts: &'a [u64],
-    /// The engine to take from what this one lacks.
+    /// Engine to fetch missing parts from.
     pub source: Option<SocketAddr>,
 }
 
-/// Versions by adapter and part.
-type KeptParts = HashMap<(String, u64), u64>;
+/// Version that computed each cached part, by adapter and part.
+type CachedVersions = HashMap<(String, u64), u64>;
 
-/// The memory of all engines of a site.
+/// Prompt caches of all engines of a site, by address.
 #[derive(Debug, Default)]
 pub struct PromptCaches {
-    engines: Mutex<HashMap<SocketAddr, KeptParts>>,
+    engines: Mutex<HashMap<SocketAddr, CachedVersions>>,
 }
 
 impl PromptCaches {
-    /// An engine reads a prompt: it uses what it has kept, takes what it lacks from the source as far as the prompt's parts
-    /// are there one after the other, and makes the rest itself.
+    /// Runs a prompt through an engine's cache and returns the first version mismatch.
+    ///
+    /// The longest prefix of parts that the engine or the source has cached is reused. Everything after the first missing
+    /// part is computed under the prompt's own version, also where a later part is cached, and all parts are stored in the
+    /// engine's cache.
     pub fn process_prompt(
         &self,
         at: SocketAddr,
         prompt: &ReceivedPrompt<'_>,
     ) -> Option<CacheMismatch> {
         let mut engines = self.lock();
-        let theirs = prompt.source.and_then(|source| engines.get(&source));
-        let theirs = theirs.cloned().unwrap_or_default();
-        let own = engines.entry(at).or_default();
+        let source_cache = prompt.source.and_then(|source| engines.get(&source));
+        let source_cache = source_cache.cloned().unwrap_or_default();
+        let own_cache = engines.entry(at).or_default();
         let mut mismatch = None;
-        let mut is_found = true;
+        let mut is_available = true;
         for part in prompt.parts {
             let key = (prompt.adapter.to_owned(), *part);
-            let made = own.get(&key).or_else(|| theirs.get(&key)).copied();
-            is_found &= made.is_some();
-            let made = made.filter(|_| is_found).unwrap_or(prompt.version);
-            if made != prompt.version {
+            let version = own_cache
+                .get(&key)
+                .or_else(|| source_cache.get(&key))
+                .copied();
+            is_available &= version.is_some();
+            let version = version.filter(|_| is_available).unwrap_or(prompt.version);
+            if version != prompt.version {
                 mismatch.get_or_insert_with(|| CacheMismatch {
                     at,
                     adapter: prompt.adapter.to_owned(),
-                    cached_version: made,
+                    cached_version: version,
                     running_version: prompt.version,
                 });
             }
-            own.insert(key, made);
+            own_cache.insert(key, version);
         }
         mismatch
     }
 
-    /// Parts at the start of a prompt that an engine need not make itself: it has them, or the source does.
+    /// Number of leading parts of a prompt that are cached at the engine or at the source.
     #[must_use]
     pub fn reusable_parts(&self, at: SocketAddr, prompt: &ReceivedPrompt<'_>) -> usize {
         let engines = self.lock();
-        let holders: Vec<_> = iter::once(at)
+        let caches: Vec<_> = iter::once(at)
             .chain(prompt.source)
-            .filter_map(|holder| engines.get(&holder))
+            .filter_map(|address| engines.get(&address))
             .collect();
-        let is_kept = |part: &&u64| {
+        let is_cached = |part: &&u64| {
             let key = (prompt.adapter.to_owned(), **part);
-            holders.iter().any(|kept| kept.contains_key(&key))
+            caches.iter().any(|cache| cache.contains_key(&key))
         };
-        prompt.parts.iter().take_while(is_kept).count()
+        prompt.parts.iter().take_while(is_cached).count()
     }
 
-    /// An engine replaces or drops an adapter, and what it kept for it.
+    /// Drops an engine's cached parts of an adapter, for when the adapter is replaced or unloaded.
     pub fn evict_adapter(&self, at: SocketAddr, adapter: &str) {
-        if let Some(own) = self.lock().get_mut(&at) {
-            own.retain(|(kept, _), _| kept != adapter);
+        if let Some(own_cache) = self.lock().get_mut(&at) {
+            own_cache.retain(|(cached, _), _| cached != adapter);
         }
     }
 
-    /// An engine starts again, or is gone.
+    /// Drops the whole cache of an engine, for when it restarts or leaves.
     pub fn remove_engine(&self, at: SocketAddr) {
         self.lock().remove(&at);
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, KeptParts>> {
-        self.engines.lock().expect("no holder of the lock panics")
+    fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, CachedVersions>> {
+        self.engines.lock().expect("lock is not poisoned")
     }
 }
