--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,9 +1,9 @@
 //! Simulated model engine: adapter slots, continuous batching, prefill, a prefix cache and priorities.
 //!
-//! The generated text depends only on the model, the prompt and the number of tokens, so a test can compare a response byte
-//! for byte with [`expected_completion`]. Requests that break the engine's protocol (a request id sent twice, an unload of
-//! an adapter that still serves requests) are refused with an HTTP error, as a real engine does, and recorded as violations
-//! in [`EngineStats`]. The HTTP interface is in `http`, the batch scheduler in `steps`.
+//! The generated text depends only on the model, the prompt and the number of tokens, so a test can compare a
+//! response byte for byte with [`expected_completion`]. Requests that break the engine's protocol (a request id sent
+//! twice, an unload of an adapter that still serves requests) are refused with an HTTP error, as a real engine does,
+//! and recorded as violations in [`EngineStats`]. The HTTP interface is in `http`, the batch scheduler in `steps`.
 
 mod http;
 mod steps;
@@ -160,7 +160,9 @@
 
 impl SharedEngine {
     fn lock(&self) -> MutexGuard<'_, EngineState> {
-        self.state.lock().expect("lock is not poisoned")
+        self.state
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 }
 
@@ -267,7 +269,10 @@
 }
 
 fn break_stream(stream: &StreamHandle) {
-    let mut buffer = stream.buffer.lock().expect("lock is not poisoned");
+    let mut buffer = stream
+        .buffer
+        .lock()
+        .expect("lock is not poisoned: no holder panics");
     if !buffer.done {
         buffer.broken = true;
     }
--- a/crates/standins/src/engine/http.rs
+++ b/crates/standins/src/engine/http.rs
@@ -1,5 +1,5 @@
-//! HTTP interface of the simulated engine: completions with resumable event streams, adapter orders with fencing tokens,
-//! and the reports.
+//! HTTP interface of the simulated engine: completions with resumable event streams, adapter orders with fencing
+//! tokens, and the reports.
 //!
 //! When a fault loses the response to an order, the order still takes effect and its client is kept waiting.
 
@@ -258,7 +258,11 @@
 impl EventCursor {
     /// Queues events for the tokens generated since the last call; false if there are none and the stream continues.
     fn queue_new_events(&mut self) -> bool {
-        let buffer = self.handle.buffer.lock().expect("lock is not poisoned");
+        let buffer = self
+            .handle
+            .buffer
+            .lock()
+            .expect("lock is not poisoned: no holder panics");
         let end = if self.breaks_early {
             buffer.tokens.len().min(BREAK_AFTER_TOKENS)
         } else {
--- a/crates/standins/src/engine/steps.rs
+++ b/crates/standins/src/engine/steps.rs
@@ -1,7 +1,8 @@
 //! Batch scheduler of the simulated engine.
 //!
-//! Each step admits waiting requests by priority and arrival, prefills prompts up to a limit and generates one token for
-//! each sequence whose prefill is complete. The step lasts as long as [`EngineModel`](crate::engine::EngineModel) says.
+//! Each step admits waiting requests by priority and arrival, prefills prompts up to a limit and generates one token
+//! for each sequence whose prefill is complete. The step lasts as long as [`EngineModel`](crate::engine::EngineModel)
+//! says.
 
 use crate::engine::{EngineState, Sequence, SharedEngine, token_text};
 use std::{sync::Arc, time::Duration};
@@ -112,7 +113,11 @@
     let text = token_text(&sequence.model, &sequence.prompt, sequence.generated_tokens);
     sequence.generated_tokens += 1;
     {
-        let mut buffer = sequence.stream.buffer.lock().expect("lock is not poisoned");
+        let mut buffer = sequence
+            .stream
+            .buffer
+            .lock()
+            .expect("lock is not poisoned: no holder panics");
         buffer.tokens.push(text);
         buffer.done = sequence.generated_tokens >= sequence.max_tokens;
     }
--- a/crates/standins/src/keyed_log.rs
+++ b/crates/standins/src/keyed_log.rs
@@ -1,8 +1,8 @@
 //! The users' platform as the direct mode uses it: a log of keyed topics over HTTP.
 //!
-//! It implements the calls that the direct mode makes: unconditional and conditional appends, long-polling reads, and paged
-//! listings of the newest record of each key. The log can be restored from a backup: its last records are then lost, their
-//! offsets are assigned again, and the era in the `store-era` header increases.
+//! The log implements the calls that the direct mode makes: unconditional and conditional appends, long-polling
+//! reads, and paged listings of the newest record of each key. The log can be restored from a backup: its last
+//! records are then lost, their offsets are assigned again, and the era in the `store-era` header increases.
 
 use crate::RunningServer;
 use poem::{
@@ -44,7 +44,8 @@
     pub refused_listings: Vec<String>,
     /// Era reported in place of the real one; an empty string omits the header.
     pub reported_era: Option<String>,
-    /// Key and delay: appends of this key are applied after the delay, to the log as it is then (for example restored).
+    /// Key and delay: appends of this key are applied after the delay, to the log as it is then (for example
+    /// restored).
     pub delayed_key: Option<(String, Duration)>,
 }
 
@@ -80,20 +81,22 @@
 
 impl SharedLog {
     /// Adds the era header to a response.
-    fn with_era(&self, mut answer: Response) -> Response {
+    fn with_era(&self, mut response: Response) -> Response {
         let state = self.lock();
         let truth = (state.restores + 1).to_string();
         let era = state.faults.reported_era.as_ref().unwrap_or(&truth);
         if let Ok(value) = HeaderValue::from_str(era)
             && !era.is_empty()
         {
-            answer.headers_mut().insert(ERA_HEADER, value);
+            response.headers_mut().insert(ERA_HEADER, value);
         }
-        answer
+        response
     }
 
     fn lock(&self) -> MutexGuard<'_, LogState> {
-        self.state.lock().expect("lock is not poisoned")
+        self.state
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 
     /// Counts a call and returns a refusal if the log is unavailable.
@@ -131,7 +134,8 @@
             .map(|(_, delay)| *delay)
     }
 
-    /// Appends records unless their expected revision differs from the topic's end; also whether the response is lost.
+    /// Appends records unless their expected revision differs from the topic's end; also whether the response is
+    /// lost.
     fn append_if_current(
         &self,
         query: &AppendQuery,
@@ -151,8 +155,8 @@
         let end = records.len();
         let is_lost = state.faults.lost_responses > 0;
         state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
-        let answer = json!({ "offset": offset, "end": end }).to_string();
-        (Response::builder().body(answer), is_lost)
+        let response = json!({ "offset": offset, "end": end }).to_string();
+        (Response::builder().body(response), is_lost)
     }
 }
 
@@ -175,9 +179,9 @@
             .at("/hoplanding/log-newest", get(newest))
             .data(Arc::clone(&shared));
         let era_source = Arc::clone(&shared);
-        let app = app.after(move |answer| {
+        let app = app.after(move |response| {
             let era_source = Arc::clone(&era_source);
-            async move { answer.map(|answer| era_source.with_era(answer)) }
+            async move { response.map(|response| era_source.with_era(response)) }
         });
         let server = RunningServer::start(app).await?;
         Ok(Self { server, shared })
@@ -189,7 +193,8 @@
         self.server.address
     }
 
-    /// Appends a record as another writer (an operator or a target) would; no value is a tombstone that deletes the key.
+    /// Appends a record as another writer (an operator or a target) would; no value is a tombstone that deletes the
+    /// key.
     pub fn put(&self, topic: &str, key: &str, value: Option<&str>) {
         let record = StoredRecord {
             key: key.to_owned(),
@@ -213,7 +218,8 @@
         self.shared.changed.notify_waiters();
     }
 
-    /// Restores the log from a backup that lacks the given number of last records of some topics, and starts a new era.
+    /// Restores the log from a backup that lacks the given number of last records of some topics, and starts a new
+    /// era.
     ///
     /// Reads that wait at the log are not woken.
     pub fn restore(&self, dropped: &[(&str, usize)]) {
@@ -311,12 +317,12 @@
     if let Some(delay) = delays.max() {
         sleep(delay).await;
     }
-    let (answer, is_lost) = shared.append_if_current(&query, records);
+    let (response, is_lost) = shared.append_if_current(&query, records);
     shared.changed.notify_waiters();
     if is_lost {
         pending::<()>().await;
     }
-    answer
+    response
 }
 
 fn decode_records(mut bytes: &[u8]) -> Option<Vec<StoredRecord>> {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,9 @@
-//! In-process stand-ins for the systems around hoplanding: the platform, model engines, plain services and network links.
+//! In-process stand-ins for the systems around hoplanding: the platform, model engines, plain services and network
+//! links.
 //!
-//! Tests, examples and load runs start them on loopback ports and inject faults. The stand-ins speak the same protocols as
-//! the real systems. The engine records violations of its protocol and the service counts how often each call ran, so a
-//! test can compare what happened with what the daemons reported.
+//! Tests, examples and load runs start them on loopback ports and inject faults. The stand-ins speak the same
+//! protocols as the real systems. The engine records violations of its protocol and the service counts how often each
+//! call ran, so a test can compare what happened with what the daemons reported.
 //!
 //! | module | stands in for |
 //! |---|---|
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,8 +1,10 @@
-//! The platform: an append-only log with offsets, and a list of VMs.
+//! Simulated platform: an append-only log with offsets and retention, and the list of VMs, both over HTTP.
 //!
 //! `POST /log/append` takes `{"records": [...]}` and returns `{"first": OFFSET}`. `GET /log/read?from=N&wait_ms=M`
-//! returns `{"records": [{"offset", "record"}], "next": N}`, or 410 with `{"earliest": N}` when `from` has expired.
-//! `GET /vms` returns the list. A request names its VM in `x-vm`, so that a zone can be cut off.
+//! waits up to `M` milliseconds for a record at offset `N` and returns `{"records": [{"offset", "record"}], "next":
+//! N, "earliest": N}`, or 410 with `{"earliest": N}` when records at `from` have expired. `GET /vms` returns the
+//! list. The `x-vm` header of a request names the VM that sends it, so that a test can partition single VMs from the
+//! platform.
 
 use crate::RunningServer;
 use poem::{
@@ -21,32 +23,32 @@
 };
 use tokio::{sync::Notify, time::timeout};
 
-/// Records that one read returns at the most.
-const READ_MOST: usize = 5000;
-/// How long a lost answer keeps its client waiting.
-const LOST_FOR: Duration = Duration::from_secs(30);
+/// Maximum number of records that one read returns.
+const MAX_RECORDS_PER_READ: usize = 5000;
+/// How long the client of a lost response is kept waiting.
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(30);
 
-/// Faults of the platform.
+/// Faults to inject into the platform.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformFaults {
-    /// Nothing can be read or appended.
+    /// Every request is refused with status 503.
     pub is_unavailable: bool,
-    /// Time that each append takes.
+    /// Delay before each append is applied.
     pub append_delay: Duration,
-    /// Appends whose answer is lost after they took effect.
+    /// Number of appends still to be applied with their response lost: after 30 s the client gets status 504.
     pub lost_responses: usize,
-    /// VMs that are cut off.
+    /// VMs whose requests are refused with status 503, by the name in `x-vm`.
     pub partitioned_vms: HashSet<String>,
 }
 
-/// A VM of the list.
+/// An entry of the list of VMs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlatformVm {
-    /// Its name.
+    /// Name of the VM.
     pub vm: String,
-    /// Its zone.
+    /// Availability zone of the VM.
     pub zone: String,
-    /// `IP:port` of its daemon's peer interface.
+    /// `IP:port` of the daemon's peer interface; empty for a VM without one.
     pub peer_address: String,
     /// `live` or `leaving`.
     pub state: String,
@@ -54,7 +56,8 @@
 
 #[derive(Default)]
 struct PlatformState {
-    first: u64,
+    /// Offset of the oldest retained record.
+    first_offset: u64,
     records: VecDeque<Value>,
     retention: usize,
     faults: PlatformFaults,
@@ -64,7 +67,7 @@
     appended_bytes: u64,
 }
 
-/// A running platform.
+/// A simulated platform that serves HTTP on loopback; it stops when dropped.
 pub struct PlatformStandin {
     server: RunningServer,
     shared: Arc<SharedPlatform>,
@@ -73,15 +76,17 @@
 #[derive(Default)]
 struct SharedPlatform {
     state: Mutex<PlatformState>,
-    grown: Notify,
+    changed: Notify,
 }
 
 impl SharedPlatform {
     fn lock(&self) -> MutexGuard<'_, PlatformState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 
-    fn is_cut(&self, request: &Request) -> bool {
+    fn is_unreachable(&self, request: &Request) -> bool {
         let state = self.lock();
         let vm = request.header("x-vm").unwrap_or_default();
         state.faults.is_unavailable || state.faults.partitioned_vms.contains(vm)
@@ -89,15 +94,15 @@
 }
 
 impl PlatformStandin {
-    /// Starts a platform whose log keeps `retention` records.
+    /// Starts a platform whose log retains the newest `retention` records.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start(retention: usize) -> io::Result<Self> {
         let shared = Arc::new(SharedPlatform::default());
         {
             let mut state = shared.lock();
-            state.first = 1;
+            state.first_offset = 1;
             state.retention = retention;
         }
         let app = Route::new()
@@ -109,19 +114,19 @@
         Ok(Self { server, shared })
     }
 
-    /// Its address, `IP:port`.
+    /// Listening address, `IP:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address.to_string()
     }
 
-    /// Changes the faults.
+    /// Edits the injected faults in place.
     pub fn set_faults(&self, change: impl FnOnce(&mut PlatformFaults)) {
         change(&mut self.shared.lock().faults);
-        self.shared.grown.notify_waiters();
+        self.shared.changed.notify_waiters();
     }
 
-    /// Puts a VM in the list, or changes it.
+    /// Adds a VM to the list, or replaces its entry.
     pub fn upsert_vm(&self, vm: &str, zone: &str, peer_address: &str, state: &str) {
         let entry = PlatformVm {
             vm: vm.to_owned(),
@@ -132,43 +137,43 @@
         self.shared.lock().vms.insert(vm.to_owned(), entry);
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, vm: &str) {
         self.shared.lock().vms.remove(vm);
     }
 
-    /// Appends a record as if a daemon had done so; returns its offset.
+    /// Appends a record directly, without the faults of requests, and returns its offset.
     pub fn append_record(&self, record: Value) -> u64 {
         let offset = push_records(&mut self.shared.lock(), vec![record]);
-        self.shared.grown.notify_waiters();
+        self.shared.changed.notify_waiters();
         offset
     }
 
-    /// Records that are kept, with their offsets.
+    /// Retained records with their offsets.
     #[must_use]
     pub fn records(&self) -> Vec<(u64, Value)> {
         let state = self.shared.lock();
-        let offsets = state.first..;
+        let offsets = state.first_offset..;
         offsets.zip(state.records.iter().cloned()).collect()
     }
 
-    /// Appends, records and bytes appended so far.
+    /// Numbers of append calls, of records and of their bytes as JSON, since the start.
     #[must_use]
     pub fn append_totals(&self) -> (u64, u64, u64) {
         let state = self.shared.lock();
         (state.appends, state.appended_records, state.appended_bytes)
     }
 
-    /// Drops every record that is kept, as if all had expired.
+    /// Drops all retained records, as when the retention has passed; offsets continue.
     pub fn expire_all(&self) {
         let mut state = self.shared.lock();
-        state.first += state.records.len() as u64;
+        state.first_offset += state.records.len() as u64;
         state.records.clear();
     }
 }
 
 fn push_records(state: &mut PlatformState, records: Vec<Value>) -> u64 {
-    let offset = state.first + state.records.len() as u64;
+    let offset = state.first_offset + state.records.len() as u64;
     state.appends += 1;
     for record in records {
         state.appended_records += 1;
@@ -176,7 +181,7 @@
         state.records.push_back(record);
         if state.records.len() > state.retention {
             state.records.pop_front();
-            state.first += 1;
+            state.first_offset += 1;
         }
     }
     offset
@@ -204,24 +209,24 @@
     body: Json<AppendRequest>,
     shared: Data<&Arc<SharedPlatform>>,
 ) -> Response {
-    if shared.is_cut(request) {
+    if shared.is_unreachable(request) {
         return unavailable();
     }
     let delay = shared.lock().faults.append_delay;
     tokio::time::sleep(delay).await;
-    let (first, lost) = {
+    let (first_offset, is_lost) = {
         let mut state = shared.lock();
-        let first = push_records(&mut state, body.0.records);
-        let lost = state.faults.lost_responses > 0;
+        let first_offset = push_records(&mut state, body.0.records);
+        let is_lost = state.faults.lost_responses > 0;
         state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
-        (first, lost)
+        (first_offset, is_lost)
     };
-    shared.grown.notify_waiters();
-    if lost {
-        tokio::time::sleep(LOST_FOR).await;
+    shared.changed.notify_waiters();
+    if is_lost {
+        tokio::time::sleep(LOST_RESPONSE_DELAY).await;
         return StatusCode::GATEWAY_TIMEOUT.into_response();
     }
-    Json(json!({ "first": first })).into_response()
+    Json(json!({ "first": first_offset })).into_response()
 }
 
 #[handler]
@@ -230,54 +235,57 @@
     query: Query<ReadQuery>,
     shared: Data<&Arc<SharedPlatform>>,
 ) -> Response {
-    if shared.is_cut(request) {
+    if shared.is_unreachable(request) {
         return unavailable();
     }
     let waited = timeout(
         Duration::from_millis(query.wait_ms),
-        wait_for(&shared, query.from),
+        wait_for_record(&shared, query.from),
     )
     .await;
-    if waited.is_err() && shared.is_cut(request) {
+    if waited.is_err() && shared.is_unreachable(request) {
         return unavailable();
     }
     let state = shared.lock();
-    if query.from < state.first {
-        let body = Json(json!({ "earliest": state.first }));
+    if query.from < state.first_offset {
+        let body = Json(json!({ "earliest": state.first_offset }));
         return body.with_status(StatusCode::GONE).into_response();
     }
-    let skipped = (query.from - state.first) as usize;
+    let skipped = (query.from - state.first_offset) as usize;
     let records = state
         .records
         .iter()
         .skip(skipped)
-        .take(READ_MOST)
+        .take(MAX_RECORDS_PER_READ)
         .zip(query.from..);
     let records: Vec<_> = records
         .map(|(record, offset)| json!({ "offset": offset, "record": record }))
         .collect();
     let next = query.from + records.len() as u64;
-    Json(json!({ "records": records, "next": next, "earliest": state.first })).into_response()
+    Json(json!({ "records": records, "next": next, "earliest": state.first_offset }))
+        .into_response()
 }
 
-async fn wait_for(shared: &SharedPlatform, offset: u64) {
+async fn wait_for_record(shared: &SharedPlatform, offset: u64) {
     loop {
-        let grown = shared.grown.notified();
-        tokio::pin!(grown);
-        grown.as_mut().enable();
+        let changed = shared.changed.notified();
+        tokio::pin!(changed);
+        changed.as_mut().enable();
         {
             let state = shared.lock();
-            if state.first + state.records.len() as u64 > offset || state.faults.is_unavailable {
+            if state.first_offset + state.records.len() as u64 > offset
+                || state.faults.is_unavailable
+            {
                 return;
             }
         }
-        grown.await;
+        changed.await;
     }
 }
 
 #[handler]
 async fn list_vms(request: &Request, shared: Data<&Arc<SharedPlatform>>) -> Response {
-    if shared.is_cut(request) {
+    if shared.is_unreachable(request) {
         return unavailable();
     }
     let vms: Vec<_> = shared.lock().vms.values().cloned().collect();
--- a/crates/standins/src/prompt_cache.rs
+++ b/crates/standins/src/prompt_cache.rs
@@ -1,8 +1,8 @@
 //! Simulated prompt caches of all engines of a site, with the adapter version that computed each cached part.
 //!
-//! Engines fetch cached parts from each other by address, adapter and part, and the transfer does not name the version that
-//! computed them. A request can therefore reuse cache entries of another version than the one it runs under;
-//! [`PromptCaches::process_prompt`] detects and reports this.
+//! Engines fetch cached parts from each other by address, adapter and part, and the transfer does not name the
+//! version that computed them. A request can therefore reuse cache entries of another version than the one it runs
+//! under; [`PromptCaches::process_prompt`] detects and reports this.
 
 use std::{
     collections::HashMap,
@@ -49,9 +49,9 @@
 impl PromptCaches {
     /// Runs a prompt through an engine's cache and returns the first version mismatch.
     ///
-    /// The longest prefix of parts that the engine or the source has cached is reused. Everything after the first missing
-    /// part is computed under the prompt's own version, also where a later part is cached, and all parts are stored in the
-    /// engine's cache.
+    /// The longest prefix of parts that the engine or the source has cached is reused. Everything after the first
+    /// missing part is computed under the prompt's own version, also where a later part is cached, and all parts are
+    /// stored in the engine's cache.
     pub fn process_prompt(
         &self,
         at: SocketAddr,
@@ -112,6 +112,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, CachedVersions>> {
-        self.engines.lock().expect("lock is not poisoned")
+        self.engines
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 }
--- a/crates/standins/src/raw_target.rs
+++ b/crates/standins/src/raw_target.rs
@@ -1,4 +1,8 @@
-//! A target whose answers are given as bytes, so that broken ones can be made.
+//! An HTTP/1.1 target whose responses are given byte for byte, with pauses, so that tests can send malformed, slow
+//! and truncated ones.
+//!
+//! The target records every request as received. A target can also limit its connections, or simulate a process that
+//! a request crashes.
 
 use std::{
     future::pending,
@@ -18,17 +22,17 @@
     time::sleep,
 };
 
-/// A request as it came.
+/// A request as received.
 #[derive(Clone, Debug)]
 pub struct RawRequest {
-    /// Request line and headers.
+    /// Request line and headers, without the final blank line.
     pub head: String,
-    /// The body.
+    /// Body as long as `Content-Length` says, empty without it.
     pub body: Vec<u8>,
 }
 
 impl RawRequest {
-    /// The value of a header.
+    /// Trimmed value of the first header with this name, in any case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
@@ -37,24 +41,24 @@
         })
     }
 
-    /// Method and path.
+    /// First line of the head: method, path and protocol version.
     #[must_use]
     pub fn request_line(&self) -> &str {
         self.head.lines().next().unwrap_or_default()
     }
 }
 
-/// What is written for a request.
+/// Bytes to write for a request.
 #[derive(Clone, Debug)]
 pub struct RawResponse {
-    /// Pieces, each after a pause.
+    /// Parts of the response, each with the pause before it is written.
     pub pieces: Vec<(Duration, Vec<u8>)>,
-    /// Whether the connection is closed behind them.
+    /// Whether the connection is closed after the last part.
     pub closes_connection: bool,
 }
 
 impl RawResponse {
-    /// A whole answer with a length.
+    /// A complete response with a `Content-Length`; each line of `headers` ends with `\r\n`.
     #[must_use]
     pub fn complete(status: &str, headers: &str, body: &str) -> Self {
         let length = body.len();
@@ -65,7 +69,7 @@
         }
     }
 
-    /// The same answer with another header line, which ends with a line break.
+    /// Adds a header line, which must end with `\r\n`, after the status line.
     #[must_use]
     pub fn with_header(mut self, line: &str) -> Self {
         if let Some((_, head)) = self.pieces.first_mut() {
@@ -77,7 +81,7 @@
         self
     }
 
-    /// Nothing: the connection is closed.
+    /// Closes the connection without a response.
     #[must_use]
     pub fn close() -> Self {
         Self {
@@ -87,35 +91,35 @@
     }
 }
 
-/// Connections of a target that are open, and how many it accepts.
+/// Counts a target's open connections against its maximum.
 #[derive(Debug)]
-struct OpenCount {
+struct ConnectionLimit {
     open: AtomicUsize,
-    most: usize,
+    max_connections: usize,
 }
 
-impl OpenCount {
-    /// Counts one more, unless the target accepts no more.
-    fn take(self: &Arc<Self>) -> Option<OpenPlace> {
-        let place = OpenPlace(Arc::clone(self));
-        (self.open.fetch_add(1, Ordering::SeqCst) < self.most).then_some(place)
+impl ConnectionLimit {
+    /// Counts a connection until the permit is dropped; `None` if the maximum is reached.
+    fn acquire(self: &Arc<Self>) -> Option<ConnectionPermit> {
+        let permit = ConnectionPermit(Arc::clone(self));
+        (self.open.fetch_add(1, Ordering::SeqCst) < self.max_connections).then_some(permit)
     }
 }
 
-struct OpenPlace(Arc<OpenCount>);
+struct ConnectionPermit(Arc<ConnectionLimit>);
 
-impl Drop for OpenPlace {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-type AnswerFn = dyn Fn(&RawRequest) -> RawResponse + Send + Sync;
-type DeadlyFn = dyn Fn(&RawRequest) -> bool + Send + Sync;
+type ResponseFn = dyn Fn(&RawRequest) -> RawResponse + Send + Sync;
+type CrashPredicate = dyn Fn(&RawRequest) -> bool + Send + Sync;
 
-/// A running target; ends when dropped.
+/// A target that listens on loopback; it stops accepting when dropped.
 pub struct RawTarget {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<RawRequest>>>,
     connections: Arc<Mutex<usize>>,
@@ -123,75 +127,77 @@
 }
 
 impl RawTarget {
-    /// Starts a target on loopback.
+    /// Starts a target without a limit of connections.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start(
-        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
+        respond: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        Self::start_with(answer, |_| false, usize::MAX).await
+        Self::start_with(respond, |_| false, usize::MAX).await
     }
 
-    /// Starts a target that closes connections beyond so many at once unread.
+    /// Starts a target that closes connections beyond the maximum without reading from them.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start_with_connection_limit(
-        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
-        most: usize,
+        respond: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
+        max_connections: usize,
     ) -> io::Result<Self> {
-        Self::start_with(answer, |_| false, most).await
+        Self::start_with(respond, |_| false, max_connections).await
     }
 
-    /// Starts a target that a request can crash: all its connections break, and its address refuses others.
+    /// Starts a target that a request can crash: all its connections break and new ones are refused.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start_crashable(
-        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
-        is_deadly: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
+        respond: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
+        should_crash: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
     ) -> io::Result<Self> {
-        Self::start_with(answer, is_deadly, usize::MAX).await
+        Self::start_with(respond, should_crash, usize::MAX).await
     }
 
     async fn start_with(
-        answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
-        is_deadly: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
-        most: usize,
+        respond: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
+        should_crash: impl Fn(&RawRequest) -> bool + Send + Sync + 'static,
+        max_connections: usize,
     ) -> io::Result<Self> {
-        let count = Arc::new(OpenCount {
+        let limit = Arc::new(ConnectionLimit {
             open: AtomicUsize::new(0),
-            most,
+            max_connections,
         });
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let requests = Arc::new(Mutex::new(Vec::new()));
         let connections = Arc::new(Mutex::new(0));
-        let answer: Arc<AnswerFn> = Arc::new(answer);
-        let is_deadly: Arc<DeadlyFn> = Arc::new(is_deadly);
-        let (seen, opened) = (Arc::clone(&requests), Arc::clone(&connections));
-        let (end, mut ended) = watch::channel(false);
+        let respond: Arc<ResponseFn> = Arc::new(respond);
+        let should_crash: Arc<CrashPredicate> = Arc::new(should_crash);
+        let (seen, connection_count) = (Arc::clone(&requests), Arc::clone(&connections));
+        let (crash, mut crashed) = watch::channel(false);
         let task = tokio::spawn(async move {
             loop {
                 let accepted = tokio::select! {
                     accepted = listener.accept() => accepted,
-                    _ = ended.wait_for(|ended| *ended) => return,
+                    _ = crashed.wait_for(|crashed| *crashed) => return,
                 };
                 let Ok((stream, _)) = accepted else { return };
-                *opened.lock().expect("no holder panics") += 1;
-                let Some(place) = count.take() else {
+                *connection_count
+                    .lock()
+                    .expect("lock is not poisoned: no holder panics") += 1;
+                let Some(permit) = limit.acquire() else {
                     continue;
                 };
-                let (seen, answer) = (Arc::clone(&seen), Arc::clone(&answer));
-                let is_deadly = Arc::clone(&is_deadly);
-                let (end, mut ended) = (end.clone(), ended.clone());
+                let (seen, respond) = (Arc::clone(&seen), Arc::clone(&respond));
+                let should_crash = Arc::clone(&should_crash);
+                let (crash, mut crashed) = (crash.clone(), crashed.clone());
                 tokio::spawn(async move {
-                    let _place = place;
+                    let _permit = permit;
                     tokio::select! {
-                        // A connection that breaks is the other side's affair.
-                        served = serve(stream, &seen, &*answer, &*is_deadly, &end) => drop(served),
-                        _ = ended.wait_for(|ended| *ended) => {}
+                        // A broken connection is an expected result of some tests, and the client sees it.
+                        served = serve(stream, &seen, &*respond, &*should_crash, &crash) => drop(served),
+                        _ = crashed.wait_for(|crashed| *crashed) => {}
                     }
                 });
             }
@@ -204,22 +210,28 @@
         })
     }
 
-    /// The requests so far, in order.
+    /// Requests received so far, in order.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If the lock is poisoned.
     #[must_use]
     pub fn requests(&self) -> Vec<RawRequest> {
-        self.requests.lock().expect("no holder panics").clone()
+        self.requests
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
+            .clone()
     }
 
     /// Connections accepted so far.
     ///
     /// # Panics
-    /// If a holder of the lock panicked.
+    /// If the lock is poisoned.
     #[must_use]
     pub fn connections(&self) -> usize {
-        *self.connections.lock().expect("no holder panics")
+        *self
+            .connections
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 }
 
@@ -232,9 +244,9 @@
 async fn serve(
     mut stream: TcpStream,
     seen: &Mutex<Vec<RawRequest>>,
-    answer: &AnswerFn,
-    is_deadly: &DeadlyFn,
-    end: &watch::Sender<bool>,
+    respond: &ResponseFn,
+    should_crash: &CrashPredicate,
+    crash: &watch::Sender<bool>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
@@ -242,17 +254,19 @@
         let Some(request) = read_request(&mut stream, &mut bytes).await? else {
             return Ok(());
         };
-        seen.lock().expect("no holder panics").push(request.clone());
-        if is_deadly(&request) {
-            end.send_replace(true);
+        seen.lock()
+            .expect("lock is not poisoned: no holder panics")
+            .push(request.clone());
+        if should_crash(&request) {
+            crash.send_replace(true);
             pending::<()>().await;
         }
-        let answer = answer(&request);
-        for (pause, piece) in answer.pieces {
+        let response = respond(&request);
+        for (pause, piece) in response.pieces {
             sleep(pause).await;
             stream.write_all(&piece).await?;
         }
-        if answer.closes_connection {
+        if response.closes_connection {
             return Ok(());
         }
     }
@@ -262,16 +276,16 @@
     stream: &mut TcpStream,
     bytes: &mut Vec<u8>,
 ) -> io::Result<Option<RawRequest>> {
-    let end = loop {
-        if let Some(end) = bytes.windows(4).position(|end| end == b"\r\n\r\n") {
-            break end;
+    let head_end = loop {
+        if let Some(head_end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
+            break head_end;
         }
         if stream.read_buf(bytes).await? == 0 {
             return Ok(None);
         }
     };
-    let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
-    bytes.drain(..end + 4);
+    let head = String::from_utf8_lossy(&bytes[..head_end]).into_owned();
+    bytes.drain(..head_end + 4);
     let mut request = RawRequest {
         head,
         body: Vec::new(),
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,4 +1,7 @@
-//! A TCP link that can be cut or frozen.
+//! A TCP relay between two processes that can cut or freeze the connections through it.
+//!
+//! Cutting closes connections, as when the peer's host rejects them; freezing keeps them open without passing bytes,
+//! as when packets are lost.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 use tokio::{
@@ -11,20 +14,20 @@
     task::JoinHandle,
 };
 
-/// State of a link.
+/// State of a relayed link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Bytes pass.
+    /// Bytes are forwarded.
     Open,
-    /// Connections are closed, and new ones too.
+    /// Existing and new connections are closed.
     Cut,
-    /// Connections stay, but nothing passes.
+    /// Connections stay open, but no bytes are forwarded.
     Frozen,
 }
 
-/// A link to one address.
+/// A relay that forwards connections to one address.
 pub struct LinkRelay {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
     state: watch::Sender<LinkState>,
@@ -32,20 +35,20 @@
 }
 
 impl LinkRelay {
-    /// Starts a link whose far end is set later.
+    /// Starts a relay; connections are closed until [`set_target`](Self::set_target) names their destination.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (state, watched) = watch::channel(LinkState::Open);
+        let (state, state_watch) = watch::channel(LinkState::Open);
         let (target, target_watch) = watch::channel(None);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let target = *target_watch.borrow();
-                if let (Some(target), true) = (target, *watched.borrow() != LinkState::Cut) {
-                    tokio::spawn(pass(stream, target, watched.clone()));
+                if let (Some(target), true) = (target, *state_watch.borrow() != LinkState::Cut) {
+                    tokio::spawn(forward(stream, target, state_watch.clone()));
                 }
             }
         });
@@ -57,12 +60,12 @@
         })
     }
 
-    /// Sets the far end for connections to come.
+    /// Sets the destination of new connections.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
 
-    /// Cuts, freezes or opens the link.
+    /// Changes the state of existing and new connections.
     pub fn set_state(&self, state: LinkState) {
         self.state.send_replace(state);
     }
@@ -74,7 +77,7 @@
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, state: watch::Receiver<LinkState>) {
+async fn forward(near: TcpStream, target: SocketAddr, state: watch::Receiver<LinkState>) {
     let Ok(far) = TcpStream::connect(target).await else {
         return;
     };
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting an HTTP server on a port that the system chooses.
+//! HTTP server on a loopback port that the operating system assigns.
 
 use poem::{
     Endpoint, Server,
@@ -12,32 +12,33 @@
     task::JoinHandle,
 };
 
-/// An HTTP server that ends when this value is dropped.
+/// Handle of an HTTP server, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct RunningServer {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl RunningServer {
-    /// Starts a server on loopback.
+    /// Starts a server for `app`.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start(app: impl Endpoint + 'static) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let acceptor = NodelayAcceptor(TcpAcceptor::from_tokio(listener)?);
         let task = tokio::spawn(async move {
-            // The task is aborted on drop; an error here means the same as the end.
+            // An error ends the server just as the abort on drop does.
             let _ = Server::new_with_acceptor(acceptor).run(app).await;
         });
         Ok(Self { address, task })
     }
 }
 
-/// Without this a stream's second write waits for the acknowledgement of its first.
+/// Sets `TCP_NODELAY` on accepted connections: with Nagle's algorithm, a stream's second write waits for the
+/// acknowledgement of the first.
 struct NodelayAcceptor(TcpAcceptor);
 
 impl Acceptor for NodelayAcceptor {
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,6 @@
-//! A plain service whose calls count: it records how often each call ran.
+//! Simulated plain service that counts how often each call ran, identified by its body.
+//!
+//! Tests use the counts to detect calls that were repeated or lost.
 
 use crate::RunningServer;
 use poem::{Body, EndpointExt, Request, Response, Route, handler, http::StatusCode, web::Data};
@@ -9,12 +11,12 @@
     time::Duration,
 };
 
-/// Faults of a service.
+/// Faults to inject into a service.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceFaults {
-    /// Time that each call takes.
+    /// Delay between running a call and its response.
     pub delay: Duration,
-    /// Calls that run, but whose connection breaks before the answer.
+    /// Number of calls still to run and lose their connection before the response is complete.
     pub lost_responses: usize,
 }
 
@@ -24,17 +26,17 @@
     runs: HashMap<String, u32>,
 }
 
-/// A running service.
+/// A simulated service that serves HTTP on loopback; it stops when dropped.
 pub struct ServiceStandin {
     server: RunningServer,
     state: Arc<Mutex<ServiceState>>,
 }
 
 impl ServiceStandin {
-    /// Starts a service.
+    /// Starts a service that accepts any path and method.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns the I/O error if no loopback port can be bound.
     pub async fn start() -> io::Result<Self> {
         let state = Arc::new(Mutex::new(ServiceState::default()));
         let app = Route::new().at("/*path", call).data(Arc::clone(&state));
@@ -42,24 +44,24 @@
         Ok(Self { server, state })
     }
 
-    /// Its address, `IP:port`.
+    /// Listening address, `IP:port`.
     #[must_use]
     pub fn address(&self) -> String {
         self.server.address.to_string()
     }
 
-    /// Changes the faults.
+    /// Edits the injected faults in place.
     pub fn set_faults(&self, change: impl FnOnce(&mut ServiceFaults)) {
         change(&mut self.lock().faults);
     }
 
-    /// How often the call with this body ran.
+    /// How often a call with this body ran, `GET` calls excepted.
     #[must_use]
     pub fn run_count(&self, body: &str) -> u32 {
         self.lock().runs.get(body).copied().unwrap_or(0)
     }
 
-    /// Calls that ran more than once.
+    /// Bodies of calls that ran more than once.
     #[must_use]
     pub fn repeated_calls(&self) -> Vec<String> {
         let state = self.lock();
@@ -67,33 +69,37 @@
         repeated.map(|(body, _)| body.clone()).collect()
     }
 
-    /// Calls that ran at least once.
+    /// Number of distinct bodies that ran at least once.
     #[must_use]
     pub fn distinct_calls(&self) -> usize {
         self.lock().runs.len()
     }
 
     fn lock(&self) -> MutexGuard<'_, ServiceState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("lock is not poisoned: no holder panics")
     }
 }
 
 #[handler]
 async fn call(request: &Request, body: Body, state: Data<&Arc<Mutex<ServiceState>>>) -> Response {
     let text = body.into_string().await.unwrap_or_default();
-    let (delay, lost) = {
-        let mut state = state.lock().expect("no holder of the lock panics");
-        // Reads change nothing, so they do not count.
+    let (delay, is_lost) = {
+        let mut state = state
+            .lock()
+            .expect("lock is not poisoned: no holder panics");
+        // GET calls change nothing and may be repeated, so they are not counted.
         if request.method() != poem::http::Method::GET {
             *state.runs.entry(text.clone()).or_default() += 1;
         }
-        let lost = state.faults.lost_responses > 0;
+        let is_lost = state.faults.lost_responses > 0;
         state.faults.lost_responses = state.faults.lost_responses.saturating_sub(1);
-        (state.faults.delay, lost)
+        (state.faults.delay, is_lost)
     };
     tokio::time::sleep(delay).await;
-    if lost {
-        // A body that ends in an error closes the connection before the answer is complete.
+    if is_lost {
+        // A body that ends in an error closes the connection before the response is complete.
         let broken =
             futures_util::stream::iter([Err::<Vec<u8>, _>(io::Error::other("connection lost"))]);
         return Response::builder()
