--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -8,7 +8,7 @@
 //! `cargo run --release --example experiments -- all`
 
 use gumdrop::Options;
-use hoplanding_standins::engine::{EngineModel, expected_answer};
+use hoplanding_standins::engine::{EngineModel, expected_completion};
 use hoplanding_testbed::{
     CallerClient, CompletionCall, SiteConfig, TestSite,
     load::percentile,
@@ -124,10 +124,11 @@
     );
     site.platform.set_faults(|faults| {
         faults.append_delay = Duration::ZERO;
-        faults.out = true;
+        faults.is_unavailable = true;
     });
     sleep(Duration::from_secs(2)).await;
-    site.platform.set_faults(|faults| faults.out = false);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = false);
     print_times(
         "in force at 7 daemons, just after an outage",
         measure_changes(&site, 20, "back").await,
@@ -137,7 +138,7 @@
 
 async fn start_without_state() -> io::Result<()> {
     let mut site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 37_000)).await?;
-    let log_bytes = site.platform.append_counts().2;
+    let log_bytes = site.platform.append_totals().2;
     let mut times = Vec::new();
     for round in 0..10 {
         site.kill_daemon("a2");
@@ -199,13 +200,13 @@
             };
             streams.spawn(async move {
                 let result = caller.complete(&call).await;
-                result.text == expected_answer(&format!("{}@v1", call.model), &call.prompt, 150)
+                result.text == expected_completion(&format!("{}@v1", call.model), &call.prompt, 150)
             });
         }
         sleep(Duration::from_millis(800)).await;
         let started_at = Instant::now();
         site.kill_daemon(&holder);
-        site.platform.unlist_vm(&holder);
+        site.platform.remove_vm(&holder);
         site.wait_until_served(4, Duration::from_secs(20)).await?;
         // `wait_until_served` ends with a pause of 150 ms.
         times.push(started_at.elapsed().as_micros() as u64 - 150_000);
@@ -275,7 +276,8 @@
             *bases.lock().expect("no holder of the lock panics") = urls.collect();
         };
         update_bases(&site);
-        site.platform.set_faults(|faults| faults.out = is_log_out);
+        site.platform
+            .set_faults(|faults| faults.is_unavailable = is_log_out);
         let outcomes = Arc::new(Mutex::new(BTreeMap::new()));
         let mut calls = JoinSet::new();
         let mut random = StdRng::seed_from_u64(11);
@@ -297,7 +299,7 @@
             if number % 400 == 399 {
                 site.services
                     .values()
-                    .for_each(|service| service.set_faults(|faults| faults.lose_answers = 2));
+                    .for_each(|service| service.set_faults(|faults| faults.lost_responses = 2));
             }
             // During a log outage a restarted daemon can't become a holder, so crashes are fewer.
             if number % if is_log_out { 4000 } else { 800 } == 799 {
@@ -318,7 +320,7 @@
             site.repeated_calls().len(),
             site.services
                 .values()
-                .map(hoplanding_standins::service::ServiceStandin::ran)
+                .map(hoplanding_standins::service::ServiceStandin::distinct_calls)
                 .sum::<usize>()
         );
     }
--- a/crates/daemon/examples/slopes.rs
+++ b/crates/daemon/examples/slopes.rs
@@ -650,12 +650,12 @@
     let (cpu, bytes, appends) = (
         thread_cpu_seconds("d-"),
         encoded_bytes(),
-        site.platform.append_counts(),
+        site.platform.append_totals(),
     );
     tokio::time::sleep(interval).await;
     let cpu = (thread_cpu_seconds("d-") - cpu) / 22.0 / interval.as_secs_f64();
     let bytes = (encoded_bytes() - bytes) as f64 / 22.0 / interval.as_secs_f64();
-    let after = site.platform.append_counts();
+    let after = site.platform.append_totals();
     let appended = (after.0 - appends.0) as f64 / interval.as_secs_f64();
     let mut kinds = std::collections::BTreeMap::new();
     for (_, record) in site
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -3,7 +3,7 @@
 //! docs/FAILURES.md lists the failure cases.
 
 use hoplanding_standins::{
-    engine::{EngineModel, expected_answer},
+    engine::{EngineModel, expected_completion},
     relay::LinkState,
 };
 use hoplanding_testbed::{
@@ -74,13 +74,13 @@
     }
     sleep(Duration::from_millis(700)).await;
     site.kill_daemon(&holder);
-    site.platform.unlist_vm(&holder);
+    site.platform.remove_vm(&holder);
     while let Some(ended) = streams.join_next().await {
         let (model, result) = ended.expect("no task panics");
         assert_eq!(result.error, None, "{}", result.message);
         assert_eq!(
             result.text,
-            expected_answer(&format!("{model}@v1"), "berthing plan", 150)
+            expected_completion(&format!("{model}@v1"), "berthing plan", 150)
         );
     }
     site.wait_until_serving(Duration::from_secs(15))
@@ -119,7 +119,7 @@
     let result = stream.await.expect("no task panics");
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "berthing plan", 120),
+        expected_completion("adapter-0001@v1", "berthing plan", 120),
         "{}",
         result.message
     );
@@ -190,7 +190,8 @@
         holder_of(&site, "a1", "engine-a1").await,
         holder_of(&site, "a1", "engine-a2").await,
     ];
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     let load = LoadConfig {
         requests: 150,
         concurrency: 16,
@@ -206,7 +207,8 @@
         holder_of(&site, "a1", "engine-a2").await,
     ];
     assert_eq!(before, after);
-    site.platform.set_faults(|faults| faults.out = false);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = false);
     wait_for("a change after the outage", async || {
         site.execute_statement("a1", "keep adapter adapter-0001 ready")
             .await
@@ -221,7 +223,7 @@
     let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
-    site.platform.set_faults(|faults| faults.lose_answers = 1);
+    site.platform.set_faults(|faults| faults.lost_responses = 1);
     site.execute_statement("a1", "create adapter found-again version v1")
         .await
         .expect("read back though its answer was lost");
@@ -327,7 +329,7 @@
     );
     assert!(result.has_retry_after);
     assert_eq!(
-        engine.truth().ran,
+        engine.stats().ran,
         0,
         "a request refused as not run was not run"
     );
@@ -354,11 +356,11 @@
     let engine = &site.engines["engine-a1"];
     let caller = site.caller("a1", NORMAL_TOKEN);
     let answer = tokio::spawn(async move { caller.complete(&call("adapter-0001", 3)).await });
-    wait_for("the first run", async || engine.truth().ran == 1).await;
+    wait_for("the first run", async || engine.stats().ran == 1).await;
     engine.set_faults(|faults| faults.fail_loads = 100);
     engine.restart();
     let result = answer.await.expect("no task panics");
-    assert_eq!(engine.truth().ran, 1);
+    assert_eq!(engine.stats().ran, 1);
     assert_eq!(
         result.error.as_deref(),
         Some("failed"),
@@ -374,7 +376,7 @@
     config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     for engine in site.engines.values() {
-        engine.set_faults(|faults| faults.lose_order_answers = 1);
+        engine.set_faults(|faults| faults.lost_order_responses = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     wait_for("an answer after lost ones", async || {
@@ -401,7 +403,7 @@
                 .await;
             assert_eq!(
                 result.text,
-                expected_answer("adapter-0002@v1", "berthing plan", 20),
+                expected_completion("adapter-0002@v1", "berthing plan", 20),
                 "{}",
                 result.message
             );
@@ -425,7 +427,9 @@
                     .await
                     .expect("drained");
             }
-            1 => site.platform.list_vm("engine-a1", "zone-a", "", "leaving"),
+            1 => site
+                .platform
+                .upsert_vm("engine-a1", "zone-a", "", "leaving"),
             _ => site.engines["engine-a1"].set_faults(|faults| faults.leaving = true),
         }
         wait_for("the drain", async || {
@@ -440,21 +444,21 @@
         })
         .await;
         sleep(Duration::from_millis(200)).await;
-        let before = site.engines["engine-a1"].truth().ran;
+        let before = site.engines["engine-a1"].stats().ran;
         for number in 0..6 {
             let result = caller
                 .complete(&call(&format!("adapter-{number:04}"), 3))
                 .await;
             assert_eq!(result.target, "engine-a2", "{}", result.message);
         }
-        assert_eq!(site.engines["engine-a1"].truth().ran, before);
+        assert_eq!(site.engines["engine-a1"].stats().ran, before);
         match source {
             0 => {
                 site.execute_statement("a2", "undrain target engine-a1")
                     .await
                     .expect("undrained");
             }
-            1 => site.platform.unlist_vm("engine-a1"),
+            1 => site.platform.remove_vm("engine-a1"),
             _ => {}
         }
         sleep(Duration::from_millis(300)).await;
@@ -484,7 +488,7 @@
         let is_refused_as_not_run = result.error.as_deref() == Some("not_run");
         assert!(
             is_refused_as_not_run
-                || result.text == expected_answer(&format!("{model}@v1"), "berthing plan", 100),
+                || result.text == expected_completion(&format!("{model}@v1"), "berthing plan", 100),
             "{:?} {}",
             result.error,
             result.message
@@ -509,7 +513,7 @@
     let other = if holder == "a1" { "a2" } else { "a1" };
     site.set_link_state("a1", "a2", LinkState::Frozen);
     site.platform.set_faults(|faults| {
-        faults.cut.insert(holder.clone());
+        faults.partitioned_vms.insert(holder.clone());
     });
     wait_for("the takeover", async || {
         let shown = site
@@ -535,7 +539,8 @@
         }
     }
     site.set_link_state("a1", "a2", LinkState::Open);
-    site.platform.set_faults(|faults| faults.cut.clear());
+    site.platform
+        .set_faults(|faults| faults.partitioned_vms.clear());
     site.wait_until_serving(Duration::from_secs(15))
         .await
         .expect("healed");
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -75,7 +75,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_log_keys_are_refused_and_tokens_work() {
     let site = site(1, 2).await;
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     sleep(Duration::from_millis(600)).await;
     let caller = site.caller("a1", URGENT_TOKEN);
     let refused = caller.post_scan("by key", Some("my-key")).await;
@@ -191,7 +192,7 @@
     let site = site(1, 2).await;
     site.services
         .values()
-        .for_each(|service| service.set_faults(|faults| faults.lose_answers = 1));
+        .for_each(|service| service.set_faults(|faults| faults.lost_responses = 1));
     let caller = site.caller("a1", URGENT_TOKEN);
     let token = caller.issue_token().await.expect("a token");
     let first = caller.post_scan("scan", Some(&token)).await;
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,6 +1,6 @@
 //! Request path over real sockets: completions, plain services, invalid requests, slow callers and quotas.
 
-use hoplanding_standins::engine::{EngineModel, expected_answer};
+use hoplanding_standins::engine::{EngineModel, expected_completion};
 use hoplanding_testbed::{
     CompletionCall, LoadConfig, SiteConfig, TestSite, run_load,
     site::{BATCH_TOKEN, NORMAL_TOKEN, URGENT_TOKEN},
@@ -38,7 +38,7 @@
             assert_eq!(result.model, "adapter-0003@v1");
             assert_eq!(
                 result.text,
-                expected_answer("adapter-0003@v1", "held reel 4711", 9)
+                expected_completion("adapter-0003@v1", "held reel 4711", 9)
             );
         }
     }
@@ -61,7 +61,7 @@
     assert_eq!(answer["object"], "chat.completion");
     assert_eq!(
         answer["choices"][0]["message"]["content"],
-        expected_answer("adapter-0001@v1", "hi", 4)
+        expected_completion("adapter-0001@v1", "hi", 4)
     );
     assert_eq!(answer["usage"]["completion_tokens"], 4);
     let (status, models) = caller.get("/v1/models").await;
@@ -89,7 +89,7 @@
     let named = caller.complete(&call("adapter-0001@v1", 3, true)).await;
     assert_eq!(
         named.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 3)
+        expected_completion("adapter-0001@v1", "held reel 4711", 3)
     );
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
@@ -239,7 +239,7 @@
     let busy = || {
         site.engines
             .values()
-            .map(hoplanding_standins::engine::EngineStandin::busy)
+            .map(hoplanding_standins::engine::EngineStandin::in_flight)
             .sum::<usize>()
     };
     for _ in 0..200 {
@@ -280,7 +280,7 @@
             .await;
         assert_eq!(
             result.text,
-            expected_answer("adapter-0001@v1", "held reel 4711", 300)
+            expected_completion("adapter-0001@v1", "held reel 4711", 300)
         );
     }
     drop(unread);
@@ -294,23 +294,23 @@
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
-        engine.set_faults(|faults| faults.nonsense = 1);
+        engine.set_faults(|faults| faults.malformed_responses = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     let result = caller.complete(&call("adapter-0001", 5, false)).await;
     // The stream is resumed, so the answer is complete.
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 5),
+        expected_completion("adapter-0001@v1", "held reel 4711", 5),
         "{}",
         result.message
     );
     let first = &site.engines[&result.target];
-    first.set_faults(|faults| faults.wrong_model = 1);
+    first.set_faults(|faults| faults.wrong_model_responses = 1);
     let result = caller.complete(&call("adapter-0001", 5, false)).await;
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "held reel 4711", 5),
+        expected_completion("adapter-0001@v1", "held reel 4711", 5),
         "{}",
         result.message
     );
--- a/crates/daemon/tests/suspension.rs
+++ b/crates/daemon/tests/suspension.rs
@@ -36,7 +36,7 @@
 fn scan_requests(target: &RawTarget) -> Vec<RawRequest> {
     let requests = target.requests().into_iter();
     requests
-        .filter(|request| request.line().contains("/scan/"))
+        .filter(|request| request.request_line().contains("/scan/"))
         .collect()
 }
 
@@ -113,7 +113,7 @@
         active.is_some_and(|active| active.config.version == 2) && call("r1").await == 200
     })
     .await;
-    relay.set(LinkState::Frozen);
+    relay.set_state(LinkState::Frozen);
     clock::simulate_suspension(SUSPENSION);
     assert_eq!(call("r2").await, 503);
 }
