--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -161,7 +161,7 @@
     /// Records when the log recovered from its last outage; `None` if there was none. Pending removals become due
     /// earlier if the recovery was earlier than assumed, but never later: a log that fails repeatedly would otherwise
     /// keep a target that is gone.
-    pub fn note_log_recovered(&mut self, recovered_at: Option<Instant>) {
+    pub fn record_log_recovered(&mut self, recovered_at: Option<Instant>) {
         if self.recovered_at == recovered_at {
             return;
         }
@@ -175,7 +175,7 @@
 
     /// Records that the log was restored from a copy, in which a target that is leaving may be listed as ready. Returns
     /// the targets that are leaving.
-    pub fn note_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
+    pub fn record_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
         self.restored_at = Some(now);
         let mut runs = Vec::new();
         for row in self.rows.values_mut() {
@@ -235,7 +235,7 @@
     }
 
     /// Records that a target announced that it is leaving; returns whether that was unknown.
-    pub fn note_leaving(&mut self, run: &TargetRun) -> bool {
+    pub fn record_leaving(&mut self, run: &TargetRun) -> bool {
         let row = self
             .rows
             .entry(run.name.clone())
--- a/crates/core/src/direct/freshness.rs
+++ b/crates/core/src/direct/freshness.rs
@@ -19,9 +19,9 @@
 /// a slow processor.
 const MAX_SEND_DELAY: Duration = Duration::from_millis(100);
 
-/// Proof of a VM as it is relayed to others.
+/// Proof of a VM as it is forwarded to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RelayedProof {
+pub struct ForwardedProof {
     /// Version of the newest configuration at the time of the proof.
     pub version: u64,
     /// Age of the proof in milliseconds.
@@ -58,17 +58,17 @@
     }
 
     /// Accepts the proof of another VM if this VM's configuration has at least the proven version.
-    pub fn accept_relayed(
+    pub fn accept_forwarded(
         &mut self,
-        relayed: &RelayedProof,
+        forwarded: &ForwardedProof,
         echo: &HeartbeatEcho,
         current_version: u64,
     ) {
-        if current_version < relayed.version {
+        if current_version < forwarded.version {
             return;
         }
         let replied_at = echo.sent + u64::from(echo.held_ms) * 1_000;
-        let proven_at = replied_at.checked_sub(u64::from(relayed.age_ms) * 1_000);
+        let proven_at = replied_at.checked_sub(u64::from(forwarded.age_ms) * 1_000);
         if let Some(proven_at) = proven_at {
             self.record_read(Instant(proven_at));
         }
@@ -82,9 +82,9 @@
 
     /// The proof for other VMs. Its age is rounded up, so that relaying never makes a proof younger.
     #[must_use]
-    pub fn relay(&self, version: u64, now: Instant) -> Option<RelayedProof> {
+    pub fn forward(&self, version: u64, now: Instant) -> Option<ForwardedProof> {
         let age = self.age(now)?.as_micros().div_ceil(1_000);
-        Some(RelayedProof {
+        Some(ForwardedProof {
             version,
             age_ms: u32::try_from(age).ok()?,
         })
--- a/crates/core/src/direct/lease.rs
+++ b/crates/core/src/direct/lease.rs
@@ -1,15 +1,15 @@
-//! Decides which VM holds the lease of a zone and gives its orders.
+//! Decides which VM holds the lease of a zone and issues its orders.
 //!
 //! A claim is a record under the zone's key that is appended only if nothing was appended since the claimant last read.
 //! Its position is the fencing token, so later claims have higher tokens, also in a later era of the log. A log that
 //! was restored from a copy may lack claims: the holder continues and claims its zone again, and any other claimant
 //! waits before its first order. A holder stops as soon as it reads a newer record or a target rejects its token. The
-//! successor of a holder that may still be giving orders waits before its first order and states so in its claim, so
+//! successor of a holder that may still be issuing orders waits before its first order and states so in its claim, so
 //! that its own successor also waits if it terminates meanwhile.
 //!
-//! Orders and placements of a whole zone need computing power, so a strong VM should hold the lease. A weak VM that
-//! took over while the strong ones were away is asked for the lease once they are back; it completes its pending orders
-//! and releases the lease.
+//! Orders and placements of a whole zone need computing power, so a VM with much CPU should hold the lease. If a VM with
+//! less CPU took over while such VMs were away, they request the lease from it once they are back; it completes its
+//! pending orders and releases the lease.
 
 use crate::ids::{FencingToken, Instant, LogPosition, StoreEra, VmName};
 use serde::{Deserialize, Serialize};
@@ -58,7 +58,7 @@
 pub enum LeaseAction {
     /// Nothing for now.
     Wait,
-    /// Ask the holder to hand the lease over, as it is weaker than this VM.
+    /// Request the lease from the holder, which has less CPU than this VM.
     RequestTransfer,
     /// Claim the lease.
     Claim {
@@ -74,7 +74,7 @@
     pub holder_timeout: Duration,
     /// Wait for each VM that precedes this one in the order of claimants.
     pub stagger: Duration,
-    /// Time after which a holder that was replaced gives no more orders; also the interval of requests to a weaker
+    /// Time after which a holder that was replaced issues no more orders; also the interval of requests to a smaller
     /// holder.
     pub handover_delay: Duration,
 }
@@ -84,8 +84,8 @@
 pub struct HolderView {
     /// State of the contact with the holder.
     pub contact: HolderContact,
-    /// Whether this VM is stronger than the holder.
-    pub is_holder_weaker: bool,
+    /// Whether this VM has more CPU than the holder.
+    pub has_more_cpu: bool,
     /// Number of VMs that claim before this one.
     pub rank: u32,
     /// Least time since the zone was claimed, if the claimant had to wait before its first order.
@@ -95,7 +95,7 @@
     pub is_log_restored: bool,
     /// Whether this process is the holder.
     pub is_holder: bool,
-    /// Whether this process gives the zone's orders and no other VM can have done so meanwhile, even if its claim is
+    /// Whether this process issues the zone's orders and no other VM can have done so meanwhile, even if its claim is
     /// lost.
     pub is_sole_holder: bool,
 }
@@ -118,8 +118,8 @@
     seen_at: Option<Instant>,
     /// Since when the zone has had no reachable holder.
     vacant_since: Option<Instant>,
-    /// Since when this VM has heard a weaker holder, or when it last asked for the lease.
-    weaker_since: Option<Instant>,
+    /// Since when this VM has heard a holder with less CPU, or when it last requested the lease.
+    smaller_holder_since: Option<Instant>,
 }
 
 impl LeaseState {
@@ -139,7 +139,7 @@
         self.lease = lease;
         self.seen_at = None;
         self.vacant_since = None;
-        self.weaker_since = None;
+        self.smaller_holder_since = None;
         true
     }
 
@@ -179,7 +179,7 @@
         let seen_at = *self.seen_at.get_or_insert(now);
         let successor_delay = match view.waiting_claim_age {
             _ if view.is_log_restored => timeouts.handover_delay,
-            // The predecessor of the holder that is gone may still give orders.
+            // The predecessor of the holder that is gone may still issue orders.
             Some(claim_age) => timeouts
                 .handover_delay
                 .saturating_sub(claim_age.max(now.since(seen_at))),
@@ -196,9 +196,9 @@
         };
         let Some(from) = vacant_at else {
             self.vacant_since = None;
-            return self.request_from_weaker(timeouts, view, now);
+            return self.request_from_smaller_holder(timeouts, view, now);
         };
-        self.weaker_since = None;
+        self.smaller_holder_since = None;
         let since = *self.vacant_since.get_or_insert(from);
         if now.since(since) >= timeouts.stagger * view.rank {
             LeaseAction::Claim { order_delay }
@@ -207,22 +207,23 @@
         }
     }
 
-    /// Asks a weaker holder for the lease once it has been heard for the handover delay, and again at that interval.
-    fn request_from_weaker(
+    /// Requests the lease from a holder with less CPU once it has been heard for the handover delay, and again at that
+    /// interval.
+    fn request_from_smaller_holder(
         &mut self,
         timeouts: &LeaseTimeouts,
         view: HolderView,
         now: Instant,
     ) -> LeaseAction {
-        if view.contact != HolderContact::Heard || !view.is_holder_weaker {
-            self.weaker_since = None;
+        if view.contact != HolderContact::Heard || !view.has_more_cpu {
+            self.smaller_holder_since = None;
             return LeaseAction::Wait;
         }
-        let since = *self.weaker_since.get_or_insert(now);
+        let since = *self.smaller_holder_since.get_or_insert(now);
         if now.since(since) < timeouts.handover_delay {
             return LeaseAction::Wait;
         }
-        self.weaker_since = Some(now);
+        self.smaller_holder_since = Some(now);
         LeaseAction::RequestTransfer
     }
 }
--- a/crates/core/src/direct/log_readers.rs
+++ b/crates/core/src/direct/log_readers.rs
@@ -38,7 +38,7 @@
     pub age: Duration,
     /// Holder of the zone.
     pub holder: HolderPresence,
-    /// Rank of the VM among the others of its zone, the strongest first.
+    /// Rank of the VM among the others of its zone, the one with the most CPU first.
     pub rank: u32,
     /// Number of VMs in the zone.
     pub zone_vms: usize,
--- a/crates/core/src/direct/mod.rs
+++ b/crates/core/src/direct/mod.rs
@@ -1,5 +1,5 @@
 //! Decisions of the direct data path, without I/O: gateways send calls directly to targets, and the holder of each
-//! zone's lease gives orders to the engines.
+//! zone's lease issues orders to the engines.
 //!
 //! | module | job |
 //! |---|---|
@@ -8,21 +8,21 @@
 //! | [`catalog`] | targets that may be sent to, and pending removals |
 //! | [`log_readers`] | which VMs of a zone read the platform's log |
 //! | [`log_contact`] | when the platform's log was reachable |
-//! | [`lease`] | which VM holds the lease of a zone and gives its orders |
+//! | [`lease`] | which VM holds the lease of a zone and issues its orders |
 //! | [`plain`] | which target of a plain service a call goes to |
 //! | [`planner`] | the holder's view of its engines: where calls go, what is loaded and unloaded |
 //! | [`engine`] | one engine in that view |
 //! | [`policy`] | what placing and refusing weigh |
 //! | [`load_limiter`] | how many loads from the weight store may be in flight, and how long one takes |
 //! | [`prefill`] | how fast engines prefill prompts, and the backlog of each |
-//! | [`search`] | which zones a gateway asks to take a call, and on which terms |
+//! | [`search`] | which zones a gateway requests a placement from, and on which terms |
 //! | [`stream_estimate`] | how long a stream may take |
-//! | [`demand`] | how often each adapter is asked for |
+//! | [`demand`] | how often each adapter is requested |
 //! | [`health`] | health of targets, from the outcomes of calls |
 //! | [`versions`] | versions of models and adapters on engines, and the source of that knowledge |
 //! | [`organisations`] | organisations that callers act for, by API key |
 //! | [`freshness`] | proof that the configuration in force is the newest |
-//! | [`restore_guard`] | whether the operators' records may lack the newest after the log was restored |
+//! | [`restore_guard`] | whether a restored log may lack the newest records of the operators |
 //! | [`quotas`] | quotas of organisations over the whole fleet |
 //! | [`target_notices`] | what a target states about itself in an answer |
 //! | [`backoffs`] | backoff that targets request from this VM |
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -37,13 +37,13 @@
 const EXPECTED_TIME_FRACTIONS: [f64; 3] = [0.85, 0.75, 0.65];
 /// Penalty for a target whose calls all fail, in calls in flight.
 const FAILURE_PENALTY: f64 = 12.0;
-/// Penalty for a doubted target, in calls in flight.
-const DOUBT_PENALTY: f64 = 50.0;
-/// Penalty for a target that has just turned a call away, in calls in flight.
+/// Penalty for a degraded target, in calls in flight.
+const DEGRADED_PENALTY: f64 = 50.0;
+/// Penalty for a target that has just refused a call, in calls in flight.
 const SHED_PENALTY: f64 = 6.0;
 /// Penalty for a target in another zone when a gateway picks without a holder, in calls in flight.
 const REMOTE_ZONE_PENALTY: f64 = 3.0;
-/// Bounds of the retry delay that callers are told.
+/// Bounds of the retry delay stated to callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 /// Retry delay if no target accepts calls.
@@ -61,12 +61,13 @@
     /// Targets already tried.
     pub exclude: Vec<TargetName>,
     /// Targets that asked this gateway to back off for now.
-    pub resting: Vec<TargetName>,
+    #[serde(rename = "resting")]
+    pub backing_off: Vec<TargetName>,
     /// Fingerprint of the request content.
     pub fingerprint: RequestFingerprint,
     /// Whether the call is a granted trial of a suspect request.
     pub is_trial: bool,
-    /// Quota charge; none if the call is already paid for.
+    /// Quota charge; none if the call is already charged.
     pub charge: Option<QuotaCharge>,
 }
 
@@ -168,7 +169,7 @@
             fetch: None,
             expected_ms: millis(expected),
             version: None,
-            is_sought: false,
+            is_in_high_demand: false,
             is_limited: self.rate_limits.is_limited(&entry.name),
         }
     }
@@ -200,8 +201,9 @@
                 f64::from(load.calls) * 0.1 + health_penalty(&self.health, &entry.name, now);
             self.rate_limits.wait(&entry.name, now) + wait + slot_turn.mul_f64(calls)
         };
-        let is_eligible =
-            |name: &TargetName| !request.exclude.contains(name) && !request.resting.contains(name);
+        let is_eligible = |name: &TargetName| {
+            !request.exclude.contains(name) && !request.backing_off.contains(name)
+        };
         pick_best(&self.health, is_eligible, targets, now, |left, right| {
             cost(left).cmp(&cost(right))
         })
@@ -290,7 +292,7 @@
 fn health_penalty(health: &HealthTable, target: &TargetName, now: Instant) -> f64 {
     let mut cost = FAILURE_PENALTY * health.failure_rate(target);
     if health.is_degraded(target) {
-        cost += DOUBT_PENALTY;
+        cost += DEGRADED_PENALTY;
     }
     if health.is_overloaded(target, now) {
         cost += SHED_PENALTY;
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -56,7 +56,7 @@
         now: Instant,
     ) -> Vec<CacheSource> {
         let mut best: Vec<CacheSource> = Vec::new();
-        if now >= self.lead_until {
+        if now >= self.sole_until {
             return best;
         }
         for (name, engine) in &self.engines {
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -54,7 +54,8 @@
     /// Targets already tried.
     pub exclude: Vec<TargetName>,
     /// Targets that asked this gateway to back off for now.
-    pub resting: Vec<TargetName>,
+    #[serde(rename = "resting")]
+    pub backing_off: Vec<TargetName>,
     /// Whether the zone may load the adapter for the call.
     pub may_load: bool,
     /// Terms of the placement.
@@ -63,7 +64,7 @@
     pub fingerprint: RequestFingerprint,
     /// Whether the call is a granted trial of a suspect request.
     pub is_trial: bool,
-    /// Quota charge; none if the call is already paid for.
+    /// Quota charge; none if the call is already charged.
     pub charge: Option<QuotaCharge>,
 }
 
@@ -94,7 +95,8 @@
         /// KV cache.
         version: Option<u64>,
         /// Whether the adapter is in such demand that other zones should load it too.
-        is_sought: bool,
+        #[serde(rename = "is_sought")]
+        is_in_high_demand: bool,
         /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the
         /// holder.
         is_limited: bool,
@@ -149,7 +151,7 @@
     pub target_versions: CacheVersions,
     /// Latest named version of the adapter.
     pub named_version: Option<u64>,
-    /// Whether the target is told to fetch; if not, the versions do not match.
+    /// Whether the target is instructed to fetch; if not, the versions do not match.
     pub is_permitted: bool,
 }
 
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -86,7 +86,7 @@
     /// KV cache that calls are about to fetch.
     loans: HashMap<CallKey, CacheLoan>,
     /// Time until which no other holder can have sent orders to these engines.
-    lead_until: Instant,
+    sole_until: Instant,
     /// Time from which no order of an earlier holder can be carried out any more.
     earlier_orders_until: Instant,
     /// Whether engines refuse orders of earlier holders.
@@ -119,7 +119,7 @@
             prefill_model: PrefillModel::default(),
             load_limiter: LoadLimiter::with_initial_limit(estimates.initial_load_limit),
             loans: HashMap::new(),
-            lead_until: Instant::default(),
+            sole_until: Instant::default(),
             earlier_orders_until: Instant::default(),
             are_orders_fenced: false,
             orders_from,
@@ -170,8 +170,8 @@
 
     /// Sets the time until which no other holder can have sent orders to these engines. A holder that is cut off from
     /// the log or was suspended may have been replaced: it still places calls, but lends no KV cache after that time.
-    pub fn set_lead_until(&mut self, time: Instant) {
-        self.lead_until = time;
+    pub fn set_sole_until(&mut self, time: Instant) {
+        self.sole_until = time;
     }
 
     /// Whether any order is unanswered.
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -14,7 +14,7 @@
 };
 use std::{net::SocketAddr, time::Duration};
 
-/// Bounds of the retry delay that callers are told.
+/// Bounds of the retry delay stated to callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1_500);
 /// Time beyond its bound for which a call may wait until its load is accepted.
@@ -77,7 +77,7 @@
         let loads_ahead = self.store_loads_in_flight(now) + self.queued_loads();
         let sources = self.cache_sources(request, now);
         let engines_sharing_crash = self.engines_sharing_crash(request.fingerprint, now);
-        let all_doubted = self
+        let are_all_degraded = self
             .engines
             .keys()
             .all(|name| self.health.is_degraded(name));
@@ -86,13 +86,13 @@
             .filter(|(name, engine)| {
                 engine.entry.stage == TargetStage::Ready
                     && !request.exclude.contains(name)
-                    && !request.resting.contains(name)
+                    && !request.backing_off.contains(name)
                     && !self.health.is_unreachable(name, now)
             })
             .filter_map(|(name, engine)| {
                 let mut cost = self.cost(engine, request, &sources, loads_ahead, now)?;
-                if self.health.is_degraded(name) && !all_doubted {
-                    cost.total += self.policy.doubt_penalty;
+                if self.health.is_degraded(name) && !are_all_degraded {
+                    cost.total += self.policy.degraded_penalty;
                 }
                 cost.total += self
                     .policy
@@ -335,7 +335,7 @@
             fetch: sent.fetch,
             expected_ms: millis(sent.expected),
             version: sent.version,
-            is_sought: self.is_hot(subject),
+            is_in_high_demand: self.is_in_high_demand(subject),
             is_limited: self.rate_limits.is_limited(name),
         };
         self.answer(key, answer);
--- a/crates/core/src/direct/planner/replication.rs
+++ b/crates/core/src/direct/planner/replication.rs
@@ -35,7 +35,7 @@
     }
 
     /// Whether calls for an adapter occupy so many of the zone's slots that other zones should load it too.
-    pub(super) fn is_hot(&self, subject: &AdapterName) -> bool {
+    pub(super) fn is_in_high_demand(&self, subject: &AdapterName) -> bool {
         if split_subject(subject).1.is_none() {
             return false;
         }
--- a/crates/core/src/direct/planner/suspects.rs
+++ b/crates/core/src/direct/planner/suspects.rs
@@ -16,7 +16,7 @@
 
 impl ZonePlanner {
     /// Records that an engine crashed while a request ran there.
-    pub fn target_ended(&mut self, ended: &TargetCrash, now: Instant) {
+    pub fn record_crash(&mut self, ended: &TargetCrash, now: Instant) {
         self.suspects.record_crash(ended, now);
     }
 
--- a/crates/core/src/direct/policy.rs
+++ b/crates/core/src/direct/policy.rs
@@ -1,6 +1,6 @@
 //! Weights and limits of placement and refusal, with defaults that settings may override.
 //!
-//! The speed of engines is observed ([`super::reading`]), and slots, memory and load rate come from the configuration.
+//! The speed of engines is observed ([`super::prefill`]), and slots, memory and load rate come from the configuration.
 //! The remaining penalties and bounds are here; docs/POLICY.md describes how each value was determined.
 
 use std::time::Duration;
@@ -39,8 +39,8 @@
     pub speculative_load_fraction: f64,
     /// Utilization of a zone from which empty engines load the base model from the weight store.
     pub busy_fraction: f64,
-    /// Penalty for a doubted engine.
-    pub doubt_penalty: Duration,
+    /// Penalty for a degraded engine.
+    pub degraded_penalty: Duration,
     /// Penalty for an engine whose calls all fail; scaled by the share of failures.
     pub failure_penalty: Duration,
     /// Penalty for an engine that has just turned a call away.
@@ -65,7 +65,7 @@
             hot_adapter_fraction: 0.15,
             speculative_load_fraction: 0.5,
             busy_fraction: 0.6,
-            doubt_penalty: Duration::from_secs(2),
+            degraded_penalty: Duration::from_secs(2),
             failure_penalty: Duration::from_millis(400),
             shed_penalty: Duration::from_millis(100),
         }
--- a/crates/core/src/direct/quotas.rs
+++ b/crates/core/src/direct/quotas.rs
@@ -1,29 +1,29 @@
 //! Quotas of organisations over the whole fleet.
 //!
 //! Within any window, all VMs together may serve an organisation its rate times the window, plus a burst. The holder of
-//! each zone has an equal part of every quota in a token bucket. A call is charged at the holder that places it, or at
+//! each zone has an equal share of every quota in a token bucket. A call is charged at the holder that places it, or at
 //! the holder of its own zone for a plain service, and at the holders of other zones if that bucket is empty. No quota
 //! is handed out in advance to VMs, so none is kept by a VM that is cut off, frozen or killed. Buckets need not follow
 //! the load, and part of a quota is lost only while its zone has no holder.
 //!
-//! The bound on the sum over all VMs is arithmetic. A bucket with part `p` of rate `r` and burst `b` pays out at most
+//! The bound on the sum over all VMs is arithmetic. A bucket with share `p` of rate `r` and burst `b` grants at most
 //! `p * (r * window + b)` in a window, plus its largest debt `p * DEBT_RATIO * tolerance`, where `tolerance` is what
 //! [`QuotaBounds`] allows beyond the quota. A bucket starts empty and in full debt, because what the previous holder
-//! paid out is unknown; it starts full only at the first start of a fleet. A holder that may have been replaced and a
-//! holder that may have a predecessor each pay out half of their part, so that together they pay out one part.
+//! granted is unknown; it starts full only at the first start of a fleet. A holder that may have been replaced and a
+//! holder that may have a predecessor each grant half of their share, so that together they grant one share.
 
 use crate::ids::{Instant, OrganisationName};
 use serde::{Deserialize, Serialize};
 use std::{collections::HashMap, time::Duration};
 
 /// Part of the tolerance beyond a quota that buckets may owe. Calls of an organisation with a low rate can be larger
-/// than its part of the burst and could never be charged without debt: a rate of 2,700 tokens/s in three parts gives
+/// than its share of the burst and could never be charged without debt: a rate of 2,700 tokens/s in three shares gives
 /// buckets of 900 tokens, and calls have up to 4,400. The rest of the tolerance covers refunds in a later window than
 /// the charge.
 const DEBT_RATIO: f64 = 0.8;
-/// Ratio of its part of a quota that a holder pays out while there may be two holders.
-const SHARED_PART: f64 = 0.5;
-/// Time after a charge within which it is refunded for a call that did not run. A later refund would be paid out in
+/// Ratio of its share of a quota that a holder grants while there may be two holders.
+const SHARED_RATIO: f64 = 0.5;
+/// Time after a charge within which it is refunded for a call that did not run. A later refund would be granted in
 /// another window.
 pub const REFUND_WINDOW: Duration = Duration::from_secs(1);
 /// Bounds of the time after which a caller beyond its quota is told to retry.
@@ -95,22 +95,22 @@
     Exhausted,
 }
 
-/// How much of its part of a quota a holder pays out.
+/// Role of a holder, which decides how much of its share it grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderShare {
+pub enum HolderRole {
     /// All, as there is no other holder.
     Sole,
-    /// Half, as another holder may pay out the other half.
+    /// Half, as another holder may grant the other half.
     Shared,
     /// Nothing.
     Inactive,
 }
 
-impl HolderShare {
-    fn paid_ratio(self) -> f64 {
+impl HolderRole {
+    fn granted_ratio(self) -> f64 {
         match self {
             Self::Sole => 1.0,
-            Self::Shared => SHARED_PART,
+            Self::Shared => SHARED_RATIO,
             Self::Inactive => 0.0,
         }
     }
@@ -125,26 +125,26 @@
     pub active_from: Instant,
     /// Whether the previous holder may still be active.
     pub has_predecessor: bool,
-    /// Longest time for which two holders share a part.
+    /// Longest time for which two holders share one quota share.
     pub window: Duration,
 }
 
 impl HolderTenure {
-    /// Share of the part that is paid out at `now`.
+    /// Role of the holder at `now`.
     #[must_use]
-    pub fn share(&self, now: Instant) -> HolderShare {
+    pub fn role(&self, now: Instant) -> HolderRole {
         let is_handover = self.has_predecessor && now < self.active_from.after(self.window);
         if now < self.active_from || now >= self.sole_until.after(self.window) {
-            HolderShare::Inactive
+            HolderRole::Inactive
         } else if is_handover || now >= self.sole_until {
-            HolderShare::Shared
+            HolderRole::Shared
         } else {
-            HolderShare::Sole
+            HolderRole::Sole
         }
     }
 
-    /// Seconds between two times, weighted by the share that is paid out.
-    fn paid_seconds(&self, from: Instant, to: Instant) -> f64 {
+    /// Seconds between two times, weighted by the ratio of the share that is granted.
+    fn granted_seconds(&self, from: Instant, to: Instant) -> f64 {
         let mut boundaries = [
             from,
             self.active_from,
@@ -157,15 +157,15 @@
         boundaries.sort();
         let spans = boundaries.windows(2).map(|span| {
             let seconds = span[1].since(span[0]).as_secs_f64();
-            seconds * self.share(span[0]).paid_ratio()
+            seconds * self.role(span[0]).granted_ratio()
         });
         spans.sum()
     }
 }
 
-/// A holder's part of one quota.
+/// A holder's share of one quota.
 #[derive(Clone, Copy, Debug)]
-struct QuotaPart {
+struct QuotaShare {
     per_s: f64,
     capacity: f64,
     debt: f64,
@@ -174,19 +174,19 @@
 /// Bucket of one organisation at a holder.
 #[derive(Clone, Copy, Debug)]
 struct QuotaBucket {
-    part: QuotaPart,
-    /// Units that may be paid out; negative for a debt.
+    share: QuotaShare,
+    /// Units that may be granted; negative for a debt.
     level: f64,
     filled_at: Instant,
-    paid: u64,
+    granted: u64,
     refused: u64,
 }
 
 impl QuotaBucket {
     /// Adds the units earned up to `now`.
     fn fill(&mut self, tenure: &HolderTenure, now: Instant) {
-        let earned = tenure.paid_seconds(self.filled_at, now) * self.part.per_s;
-        self.level = (self.level + earned).min(self.part.capacity);
+        let earned = tenure.granted_seconds(self.filled_at, now) * self.share.per_s;
+        self.level = (self.level + earned).min(self.share.capacity);
         self.filled_at = now;
     }
 }
@@ -194,30 +194,30 @@
 /// Totals of one bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BucketCounts {
-    /// Units paid out, less refunds.
-    pub paid: u64,
+    /// Units granted, less refunds.
+    pub granted: u64,
     /// Units requested and refused.
     pub refused: u64,
 }
 
-/// A holder's part of every quota.
+/// A holder's share of every quota.
 #[derive(Clone, Debug)]
-pub struct QuotaLedger {
+pub struct QuotaTable {
     bounds: QuotaBounds,
-    /// Number of parts of each quota.
-    parts: u32,
+    /// Number of shares of each quota.
+    shares: u32,
     start: BucketStart,
     tenure: HolderTenure,
     buckets: HashMap<OrganisationName, QuotaBucket>,
 }
 
-impl QuotaLedger {
-    /// A ledger with one of `parts` parts of every quota.
+impl QuotaTable {
+    /// A table with one of `shares` shares of every quota.
     #[must_use]
-    pub fn new(bounds: QuotaBounds, parts: u32, start: BucketStart, tenure: HolderTenure) -> Self {
+    pub fn new(bounds: QuotaBounds, shares: u32, start: BucketStart, tenure: HolderTenure) -> Self {
         Self {
             bounds,
-            parts: parts.max(1),
+            shares: shares.max(1),
             start,
             tenure,
             buckets: HashMap::new(),
@@ -229,41 +229,41 @@
         self.tenure.sole_until = time;
     }
 
-    fn part(&self, rule: &QuotaRule) -> QuotaPart {
-        let parts = f64::from(self.parts);
+    fn share(&self, rule: &QuotaRule) -> QuotaShare {
+        let shares = f64::from(self.shares);
         let (per_s, burst) = (rule.per_s as f64, rule.burst as f64);
         let quota = per_s * self.bounds.window.as_secs_f64() + burst;
         let tolerance = quota * self.bounds.tolerance_ratio + self.bounds.tolerance_units;
-        QuotaPart {
-            per_s: per_s / parts,
-            capacity: burst / parts,
-            debt: tolerance * DEBT_RATIO / parts,
+        QuotaShare {
+            per_s: per_s / shares,
+            capacity: burst / shares,
+            debt: tolerance * DEBT_RATIO / shares,
         }
     }
 
     /// Applies the quotas in force. A lower quota holds at once, a higher one fills from now on. The bucket of a new
-    /// organisation starts full only at the first start of a fleet: another holder may have paid out its quota already.
+    /// organisation starts full only at the first start of a fleet: another holder may have granted its quota already.
     pub fn set_rules<'a>(
         &mut self,
         quotas: impl IntoIterator<Item = (&'a OrganisationName, &'a QuotaRule)>,
         now: Instant,
     ) {
         for (name, rule) in quotas {
-            let part = self.part(rule);
+            let share = self.share(rule);
             let initial_level = match self.start {
-                BucketStart::Full => part.capacity,
-                BucketStart::Exhausted => -part.debt,
+                BucketStart::Full => share.capacity,
+                BucketStart::Exhausted => -share.debt,
             };
             let bucket = self.buckets.entry(name.clone()).or_insert(QuotaBucket {
-                part,
+                share,
                 level: initial_level,
                 filled_at: now,
-                paid: 0,
+                granted: 0,
                 refused: 0,
             });
             bucket.fill(&self.tenure, now);
-            bucket.part = part;
-            bucket.level = bucket.level.min(part.capacity);
+            bucket.share = share;
+            bucket.level = bucket.level.min(share.capacity);
         }
         self.start = BucketStart::Exhausted;
         self.buckets
@@ -280,14 +280,14 @@
         };
         bucket.fill(&self.tenure, now);
         let units = charge.units as f64;
-        let shortfall = units - (bucket.level + bucket.part.debt);
-        if shortfall <= 0.0 && self.tenure.share(now) != HolderShare::Inactive {
+        let shortfall = units - (bucket.level + bucket.share.debt);
+        if shortfall <= 0.0 && self.tenure.role(now) != HolderRole::Inactive {
             bucket.level -= units;
-            bucket.paid += charge.units;
+            bucket.granted += charge.units;
             return Ok(());
         }
         bucket.refused += charge.units;
-        let wait = shortfall / bucket.part.per_s.max(1.0);
+        let wait = shortfall / bucket.share.per_s.max(1.0);
         let wait = Duration::from_secs_f64(wait.clamp(0.0, MAX_RETRY_AFTER.as_secs_f64()));
         Err(wait.max(MIN_RETRY_AFTER))
     }
@@ -296,8 +296,8 @@
     pub fn refund(&mut self, charge: &QuotaCharge, now: Instant) {
         if let Some(bucket) = self.buckets.get_mut(&charge.organisation) {
             bucket.fill(&self.tenure, now);
-            bucket.level = (bucket.level + charge.units as f64).min(bucket.part.capacity);
-            bucket.paid = bucket.paid.saturating_sub(charge.units);
+            bucket.level = (bucket.level + charge.units as f64).min(bucket.share.capacity);
+            bucket.granted = bucket.granted.saturating_sub(charge.units);
         }
     }
 
@@ -305,7 +305,7 @@
     pub fn counts(&self) -> impl Iterator<Item = (&OrganisationName, BucketCounts)> {
         self.buckets.iter().map(|(name, bucket)| {
             let counts = BucketCounts {
-                paid: bucket.paid,
+                granted: bucket.granted,
                 refused: bucket.refused,
             };
             (name, counts)
--- a/crates/core/tests/direct_freshness.rs
+++ b/crates/core/tests/direct_freshness.rs
@@ -33,15 +33,15 @@
 fn proof_of_a_newer_configuration_is_not_accepted() {
     let mut holder = FreshnessProof::default();
     holder.record_read(at(1_000));
-    let relayed = holder.relay(NEWEST, at(1_200)).expect("a proof");
+    let relayed = holder.forward(NEWEST, at(1_200)).expect("a proof");
     let echo = HeartbeatEcho {
         sent: at(1_150).0,
         held_ms: 30,
     };
     let mut proof = FreshnessProof::default();
-    proof.accept_relayed(&relayed, &echo, 6);
+    proof.accept_forwarded(&relayed, &echo, 6);
     assert_eq!(proof.age(at(1_300)), None);
-    proof.accept_relayed(&relayed, &echo, 8);
+    proof.accept_forwarded(&relayed, &echo, 8);
     assert_eq!(proof.age(at(1_300)), Some(Duration::from_millis(320)));
 }
 
@@ -90,10 +90,10 @@
             // The receiver's heartbeat arrives while the sender has its proof, or earlier.
             let requested_ms = now;
             let relayed_ms = requested_ms + delays.request_ms + delays.held_ms;
-            let relayed = proof.relay(NEWEST, at(relayed_ms + offset)).expect("a proof");
+            let relayed = proof.forward(NEWEST, at(relayed_ms + offset)).expect("a proof");
             let echo = HeartbeatEcho { sent: at(requested_ms + delays.clock_offset_ms).0, held_ms: delays.held_ms as u32 };
             let mut received = FreshnessProof::default();
-            received.accept_relayed(&relayed, &echo, NEWEST);
+            received.accept_forwarded(&relayed, &echo, NEWEST);
             (proof, offset) = (received, delays.clock_offset_ms);
             now = relayed_ms + delays.reply_ms;
         }
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -251,7 +251,7 @@
         planner.set_policy(free_fetch_policy());
     }
     // Simulations have one holder at a time.
-    planner.set_lead_until(Instant(u64::MAX));
+    planner.set_sole_until(Instant(u64::MAX));
     planner
 }
 
@@ -638,7 +638,7 @@
             priority: 1,
             bound_ms: BOUND_MS,
             exclude: pending.tried.iter().cloned().chain(avoided).collect(),
-            resting: Vec::new(),
+            backing_off: Vec::new(),
             may_load: true,
             terms: PlacementTerms::Take,
         };
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -71,7 +71,7 @@
         priority: 1,
         bound_ms: 60_000,
         exclude: Vec::new(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
         may_load: true,
         terms: PlacementTerms::Take,
     }
@@ -485,7 +485,7 @@
             matches!(
                 answers[0].1,
                 PlacementAnswer::Send {
-                    is_sought: true,
+                    is_in_high_demand: true,
                     ..
                 }
             )
--- a/crates/core/tests/direct_quotas.rs
+++ b/crates/core/tests/direct_quotas.rs
@@ -3,7 +3,7 @@
 
 use hoplanding_core::{
     direct::quotas::{
-        BucketStart, HolderShare, HolderTenure, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule,
+        BucketStart, HolderRole, HolderTenure, QuotaBounds, QuotaCharge, QuotaRule, QuotaTable,
         QuotaUnit,
     },
     ids::{Instant, OrganisationName},
@@ -63,10 +63,10 @@
     sums.max().unwrap_or(0)
 }
 
-fn ledger(start: BucketStart, rule: &QuotaRule, now_ms: u64) -> QuotaLedger {
-    let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, sole_tenure());
-    ledger.set_rules([(&organisation(), rule)], at(now_ms));
-    ledger
+fn quota_table(start: BucketStart, rule: &QuotaRule, now_ms: u64) -> QuotaTable {
+    let mut quota_table = QuotaTable::new(BOUNDS, ZONES, start, sole_tenure());
+    quota_table.set_rules([(&organisation(), rule)], at(now_ms));
+    quota_table
 }
 
 /// Tenure of a holder that is never replaced.
@@ -81,7 +81,7 @@
 
 /// A holder of a zone, which may not know that it was replaced.
 struct Holder {
-    ledger: QuotaLedger,
+    quota_table: QuotaTable,
     /// Whether it no longer reads the log.
     is_cut_off: bool,
     is_frozen: bool,
@@ -95,10 +95,10 @@
             has_predecessor: order_delay_ms > 0,
             window: BOUNDS.window,
         };
-        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, tenure);
-        ledger.set_rules([(&organisation(), rule)], at(now_ms));
+        let mut quota_table = QuotaTable::new(BOUNDS, ZONES, start, tenure);
+        quota_table.set_rules([(&organisation(), rule)], at(now_ms));
         Self {
-            ledger,
+            quota_table,
             is_cut_off: false,
             is_frozen: false,
         }
@@ -109,9 +109,9 @@
             return false;
         }
         if !self.is_cut_off {
-            self.ledger.set_sole_until(at(now_ms + HANDOVER_MS));
+            self.quota_table.set_sole_until(at(now_ms + HANDOVER_MS));
         }
-        self.ledger.charge(&charge(units), at(now_ms)).is_ok()
+        self.quota_table.charge(&charge(units), at(now_ms)).is_ok()
     }
 }
 
@@ -192,7 +192,7 @@
                 rule.per_s = rule.per_s.min(new_rate);
                 for holder in zones.iter_mut().flatten() {
                     holder
-                        .ledger
+                        .quota_table
                         .set_rules([(&organisation(), &rule)], at(now_ms));
                 }
             }
@@ -205,14 +205,14 @@
                     let (at_ms, _, units) = recent.remove(found);
                     paid.retain({
                         let mut is_found = false;
-                        move |payment| {
-                            let is_it = !is_found && *payment == (at_ms, units);
+                        move |quota_charge| {
+                            let is_it = !is_found && *quota_charge == (at_ms, units);
                             is_found |= is_it;
                             !is_it
                         }
                     });
                     if let Some(holder) = zones[zone].last_mut() {
-                        holder.ledger.refund(&charge(units), at(now_ms));
+                        holder.quota_table.refund(&charge(units), at(now_ms));
                     }
                 }
             }
@@ -242,7 +242,7 @@
 fn normal_use_is_served_and_ten_times_as_much_is_limited_to_the_rate() {
     let rule = rule(60_000, 60_000);
     let mut holders: Vec<_> = (0..ZONES)
-        .map(|_| ledger(BucketStart::Exhausted, &rule, 0))
+        .map(|_| quota_table(BucketStart::Exhausted, &rule, 0))
         .collect();
     let mut paid = [0, 0];
     for ms in (2_000..22_000).step_by(10) {
@@ -262,7 +262,7 @@
 #[test]
 fn largest_calls_are_served_at_a_low_rate() {
     let rule = rule(2_700, 2_700);
-    let mut holder = ledger(BucketStart::Full, &rule, 0);
+    let mut holder = quota_table(BucketStart::Full, &rule, 0);
     assert!(holder.charge(&charge(MAX_CALL_UNITS), at(0)).is_ok());
     let wait = holder
         .charge(&charge(MAX_CALL_UNITS), at(100))
@@ -278,13 +278,13 @@
 #[test]
 fn successive_holders_pay_out_a_single_burst() {
     let rule = rule(30_000, 30_000);
-    let mut first = ledger(BucketStart::Full, &rule, 0);
+    let mut first = quota_table(BucketStart::Full, &rule, 0);
     let mut paid = 0;
     while first.charge(&charge(100), at(0)).is_ok() {
         paid += 100;
     }
     for life in 1..=20 {
-        let mut holder = ledger(BucketStart::Exhausted, &rule, life * 10);
+        let mut holder = quota_table(BucketStart::Exhausted, &rule, life * 10);
         while holder.charge(&charge(100), at(life * 10)).is_ok() {
             paid += 100;
         }
@@ -308,13 +308,13 @@
         has_predecessor: true,
         window,
     };
-    let shares = |ms| (old.share(at(ms)), new.share(at(ms)));
-    use HolderShare::{Inactive, Shared, Sole};
-    assert_eq!(shares(2_999), (Sole, Inactive));
-    assert_eq!(shares(3_500), (Shared, Inactive));
-    assert_eq!(shares(4_000), (Shared, Shared));
-    assert_eq!(shares(11_000), (Inactive, Shared));
-    assert_eq!(shares(12_000), (Inactive, Sole));
+    let roles = |ms| (old.role(at(ms)), new.role(at(ms)));
+    use HolderRole::{Inactive, Shared, Sole};
+    assert_eq!(roles(2_999), (Sole, Inactive));
+    assert_eq!(roles(3_500), (Shared, Inactive));
+    assert_eq!(roles(4_000), (Shared, Shared));
+    assert_eq!(roles(11_000), (Inactive, Shared));
+    assert_eq!(roles(12_000), (Inactive, Sole));
 }
 
 /// A holder that was paused or cut off resumes with the calls that queued up. It must pay out by its share at that
@@ -326,17 +326,17 @@
         sole_until: at(3_000),
         ..sole_tenure()
     };
-    let start_ledger = |start| {
-        let mut ledger = QuotaLedger::new(BOUNDS, ZONES, start, tenure);
-        ledger.set_rules([(&organisation(), &rule)], at(0));
-        ledger
+    let start_table = |start| {
+        let mut quota_table = QuotaTable::new(BOUNDS, ZONES, start, tenure);
+        quota_table.set_rules([(&organisation(), &rule)], at(0));
+        quota_table
     };
-    let mut resumed = start_ledger(BucketStart::Full);
+    let mut resumed = start_table(BucketStart::Full);
     assert!(resumed.charge(&charge(100), at(11_001)).is_err());
     // 3 s at 10,000 units/s and 5 s at half that rate.
-    let mut late_ledger = start_ledger(BucketStart::Exhausted);
+    let mut late_table = start_table(BucketStart::Exhausted);
     let mut paid = 0;
-    while late_ledger.charge(&charge(100), at(8_000)).is_ok() {
+    while late_table.charge(&charge(100), at(8_000)).is_ok() {
         paid += 100;
     }
     assert_eq!(paid, 55_000);
@@ -344,7 +344,7 @@
 
 #[test]
 fn organisation_without_a_quota_is_not_charged() {
-    let mut holder = ledger(BucketStart::Exhausted, &rule(1, 0), 0);
+    let mut holder = quota_table(BucketStart::Exhausted, &rule(1, 0), 0);
     let other = QuotaCharge {
         organisation: OrganisationName::new("port"),
         units: u64::MAX,
--- a/crates/core/tests/direct_stale_copy.rs
+++ b/crates/core/tests/direct_stale_copy.rs
@@ -71,7 +71,7 @@
         priority: 1,
         bound_ms: 2_000,
         exclude: Vec::new(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
         may_load: true,
         terms: PlacementTerms::Take,
     }
--- a/crates/core/tests/direct_state.rs
+++ b/crates/core/tests/direct_state.rs
@@ -120,7 +120,7 @@
             at(0),
         );
     }
-    catalog.note_log_recovered(Some(at(10_000)));
+    catalog.record_log_recovered(Some(at(10_000)));
     catalog.apply(&returning, LogPosition(3), None, at(10_050));
     catalog.apply(&removed, LogPosition(4), None, at(10_050));
     assert_eq!(catalog.iter().count(), 2, "both may come back");
@@ -142,13 +142,13 @@
     let mut catalog = TargetCatalog::default();
     let listed = entry("i-1", TargetStage::Ready);
     catalog.apply(&name, LogPosition(1), Some(listed), at(0));
-    catalog.note_log_recovered(Some(at(10_000)));
+    catalog.record_log_recovered(Some(at(10_000)));
     // Read 2.1 s after the recovery: the removal is pending for the remaining 100 ms, not for another 2 s.
     assert!(!catalog.apply(&name, LogPosition(2), None, at(12_100)));
     assert!(catalog.is_removal_pending(&name));
     assert_eq!(catalog.first_unconfirmed(), Some(LogPosition(2)));
     // A later recovery and a listing after it leave the due time unchanged.
-    catalog.note_log_recovered(Some(at(12_150)));
+    catalog.record_log_recovered(Some(at(12_150)));
     let confirmed = catalog.remove_missing(&HashSet::new(), LogPosition(5), at(12_160));
     assert!(confirmed.is_empty());
     assert!(catalog.expire_removals(at(12_190)).is_empty());
@@ -166,7 +166,7 @@
         let name = TargetName::new(name);
         catalog.apply(&name, LogPosition(position), Some(listed), at(0));
     }
-    catalog.note_log_recovered(Some(at(10_000)));
+    catalog.record_log_recovered(Some(at(10_000)));
     for (position, name) in [(3, "i-1"), (4, "i-2")] {
         assert!(!catalog.apply(
             &TargetName::new(name),
@@ -177,7 +177,7 @@
     }
     assert!(catalog.confirm_removal(&TargetName::new("i-1"), LogPosition(3)));
     assert_eq!(catalog.pending_removals(), 1);
-    catalog.note_log_recovered(None);
+    catalog.record_log_recovered(None);
     assert_eq!(catalog.expire_removals(at(10_200)).len(), 1);
     assert_eq!(catalog.iter().count(), 0);
 }
@@ -341,7 +341,7 @@
 fn holder_view(contact: HolderContact, rank: u32) -> HolderView {
     HolderView {
         contact,
-        is_holder_weaker: false,
+        has_more_cpu: false,
         rank,
         waiting_claim_age: None,
         is_log_restored: false,
@@ -413,7 +413,7 @@
     let mut state = LeaseState::default();
     state.apply(LogPosition(1), held_by("weak"));
     let weaker = |contact| HolderView {
-        is_holder_weaker: true,
+        has_more_cpu: true,
         ..holder_view(contact, 0)
     };
     let heard = weaker(HolderContact::Heard);
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -404,7 +404,7 @@
         let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
         planner.mark_takeover(SETTLED);
         complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
-        planner.set_lead_until(now.after(PREFILL_TIME));
+        planner.set_sole_until(now.after(PREFILL_TIME));
         if is_reported {
             planner.report_received(&target_name(1), Some(&engine_report(1, 1)), now);
         }
--- a/crates/core/tests/direct_versions/support.rs
+++ b/crates/core/tests/direct_versions/support.rs
@@ -99,7 +99,7 @@
     let figures = EngineEstimates::per_zone(1, 3.0);
     let mut planner = ZonePlanner::new(figures, limits, held_since);
     let entries = engines.iter().map(|(entry, _)| Arc::new(entry.clone()));
-    planner.set_lead_until(SOLE_UNTIL);
+    planner.set_sole_until(SOLE_UNTIL);
     planner.set_targets(entries.collect(), held_since);
     planner.tick(held_since);
     for (entry, report) in engines {
@@ -142,7 +142,7 @@
         priority: 1,
         bound_ms: 60_000,
         exclude: excluded.iter().map(|name| TargetName::new(name)).collect(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
         may_load: false,
         terms: PlacementTerms::Take,
     }
--- a/crates/core/tests/load/play.rs
+++ b/crates/core/tests/load/play.rs
@@ -311,7 +311,7 @@
             }
             if now % 50_000 == 0 {
                 for planner in &mut self.planners {
-                    planner.set_lead_until(Instant(now).after(LEAD));
+                    planner.set_sole_until(Instant(now).after(LEAD));
                     planner.tick(Instant(now));
                 }
             }
@@ -419,7 +419,7 @@
             priority: class.rank,
             bound_ms: bound.as_millis() as u32,
             exclude: Vec::new(),
-            resting: Vec::new(),
+            backing_off: Vec::new(),
             may_load: question.may_load,
             terms: question.terms,
         };
--- a/crates/core/tests/load/quotas.rs
+++ b/crates/core/tests/load/quotas.rs
@@ -4,7 +4,7 @@
 use crate::play::seeds;
 use hoplanding_core::{
     direct::quotas::{
-        BucketStart, HolderTenure, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit,
+        BucketStart, HolderTenure, QuotaBounds, QuotaCharge, QuotaRule, QuotaTable, QuotaUnit,
     },
     ids::{Instant, OrganisationName},
 };
@@ -73,7 +73,7 @@
         Payer::Vms => VMS,
     };
     let rules: Vec<_> = (0..SHARES.len()).map(|at| (name(at), rule(at))).collect();
-    let mut ledgers: Vec<_> = (0..count)
+    let mut quota_tables: Vec<_> = (0..count)
         .map(|_| {
             let times = HolderTenure {
                 sole_until: Instant(u64::MAX >> 1),
@@ -81,9 +81,9 @@
                 has_predecessor: false,
                 window: BOUNDS.window,
             };
-            let mut ledger = QuotaLedger::new(BOUNDS, count as u32, BucketStart::Full, times);
-            ledger.set_rules(rules.iter().map(|(name, rule)| (name, rule)), Instant(1));
-            ledger
+            let mut quota_table = QuotaTable::new(BOUNDS, count as u32, BucketStart::Full, times);
+            quota_table.set_rules(rules.iter().map(|(name, rule)| (name, rule)), Instant(1));
+            quota_table
         })
         .collect();
     let mut view = QuotaView::default();
@@ -95,8 +95,8 @@
             .map(|_| random.random_range(0..VMS))
             .collect();
         while second < SECONDS {
-            let is_hot = organisation == 1 && HOT.contains(&second);
-            let factor = if is_hot { HOT_FACTOR } else { 1.0 };
+            let is_in_high_demand = organisation == 1 && HOT.contains(&second);
+            let factor = if is_in_high_demand { HOT_FACTOR } else { 1.0 };
             let gap = Exp::new(CALLS_PER_S * share * factor).expect("a rate");
             second += gap.sample(&mut random);
             let units = UNITS[usize::from(random.random_bool(2.0 / 3.0))];
@@ -112,8 +112,8 @@
             };
             let now = Instant((second * 1e6) as u64 + 1);
             let is_paid = (0..asked).any(|step| {
-                let ledger = &mut ledgers[(first + step) % count];
-                ledger.charge(&charge, now).is_ok()
+                let quota_table = &mut quota_tables[(first + step) % count];
+                quota_table.charge(&charge, now).is_ok()
             });
             if organisation == 1 {
                 if is_paid {
--- a/crates/daemon/src/direct/buffered_answer.rs
+++ b/crates/daemon/src/direct/buffered_answer.rs
@@ -1,4 +1,4 @@
-//! Buffering of answers that are passed on only when they are complete.
+//! Buffering of answers that are forwarded only when they are complete.
 
 use crate::{
     direct::{
--- a/crates/daemon/src/direct/call/admission.rs
+++ b/crates/daemon/src/direct/call/admission.rs
@@ -25,7 +25,7 @@
 
 /// Upper bound of `Retry-After` while the platform's log, restored from a copy, may lack records: operators may write the
 /// missing configuration at any moment.
-const MAX_DOUBT_RETRY_AFTER: Duration = Duration::from_secs(2);
+const MAX_RESTORE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Why a call is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,9 +53,9 @@
                 own_answer(id, StatusCode::UNAUTHORIZED, None)
             }
             Self::Stale => {
-                let doubt = context.fleet.key_retry_after().unwrap_or_default();
-                let retry_after = doubt.clamp(DEFAULT_RETRY_AFTER, MAX_DOUBT_RETRY_AFTER);
-                event!(Event::KeysUncertain, request = id; "route {} not run, retry after {retry_after:?}, copy of the log in doubt for another {doubt:?}", route.name
+                let guarded_for = context.fleet.key_retry_after().unwrap_or_default();
+                let retry_after = guarded_for.clamp(DEFAULT_RETRY_AFTER, MAX_RESTORE_RETRY_AFTER);
+                event!(Event::KeysUncertain, request = id; "route {} not run, retry after {retry_after:?}, restored log may lack the newest keys for another {guarded_for:?}", route.name
                 );
                 refusal(id, retry_after)
             }
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -7,7 +7,7 @@
 //! | module | job |
 //! |---|---|
 //! | `admission` | resolves the caller's identity, and checks it again before each send |
-//! | `payment` | charges the organisation's quota, and refunds it |
+//! | `quota_charge` | charges the organisation's quota, and refunds it |
 //! | `placement` | chooses the target of the next send |
 //! | `sending` | sends once, and classifies the answer |
 //! | `target_probe` | finds out whether a target crashed while it ran the call |
@@ -17,8 +17,8 @@
 
 mod admission;
 mod answers;
-mod payment;
 mod placement;
+mod quota_charge;
 mod sending;
 mod stop_plan;
 mod target_probe;
@@ -26,8 +26,8 @@
 
 pub use admission::AdmissionFault;
 pub use answers::{AnswerBody, BrokenAnswer, full, own_answer};
-pub use payment::CallPayment;
 pub use placement::CallPlacement;
+pub use quota_charge::CallCharge;
 pub use sending::{InFlightGuard, OpenAnswer, SendOutcome};
 pub use stop_plan::StopPlan;
 pub use timeline::CallTimeline;
@@ -113,7 +113,7 @@
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
     /// State of its quota charge.
-    pub payment: CallPayment,
+    pub quota_charge: CallCharge,
     /// Hash of what the request asks for, the same for every retry of it.
     pub fingerprint: RequestFingerprint,
     /// Permission to send it once although it is a suspect.
@@ -128,7 +128,7 @@
     pub timeline: CallTimeline,
     /// Time by which it must be answered.
     pub deadline: Instant,
-    /// The deadline by the daemon's clock, which goes on while the VM is suspended.
+    /// The deadline by the daemon's clock, which continues while the VM is suspended.
     pub due: ids::Instant,
     method: Method,
     uri: Uri,
@@ -221,12 +221,12 @@
         }
     }
     let time_limit = head.deadline.unwrap_or(route.timeout).min(route.timeout);
-    let payment = CallPayment::of(&identity, &head);
+    let quota_charge = CallCharge::of(&identity, &head);
     let call = CallState {
         context,
         rank: identity.rank(&route),
         identity,
-        payment,
+        quota_charge,
         fingerprint: request_fingerprint(&parts.method, &parts.uri, &head, &body),
         trial: None,
         service,
@@ -286,16 +286,16 @@
             if let Err(fault) = self.recheck_admission()
                 && self.runs == 0
             {
-                self.refund_payment();
+                self.refund_charge();
                 return fault.answer(&self.context, &self.route, &self.head.id);
             }
-            // A target's failure answer is passed on only if no retry succeeds.
+            // A target's failure answer is forwarded only if no retry succeeds.
             match self.send(&entry, version, placed_call, None).await {
                 SendOutcome::Success(open) => match self.pass_on(*open).await {
                     Ok(answer) => return answer,
                     Err(call) => {
                         self = call;
-                        if !self.may_repeat() {
+                        if !self.reserve_retry() {
                             break;
                         }
                     }
@@ -305,7 +305,7 @@
                     if let Ok(body) = taken {
                         failure = Some(passed_answer(&parts, body));
                     }
-                    if !self.may_repeat() {
+                    if !self.reserve_retry() {
                         break;
                     }
                 }
@@ -314,7 +314,7 @@
                         retry_after = after;
                         break;
                     }
-                    if self.rejected > MAX_REJECTED_SENDS || !self.pay_for_retry() {
+                    if self.rejected > MAX_REJECTED_SENDS || !self.spend_retry_budget() {
                         break;
                     }
                 }
@@ -326,7 +326,7 @@
                     }
                 }
                 SendOutcome::Unknown => {
-                    if !self.may_repeat() {
+                    if !self.reserve_retry() {
                         break;
                     }
                 }
@@ -362,7 +362,7 @@
                 self.tried,
                 self.refusals
             );
-            self.refund_payment();
+            self.refund_charge();
             self.count(RequestOutcome::Refused);
             return refusal(id, retry_after);
         }
@@ -381,13 +381,13 @@
         own_answer(id, status, None)
     }
 
-    /// Whether the call may run again: its route allows it, time is left, and the retry budget pays for it. Takes the retry
-    /// out of the budget.
-    pub fn may_repeat(&mut self) -> bool {
+    /// Takes a retry from the retry budget; returns false if the route does not allow it, too little time is left or the
+    /// budget is used up.
+    pub fn reserve_retry(&mut self) -> bool {
         self.route.retry_policy == RetryPolicy::Idempotent
             && self.runs < self.route.max_attempts
             && self.has_retry_time()
-            && self.pay_for_retry()
+            && self.spend_retry_budget()
     }
 
     /// Counts the call's outcome in the metrics.
@@ -404,7 +404,7 @@
         self.due.since(clock::now())
     }
 
-    fn pay_for_retry(&self) -> bool {
+    fn spend_retry_budget(&self) -> bool {
         if !self.has_retry_time() {
             return false;
         }
@@ -431,7 +431,7 @@
         is_allowed
     }
 
-    /// Passes a success on to the caller; returns the call if the answer broke off before any of it was passed on.
+    /// Passes a success on to the caller; returns the call if the answer broke off before any of it was forwarded.
     async fn pass_on(self, open: OpenAnswer) -> Result<Response<AnswerBody>, Self> {
         match self.route.response_shape {
             ResponseShape::EventStream { resumable } => Ok(relay_events(self, open, resumable)),
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -6,7 +6,7 @@
 use crate::{
     clock,
     direct::{
-        call::{CallState, DEFAULT_RETRY_AFTER, payment::PaymentOutcome},
+        call::{CallState, DEFAULT_RETRY_AFTER, quota_charge::ChargeOutcome},
         holder_client::PlacedCall,
         message::FeedTopic,
     },
@@ -130,7 +130,7 @@
                     },
                     placed_call,
                 )) => {
-                    self.payment.settle();
+                    self.quota_charge.mark_charged();
                     self.is_limited = is_limited;
                     sleep(Duration::from_millis(u64::from(wait_ms))).await;
                     let entry = self.entry_of(zone, &target).await;
@@ -171,10 +171,10 @@
             rank: self.rank,
             left_ms: millis(remaining),
             exclude: self.tried.clone(),
-            resting: self.backing_off(),
+            backing_off: self.backing_off(),
             fingerprint: self.fingerprint,
             is_trial: self.trial.is_some(),
-            charge: self.payment.due().cloned(),
+            charge: self.quota_charge.due().cloned(),
         };
         self.context.holder_client.place_plain(zone, request).await
     }
@@ -186,7 +186,7 @@
         let ready = tables.catalog.ready(&self.service.name);
         let targets: Vec<_> = ready
             .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| tables.backoffs.remaining(&entry.run(), now).is_none())
             .cloned()
             .collect();
         let picked = pick_without_holder(
@@ -204,7 +204,7 @@
         CallPlacement::At(Arc::clone(entry), None, None)
     }
 
-    /// Asks one zone for a target; `None` if the search goes on with the next zone.
+    /// Asks one zone for a target; `None` if the search continues with the next zone.
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
@@ -232,7 +232,7 @@
                 fetch,
                 expected_ms,
                 version,
-                is_sought,
+                is_in_high_demand,
                 is_limited,
             } => {
                 event!(Event::CallPlaced, request = self.head.id; "at {target} in {zone} after {:?}, adapter {} version {version:?} expected there in {wait_ms} ms, call number {:?} at the holder",
@@ -240,17 +240,17 @@
                     self.subject(),
                     placed_call.as_ref().map(PlacedCall::number)
                 );
-                self.payment.settle();
+                self.quota_charge.mark_charged();
                 self.is_limited = is_limited;
-                if is_sought {
-                    self.context.fleet.note_sought(&self.subject());
+                if is_in_high_demand {
+                    self.context.fleet.record_high_demand(&self.subject());
                 }
                 let metrics = &self.context.fleet.metrics;
                 metrics.observe_placement(self.arrived.elapsed());
-                self.timeline.note_placed(expected_ms);
+                self.timeline.record_placed(expected_ms);
                 let lease = self.context.fleet.lease(zone);
                 sleep(Duration::from_millis(u64::from(wait_ms))).await;
-                self.timeline.note_sent();
+                self.timeline.record_sent();
                 let is_same_holder = lease == self.context.fleet.lease(zone);
                 let entry = self.entry_of(zone, &target).await;
                 // The target may have begun to leave while the adapter was loaded.
@@ -310,17 +310,17 @@
         known()
     }
 
-    /// Pays for the call; returns the refusal if that is not possible. The holder of zone `except` is not asked: it does not
+    /// Charges the call to its quota; returns the refusal if that is not possible. The holder of zone `except` is not asked: it does not
     /// answer, or said that it will have enough of the quota after `wait`.
     async fn pay_or_refuse(
         &mut self,
         except: Option<&AvailabilityZone>,
         wait: Option<Duration>,
     ) -> Option<CallPlacement> {
-        let shortest_wait = match self.pay(except).await {
-            PaymentOutcome::Settled => return None,
-            PaymentOutcome::UsedUp(other) => Some(wait.map_or(other, |wait| wait.min(other))),
-            PaymentOutcome::Unanswered => wait,
+        let shortest_wait = match self.charge_quota(except).await {
+            ChargeOutcome::Charged => return None,
+            ChargeOutcome::UsedUp(other) => Some(wait.map_or(other, |wait| wait.min(other))),
+            ChargeOutcome::Unanswered => wait,
         };
         Some(shortest_wait.map_or(
             CallPlacement::Unavailable(DEFAULT_RETRY_AFTER),
@@ -347,7 +347,7 @@
             let now = clock::now();
             let tables = self.context.fleet.tables();
             tables.demand.rate(&subject, now) >= tables.policy.popular_rate_per_s
-                || tables.is_sought(&subject, now)
+                || tables.is_in_high_demand(&subject, now)
         };
         let has_adapter = split_subject(&subject).1.is_some();
         let mut zones = self.context.settings.zones.clone();
@@ -383,25 +383,25 @@
             priority: self.rank,
             bound_ms: millis(bound),
             exclude: self.tried.clone(),
-            resting: self.backing_off(),
+            backing_off: self.backing_off(),
             may_load: query.may_load,
             terms: query.terms,
             fingerprint: self.fingerprint,
             is_trial: self.trial.is_some(),
-            charge: self.payment.due().cloned(),
+            charge: self.quota_charge.due().cloned(),
         }
     }
 
-    /// Targets that asked this VM to back off.
+    /// Targets that requested a backoff from this VM.
     fn backing_off(&self) -> Vec<TargetName> {
-        self.context.fleet.tables().resting(clock::now())
+        self.context.fleet.tables().backing_off(clock::now())
     }
 
     /// `Retry-After` for the caller if every target of the service asked this VM to back off. The jitter spreads the callers,
     /// so that a few of them find out whether the targets take calls again.
     pub(super) fn backoff_of_all(&self) -> Option<Duration> {
         let tables = self.context.fleet.tables();
-        let backoff = tables.shortest_rest(&self.service.name, clock::now())?;
+        let backoff = tables.shortest_backoff(&self.service.name, clock::now())?;
         Some(backoff + BACKOFF_JITTER.mul_f64(rand::random()))
     }
 
@@ -420,7 +420,7 @@
         let granted = self
             .context
             .holder_client
-            .ask_trial(zones, self.fingerprint)
+            .request_trial(zones, self.fingerprint)
             .await;
         let Some((answer, permit)) = granted else {
             return Some(CallPlacement::Unavailable(DEFAULT_RETRY_AFTER));
@@ -467,7 +467,7 @@
             .filter(|entry| entry.zone == *zone && !self.tried.contains(&entry.name))
             .filter(|entry| !tables.health.is_unreachable(&entry.name, now))
             .filter(|entry| tables.limits.wait(&entry.name, now).is_zero())
-            .filter(|entry| tables.rests.remaining(&entry.run(), now).is_none())
+            .filter(|entry| tables.backoffs.remaining(&entry.run(), now).is_none())
             .filter(|entry| has_subject(entry, &subject, version))
             .min_by_key(|entry| tables.in_flight.get(&entry.run()).copied().unwrap_or(0))
             .cloned()?;
--- a/crates/daemon/src/direct/call/payment.rs
+++ b/crates/daemon/src/direct/call/quota_charge.rs
@@ -22,26 +22,26 @@
 
 /// State of a call's charge.
 #[derive(Clone, Debug)]
-pub enum CallPayment {
+pub enum CallCharge {
     /// The call is not subject to a quota.
     Free,
-    /// To be paid before the first send.
+    /// To be charged before the first send.
     Due(QuotaCharge),
-    /// Paid, and when.
-    Paid(QuotaCharge, Instant),
+    /// Charged, and when.
+    Charged(QuotaCharge, Instant),
 }
 
-/// Result of a payment.
-pub(super) enum PaymentOutcome {
-    /// Paid, or nothing to pay.
-    Settled,
+/// Result of charging a call.
+pub(super) enum ChargeOutcome {
+    /// Charged, or not subject to a quota.
+    Charged,
     /// No holder has enough of the quota left; the time after which the first one will.
     UsedUp(Duration),
     /// No holder answered.
     Unanswered,
 }
 
-impl CallPayment {
+impl CallCharge {
     /// The charge of a call made under this identity.
     pub(super) fn of(identity: &CallerIdentity, head: &CallHead) -> Self {
         let Some(organisation) = identity.organisation() else {
@@ -57,38 +57,46 @@
         })
     }
 
-    /// The charge that is still to be paid.
+    /// The charge that is still due.
     pub(super) fn due(&self) -> Option<&QuotaCharge> {
         match self {
             Self::Due(charge) => Some(charge),
-            Self::Free | Self::Paid(..) => None,
+            Self::Free | Self::Charged(..) => None,
         }
     }
 
-    /// Marks the charge as paid now.
-    pub(super) fn settle(&mut self) {
+    /// Marks the call as charged now.
+    pub(super) fn mark_charged(&mut self) {
         if let Self::Due(charge) = self {
-            *self = Self::Paid(charge.clone(), clock::now());
+            *self = Self::Charged(charge.clone(), clock::now());
         }
     }
 }
 
 impl CallState {
-    /// Pays at the holder of this VM's own zone, or at another zone's holder if the first has too little left or does not
-    /// answer. `except` names a zone that was asked already.
-    pub(super) async fn pay(&mut self, except: Option<&AvailabilityZone>) -> PaymentOutcome {
-        let Some(charge) = self.payment.due().cloned() else {
-            return PaymentOutcome::Settled;
+    /// Charges the call at the holder of this VM's own zone, or at another zone's holder if the first has too little left or does not
+    /// answer. `except` names a zone that was tried already.
+    pub(super) async fn charge_quota(
+        &mut self,
+        except: Option<&AvailabilityZone>,
+    ) -> ChargeOutcome {
+        let Some(charge) = self.quota_charge.due().cloned() else {
+            return ChargeOutcome::Charged;
         };
         let own = self.context.fleet.zone.clone();
         let mut zones = self.context.settings.zones.clone();
         zones.sort_by_key(|zone| *zone != own);
         let mut shortest_wait = None;
         for zone in zones.iter().filter(|zone| Some(*zone) != except) {
-            match self.context.holder_client.pay(zone, charge.clone()).await {
+            match self
+                .context
+                .holder_client
+                .charge_quota(zone, charge.clone())
+                .await
+            {
                 Some(Ok(())) => {
-                    self.payment.settle();
-                    return PaymentOutcome::Settled;
+                    self.quota_charge.mark_charged();
+                    return ChargeOutcome::Charged;
                 }
                 Some(Err(wait)) => {
                     shortest_wait =
@@ -97,13 +105,13 @@
                 None => {}
             }
         }
-        shortest_wait.map_or(PaymentOutcome::Unanswered, PaymentOutcome::UsedUp)
+        shortest_wait.map_or(ChargeOutcome::Unanswered, ChargeOutcome::UsedUp)
     }
 
-    /// Refunds the charge of a call that was not executed. A charge paid more than [`REFUND_WINDOW`] ago stays, because its
+    /// Refunds the charge of a call that was not executed. A charge made more than [`REFUND_WINDOW`] ago stays, because its
     /// refund would be spent in another quota window.
-    pub(super) fn refund_payment(&self) {
-        if let CallPayment::Paid(charge, at) = &self.payment
+    pub(super) fn refund_charge(&self) {
+        if let CallCharge::Charged(charge, at) = &self.quota_charge
             && clock::now().since(*at) < REFUND_WINDOW
         {
             self.context.holder_client.refund(charge.clone());
--- a/crates/daemon/src/direct/call/sending.rs
+++ b/crates/daemon/src/direct/call/sending.rs
@@ -192,7 +192,7 @@
                 let fleet = &self.context.fleet;
                 let notice =
                     fleet.apply_target_notice(&entry.run(), response.status(), response.headers());
-                self.note_limit(entry, notice.rate_limit);
+                self.record_limit(entry, notice.rate_limit);
                 notice
             }
         };
@@ -200,7 +200,7 @@
             self.context
                 .fleet
                 .tables()
-                .rests
+                .backoffs
                 .record_answer(&entry.run());
         }
         let (parts, body) = response.into_parts();
@@ -236,7 +236,7 @@
                     CallEnd::Absent
                 } else {
                     CallEnd::Shed {
-                        rest_ms: notice.backoff.map_or(0, millis),
+                        backoff_ms: notice.backoff.map_or(0, millis),
                     }
                 };
                 finish(placed_call, in_flight, outcome);
@@ -291,11 +291,11 @@
         let mut tables = self.context.fleet.tables();
         let known = tables.catalog.get(&entry.name);
         known.is_some_and(|known| known.stage == TargetStage::Ready)
-            && tables.rests.try_admit(&entry.run(), clock::now())
+            && tables.backoffs.try_admit(&entry.run(), clock::now())
     }
 
     /// Records the rate limit that an answer states for its target, and tells the holders if they need to know.
-    fn note_limit(&self, entry: &TargetEntry, rate: Option<RequestRate>) {
+    fn record_limit(&self, entry: &TargetEntry, rate: Option<RequestRate>) {
         let limit = AdvertisedLimit {
             run: entry.run(),
             rate,
--- a/crates/daemon/src/direct/call/target_probe.rs
+++ b/crates/daemon/src/direct/call/target_probe.rs
@@ -87,7 +87,7 @@
         };
         event!(Event::TargetEndedDuringRequest, request = self.head.id; "at {}, fingerprint {:016x}", entry.name, self.fingerprint.0
         );
-        if self.context.fleet.note_ended_under(&crash) {
+        if self.context.fleet.record_crash(&crash) {
             self.context.holder_client.report_crash(&crash);
         }
         self.context.records.record(self.fingerprint).await;
@@ -96,7 +96,7 @@
     /// Probes once. An engine that asked this VM to back off is not sent a report request; a connection attempt is enough.
     async fn probe(&self, entry: &TargetEntry) -> ProbeVerdict {
         let probe = async {
-            if self.service.engine.is_some() && !self.context.fleet.is_resting(&entry.run()) {
+            if self.service.engine.is_some() && !self.context.fleet.is_backing_off(&entry.run()) {
                 self.probe_report(entry).await
             } else {
                 self.probe_connection(entry).await
--- a/crates/daemon/src/direct/call/timeline.rs
+++ b/crates/daemon/src/direct/call/timeline.rs
@@ -32,20 +32,20 @@
         }
     }
 
-    /// Notes that a holder chose a target and expects the first event after `expected_ms` more milliseconds.
-    pub fn note_placed(&mut self, expected_ms: u32) {
+    /// Records that a holder chose a target and expects the first event after `expected_ms` more milliseconds.
+    pub fn record_placed(&mut self, expected_ms: u32) {
         let placed = self.arrived.elapsed();
         self.placed = Some(placed);
         self.expected = Some(placed + Duration::from_millis(u64::from(expected_ms)));
     }
 
-    /// Notes that the adapter is expected to be loaded and the call is sent.
-    pub fn note_sent(&mut self) {
+    /// Records that the adapter is expected to be loaded and the call is sent.
+    pub fn record_sent(&mut self) {
         self.sent = Some(self.arrived.elapsed());
     }
 
-    /// Notes an event; returns whether it was the first.
-    pub fn note_event(&mut self) -> bool {
+    /// Records an event; returns whether it was the first.
+    pub fn record_event(&mut self) -> bool {
         let now = Instant::now();
         let is_first = self.first_event.is_none();
         if is_first {
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -2,7 +2,7 @@
 //!
 //! The lease is a record in the fleet topic of the platform's log. A claim is a conditional append: it succeeds only if
 //! this VM has read the topic to its end, so concurrent claims cannot both succeed. Unless the previous holder released
-//! the lease or its process ended, it may give orders until the handover delay has passed since the claim. The claimant
+//! the lease or its process ended, it may issue orders until the handover delay has passed since the claim. The claimant
 //! waits for that long and reads the topic once more before its first order.
 
 use crate::{
@@ -117,9 +117,9 @@
         let holder = lease.as_ref().and_then(|lease| lease.vm.as_ref());
         let view = HolderView {
             contact,
-            is_holder_weaker: holder
+            has_more_cpu: holder
                 .and_then(|vm| tables.vms.get(vm))
-                .is_some_and(|record| record.strength < self.fleet.strength),
+                .is_some_and(|record| record.cpu_millicores < self.fleet.cpu_millicores),
             rank,
             waiting_claim_age: lease.as_ref().and_then(min_claim_age),
             is_log_restored: tables.is_outdated(&self.fleet.zone),
@@ -218,7 +218,7 @@
                     tables.confirmed_token = is_at_once.then(|| position.token());
                 }
                 self.fleet.apply_own_record(key, value, position);
-                self.fleet.note_fleet_read(began);
+                self.fleet.record_fleet_read(began);
                 ClaimResult::Recorded
             }
             Err(StoreError::EndMoved(_)) if self.read_fleet_from(client, end).await => {
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -1,7 +1,7 @@
 //! The daemon of the direct mode: starts all its tasks and carries out a planned stop.
 //!
 //! A planned stop goes through the phases of [`StopPhase`]. The zone's lease is released as soon as another VM of the
-//! zone can take it; without one, this VM gives the zone's orders until it exits.
+//! zone can take it; without one, this VM issues the zone's orders until it exits.
 
 use crate::{
     direct::{
@@ -188,7 +188,7 @@
         self.fleet.begin_stop();
         let mut is_released = false;
         loop {
-            // Without a successor nobody would give the zone's orders, so this VM keeps the lease until the end of the
+            // Without a successor nobody would issue the zone's orders, so this VM keeps the lease until the end of the
             // stop.
             if !is_released && self.fleet.has_successor() {
                 self.release().await;
@@ -210,7 +210,7 @@
         left
     }
 
-    /// Releases the zone, so that another VM gives its orders from now on.
+    /// Releases the zone, so that another VM issues its orders from now on.
     async fn release(&self) {
         let (done, released) = oneshot::channel();
         if self.zone.send(ZoneEvent::ReleaseLease(done)).await.is_err() {
@@ -265,11 +265,11 @@
         let worker = FeedWorker {
             topic,
             address: settings.platform_address,
-            pace: settings.timing,
+            timing: settings.timing,
             fleet: Arc::clone(fleet),
             holder_client: Arc::clone(holder_client),
             reachability: reachability.clone(),
-            first_pause: first_list_delay,
+            initial_delay: first_list_delay,
             started: Instant::now(),
             failures: 0,
         };
--- a/crates/daemon/src/direct/eras.rs
+++ b/crates/daemon/src/direct/eras.rs
@@ -54,7 +54,7 @@
     pub(super) fn apply_era_record(&mut self, record: EraRecord, rule: RewriteRule) {
         self.era_record = Some(record);
         if Some(record.era) == self.store_era && record.is_settled(rule) {
-            self.copy_doubt.end();
+            self.restore_guard.end();
         }
     }
 
@@ -72,7 +72,7 @@
     fn guard_restored_log(&mut self, era: StoreEra, rule: RewriteRule) {
         let now = clock::now();
         let proven = self.proof.age(now);
-        self.copy_doubt.enter_era(era, proven, rule, now);
+        self.restore_guard.enter_era(era, proven, rule, now);
         if let Some(record) = self.era_record {
             self.apply_era_record(record, rule);
         }
@@ -133,7 +133,7 @@
             tables.store_era = Some(era);
             tables.stored_version = 0;
             tables.guard_restored_log(era, self.rewrites);
-            for run in tables.catalog.note_log_restored(clock::now()) {
+            for run in tables.catalog.record_log_restored(clock::now()) {
                 tables.leaving.push(run);
             }
             self.announce(&tables);
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -31,7 +31,7 @@
     open: Option<OpenAnswer>,
     splitter: EventSplitter,
     is_resumable: bool,
-    /// Whether the zone's holder has yet to be told of the first event of this send.
+    /// Whether the zone's holder has yet to be notified of the first event of this send.
     awaits_first_event: bool,
 }
 
@@ -103,10 +103,10 @@
     }
 
     fn record_events(&mut self) {
-        if self.call.timeline.note_event() {
+        if self.call.timeline.record_event() {
             let elapsed = self.call.arrived.elapsed();
             let fleet = &self.call.context.fleet;
-            fleet.metrics.note_first_event(elapsed);
+            fleet.metrics.observe_first_event(elapsed);
             fleet.tables().streams.record_start(elapsed, clock::now());
         }
         let Some(open) = self.open.as_ref().filter(|_| self.awaits_first_event) else {
@@ -120,7 +120,7 @@
             );
         }
         if let Some(placed_call) = &open.placed_call {
-            placed_call.note_first_event(version);
+            placed_call.record_first_event(version);
         }
     }
 
@@ -212,7 +212,7 @@
     async fn resume(&mut self) -> bool {
         let last = self.splitter.last_id().or(self.call.head.last_event_id);
         self.splitter.take_remainder();
-        while self.call.may_repeat() {
+        while self.call.reserve_retry() {
             let placed = timeout_at(self.call.deadline, self.call.place()).await;
             let Ok(CallPlacement::At(entry, version, placed_call)) = placed else {
                 return false;
--- a/crates/daemon/src/direct/event_splitter.rs
+++ b/crates/daemon/src/direct/event_splitter.rs
@@ -30,7 +30,7 @@
             && let Some(end) = last_boundary(bytes)
             && end == bytes.len()
         {
-            self.note_ids(bytes);
+            self.record_ids(bytes);
             return Ok(bytes.clone());
         }
         self.remainder.extend_from_slice(bytes);
@@ -41,7 +41,7 @@
             return Ok(Bytes::new());
         };
         let events = self.remainder.split_to(end).freeze();
-        self.note_ids(&events);
+        self.record_ids(&events);
         Ok(events)
     }
 
@@ -56,7 +56,7 @@
         self.last_id
     }
 
-    fn note_ids(&mut self, events: &[u8]) {
+    fn record_ids(&mut self, events: &[u8]) {
         let last = events
             .split(|byte| *byte == b'\n')
             .filter_map(|line| line.strip_prefix(b"id:"))
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -18,7 +18,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        freshness::{HeartbeatEcho, RelayedProof},
+        freshness::{ForwardedProof, HeartbeatEcho},
         log_contact::AnswerSpan,
         millis,
     },
@@ -74,14 +74,14 @@
     pub fn target_record(&self, target: &TargetName) -> Option<ForwardedRecord> {
         self.tables()
             .records
-            .passed(FeedTopic::Targets, target.as_str())
+            .record(FeedTopic::Targets, target.as_str())
     }
 
     /// Applies a record of the fleet topic that this VM appended. If it was appended at the known
     /// end of the topic, no record before it is left to read.
     pub fn apply_own_record(&self, key: String, value: Vec<u8>, position: LogPosition) {
         if self.tables().fleet_end == Some(position) {
-            self.note_end(FeedTopic::Fleet, position.plus(1));
+            self.record_end(FeedTopic::Fleet, position.plus(1));
         }
         self.apply_forwarded(vec![ForwardedRecord {
             topic: FeedTopic::Fleet,
@@ -92,9 +92,9 @@
         }]);
     }
 
-    /// Notes that another VM can't read the log, so that this one may have to read on its behalf
+    /// Records that another VM can't read the log, so that this one may have to read on its behalf
     /// and forward the records.
-    pub fn note_read_request(&self) {
+    pub fn record_read_request(&self) {
         let until = clock::now().after(READ_REQUEST_TTL);
         self.read_requests.send_replace(until);
     }
@@ -112,12 +112,12 @@
     pub fn records_since(
         &self,
         requested: &[TopicEnd],
-        is_turned_away: bool,
+        lacks_log_access: bool,
     ) -> (Vec<ForwardedRecord>, Vec<TopicSpan>) {
         let forwardable = self.forwardable_ends();
         let tables = self.tables();
         let is_forwarded = |(topic, from): &&TopicEnd| {
-            is_turned_away
+            lacks_log_access
                 || from.0 > 0
                 || tables.records.size_bytes(*topic) <= MAX_FORWARDED_TOPIC_BYTES
         };
@@ -143,9 +143,9 @@
         self.apply_forwarded(records);
         let was_ready = self.is_ready();
         for span in spans {
-            let is_complete = self.tables().note_forwarded_span(*span);
+            let is_complete = self.tables().record_forwarded_span(*span);
             if is_complete {
-                self.note_topic_known(*span, RecordSource::Forwarded);
+                self.record_topic_known(*span, RecordSource::Forwarded);
             }
         }
         if self.is_ready() && !was_ready {
@@ -204,18 +204,18 @@
         {
             let mut tables = self.tables();
             tables.contact.record_peer(vm, run);
-            tables.note_log_return();
+            tables.record_log_return();
         }
         self.expire();
     }
 
     /// Applies another VM's proof that the configuration is the newest.
-    pub fn apply_proof(&self, proof: &RelayedProof, echo: &HeartbeatEcho) {
+    pub fn apply_proof(&self, proof: &ForwardedProof, echo: &HeartbeatEcho) {
         let mut tables = self.tables();
         let Some(known) = tables.active.as_ref().map(|active| active.config.version) else {
             return;
         };
-        tables.proof.accept_relayed(proof, echo, known);
+        tables.proof.accept_forwarded(proof, echo, known);
     }
 
     /// Positions from which this VM lacks records, for its requests to other VMs. A topic that was
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -63,7 +63,7 @@
 const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause after a failed call, with 25 % jitter. It doubles only once: calls to the log have a
 /// price, but a holder that the log does not serve requests records from other VMs after each
-/// failure, and its zone has to know of a leaving target within 2 s.
+/// failure, and its zone has to learn of a leaving target within 2 s.
 const RETRY_BACKOFF: Duration = Duration::from_millis(400);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(800);
 /// Time after which a worker retries even though another worker probes the log.
@@ -77,7 +77,7 @@
     /// Address of the platform log.
     pub address: SocketAddr,
     /// Read intervals and timeouts.
-    pub pace: TimingSettings,
+    pub timing: TimingSettings,
     /// Tables that the records are applied to.
     pub fleet: Arc<FleetState>,
     /// Links to the zone holders.
@@ -85,7 +85,7 @@
     /// Reachability of the log, shared by the workers of all topics.
     pub reachability: StoreReachability,
     /// Delay of the first listing.
-    pub first_pause: Duration,
+    pub initial_delay: Duration,
     /// When the process started.
     pub started: Instant,
     /// Number of failed calls since the last success.
@@ -97,7 +97,7 @@
     pub async fn run(mut self) {
         let mut client = StoreClient::new(self.address);
         if self.topic == FeedTopic::Fleet {
-            sleep(self.first_pause).await;
+            sleep(self.initial_delay).await;
         } else if self.wait_for_holder().await || self.wait_for_listing_turn().await {
             let end = self.fleet.known_end(self.topic);
             self.read_from(&mut client, end).await;
@@ -105,25 +105,25 @@
         loop {
             let topic = topic_name(self.topic);
             let sent_at = clock::now();
-            let listing = list_topic(&mut client, topic, self.pace.platform_timeout).await;
+            let listing = list_topic(&mut client, topic, self.timing.platform_timeout).await;
             let listing = match listing {
                 Ok(listing) if self.fleet.observe_era(listing.end.era()) => listing,
                 Ok(listing) => {
-                    self.note_failure(&StoreError::EraMismatch(listing.end.era()));
+                    self.record_failure(&StoreError::EraMismatch(listing.end.era()));
                     self.wait_to_retry().await;
                     continue;
                 }
                 Err(error) => {
-                    self.note_failure(&error);
+                    self.record_failure(&error);
                     self.wait_to_retry().await;
                     continue;
                 }
             };
-            self.note_success();
+            self.record_success();
             let end = listing.end;
             self.fleet.apply_listing(self.topic, &listing);
-            self.note_config_read(sent_at);
-            self.note_fleet_read(sent_at);
+            self.record_config_read(sent_at);
+            self.record_fleet_read(sent_at);
             self.wait_for_link().await;
             let listed_at = Instant::now();
             self.read_from(&mut client, end).await;
@@ -159,7 +159,7 @@
     /// Waits for the zone's holder to send the whole topic. Returns whether the topic is complete.
     /// Without a holder that can be reached it does not wait.
     async fn wait_for_holder(&self) -> bool {
-        sleep(self.first_pause).await;
+        sleep(self.initial_delay).await;
         let mut until = None;
         loop {
             if self.fleet.is_topic_known(self.topic) {
@@ -189,19 +189,19 @@
         }
     }
 
-    /// Notes the time as of which the newest leases are known. It is not the arrival of the answer,
+    /// Records the time as of which the newest leases are known. It is not the arrival of the answer,
     /// which may have waited while this VM was suspended.
-    fn note_fleet_read(&self, known_at: hoplanding_core::ids::Instant) {
+    fn record_fleet_read(&self, known_at: hoplanding_core::ids::Instant) {
         if self.topic == FeedTopic::Fleet {
-            self.fleet.note_fleet_read(known_at);
+            self.fleet.record_fleet_read(known_at);
         }
     }
 
-    /// Notes that operator records written before a read was sent are known. The wait of the read
+    /// Records that operator records written before a read was sent are known. The wait of the read
     /// proves nothing, as a record that is appended when the read arrives does not wake it.
-    fn note_config_read(&self, sent: hoplanding_core::ids::Instant) {
+    fn record_config_read(&self, sent: hoplanding_core::ids::Instant) {
         if self.topic == FeedTopic::Operators {
-            self.fleet.note_config_read(sent);
+            self.fleet.record_config_read(sent);
         }
     }
 
@@ -235,7 +235,7 @@
             let mut returns = self.reachability.watch();
             let sent_at = clock::now();
             let wait = self.read_wait();
-            let reading = client.read(topic, from, wait, self.pace.platform_timeout);
+            let reading = client.read(topic, from, wait, self.timing.platform_timeout);
             let read = tokio::select! {
                 read = reading => read,
                 // Another worker found that the log was out of reach and is back, so this
@@ -246,17 +246,17 @@
             };
             match read {
                 Ok(batch) => {
-                    self.note_success();
+                    self.record_success();
                     self.fleet.apply_records(self.topic, from, &batch);
                     if batch.next == batch.end {
-                        self.note_config_read(sent_at);
+                        self.record_config_read(sent_at);
                         // An empty answer means that the log waited for the whole requested time.
                         let waited = if batch.records.is_empty() {
                             wait
                         } else {
                             Duration::ZERO
                         };
-                        self.note_fleet_read(sent_at.after(waited));
+                        self.record_fleet_read(sent_at.after(waited));
                     }
                     from = batch.next;
                     sleep(self.read_interval()).await;
@@ -267,7 +267,7 @@
                     return;
                 }
                 Err(error) => {
-                    self.note_failure(&error);
+                    self.record_failure(&error);
                     self.wait_to_retry().await;
                 }
             }
@@ -336,7 +336,7 @@
             FeedTopic::Targets => TARGET_READ_WAIT,
             FeedTopic::Operators if self.fleet.revocation.is_some() => KEY_PROOF_READ_WAIT,
             // The holder forwards what it reads, so the other VMs of its zone can read less often.
-            FeedTopic::Operators if self.is_holder() => self.pace.max_config_wait,
+            FeedTopic::Operators if self.is_holder() => self.timing.max_config_wait,
             FeedTopic::Fleet if self.is_holder() => HOLDER_FLEET_READ_WAIT,
             FeedTopic::Operators | FeedTopic::Fleet => MAX_READ_WAIT,
         }
@@ -344,17 +344,17 @@
 
     fn read_interval(&self) -> Duration {
         match self.topic {
-            FeedTopic::Targets => self.pace.list_interval,
-            FeedTopic::Operators => self.pace.min_config_interval,
-            FeedTopic::Fleet => FLEET_READ_INTERVAL.min(self.pace.list_interval),
+            FeedTopic::Targets => self.timing.list_interval,
+            FeedTopic::Operators => self.timing.min_config_interval,
+            FeedTopic::Fleet => FLEET_READ_INTERVAL.min(self.timing.list_interval),
         }
     }
 
-    fn note_failure(&mut self, error: &StoreError) {
+    fn record_failure(&mut self, error: &StoreError) {
         let metrics = &self.fleet.metrics;
         metrics.count_log_call(topic_name(self.topic), LogOutcome::Failed);
         if self.topic == FeedTopic::Targets {
-            self.fleet.note_list_call(false);
+            self.fleet.record_list_call(false);
         }
         self.fleet.request_records();
         if self.failures == 0 {
@@ -363,16 +363,16 @@
         self.failures += 1;
     }
 
-    fn note_success(&mut self) {
+    fn record_success(&mut self) {
         let metrics = &self.fleet.metrics;
         metrics.count_log_call(topic_name(self.topic), LogOutcome::Answered);
         if self.topic == FeedTopic::Targets {
-            self.fleet.note_list_call(true);
+            self.fleet.record_list_call(true);
         }
         if self.failures > 0 {
             self.failures = 0;
             event!(Event::LogReachable, "{:?}", self.topic);
-            self.reachability.note_return();
+            self.reachability.record_return();
         }
     }
 
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -24,7 +24,7 @@
         catalog::{TargetCatalog, TargetEntry, TargetStage},
         config::FleetConfig,
         demand::DemandTable,
-        freshness::{FreshnessProof, RelayedProof, RevocationRule},
+        freshness::{ForwardedProof, FreshnessProof, RevocationRule},
         health::HealthTable,
         lease::{LeaseState, ZoneLease},
         limits::RateLimitTable,
@@ -78,8 +78,8 @@
     pub address: SocketAddr,
     /// CPU capacity in thousandths of a core. The VM with the highest capacity holds its zone's
     /// lease.
-    #[serde(default)]
-    pub strength: u32,
+    #[serde(default, rename = "strength")]
+    pub cpu_millicores: u32,
 }
 
 /// Configuration in force, with its compiled routes.
@@ -138,26 +138,26 @@
     /// Request rate of this VM's callers by adapter.
     pub demand: DemandTable,
     /// Adapters in high demand in their home zone, and when that expires.
-    pub sought: HashMap<AdapterName, Instant>,
+    pub high_demand_until: HashMap<AdapterName, Instant>,
     /// Proof that the configuration is the newest, with its age.
     pub proof: FreshnessProof,
     /// Whether the log may lack the newest operator records after a restore.
-    pub copy_doubt: RestoreGuard,
+    pub restore_guard: RestoreGuard,
     /// Record of the log's current era.
     pub era_record: Option<EraRecord>,
-    /// Requests during which targets ended, from this VM's calls, other VMs and the log.
+    /// Requests during which targets crashed, from this VM's calls, other VMs and the log.
     pub suspects: SuspectTable,
     /// Limits that targets reported to this VM or to other VMs.
     pub limits: RateLimitTable,
     /// Backoffs that targets requested from this VM.
-    pub rests: BackoffTable,
+    pub backoffs: BackoffTable,
     /// Newest record of each key, to be forwarded to other VMs.
     pub records: RecordCache,
     /// Pause between the claim in progress and the first order.
     pub claim_delay: Duration,
     /// Earliest time of an order after this VM's last claim.
     pub orders_from: Instant,
-    /// Fencing token of the claim with which this VM may give orders.
+    /// Fencing token of the claim with which this VM may issue orders.
     pub confirmed_token: Option<FencingToken>,
     /// Counts target list entries that could not be used.
     pub skipped_entries: EntryLogLimiter,
@@ -184,11 +184,13 @@
 
     /// Whether a zone holder reported within the last seconds that an adapter is in high demand.
     #[must_use]
-    pub fn is_sought(&self, adapter: &AdapterName, now: Instant) -> bool {
-        self.sought.get(adapter).is_some_and(|until| now < *until)
+    pub fn is_in_high_demand(&self, adapter: &AdapterName, now: Instant) -> bool {
+        self.high_demand_until
+            .get(adapter)
+            .is_some_and(|until| now < *until)
     }
 
-    /// Notes that no record of a complete topic is missing before a position.
+    /// Records that no record of a complete topic is missing before a position.
     pub(super) fn advance(&mut self, topic: FeedTopic, end: LogPosition) {
         let Some(known) = self.known_ends.get_mut(&topic) else {
             return;
@@ -199,10 +201,10 @@
         }
     }
 
-    /// Notes that another VM forwarded all that it knows of a topic, except for removals before its
+    /// Records that another VM forwarded all that it knows of a topic, except for removals before its
     /// listing. Where this VM's own knowledge ends before that listing, it has to read the log
     /// itself. Returns whether nothing is missing.
-    pub(super) fn note_forwarded_span(&mut self, span: TopicSpan) -> bool {
+    pub(super) fn record_forwarded_span(&mut self, span: TopicSpan) -> bool {
         let known = self.known_ends.get(&span.topic);
         let is_missing =
             |known: &LogPosition| !self.records.has_all_between(span.topic, *known, span.since);
@@ -224,9 +226,9 @@
 
     /// Proof for other VMs that this VM's configuration is the newest.
     #[must_use]
-    pub fn freshness_proof(&self, now: Instant) -> Option<RelayedProof> {
+    pub fn freshness_proof(&self, now: Instant) -> Option<ForwardedProof> {
         let version = self.active.as_ref()?.config.version;
-        self.proof.relay(version, now)
+        self.proof.forward(version, now)
     }
 
     /// Rank of this VM among the VMs of its zone that could take on its duties, without the lease
@@ -237,11 +239,11 @@
             .leases
             .get(&fleet.zone)
             .and_then(|state| state.holder());
-        let mine = duty_order(&fleet.vm, fleet.strength);
+        let mine = duty_order(&fleet.vm, fleet.cpu_millicores);
         let before = self.vms.iter().filter(|(vm, record)| {
             record.zone == fleet.zone
                 && Some(*vm) != holder
-                && duty_order(vm, record.strength) < mine
+                && duty_order(vm, record.cpu_millicores) < mine
         });
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
@@ -257,23 +259,23 @@
         }
     }
 
-    /// Targets that currently ask this VM to back off.
+    /// Targets whose requested backoff has not ended.
     #[must_use]
-    pub fn resting(&self, now: Instant) -> Vec<TargetName> {
-        let active = self.rests.active(now);
+    pub fn backing_off(&self, now: Instant) -> Vec<TargetName> {
+        let active = self.backoffs.active(now);
         active.map(|run| run.name.clone()).collect()
     }
 
     /// Time until the first target of a service accepts calls again. `None` unless all of them
     /// asked for a backoff.
     #[must_use]
-    pub fn shortest_rest(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
-        if self.rests.is_empty() {
+    pub fn shortest_backoff(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
+        if self.backoffs.is_empty() {
             return None;
         }
         let ready = self.catalog.ready(service);
         let remaining: Option<Vec<_>> = ready
-            .map(|entry| self.rests.remaining(&entry.run(), now))
+            .map(|entry| self.backoffs.remaining(&entry.run(), now))
             .collect();
         remaining?.into_iter().min()
     }
@@ -285,9 +287,10 @@
         state.is_some_and(|state| Some(state.position.era()) < self.store_era)
     }
 
-    /// Passes the time at which the log came back, as known now, to the catalog.
-    pub(super) fn note_log_return(&mut self) {
-        self.catalog.note_log_recovered(self.contact.recovered_at());
+    /// Passes the time of the log's recovery, as known now, to the catalog.
+    pub(super) fn record_log_return(&mut self) {
+        self.catalog
+            .record_log_recovered(self.contact.recovered_at());
     }
 }
 
@@ -308,7 +311,7 @@
     /// How long operators take to rewrite records that a restored log lacks.
     pub rewrites: RewriteRule,
     /// CPU capacity of this VM in thousandths of a core.
-    pub strength: u32,
+    pub cpu_millicores: u32,
     /// Counters of the metrics page.
     pub metrics: DirectMetrics,
     /// Linked VMs of this zone that could take over its lease.
@@ -337,7 +340,7 @@
             zone: settings.zone.clone(),
             revocation: settings.revocation,
             rewrites: settings.recovery,
-            strength: settings.cpu_millicores,
+            cpu_millicores: settings.cpu_millicores,
             metrics: DirectMetrics::default(),
             successors: Mutex::default(),
             stopping: watch::channel(false).0,
@@ -362,13 +365,13 @@
                 streams: StreamEstimate::default(),
                 policy: settings.policy,
                 demand: DemandTable::default(),
-                sought: HashMap::new(),
+                high_demand_until: HashMap::new(),
                 proof: FreshnessProof::default(),
-                copy_doubt: RestoreGuard::default(),
+                restore_guard: RestoreGuard::default(),
                 era_record: None,
                 suspects: SuspectTable::default(),
                 limits: RateLimitTable::with_share(1.0 / f64::from(MIN_BUDGET_SHARES)),
-                rests: BackoffTable::default(),
+                backoffs: BackoffTable::default(),
                 records: RecordCache::default(),
                 claim_delay: Duration::ZERO,
                 orders_from: Instant::default(),
@@ -426,8 +429,8 @@
         !self.successors().is_empty()
     }
 
-    /// Notes whether a VM could take over the lease.
-    pub fn note_successor(&self, vm: &VmName, can_take_over: bool) {
+    /// Records whether a VM could take over the lease.
+    pub fn record_successor(&self, vm: &VmName, can_take_over: bool) {
         if can_take_over {
             self.successors().insert(vm.clone());
         } else {
@@ -458,7 +461,7 @@
             && tables.may_trust_keys(self.revocation, clock::now())
     }
 
-    /// Rank of this VM among those that could take on its zone's duties, the strongest first.
+    /// Rank of this VM among those that could take on its zone's duties, the one with the most CPU first.
     #[must_use]
     pub fn rank(&self) -> u32 {
         self.tables().rank(self)
@@ -475,13 +478,13 @@
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// Notes a holder's report that an adapter is in high demand in its zone.
-    pub fn note_sought(&self, adapter: &AdapterName) {
+    /// Records a holder's report that an adapter is in high demand in its zone.
+    pub fn record_high_demand(&self, adapter: &AdapterName) {
         let now = clock::now();
         let mut tables = self.tables();
-        tables.sought.retain(|_, until| now < *until);
+        tables.high_demand_until.retain(|_, until| now < *until);
         tables
-            .sought
+            .high_demand_until
             .insert(adapter.clone(), now.after(HIGH_DEMAND_TTL));
     }
 
@@ -535,14 +538,14 @@
         self.tables().leases.get(zone)?.lease.clone()
     }
 
-    /// Notes that every operator record that the log held at `sent` is known. A log that is older
+    /// Records that every operator record that the log held at `sent` is known. A log that is older
     /// than the configuration in force, or that may lack the newest records after a restore, proves
     /// nothing.
-    pub fn note_config_read(&self, sent: Instant) {
+    pub fn record_config_read(&self, sent: Instant) {
         let mut tables = self.tables();
         let version = tables.active.as_ref().map(|active| active.config.version);
-        let is_doubted = tables.copy_doubt.remaining(sent).is_some();
-        if !is_doubted && version.is_none_or(|version| tables.stored_version >= version) {
+        let is_restore_guarded = tables.restore_guard.remaining(sent).is_some();
+        if !is_restore_guarded && version.is_none_or(|version| tables.stored_version >= version) {
             tables.proof.record_read(sent);
         }
     }
@@ -556,11 +559,11 @@
     /// Time after which a retry is worthwhile while API keys can't be trusted.
     #[must_use]
     pub fn key_retry_after(&self) -> Option<Duration> {
-        self.tables().copy_doubt.remaining(clock::now())
+        self.tables().restore_guard.remaining(clock::now())
     }
 
-    /// Notes that every record of the fleet topic is known as of a time.
-    pub fn note_fleet_read(&self, known_at: Instant) {
+    /// Records that every record of the fleet topic is known as of a time.
+    pub fn record_fleet_read(&self, known_at: Instant) {
         let mut tables = self.tables();
         // Claims may be lost until this zone is claimed in the current era.
         if tables.is_outdated(&self.zone) {
@@ -586,10 +589,10 @@
     }
 }
 
-fn duty_order(vm: &VmName, strength: u32) -> (Reverse<u32>, u64) {
+fn duty_order(vm: &VmName, cpu_millicores: u32) -> (Reverse<u32>, u64) {
     let mut hasher = SipHasher13::new();
     vm.as_str().hash(&mut hasher);
-    (Reverse(strength), hasher.finish())
+    (Reverse(cpu_millicores), hasher.finish())
 }
 
 /// Key of a VM's record.
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -44,13 +44,13 @@
     Stored,
     /// Removes a target that may come back. Nothing changes until the removal is confirmed.
     Unconfirmed,
-    /// Outdated by a newer target incarnation or version, and ignored.
+    /// Outdated by a newer target life or version, and ignored.
     Outdated,
     /// Entry that can't be used, so that its target gets no calls any more.
     Unusable,
 }
 
-/// Whether a record is newer by its own order, which is the target's incarnation or a version, than
+/// Whether a record is newer by its own order, which is the target's life or a version, than
 /// the known one. Several VMs forward each record, so one that is stored already is not decoded
 /// again.
 pub fn is_newer_by_own_order(tables: &FleetTables, topic: FeedTopic, record: &KeyedRecord) -> bool {
@@ -163,7 +163,7 @@
 }
 
 /// Applies an entry. Returns whether it changes the placement of calls, or `None` if it describes
-/// an earlier incarnation of the target.
+/// an earlier life of the target.
 fn fold_entry(
     tables: &mut FleetTables,
     record: &KeyedRecord,
@@ -200,7 +200,7 @@
 ) -> FoldOutcome {
     let name = TargetName::new(&record.key);
     let is_change = tables.catalog.confirm_removal(&name, record.position);
-    if let Some(unlogged) = tables.skipped_entries.note(now) {
+    if let Some(unlogged) = tables.skipped_entries.record(now) {
         let key: String = record
             .key
             .escape_debug()
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -1,7 +1,7 @@
-//! Client of the zones' holders: asks them where calls go, and tells them how calls ended.
+//! Client of the zones' holders: requests placements from them, and reports how calls ended.
 //!
 //! A request goes to the holder named by the zone's lease, either to this VM's own zone worker or over a link to another VM.
-//! A caller never waits for a holder that is not heard any more: every request ends with `None` then, and the gateway goes on
+//! A caller never waits for a holder that is not heard any more: every request ends with `None` then, and the gateway continues
 //! without an answer.
 
 use crate::{
@@ -40,7 +40,7 @@
     time::timeout,
 };
 
-/// Silence of a holder after which a call stops waiting for its answer. Heartbeats come every 400 ms.
+/// Silence of a holder after which a call stops waiting for its answer. Heartbeats are sent every 400 ms.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(650);
 /// Interval at which a waiting call checks whether the holder is still heard.
 const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -102,7 +102,7 @@
             is_settled: false,
         };
         let request = HolderRequest::Place(Box::new(request));
-        let reply = self.ask(zone, &lease, number, request).await?;
+        let reply = self.send_request(zone, &lease, number, request).await?;
         self.open_call(withdrawal, zone, number, subject, reply)
     }
 
@@ -120,23 +120,23 @@
             number,
             is_settled: false,
         };
-        let request = HolderRequest::Plain(Box::new(request));
-        let answer = self.ask(zone, &lease, number, request);
+        let request = HolderRequest::PlacePlain(Box::new(request));
+        let answer = self.send_request(zone, &lease, number, request);
         let reply = timeout(PLAIN_TIMEOUT, answer).await.ok()??;
         self.open_call(withdrawal, zone, number, AdapterName::new(""), reply)
     }
 
-    /// Pays a charge at the holder of a zone. Returns the time until the holder has enough of the quota if it has too little, and
+    /// Charges a quota at the holder of a zone. Returns the time until the holder has enough of the quota if it has too little, and
     /// `None` if no holder answers.
-    pub async fn pay(
+    pub async fn charge_quota(
         &self,
         zone: &AvailabilityZone,
         charge: QuotaCharge,
     ) -> Option<Result<(), Duration>> {
         let lease = self.fleet.lease(zone)?;
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let request = HolderRequest::Pay(charge);
-        match self.ask(zone, &lease, number, request).await? {
+        let request = HolderRequest::ChargeQuota(charge);
+        match self.send_request(zone, &lease, number, request).await? {
             HolderReply::Charged(None) => Some(Ok(())),
             HolderReply::Charged(Some(ms)) => Some(Err(Duration::from_millis(u64::from(ms)))),
             HolderReply::Placement(_)
@@ -147,7 +147,7 @@
     }
 
     /// Asks for a trial of a suspect, at the first zone in the suspect's order whose holder answers.
-    pub async fn ask_trial(
+    pub async fn request_trial(
         self: &Arc<Self>,
         zones: &[AvailabilityZone],
         fingerprint: RequestFingerprint,
@@ -157,10 +157,10 @@
                 continue;
             };
             let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-            // Dropped if no answer comes, which ends a trial that the holder may have granted nevertheless.
+            // Dropped if no answer arrives, which ends a trial that the holder may have granted nevertheless.
             let permit = TrialPermit::new(self, &zone, number, fingerprint);
-            let request = HolderRequest::Trial(fingerprint);
-            let answer = self.ask(&zone, &lease, number, request);
+            let request = HolderRequest::RequestTrial(fingerprint);
+            let answer = self.send_request(&zone, &lease, number, request);
             if let Ok(Some(HolderReply::Trial(decision))) = timeout(TRIAL_TIMEOUT, answer).await {
                 return Some((decision, permit));
             }
@@ -174,8 +174,8 @@
             return;
         };
         let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let request = HolderRequest::Target(target.clone());
-        let answer = self.ask(zone, &lease, number, request);
+        let request = HolderRequest::LookUpTarget(target.clone());
+        let answer = self.send_request(zone, &lease, number, request);
         if let Ok(Some(HolderReply::Target(Some(record)))) = timeout(TARGET_TIMEOUT, answer).await {
             self.fleet.apply_requested(record);
         }
@@ -206,7 +206,7 @@
     }
 
     /// Asks a zone's holder; `None` if it does not answer.
-    async fn ask(
+    async fn send_request(
         &self,
         zone: &AvailabilityZone,
         lease: &ZoneLease,
@@ -220,7 +220,7 @@
             return receiver.await.ok();
         }
         let link = self.usable_link(zone, lease)?;
-        let mut receiver = link.ask(number, request.into_message(number))?;
+        let mut receiver = link.send_request(number, request.into_message(number))?;
         loop {
             match timeout(HOLDER_CHECK_INTERVAL, &mut receiver).await {
                 Ok(reply) => return reply.ok(),
@@ -326,8 +326,11 @@
         let known_state: Vec<_> = {
             let tables = self.fleet.tables();
             let suspects = tables.suspects.crashes(clock::now());
-            let limits = tables.limits.advertised().map(VmMessage::LimitNamed);
-            suspects.map(VmMessage::EndedUnder).chain(limits).collect()
+            let limits = tables.limits.advertised().map(VmMessage::TargetLimit);
+            suspects
+                .map(VmMessage::TargetCrashed)
+                .chain(limits)
+                .collect()
         };
         let opening = self
             .open
@@ -341,7 +344,7 @@
             })
             .map(|(number, call)| {
                 let target = call.target.clone();
-                VmMessage::Open(*number, target, call.life, call.subject.clone())
+                VmMessage::OpenCall(*number, target, call.life, call.subject.clone())
             })
             .chain(known_state)
             .collect();
@@ -416,17 +419,17 @@
     /// Asks a zone's holder to give up its lease, recorded at this position, in favour of this VM.
     pub fn request_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
         if let Some(link) = self.link(zone, lease) {
-            link.tell(VmMessage::LeaseWanted(position));
+            link.send_notice(VmMessage::LeaseWanted(position));
         }
     }
 
     /// Reports the end of a call; waits in the background if the zone worker's queue is full.
-    fn report_end(&self, zone: &AvailabilityZone, ending: CompletedCall) {
+    fn report_end(&self, zone: &AvailabilityZone, completed: CompletedCall) {
         let Some(lease) = self.fleet.lease(zone) else {
             return;
         };
         if self.is_mine(&lease) {
-            let event = ZoneEvent::CallEnded(self.fleet.vm.clone(), ending);
+            let event = ZoneEvent::CallEnded(self.fleet.vm.clone(), completed);
             if let Err(mpsc::error::TrySendError::Full(event)) = self.zone.try_send(event) {
                 let zone = self.zone.clone();
                 tokio::spawn(async move {
@@ -435,26 +438,26 @@
                 });
             }
         } else if let Some(link) = self.link(zone, &lease) {
-            link.tell(VmMessage::Ended(ending));
+            link.send_notice(VmMessage::CallEnded(completed));
         }
     }
 
     /// Refunds a charge at the holder of this VM's own zone.
     pub fn refund(&self, charge: QuotaCharge) {
-        self.notify(&self.fleet.zone, HolderNotice::GiveBack(charge));
+        self.notify(&self.fleet.zone, HolderNotice::RefundQuota(charge));
     }
 
     /// Tells every zone's holder that a target crashed while it ran a request.
     pub fn report_crash(&self, crash: &TargetCrash) {
         for zone in &self.all_zones() {
-            self.notify(zone, HolderNotice::EndedUnder(crash.clone()));
+            self.notify(zone, HolderNotice::TargetCrashed(crash.clone()));
         }
     }
 
     /// Tells every zone's holder the rate limit that a target stated in an answer.
     pub fn report_limit(&self, limit: &AdvertisedLimit) {
         for zone in &self.all_zones() {
-            self.notify(zone, HolderNotice::LimitNamed(limit.clone()));
+            self.notify(zone, HolderNotice::TargetLimit(limit.clone()));
         }
     }
 
@@ -469,7 +472,7 @@
             // by its end, and the prompt that it read is not offered to other engines.
             drop(self.zone.try_send(notice.into_event(&self.fleet.vm)));
         } else if let Some(link) = self.link(zone, &lease) {
-            link.tell(notice.into_message());
+            link.send_notice(notice.into_message());
         }
     }
 }
@@ -486,7 +489,7 @@
     fn drop(&mut self) {
         if !self.is_settled {
             self.holder_client
-                .notify(self.zone, HolderNotice::Withdrawn(self.number));
+                .notify(self.zone, HolderNotice::PlacementWithdrawn(self.number));
         }
     }
 }
@@ -507,7 +510,7 @@
     }
 
     /// Tells the holder that the stream's first event came, so that its prompt has been read, by this version of the base model.
-    pub fn note_first_event(&self, version: Option<u64>) {
+    pub fn record_first_event(&self, version: Option<u64>) {
         let call = self
             .holder_client
             .open
@@ -516,7 +519,7 @@
             .get(&self.number)
             .cloned();
         if let Some(call) = call {
-            let notice = HolderNotice::Begun(self.number, call.target, version);
+            let notice = HolderNotice::FirstEvent(self.number, call.target, version);
             self.holder_client.notify(&call.zone, notice);
         }
     }
@@ -536,13 +539,13 @@
             .expect("no holder of the lock panics")
             .remove(&self.number);
         if let Some(call) = call {
-            let ending = CompletedCall {
+            let completed = CompletedCall {
                 number: self.number,
                 target: call.target,
                 life: call.life,
                 outcome: self.outcome,
             };
-            self.holder_client.report_end(&call.zone, ending);
+            self.holder_client.report_end(&call.zone, completed);
         }
     }
 }
--- a/crates/daemon/src/direct/holder_requests.rs
+++ b/crates/daemon/src/direct/holder_requests.rs
@@ -23,33 +23,33 @@
     /// Placement of a call.
     Place(Box<PlacementRequest>),
     /// Placement of a call of a plain service.
-    Plain(Box<PlainRequest>),
+    PlacePlain(Box<PlainRequest>),
     /// Charge against an organisation's quota.
-    Pay(QuotaCharge),
+    ChargeQuota(QuotaCharge),
     /// Permit for a trial of a suspect.
-    Trial(RequestFingerprint),
+    RequestTrial(RequestFingerprint),
     /// Record of a target.
-    Target(TargetName),
+    LookUpTarget(TargetName),
 }
 
 impl HolderRequest {
     pub(super) fn into_event(self, key: CallKey, reply: ReplySender) -> ZoneEvent {
         match self {
             Self::Place(request) => ZoneEvent::Place(key, request, reply),
-            Self::Plain(request) => ZoneEvent::PlacePlain(key, request, reply),
-            Self::Pay(charge) => ZoneEvent::ChargeQuota(key, charge, reply),
-            Self::Trial(fingerprint) => ZoneEvent::RequestTrial(key, fingerprint, reply),
-            Self::Target(target) => ZoneEvent::LookUpTarget(key, target, reply),
+            Self::PlacePlain(request) => ZoneEvent::PlacePlain(key, request, reply),
+            Self::ChargeQuota(charge) => ZoneEvent::ChargeQuota(key, charge, reply),
+            Self::RequestTrial(fingerprint) => ZoneEvent::RequestTrial(key, fingerprint, reply),
+            Self::LookUpTarget(target) => ZoneEvent::LookUpTarget(key, target, reply),
         }
     }
 
     pub(super) fn into_message(self, number: u64) -> VmMessage {
         match self {
             Self::Place(request) => VmMessage::Place(number, request),
-            Self::Plain(request) => VmMessage::PlacePlain(number, request),
-            Self::Pay(charge) => VmMessage::Pay(number, charge),
-            Self::Trial(fingerprint) => VmMessage::Trial(number, fingerprint),
-            Self::Target(target) => VmMessage::TargetWanted(number, target),
+            Self::PlacePlain(request) => VmMessage::PlacePlain(number, request),
+            Self::ChargeQuota(charge) => VmMessage::ChargeQuota(number, charge),
+            Self::RequestTrial(fingerprint) => VmMessage::RequestTrial(number, fingerprint),
+            Self::LookUpTarget(target) => VmMessage::LookUpTarget(number, target),
         }
     }
 }
@@ -58,15 +58,15 @@
 pub(super) enum HolderNotice {
     /// The first event of a call came from this target, with the version of the base model if
     /// known.
-    Begun(u64, TargetName, Option<u64>),
+    FirstEvent(u64, TargetName, Option<u64>),
     /// The gateway no longer needs a placement.
-    Withdrawn(u64),
+    PlacementWithdrawn(u64),
     /// Returns the charge of a call that was not run.
-    GiveBack(QuotaCharge),
-    /// A target ended while a request ran on it.
-    EndedUnder(TargetCrash),
-    /// A target reported its limit in an answer.
-    LimitNamed(AdvertisedLimit),
+    RefundQuota(QuotaCharge),
+    /// A target crashed while it ran a request.
+    TargetCrashed(TargetCrash),
+    /// A target advertised its rate limit in an answer.
+    TargetLimit(AdvertisedLimit),
     /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
 }
@@ -78,13 +78,13 @@
             number,
         };
         match self {
-            Self::Begun(number, target, version) => {
+            Self::FirstEvent(number, target, version) => {
                 ZoneEvent::FirstEvent(key(number), target, version)
             }
-            Self::Withdrawn(number) => ZoneEvent::PlacementWithdrawn(key(number)),
-            Self::GiveBack(charge) => ZoneEvent::RefundQuota(charge),
-            Self::EndedUnder(end) => ZoneEvent::TargetEnded(end),
-            Self::LimitNamed(limit) => ZoneEvent::TargetLimit(limit),
+            Self::PlacementWithdrawn(number) => ZoneEvent::PlacementWithdrawn(key(number)),
+            Self::RefundQuota(charge) => ZoneEvent::RefundQuota(charge),
+            Self::TargetCrashed(end) => ZoneEvent::TargetCrashed(end),
+            Self::TargetLimit(limit) => ZoneEvent::TargetLimit(limit),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 ZoneEvent::TrialEnded(key(number), fingerprint, is_good)
             }
@@ -93,11 +93,13 @@
 
     pub(super) fn into_message(self) -> VmMessage {
         match self {
-            Self::Begun(number, target, version) => VmMessage::Begun(number, target, version),
-            Self::Withdrawn(number) => VmMessage::Withdrawn(number),
-            Self::GiveBack(charge) => VmMessage::GiveBack(charge),
-            Self::EndedUnder(end) => VmMessage::EndedUnder(end),
-            Self::LimitNamed(limit) => VmMessage::LimitNamed(limit),
+            Self::FirstEvent(number, target, version) => {
+                VmMessage::FirstEvent(number, target, version)
+            }
+            Self::PlacementWithdrawn(number) => VmMessage::PlacementWithdrawn(number),
+            Self::RefundQuota(charge) => VmMessage::RefundQuota(charge),
+            Self::TargetCrashed(end) => VmMessage::TargetCrashed(end),
+            Self::TargetLimit(limit) => VmMessage::TargetLimit(limit),
             Self::TrialEnded(number, fingerprint, is_good) => {
                 VmMessage::TrialEnded(number, fingerprint, is_good)
             }
--- a/crates/daemon/src/direct/holder_state.rs
+++ b/crates/daemon/src/direct/holder_state.rs
@@ -9,7 +9,7 @@
         millis,
         plain::{PlainPlanner, PlainRequest},
         planner::{CallKey, PlacementAnswer, RefusalCause},
-        quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaLedger},
+        quotas::{BucketCounts, BucketStart, HolderTenure, QuotaCharge, QuotaTable},
         suspects::{RequestFingerprint, Suspicion},
         trials::{TrialAnswer, TrialTable},
     },
@@ -24,8 +24,8 @@
     pub token: FencingToken,
     /// Whether the zone had a holder before.
     pub had_holder: bool,
-    /// Time from now for which the previous holder may go on acting as one, because it may not know of the new lease yet.
-    pub quiet: Duration,
+    /// Time from now for which the previous holder may continue to act as one, because it may not know of the new lease yet.
+    pub order_delay: Duration,
 }
 
 /// Quotas, plain calls and trials of a holder, for the duration of one lease.
@@ -33,7 +33,7 @@
     /// Fencing token of the lease.
     pub token: FencingToken,
     plain: PlainPlanner,
-    quotas: QuotaLedger,
+    quotas: QuotaTable,
     trials: TrialTable,
     /// Version of the configuration from which the quotas were taken.
     quota_version: Option<u64>,
@@ -41,7 +41,7 @@
 
 impl HolderState {
     /// The state of a new lease. Quotas start full only in the fleet's first start; a successor assumes that they were spent,
-    /// because it does not know what the previous holder paid out.
+    /// because it does not know what the previous holder granted.
     #[must_use]
     pub fn new(
         settings: &DirectSettings,
@@ -58,15 +58,15 @@
         let zones = u32::try_from(settings.zones.len()).unwrap_or(u32::MAX);
         let times = HolderTenure {
             sole_until,
-            active_from: now.after(lease.quiet),
-            has_predecessor: !lease.quiet.is_zero(),
+            active_from: now.after(lease.order_delay),
+            has_predecessor: !lease.order_delay.is_zero(),
             window: settings.quotas.window,
         };
         Self {
             token: lease.token,
             plain: PlainPlanner::default(),
             trials: TrialTable::new(settings.trials),
-            quotas: QuotaLedger::new(settings.quotas, zones, start, times),
+            quotas: QuotaTable::new(settings.quotas, zones, start, times),
             quota_version: None,
         }
     }
@@ -86,19 +86,19 @@
     }
 
     /// Records that no other VM is the zone's holder until this time.
-    pub fn lead_until(&mut self, time: Instant) {
+    pub fn set_sole_until(&mut self, time: Instant) {
         self.quotas.set_sole_until(time);
     }
 
-    /// Pays a charge out of its organisation's quota.
+    /// Takes a charge from its organisation's quota.
     ///
     /// # Errors
     /// If too little is left: the time until there is enough.
-    pub fn pay(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
+    pub fn charge_quota(&mut self, charge: &QuotaCharge, now: Instant) -> Result<(), Duration> {
         self.quotas.charge(charge, now)
     }
 
-    /// Pays for a call before it is placed.
+    /// Charges a call before it is placed.
     ///
     /// # Errors
     /// If too little is left: the refusal of the call.
@@ -107,8 +107,8 @@
         charge: Option<&QuotaCharge>,
         now: Instant,
     ) -> Result<(), PlacementAnswer> {
-        let paid = charge.map_or(Ok(()), |charge| self.pay(charge, now));
-        paid.map_err(|wait| PlacementAnswer::Refuse {
+        let charged = charge.map_or(Ok(()), |charge| self.charge_quota(charge, now));
+        charged.map_err(|wait| PlacementAnswer::Refuse {
             retry_after_ms: millis(wait),
             cause: RefusalCause::QuotaUsedUp,
         })
@@ -119,7 +119,7 @@
         self.quotas.refund(charge, now);
     }
 
-    /// Places a call of a plain service, and pays for it if a target is found. A suspect without a trial is refused.
+    /// Places a call of a plain service, and charges it if a target is found. A suspect without a trial is refused.
     pub fn place_plain(
         &mut self,
         fleet: &FleetState,
@@ -156,7 +156,7 @@
     }
 
     /// Decides about a trial of a suspect; a refusal states when to retry.
-    pub fn ask_trial(
+    pub fn request_trial(
         &mut self,
         fleet: &FleetState,
         fingerprint: RequestFingerprint,
@@ -175,7 +175,7 @@
     }
 
     /// Records the rate limit that a target stated in an answer.
-    pub fn note_limit(&mut self, limit: &AdvertisedLimit, now: Instant) {
+    pub fn record_limit(&mut self, limit: &AdvertisedLimit, now: Instant) {
         self.plain.record_limit(limit, now);
     }
 
@@ -185,7 +185,7 @@
         self.plain.forget_gateway(vm, now);
     }
 
-    /// Units paid and refused since the start of the lease, by organisation.
+    /// Units granted and refused since the start of the lease, by organisation.
     pub fn counts(&self) -> impl Iterator<Item = (&OrganisationName, BucketCounts)> {
         self.quotas.counts()
     }
--- a/crates/daemon/src/direct/ingest.rs
+++ b/crates/daemon/src/direct/ingest.rs
@@ -39,8 +39,8 @@
 }
 
 impl FleetState {
-    /// Notes whether a read or listing of the target list was answered.
-    pub fn note_list_call(&self, is_answered: bool) {
+    /// Records whether a read or listing of the target list was answered.
+    pub fn record_list_call(&self, is_answered: bool) {
         let now = clock::now();
         let mut tables = self.tables();
         if is_answered {
@@ -48,7 +48,7 @@
         } else {
             tables.contact.record_failure(now);
         }
-        tables.note_log_return();
+        tables.record_log_return();
     }
 
     /// Applies a listing of the newest record of each key.
@@ -72,17 +72,17 @@
             since: listing.end,
             end: listing.end,
         };
-        self.note_topic_known(span, RecordSource::Listed);
-        self.note_end(topic, listing.end);
+        self.record_topic_known(span, RecordSource::Listed);
+        self.record_end(topic, listing.end);
         if topic == FeedTopic::Fleet {
             self.tables().listed_era = Some(listing.end.era());
         }
         self.signal();
     }
 
-    /// Notes that every key of a topic is known and that no record before the span's end is
+    /// Records that every key of a topic is known and that no record before the span's end is
     /// missing.
-    pub(super) fn note_topic_known(&self, span: TopicSpan, source: RecordSource) {
+    pub(super) fn record_topic_known(&self, span: TopicSpan, source: RecordSource) {
         let TopicSpan { topic, since, end } = span;
         let known_topics = {
             let mut tables = self.tables();
@@ -116,7 +116,7 @@
     /// Applies the records of a read from `from`, in the order of their positions.
     pub fn apply_records(&self, topic: FeedTopic, from: LogPosition, batch: &ReadBatch) {
         let has_updates = self.fold(topic, &batch.records, RecordSource::Read, clock::now());
-        self.note_end(topic, batch.end);
+        self.record_end(topic, batch.end);
         if from <= self.known_end(topic) {
             self.tables().advance(topic, batch.next);
         }
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Notes that the fleet topic was read up to a position.
-    pub(super) fn note_end(&self, topic: FeedTopic, end: LogPosition) {
+    /// Records that the fleet topic was read up to a position.
+    pub(super) fn record_end(&self, topic: FeedTopic, end: LogPosition) {
         if topic == FeedTopic::Fleet {
             let mut tables = self.tables();
             tables.fleet_end = tables.fleet_end.max(Some(end));
@@ -157,7 +157,7 @@
                 FeedTopic::Operators => {
                     let is_written = source == RecordSource::Read && record.key == CONFIG_KEY;
                     if is_written && Some(record.position.era()) == tables.store_era {
-                        tables.copy_doubt.record_write(now);
+                        tables.restore_guard.record_write(now);
                     }
                     fold_operator_record(&mut tables, record)
                 }
@@ -221,12 +221,12 @@
             catalog,
             limits,
             leaving,
-            rests,
+            backoffs,
             ..
         } = &mut *tables;
         limits.retain(|run| catalog.get(&run.name).is_some());
         leaving.retain(|run| catalog.get(&run.name).is_some());
-        rests.retain(|run| catalog.get(&run.name).is_some());
+        backoffs.retain(|run| catalog.get(&run.name).is_some());
         let removed = catalog.expire_removals(clock::now());
         if removed.is_empty() {
             return;
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -158,7 +158,11 @@
     ///
     /// # Panics
     /// If a thread panicked while it held the lock.
-    pub fn ask(&self, number: u64, message: VmMessage) -> Option<oneshot::Receiver<HolderReply>> {
+    pub fn send_request(
+        &self,
+        number: u64,
+        message: VmMessage,
+    ) -> Option<oneshot::Receiver<HolderReply>> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut state = self
@@ -175,7 +179,7 @@
     }
 
     /// Sends a message without a reply; drops it if the queue is full.
-    pub fn tell(&self, message: VmMessage) {
+    pub fn send_notice(&self, message: VmMessage) {
         // When a link ends, the holder discards the gateway's calls anyway.
         drop(self.outbound.try_send(message));
     }
@@ -196,7 +200,7 @@
         let is_process_gone = match result {
             Ok(Ok(mut socket)) => {
                 event!(Event::LinkUp, "{}", self.vm);
-                self.note_heard(clock::now());
+                self.record_heard(clock::now());
                 self.set_status(LinkStatus::Up);
                 for message in initial_messages {
                     if send(&mut socket, &message).await.is_err() {
@@ -222,7 +226,7 @@
             .clear();
     }
 
-    fn note_heard(&self, heard: Instant) {
+    fn record_heard(&self, heard: Instant) {
         self.state
             .lock()
             .expect("no thread panics while it holds the lock")
@@ -304,9 +308,9 @@
                 received = receive(&mut socket) => match received {
                     Ok(Some(message)) => {
                         heard = clock::now();
-                        self.note_heard(heard);
-                        sharing.answer(&message);
-                        if let Some(message) = sharing.take(&self.vm, message) {
+                        self.record_heard(heard);
+                        sharing.handle_request(&message);
+                        if let Some(message) = sharing.apply(&self.vm, message) {
                             self.deliver_reply(message);
                         }
                     }
@@ -326,9 +330,9 @@
     fn deliver_reply(&self, message: VmMessage) {
         let (number, reply) = match message {
             VmMessage::Placed(number, answer) => (number, HolderReply::Placement(answer)),
-            VmMessage::Paid(number, after_ms) => (number, HolderReply::Charged(after_ms)),
+            VmMessage::Charged(number, after_ms) => (number, HolderReply::Charged(after_ms)),
             VmMessage::TrialAnswered(number, answer) => (number, HolderReply::Trial(answer)),
-            VmMessage::TargetTold(number, record) => (number, HolderReply::Target(record)),
+            VmMessage::TargetRecord(number, record) => (number, HolderReply::Target(record)),
             VmMessage::NotHolder(number) => (number, HolderReply::NotHolder),
             _ => return,
         };
@@ -406,7 +410,7 @@
     let (mut socket, vm, peer_zone) = timeout(CONNECT_TIMEOUT, handshake).await??;
     let is_same_zone = peer_zone == fleet.zone;
     let mut sharing = RecordSharing::new(fleet, is_same_zone);
-    fleet.note_successor(&vm, is_same_zone);
+    fleet.record_successor(&vm, is_same_zone);
     let (outbound, mut replies) = mpsc::channel(OUTBOUND_QUEUE_LEN);
     let mut heard = clock::now();
     let mut heartbeat = interval(HEARTBEAT_INTERVAL);
@@ -427,11 +431,11 @@
             received = receive(&mut socket) => match received {
                 Ok(Some(message)) => {
                     heard = clock::now();
-                    sharing.answer(&message);
+                    sharing.handle_request(&message);
                     if matches!(message, VmMessage::Stopping) {
-                        fleet.note_successor(&vm, false);
+                        fleet.record_successor(&vm, false);
                     }
-                    if let Some(message) = sharing.take(&vm, message)
+                    if let Some(message) = sharing.apply(&vm, message)
                         && let Some(event) = zone_event(&vm, message, &outbound)
                         && zone.send(event).await.is_err()
                     {
@@ -451,7 +455,7 @@
             }
         }
     };
-    fleet.note_successor(&vm, false);
+    fleet.record_successor(&vm, false);
     // The zone worker ends only with the process.
     let _ = zone.send(ZoneEvent::GatewayLost(vm)).await;
     ended
@@ -477,15 +481,15 @@
             request,
             ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::Pay(number, charge) => Some(ZoneEvent::ChargeQuota(
+        VmMessage::ChargeQuota(number, charge) => Some(ZoneEvent::ChargeQuota(
             key(number),
             charge,
             ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::GiveBack(charge) => Some(ZoneEvent::RefundQuota(charge)),
-        VmMessage::LimitNamed(limit) => Some(ZoneEvent::TargetLimit(limit)),
-        VmMessage::EndedUnder(ended) => Some(ZoneEvent::TargetEnded(ended)),
-        VmMessage::Trial(number, fingerprint) => Some(ZoneEvent::RequestTrial(
+        VmMessage::RefundQuota(charge) => Some(ZoneEvent::RefundQuota(charge)),
+        VmMessage::TargetLimit(limit) => Some(ZoneEvent::TargetLimit(limit)),
+        VmMessage::TargetCrashed(ended) => Some(ZoneEvent::TargetCrashed(ended)),
+        VmMessage::RequestTrial(number, fingerprint) => Some(ZoneEvent::RequestTrial(
             key(number),
             fingerprint,
             ReplySender::Peer(outbound.clone()),
@@ -493,17 +497,17 @@
         VmMessage::TrialEnded(number, fingerprint, is_good) => {
             Some(ZoneEvent::TrialEnded(key(number), fingerprint, is_good))
         }
-        VmMessage::TargetWanted(number, target) => Some(ZoneEvent::LookUpTarget(
+        VmMessage::LookUpTarget(number, target) => Some(ZoneEvent::LookUpTarget(
             key(number),
             target,
             ReplySender::Peer(outbound.clone()),
         )),
-        VmMessage::Begun(number, target, version) => {
+        VmMessage::FirstEvent(number, target, version) => {
             Some(ZoneEvent::FirstEvent(key(number), target, version))
         }
-        VmMessage::Ended(ending) => Some(ZoneEvent::CallEnded(vm.clone(), ending)),
-        VmMessage::Withdrawn(number) => Some(ZoneEvent::PlacementWithdrawn(key(number))),
-        VmMessage::Open(number, target, life, subject) => {
+        VmMessage::CallEnded(completed) => Some(ZoneEvent::CallEnded(vm.clone(), completed)),
+        VmMessage::PlacementWithdrawn(number) => Some(ZoneEvent::PlacementWithdrawn(key(number))),
+        VmMessage::OpenCall(number, target, life, subject) => {
             Some(ZoneEvent::OpenCall(key(number), target, life, subject))
         }
         VmMessage::LeaseWanted(position) => {
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hoplanding_core::{
     direct::{
-        freshness::{HeartbeatEcho, RelayedProof},
+        freshness::{ForwardedProof, HeartbeatEcho},
         health::CallOutcome,
         limits::AdvertisedLimit,
         plain::PlainRequest,
@@ -30,7 +30,7 @@
     pub number: u64,
     /// Target that the call was sent to.
     pub target: TargetName,
-    /// Incarnation of the target that the call was sent to.
+    /// Life of the target that the call was sent to.
     pub life: TargetLife,
     /// Outcome at the target; `None` if the caller left.
     pub outcome: Option<CallEnd>,
@@ -48,7 +48,8 @@
     /// Rejected because the target is full.
     Shed {
         /// Backoff requested by the target, in milliseconds.
-        rest_ms: u32,
+        #[serde(rename = "rest_ms")]
+        backoff_ms: u32,
     },
     /// The target lacked the adapter or its version.
     Absent,
@@ -62,8 +63,8 @@
             Self::Good => Some(CallOutcome::Success),
             Self::Failed => Some(CallOutcome::Failed),
             Self::Unreached => Some(CallOutcome::ConnectFailed),
-            Self::Shed { rest_ms } => {
-                let backoff = Duration::from_millis(u64::from(rest_ms));
+            Self::Shed { backoff_ms } => {
+                let backoff = Duration::from_millis(u64::from(backoff_ms));
                 Some(CallOutcome::Overloaded(backoff))
             }
             Self::Absent => None,
@@ -146,7 +147,8 @@
         incarnation: u64,
     },
     /// Heartbeat.
-    Beat {
+    #[serde(rename = "Beat")]
+    Heartbeat {
         /// The sender's current run of answers from the log, if any.
         contact: Option<ContactReport>,
         /// Positions up to which the receiver knows all that the sender knows, if it made a request
@@ -157,7 +159,7 @@
         /// Echo of the receiver's last heartbeat on this link.
         echo: Option<HeartbeatEcho>,
         /// Proof that the sender's configuration is the newest.
-        proof: Option<RelayedProof>,
+        proof: Option<ForwardedProof>,
     },
     /// Requests the placement of a call.
     Place(u64, Box<PlacementRequest>),
@@ -169,43 +171,55 @@
     NotHolder(u64),
     /// The first event of a call came from its target, with the version of the base model if the
     /// answer names it.
-    Begun(u64, TargetName, Option<u64>),
+    #[serde(rename = "Begun")]
+    FirstEvent(u64, TargetName, Option<u64>),
     /// A call ended.
-    Ended(CompletedCall),
+    #[serde(rename = "Ended")]
+    CallEnded(CompletedCall),
     /// The gateway no longer needs a placement.
-    Withdrawn(u64),
-    /// Requests a charge against the receiver's part of an organisation's quota.
-    Pay(u64, QuotaCharge),
-    /// The charge is paid, or how many milliseconds pass until the quota suffices.
-    Paid(u64, Option<u32>),
+    #[serde(rename = "Withdrawn")]
+    PlacementWithdrawn(u64),
+    /// Requests a charge against the receiver's share of an organisation's quota.
+    #[serde(rename = "Pay")]
+    ChargeQuota(u64, QuotaCharge),
+    /// `None` if the call was charged, otherwise the milliseconds until the quota suffices.
+    #[serde(rename = "Paid")]
+    Charged(u64, Option<u32>),
     /// Returns the charge of a call that was not run.
-    GiveBack(QuotaCharge),
-    /// A target ended while a request ran on it.
-    EndedUnder(TargetCrash),
+    #[serde(rename = "GiveBack")]
+    RefundQuota(QuotaCharge),
+    /// A target crashed while it ran a request.
+    #[serde(rename = "EndedUnder")]
+    TargetCrashed(TargetCrash),
     /// Requests a permit for a trial of a suspect.
-    Trial(u64, RequestFingerprint),
-    /// Answer to `Trial`.
+    #[serde(rename = "Trial")]
+    RequestTrial(u64, RequestFingerprint),
+    /// Answer to `RequestTrial`.
     TrialAnswered(u64, TrialAnswer),
     /// A trial ended; `true` if it was answered successfully.
     TrialEnded(u64, RequestFingerprint, bool),
-    /// A target reported its limit in an answer.
-    LimitNamed(AdvertisedLimit),
+    /// A target advertised its rate limit in an answer.
+    #[serde(rename = "LimitNamed")]
+    TargetLimit(AdvertisedLimit),
     /// A call that was open before this link existed.
-    Open(u64, TargetName, TargetLife, AdapterName),
-    /// The sender, a stronger VM of the zone, asks the receiver to give up its lease at this
+    #[serde(rename = "Open")]
+    OpenCall(u64, TargetName, TargetLife, AdapterName),
+    /// The sender, a VM of the zone with more CPU, asks the receiver to give up its lease at this
     /// position.
     LeaseWanted(LogPosition),
     /// The sender's planned stop has begun, and it takes on no more duties.
     Stopping,
     /// Requests the record of a target, as the sender does not know the target list yet.
-    TargetWanted(u64, TargetName),
+    #[serde(rename = "TargetWanted")]
+    LookUpTarget(u64, TargetName),
     /// Record of the requested target, if it is known.
-    TargetTold(u64, Option<ForwardedRecord>),
+    #[serde(rename = "TargetTold")]
+    TargetRecord(u64, Option<ForwardedRecord>),
     /// Records that the receiver may not know.
     Records(Vec<ForwardedRecord>),
     /// Targets that announced in an answer that they are leaving.
     Leaving(Vec<TargetRun>),
-    /// Answer to `Wanted`.
+    /// Answer to `RequestRecords`.
     Answer {
         /// Every record of the topics from the requested positions on.
         records: Vec<ForwardedRecord>,
@@ -214,10 +228,12 @@
         spans: Vec<TopicSpan>,
     },
     /// Requests the records of topics from positions on.
-    Wanted {
+    #[serde(rename = "Wanted")]
+    RequestRecords {
         /// Topics and the positions to start from.
         from: Vec<TopicEnd>,
-        /// Whether the log does not serve the sender, so that other VMs should read on its behalf.
-        is_turned_away: bool,
+        /// Whether the log refuses the sender or is out of its reach, so that other VMs should read on its behalf.
+        #[serde(rename = "is_turned_away")]
+        lacks_log_access: bool,
     },
 }
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -33,14 +33,14 @@
 /// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4096;
 
-/// Kind of a request, by how its answer is passed on and whether it may be repeated.
+/// Kind of a request, by how its answer is forwarded and whether it may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestKind {
     /// The answer is a stream of events.
     Stream,
-    /// The answer is passed on whole, and the request may run more than once.
+    /// The answer is forwarded whole, and the request may run more than once.
     Idempotent,
-    /// The answer is passed on whole, and the request may run only once.
+    /// The answer is forwarded whole, and the request may run only once.
     Once,
     /// No route matches host and path.
     Unrouted,
@@ -61,9 +61,9 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestOutcome {
-    /// The complete answer was passed on.
+    /// The complete answer was forwarded.
     Answered,
-    /// A target's failure answer was passed on.
+    /// A target's failure answer was forwarded.
     TargetFailed,
     /// Refused without having run.
     Refused,
@@ -154,7 +154,7 @@
     placing: Histogram,
     first_event: Histogram,
     targets: Family<StageLabels, Gauge>,
-    doubted_targets: Gauge,
+    pending_removals: Gauge,
     prompt_moves: Family<MoveLabels, Counter>,
     in_flight: Gauge,
     config_version: Gauge,
@@ -180,7 +180,7 @@
             placing: Histogram::new(BUCKET_BOUNDS_S),
             first_event: Histogram::new(BUCKET_BOUNDS_S),
             targets: Family::default(),
-            doubted_targets: Gauge::default(),
+            pending_removals: Gauge::default(),
             prompt_moves: Family::default(),
             in_flight: Gauge::default(),
             config_version: Gauge::default(),
@@ -246,7 +246,7 @@
         registry.register(
             "targets_doubted",
             "Targets whose removal is in doubt",
-            self.doubted_targets.clone(),
+            self.pending_removals.clone(),
         );
         registry.register(
             "prompt_moves",
@@ -292,18 +292,18 @@
             .inc();
     }
 
-    /// Sets the units paid and refused by a zone's holder, for the organisations that asked for the most. Their number is limited
+    /// Sets the units granted and refused by a zone's holder, for the organisations that requested the most. Their number is limited
     /// to bound the number of time series.
     pub fn set_quota_counts<'a>(
         &self,
         counts: impl Iterator<Item = (&'a OrganisationName, BucketCounts)>,
     ) {
         let mut counts: Vec<_> = counts.collect();
-        counts.sort_by_key(|(name, counts)| (Reverse(counts.paid + counts.refused), *name));
+        counts.sort_by_key(|(name, counts)| (Reverse(counts.granted + counts.refused), *name));
         counts.truncate(MAX_ORGANISATIONS);
         self.quotas.clear();
         for (name, counts) in counts {
-            for (outcome, units) in [("paid", counts.paid), ("refused", counts.refused)] {
+            for (outcome, units) in [("paid", counts.granted), ("refused", counts.refused)] {
                 let organisation = name.to_string();
                 let labels = QuotaLabels {
                     organisation,
@@ -382,7 +382,7 @@
     }
 
     /// Records the time from a stream's request to its first event.
-    pub fn note_first_event(&self, elapsed: Duration) {
+    pub fn observe_first_event(&self, elapsed: Duration) {
         self.first_event.observe(elapsed.as_secs_f64());
     }
 
@@ -410,7 +410,7 @@
             let gauge = self.targets.get_or_create(&StageLabels { stage: name });
             gauge.set(saturating_i64(count.count() as u64));
         }
-        self.doubted_targets
+        self.pending_removals
             .set(saturating_i64(tables.catalog.pending_removals() as u64));
         let in_flight: u32 = tables.in_flight.values().sum();
         self.in_flight.set(i64::from(in_flight));
--- a/crates/daemon/src/direct/mod.rs
+++ b/crates/daemon/src/direct/mod.rs
@@ -1,4 +1,4 @@
-//! The direct mode: every VM is a gateway that sends calls straight to targets, and one VM per zone gives the orders.
+//! The direct mode: every VM is a gateway that sends calls straight to targets, and one VM per zone issues the orders.
 //!
 //! Each VM reads the platform's log and exchanges its records with other VMs, so that it knows the configuration, the
 //! targets and the holder of each zone's lease. A gateway asks the holder of a zone for a placement and then sends the
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -68,7 +68,7 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.errors {
-            if let Some(suppressed) = self.tables().unreadable_headers.note(now) {
+            if let Some(suppressed) = self.tables().unreadable_headers.record(now) {
                 event!(
                     Event::InvalidNotice,
                     "{}: {fault}; {suppressed} earlier ones not logged",
@@ -81,7 +81,7 @@
             self.mark_leaving(slice::from_ref(run), "stated in its own answer");
         }
         if let Some(backoff) = notice.backoff {
-            let applied = self.tables().rests.record(run, backoff, now);
+            let applied = self.tables().backoffs.record(run, backoff, now);
             event!(
                 Event::BackoffRequested,
                 "{} for {backoff:?}, applied for {applied:?}",
@@ -93,9 +93,9 @@
 
     /// Whether a target has asked this VM to back off and the backoff has not ended.
     #[must_use]
-    pub fn is_resting(&self, run: &TargetRun) -> bool {
+    pub fn is_backing_off(&self, run: &TargetRun) -> bool {
         let now = clock::now();
-        self.tables().rests.remaining(run, now).is_some()
+        self.tables().backoffs.remaining(run, now).is_some()
     }
 
     /// Marks targets as leaving, and announces those of them that were not known to be. `source` names the origin of the notice in
@@ -104,7 +104,7 @@
         let mut tables = self.tables();
         let head = tables.leaving.head();
         for run in runs {
-            if tables.catalog.note_leaving(run) {
+            if tables.catalog.record_leaving(run) {
                 event!(Event::TargetLeaving, "{}, {source}", run.name);
                 tables.leaving.push(run.clone());
             }
--- a/crates/daemon/src/direct/reachability.rs
+++ b/crates/daemon/src/direct/reachability.rs
@@ -53,11 +53,11 @@
         }
     }
 
-    /// Notes that the log is back.
+    /// Records that the log is back.
     ///
     /// # Panics
     /// If a thread panicked while it held the lock.
-    pub fn note_return(&self) {
+    pub fn record_return(&self) {
         *self
             .prober
             .lock()
--- a/crates/daemon/src/direct/record_cache.rs
+++ b/crates/daemon/src/direct/record_cache.rs
@@ -67,7 +67,7 @@
 
     /// The cached record of a key in the form sent to other VMs; none if the key is unknown or deleted.
     #[must_use]
-    pub fn passed(&self, topic: FeedTopic, key: &str) -> Option<ForwardedRecord> {
+    pub fn record(&self, topic: FeedTopic, key: &str) -> Option<ForwardedRecord> {
         let key = (topic, key.to_owned());
         let cached = self.records.get(&key)?;
         cached.value.is_some().then(|| relayed_record(&key, cached))
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -183,7 +183,7 @@
         VmRecord {
             zone: self.settings.zone.clone(),
             address: self.settings.peer_address,
-            strength: self.settings.cpu_millicores,
+            cpu_millicores: self.settings.cpu_millicores,
         }
     }
 }
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -210,7 +210,7 @@
         hot_adapter_fraction: fraction("sought_part", defaults.hot_adapter_fraction),
         speculative_load_fraction: fraction("spare_part", defaults.speculative_load_fraction),
         busy_fraction: fraction("busy_part", defaults.busy_fraction),
-        doubt_penalty: span("doubt_price_ms", defaults.doubt_penalty),
+        degraded_penalty: span("doubt_price_ms", defaults.degraded_penalty),
         failure_penalty: span("failing_price_ms", defaults.failure_penalty),
         shed_penalty: span("shed_price_ms", defaults.shed_penalty),
     }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -98,9 +98,9 @@
             tokio::select! {
                 _ = self.updates.changed() => {}
                 _ = self.known_topics.changed() => {}
-                _ = self.record_requests.changed() => return VmMessage::Wanted {
+                _ = self.record_requests.changed() => return VmMessage::RequestRecords {
                     from: self.fleet.missing_ranges(),
-                    is_turned_away: true,
+                    lacks_log_access: true,
                 },
             }
         }
@@ -159,7 +159,7 @@
         let is_complete = self.is_same_zone && self.is_up_to_date() && self.replies.is_empty();
         let now = clock::now();
         let proof = self.fleet.tables().freshness_proof(now);
-        VmMessage::Beat {
+        VmMessage::Heartbeat {
             contact: self.fleet.contact_report(),
             ends: if is_complete {
                 self.answered_ends()
@@ -189,9 +189,9 @@
             return None;
         }
         self.requested_with = Some(self.fleet.known_topic_count());
-        Some(VmMessage::Wanted {
+        Some(VmMessage::RequestRecords {
             from: self.fleet.missing_ranges(),
-            is_turned_away: false,
+            lacks_log_access: false,
         })
     }
 
@@ -214,7 +214,7 @@
         self.received.get(&key) == Some(&record.position)
     }
 
-    fn note_received(&mut self, records: &[ForwardedRecord]) {
+    fn record_received(&mut self, records: &[ForwardedRecord]) {
         if self.is_up_to_date() {
             self.received.clear();
         }
@@ -224,16 +224,16 @@
     }
 
     /// Answers a request for records. Topics that are not complete here are answered later.
-    pub fn answer(&mut self, message: &VmMessage) {
-        let VmMessage::Wanted {
+    pub fn handle_request(&mut self, message: &VmMessage) {
+        let VmMessage::RequestRecords {
             from,
-            is_turned_away,
+            lacks_log_access,
         } = message
         else {
             return;
         };
-        if *is_turned_away {
-            self.fleet.note_read_request();
+        if *lacks_log_access {
+            self.fleet.record_read_request();
         }
         for (topic, position) in from {
             if self.fleet.is_topic_known(*topic) {
@@ -242,7 +242,7 @@
                 self.open_requests.insert(*topic, *position);
             }
         }
-        self.queue_answer(from, *is_turned_away);
+        self.queue_answer(from, *lacks_log_access);
     }
 
     /// Answers open requests for topics that are complete by now.
@@ -261,8 +261,8 @@
         }
     }
 
-    fn queue_answer(&mut self, from: &[TopicEnd], is_turned_away: bool) {
-        let (records, spans) = self.fleet.records_since(from, is_turned_away);
+    fn queue_answer(&mut self, from: &[TopicEnd], lacks_log_access: bool) {
+        let (records, spans) = self.fleet.records_since(from, lacks_log_access);
         let metrics = &self.fleet.metrics;
         metrics.count_forwarded_records(ForwardReason::Answer, records.len());
         let mut parts = split_into_messages(records);
@@ -273,18 +273,18 @@
     }
 
     /// Applies a message about the log; returns any other message.
-    pub fn take(&mut self, vm: &VmName, message: VmMessage) -> Option<VmMessage> {
+    pub fn apply(&mut self, vm: &VmName, message: VmMessage) -> Option<VmMessage> {
         match message {
             VmMessage::Records(records) => {
-                self.note_received(&records);
+                self.record_received(&records);
                 self.fleet.apply_forwarded(records);
             }
             VmMessage::Leaving(runs) => self.fleet.mark_leaving(&runs, "reported by another VM"),
             VmMessage::Answer { records, spans } => {
-                self.note_received(&records);
+                self.record_received(&records);
                 self.fleet.apply_answer(records, &spans);
             }
-            VmMessage::Beat {
+            VmMessage::Heartbeat {
                 contact,
                 ends,
                 sent,
--- a/crates/daemon/src/direct/skipped.rs
+++ b/crates/daemon/src/direct/skipped.rs
@@ -22,7 +22,7 @@
 impl EntryLogLimiter {
     /// Counts an entry. Returns `None` if its line exceeds the rate, and otherwise the number of
     /// entries without a line since the last one.
-    pub fn note(&mut self, now: Instant) -> Option<u64> {
+    pub fn record(&mut self, now: Instant) -> Option<u64> {
         self.total += 1;
         if now.since(self.interval_start) >= LINE_INTERVAL {
             self.interval_start = now;
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -69,7 +69,7 @@
 
 impl FleetState {
     /// Records that a target crashed while it ran a request; returns whether that was not known before.
-    pub fn note_ended_under(&self, crash: &TargetCrash) -> bool {
+    pub fn record_crash(&self, crash: &TargetCrash) -> bool {
         let now = clock::now();
         let mut tables = self.tables();
         if !tables.suspects.record_crash(crash, now) {
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -55,7 +55,7 @@
 pub enum HolderReply {
     /// Where the call goes, or why it is refused.
     Placement(PlacementAnswer),
-    /// `None` if the charge was paid, else the milliseconds until the quota covers it.
+    /// `None` if the call was charged, otherwise the milliseconds until the quota suffices.
     Charged(Option<u32>),
     /// Whether the trial of a suspected request is granted.
     Trial(TrialAnswer),
@@ -86,10 +86,10 @@
     /// Refund a call that was charged and did not run.
     RefundQuota(QuotaCharge),
     /// A target crashed while it ran a request.
-    TargetEnded(TargetCrash),
-    /// An answer of a target named the target's limit.
+    TargetCrashed(TargetCrash),
+    /// A target advertised its rate limit in an answer.
     TargetLimit(AdvertisedLimit),
-    /// Ask for a trial of a suspected request.
+    /// Request a trial of a suspect.
     RequestTrial(CallKey, RequestFingerprint, ReplySender),
     /// Look up the record of a target.
     LookUpTarget(CallKey, TargetName, ReplySender),
@@ -109,7 +109,7 @@
     OrderEnded(TargetName, TargetLife, OrderOutcome),
     /// A target's report, or none if it could not be read.
     ReportReceived(TargetName, Option<EngineReport>),
-    /// Stop giving orders because the VM stops. The reply says whether the zone was held.
+    /// Stop issuing orders because the VM stops. The reply says whether the zone was held.
     ReleaseLease(oneshot::Sender<bool>),
     /// A VM with more CPU asks for the lease with this token.
     LeaseWanted(VmName, FencingToken),
@@ -149,7 +149,7 @@
 /// A call that waits for its placement.
 struct PendingPlacement {
     reply: ReplySender,
-    /// The charge that was paid, refunded if the call is not placed.
+    /// The charge that was taken from the quota, refunded if the call is not placed.
     charge: Option<QuotaCharge>,
 }
 
@@ -211,7 +211,7 @@
                 _ = tick.tick(), if self.holder_state.is_some() => {
                     let sole_until = self.sole_until();
                     if let Some(holder_state) = &mut self.holder_state {
-                        holder_state.lead_until(sole_until);
+                        holder_state.set_sole_until(sole_until);
                     }
                     self.sync_suspects();
                     let confirmed = self.fleet.tables().confirmed_token;
@@ -219,7 +219,7 @@
                         if confirmed != Some(held.token) {
                             held.planner.hold_orders(clock::now().after(2 * TICK_INTERVAL));
                         }
-                        held.planner.set_lead_until(sole_until);
+                        held.planner.set_sole_until(sole_until);
                         held.planner.tick(clock::now());
                         held.log_load_changes();
                     }
@@ -344,7 +344,7 @@
             | ZoneEvent::PlacePlain(..)
             | ZoneEvent::ChargeQuota(..)
             | ZoneEvent::RefundQuota(_)
-            | ZoneEvent::TargetEnded(_)
+            | ZoneEvent::TargetCrashed(_)
             | ZoneEvent::TargetLimit(_)
             | ZoneEvent::RequestTrial(..)
             | ZoneEvent::LookUpTarget(..)
@@ -367,7 +367,7 @@
         };
         match event {
             ZoneEvent::ChargeQuota(key, charge, reply) => {
-                let wait = holder_state.pay(&charge, now).err();
+                let wait = holder_state.charge_quota(&charge, now).err();
                 send_reply(&key, reply, HolderReply::Charged(wait.map(millis)));
                 None
             }
@@ -376,7 +376,7 @@
                 None
             }
             ZoneEvent::RequestTrial(key, fingerprint, reply) => {
-                let answer = holder_state.ask_trial(&self.fleet, fingerprint, key.clone(), now);
+                let answer = holder_state.request_trial(&self.fleet, fingerprint, key.clone(), now);
                 send_reply(&key, reply, HolderReply::Trial(answer));
                 None
             }
@@ -392,16 +392,16 @@
             }
             ZoneEvent::TargetLimit(limit) => {
                 self.fleet.tables().limits.record(&limit, now);
-                holder_state.note_limit(&limit, now);
+                holder_state.record_limit(&limit, now);
                 if let Some(held) = &mut self.held {
                     held.planner.record_limit(&limit, now);
                 }
                 None
             }
-            ZoneEvent::TargetEnded(crash) => {
-                self.fleet.note_ended_under(&crash);
+            ZoneEvent::TargetCrashed(crash) => {
+                self.fleet.record_crash(&crash);
                 if let Some(held) = &mut self.held {
-                    held.planner.target_ended(&crash, now);
+                    held.planner.record_crash(&crash, now);
                 }
                 None
             }
@@ -444,7 +444,7 @@
         }
     }
 
-    /// Time until which no other VM can give orders: after its claim, a successor waits for the handover delay unless
+    /// Time until which no other VM can issue orders: after its claim, a successor waits for the handover delay unless
     /// this VM released the lease or ended. The delay counts from the last read of the fleet topic, which would have
     /// shown a claim.
     fn sole_until(&self) -> Instant {
@@ -454,7 +454,7 @@
             .after(self.settings.leases.handover_delay)
     }
 
-    /// Releases the lease to a stronger VM once no order is pending, so that orders of the two holders do not overlap.
+    /// Releases the lease to a VM with more CPU once no order is pending, so that orders of the two holders do not overlap.
     fn yield_lease_when_idle(&mut self) {
         let Some(held) = &self.held else {
             return;
@@ -587,16 +587,16 @@
             let lease = LeaseOrigin {
                 token,
                 had_holder,
-                quiet: order_delay,
+                order_delay,
             };
             let mut holder_state = HolderState::new(&self.settings, lease, sole_until, now);
             for limit in &advertised_limits {
-                holder_state.note_limit(limit, now);
+                holder_state.record_limit(limit, now);
             }
             holder_state
         });
         holder_state.refresh(&self.fleet, now);
-        holder_state.lead_until(sole_until);
+        holder_state.set_sole_until(sole_until);
         let Some((service, limits)) = service else {
             return;
         };
@@ -625,7 +625,7 @@
         held.planner.set_policy(policy);
         held.planner
             .set_order_fencing(self.settings.has_order_fencing);
-        held.planner.set_lead_until(sole_until);
+        held.planner.set_sole_until(sole_until);
         held.planner
             .set_targets(self.fleet.zone_targets(&service, &self.fleet.zone), now);
         if is_newly_held {
@@ -659,11 +659,11 @@
                     send_reply(&key, pending.reply, HolderReply::Placement(answer));
                 }
                 // An engine that asked for a backoff is treated like one that refuses orders.
-                PlannerAction::Order(entry, _) if self.fleet.is_resting(&entry.run()) => {
+                PlannerAction::Order(entry, _) if self.fleet.is_backing_off(&entry.run()) => {
                     let outcome = OrderOutcome::Refused;
                     held.planner.order_ended(&entry.name, outcome, clock::now());
                 }
-                PlannerAction::FetchReport(entry) if self.fleet.is_resting(&entry.run()) => {
+                PlannerAction::FetchReport(entry) if self.fleet.is_backing_off(&entry.run()) => {
                     held.planner
                         .report_received(&entry.name, None, clock::now());
                 }
@@ -732,9 +732,9 @@
         ReplySender::Peer(sender) => {
             let message = match answer {
                 HolderReply::Placement(answer) => VmMessage::Placed(key.number, answer),
-                HolderReply::Charged(after_ms) => VmMessage::Paid(key.number, after_ms),
+                HolderReply::Charged(after_ms) => VmMessage::Charged(key.number, after_ms),
                 HolderReply::Trial(answer) => VmMessage::TrialAnswered(key.number, answer),
-                HolderReply::Target(record) => VmMessage::TargetTold(key.number, record),
+                HolderReply::Target(record) => VmMessage::TargetRecord(key.number, record),
                 HolderReply::NotHolder => VmMessage::NotHolder(key.number),
             };
             // If the link is full or closed, the gateway's own timeout applies.
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -258,7 +258,7 @@
     assert!(order["fencing_token"].is_u64() && order["holder"] == "vm-1");
 }
 
-/// Guards against a holder that goes on giving orders after an engine rejected its fencing token.
+/// Guards against a holder that goes on issuing orders after an engine rejected its fencing token.
 #[tokio::test]
 async fn fenced_holder_gives_no_more_orders() {
     let log = KeyedLog::start().await.expect("a log");
--- a/crates/daemon/tests/direct/foreign.rs
+++ b/crates/daemon/tests/direct/foreign.rs
@@ -147,10 +147,10 @@
 fn a_flood_of_unusable_entries_is_counted_but_logged_sparsely() {
     let mut skipped = EntryLogLimiter::default();
     let told: Vec<_> = (0..10_000)
-        .filter_map(|number| skipped.note(Instant(5_000_000 + number * 100)))
+        .filter_map(|number| skipped.record(Instant(5_000_000 + number * 100)))
         .collect();
     assert!(told.len() <= 16, "{}", told.len());
     assert_eq!(skipped.total(), 10_000);
-    let next = skipped.note(Instant(60_000_000)).expect("told again");
+    let next = skipped.record(Instant(60_000_000)).expect("logged again");
     assert_eq!(next as usize, 10_000 - told.len());
 }
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -1,9 +1,9 @@
 //! Targets whose entries are removed from the platform's list without notice.
 //!
-//! Soon after an outage of the log a removal is in doubt, because the entry may have expired with the log and be written again.
+//! Soon after an outage of the log a removal stays pending, because the entry may have expired with the log and be written again.
 //! Requests may reach a removed target for no more than two seconds. That bound is exceeded if a VM takes a failed call of its own
 //! for an outage of the log although the log served other VMs throughout, or if it does not tell the other VMs of a removal when
-//! its doubt ends.
+//! the removal is confirmed.
 
 use crate::support::{
     good_answer, is_ready, start_daemon, start_second_vm, target_entry, vm_settings, wait_for,
@@ -33,7 +33,7 @@
 /// One VM is cut off from the log and returns, while the other one reads throughout. The removal that the second one reads must
 /// hold at the first one too.
 #[tokio::test]
-async fn a_removal_read_by_an_uninterrupted_vm_is_in_doubt_nowhere() {
+async fn a_removal_read_by_an_uninterrupted_vm_is_pending_nowhere() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
@@ -70,10 +70,10 @@
     );
 }
 
-/// A removal after an outage is in doubt for a while. When the doubt ends, the VMs that learn of the list only from others must be
+/// A removal after an outage stays pending for a while. When it is confirmed, the VMs that learn of the list only from others must be
 /// told.
 #[tokio::test]
-async fn a_removal_once_in_doubt_reaches_the_vms_that_do_not_read_the_log() {
+async fn a_pending_removal_reaches_the_vms_that_do_not_read_the_log() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
--- a/crates/daemon/tests/direct/news.rs
+++ b/crates/daemon/tests/direct/news.rs
@@ -58,11 +58,11 @@
         let Some(message) = other.sent.pop_front() else {
             return false;
         };
-        self.sharing.answer(&message);
+        self.sharing.handle_request(&message);
         while let Some(reply) = self.sharing.next_reply() {
             self.sent.push_back(reply);
         }
-        self.sharing.take(&other.vm, message);
+        self.sharing.apply(&other.vm, message);
         true
     }
 }
@@ -125,7 +125,7 @@
 
     fn read(&self, fleet: &FleetState) {
         let from = fleet.known_end(FeedTopic::Targets);
-        fleet.note_list_call(true);
+        fleet.record_list_call(true);
         fleet.apply_records(FeedTopic::Targets, from, &self.batch(from.0 as usize));
     }
 
@@ -145,7 +145,7 @@
             .cloned()
             .collect();
         listing.records = newest_records;
-        fleet.note_list_call(true);
+        fleet.record_list_call(true);
         fleet.apply_listing(FeedTopic::Targets, &listing);
     }
 
@@ -161,8 +161,8 @@
             30..42 => self.read(&self.hub),
             42..44 => self.read(&self.others[at]),
             44..46 => self.list(&self.hub),
-            46..50 => self.hub.note_list_call(false),
-            50..52 => self.others[at].note_list_call(false),
+            46..50 => self.hub.record_list_call(false),
+            50..52 => self.others[at].record_list_call(false),
             52..55 => self.links[at] = new_link(&self.hub, &self.others[at]),
             55..60 => self.links[at].0.heartbeat(),
             60..63 => self.links[at].1.heartbeat(),
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -414,7 +414,7 @@
         };
         vms[0]
             .fleet()
-            .note_ended_under(&TargetCrash { fingerprint, run });
+            .record_crash(&TargetCrash { fingerprint, run });
     }
     let key = "suspect/0000000000000007";
     // A quarantine that was in the log before the restore.
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -44,7 +44,7 @@
             passed: 0,
         };
         if let Some(question) = link.dialler.initial_request() {
-            link.holder.answer(&question);
+            link.holder.handle_request(&question);
         }
         link.deliver_all();
         link
@@ -66,10 +66,10 @@
         if let VmMessage::Records(records) | VmMessage::Answer { records, .. } = &message {
             passed += records.len();
         }
-        to.answer(&message);
-        to.take(vm, message);
+        to.handle_request(&message);
+        to.apply(vm, message);
     }
-    to.take(vm, from.heartbeat());
+    to.apply(vm, from.heartbeat());
     passed
 }
 
@@ -114,7 +114,7 @@
         let record = VmRecord {
             zone: AvailabilityZone::new("hall"),
             address: log.address(),
-            strength: 250,
+            cpu_millicores: 250,
         };
         let vm = VmName::new(&format!("vm-{number}"));
         fleet.tables().vms.insert(vm, record);
@@ -217,9 +217,9 @@
     let holder = fleet("vm-0", &log, 10);
     holder.apply_listing(FeedTopic::Targets, &listing(log.address(), TARGETS, &[]));
     let mut sharing = RecordSharing::new(&holder, true);
-    sharing.answer(&VmMessage::Wanted {
+    sharing.handle_request(&VmMessage::RequestRecords {
         from: vec![(FeedTopic::Targets, LogPosition(0))],
-        is_turned_away: true,
+        lacks_log_access: true,
     });
     let mut records = 0;
     while let Some(message) = sharing.next_reply() {
