--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -273,11 +273,11 @@
                 copy.pinned_until = Instant::default();
             }
         }
-        let still_there = self
+        let unloading_copy = self
             .unloading
             .as_ref()
             .and_then(|adapter| self.copies.get_mut(adapter));
-        match still_there {
+        match unloading_copy {
             Some(copy) => copy.state = CopyState::Unloading,
             None => self.unloading = None,
         }
@@ -360,7 +360,7 @@
     /// Number of adapter loads from the weight store in progress, including an unanswered order.
     #[must_use]
     pub fn store_loads_in_flight(&self, now: Instant) -> usize {
-        let coming = self
+        let loading = self
             .copies
             .values()
             .filter(|copy| copy.load.is_some())
@@ -371,7 +371,7 @@
                 && split_subject(&order.subject).1.is_some()
                 && !self.was_recently_loaded(&order.subject, order.version)
         });
-        coming + usize::from(is_pending)
+        loading + usize::from(is_pending)
     }
 
     /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so
@@ -434,7 +434,7 @@
     /// the weight store.
     #[must_use]
     pub fn was_recently_loaded(&self, adapter: &AdapterName, named_version: Option<u64>) -> bool {
-        let mut had = self.recent_loads.iter();
-        had.any(|(had, version)| had == adapter && *version == named_version)
+        let mut recent = self.recent_loads.iter();
+        recent.any(|(recent, version)| recent == adapter && *version == named_version)
     }
 }
--- a/crates/core/src/direct/load_limiter.rs
+++ b/crates/core/src/direct/load_limiter.rs
@@ -150,9 +150,10 @@
     /// Whether the difference to the last logged summary is worth a log line.
     #[must_use]
     pub fn differs_notably(&self, logged: &Self) -> bool {
-        let is_far = |now: f64, then: f64| now > then * LOGGED_CHANGE || then > now * LOGGED_CHANGE;
-        is_far(f64::from(self.limit), f64::from(logged.limit))
-            || is_far(
+        let differs =
+            |now: f64, then: f64| now > then * LOGGED_CHANGE || then > now * LOGGED_CHANGE;
+        differs(f64::from(self.limit), f64::from(logged.limit))
+            || differs(
                 self.expected_time.as_secs_f64(),
                 logged.expected_time.as_secs_f64(),
             )
@@ -264,13 +265,13 @@
 
     /// Lets the excess over the uncontended duration and the factors of slow engines decay while no load is judged.
     pub fn decay(&mut self, now: Instant) {
-        let passed = now.since(self.decayed_at).as_secs_f64();
+        let elapsed_s = now.since(self.decayed_at).as_secs_f64();
         self.decayed_at = now;
         if now.since(self.last_judged_at).as_secs_f64() * 1e3 < self.expected_ms * DECAY_AFTER_LOADS
         {
             return;
         }
-        let remaining = 0.5_f64.powf(passed / EXCESS_HALF_LIFE_S);
+        let remaining = 0.5_f64.powf(elapsed_s / EXCESS_HALF_LIFE_S);
         let excess = (self.expected_ms - self.uncontended_ms).max(0.0);
         self.expected_ms -= excess * (1.0 - remaining);
         for loads in self.engines.values_mut() {
--- a/crates/core/src/direct/log_contact.rs
+++ b/crates/core/src/direct/log_contact.rs
@@ -1,7 +1,7 @@
 //! Tracks when the platform's log was reachable.
 //!
 //! While the log is unreachable, entries of its target list may expire although their targets are alive. A failed call
-//! of one VM does not show an outage, as the log may refuse this VM and serve others. VMs therefore tell each other
+//! of one VM does not show an outage, as the log may refuse this VM and serve others. VMs therefore report to each other
 //! since when the log has answered them, and an outage only counts while no VM gets answers.
 
 use crate::ids::{Instant, VmName};
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -60,7 +60,7 @@
     pub left_ms: u32,
     /// Targets already tried.
     pub exclude: Vec<TargetName>,
-    /// Targets that asked this gateway to back off for now.
+    /// Targets that requested a backoff from this gateway, not ended yet.
     #[serde(rename = "resting")]
     pub backing_off: Vec<TargetName>,
     /// Fingerprint of the request content.
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -53,7 +53,7 @@
     pub bound_ms: u32,
     /// Targets already tried.
     pub exclude: Vec<TargetName>,
-    /// Targets that asked this gateway to back off for now.
+    /// Targets that requested a backoff from this gateway, not ended yet.
     #[serde(rename = "resting")]
     pub backing_off: Vec<TargetName>,
     /// Whether the zone may load the adapter for the call.
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -192,13 +192,13 @@
 
     /// Updates the engines from the platform's list of targets.
     pub fn set_targets(&mut self, entries: Vec<Arc<TargetEntry>>, now: Instant) {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .engines
             .keys()
             .filter(|name| !entries.iter().any(|entry| entry.name == **name))
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.invalidate_loans(&name);
             if let Some(engine) = self.engines.remove(&name) {
                 let waiters = engine.copies.into_values().flat_map(|copy| copy.waiters);
--- a/crates/core/src/direct/planner/orders.rs
+++ b/crates/core/src/direct/planner/orders.rs
@@ -343,8 +343,8 @@
             })
             // Computed once per copy rather than in each comparison, as `copy_count` visits all engines of the zone.
             .map(|(subject, copy)| {
-                let worth = self.demand.count(subject, now) / self.copy_count(subject);
-                (worth, copy.last_used_at, subject)
+                let use_per_copy = self.demand.count(subject, now) / self.copy_count(subject);
+                (use_per_copy, copy.last_used_at, subject)
             })
             .min_by(|left, right| left.0.total_cmp(&right.0).then(left.1.cmp(&right.1)))
             .map(|(.., subject)| subject.clone())
--- a/crates/core/src/direct/retry_budget.rs
+++ b/crates/core/src/direct/retry_budget.rs
@@ -206,8 +206,8 @@
 
     /// Counts one more retry if the budget allows it; returns whether it does.
     pub fn try_retry(&mut self, service: &ServiceName, now: Instant) -> bool {
-        let standing = self.usage(service, now);
-        if f64::from(standing.retries) + 1.0 > standing.allowed {
+        let usage_now = self.usage(service, now);
+        if f64::from(usage_now.retries) + 1.0 > usage_now.allowed {
             return false;
         }
         if let Some(bucket) = self.window(service, now).buckets.back_mut() {
--- a/crates/core/src/direct/search.rs
+++ b/crates/core/src/direct/search.rs
@@ -1,6 +1,6 @@
-//! Search of a gateway for the zone that takes a call: the order of the zones asked and the terms.
+//! Search of a gateway for the zone that takes a call: the order of the queried zones and the terms.
 //!
-//! The home zone of the call is asked first. It takes the call if an engine that has the adapter can keep the
+//! The first query goes to the home zone of the call. It takes the call if an engine that has the adapter can keep the
 //! objective; otherwise it offers a cost, and each other zone may take the call at a lower one. Without this
 //! comparison, a call that needs an adapter load waits behind the prompts of the four engines of its home zone, while
 //! under heavy load half of the fleet's engines are not reading a prompt at any moment. Asking the zones takes a few
--- a/crates/core/src/direct/trials.rs
+++ b/crates/core/src/direct/trials.rs
@@ -2,7 +2,7 @@
 //!
 //! A suspect is only sent as a trial. The holder of one zone grants the trials of a request, one at a time, so that
 //! many callers that retry at once cause a single trial. The zone follows from the fingerprint by rendezvous hashing;
-//! if its holder does not answer, the next zone takes its place. Each crash under the request lengthens the pause
+//! if its holder does not answer, the next zone replaces it. Each crash under the request lengthens the pause
 //! before the next trial, and after the last pause there are no more trials.
 
 use crate::{
@@ -146,7 +146,7 @@
     }
 }
 
-/// Zones in the order in which their holders are asked for trials of a request.
+/// Zones in the order in which their holders receive requests for trials.
 #[must_use]
 pub fn trial_zones(
     fingerprint: RequestFingerprint,
--- a/crates/core/tests/direct_freshness.rs
+++ b/crates/core/tests/direct_freshness.rs
@@ -45,7 +45,7 @@
     assert_eq!(proof.age(at(1_300)), Some(Duration::from_millis(320)));
 }
 
-/// Delays in the relay of a proof from one VM to the next.
+/// Delays in the forwarding of a proof from one VM to the next.
 #[derive(Clone, Copy, Debug)]
 struct RelayDelays {
     /// From the receiver's heartbeat until it arrives.
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -92,7 +92,7 @@
 pub struct SimulationCounts {
     /// Calls that ran.
     pub runs: u32,
-    /// Calls that were told to fetch from an engine.
+    /// Calls that were instructed to fetch from an engine.
     pub fetches: u32,
     /// Segments that engines fetched from others.
     pub segments: u32,
@@ -570,7 +570,7 @@
         }
     }
 
-    /// Disconnects a gateway from the holder for a time. Its unanswered requests are repeated.
+    /// Disconnects a gateway from the holder for a time. Its unanswered requests are retried.
     fn disconnect(&mut self, vm: &VmName, duration_ms: u64) {
         self.log(&format!(
             "{vm} is disconnected from the holder for {duration_ms} ms"
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn adapter_that_uses_a_large_share_of_the_zone_is_reported_as_sought() {
+fn adapter_that_uses_a_large_share_of_the_zone_is_reported_as_in_high_demand() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two", "three"], now);
     let held = report(&["base/a", "base/b"], 0);
--- a/crates/core/tests/direct_quotas.rs
+++ b/crates/core/tests/direct_quotas.rs
@@ -18,7 +18,7 @@
 };
 /// Shortest time after which a holder that is cut off from the log is replaced.
 const HANDOVER_MS: u64 = 3_000;
-/// Zones, each with a part of every quota.
+/// Zones, each with a share of every quota.
 const ZONES: u32 = 3;
 /// Units of the largest specified call.
 const MAX_CALL_UNITS: u64 = 4_390;
@@ -51,11 +51,11 @@
     quota * (1.0 + BOUNDS.tolerance_ratio) + BOUNDS.tolerance_units
 }
 
-/// Largest sum of units charged within a window; `paid` has times in ms and units.
-fn max_units_in_window(paid: &[(u64, u64)]) -> u64 {
+/// Largest sum of units charged within a window; `charged` has times in ms and units.
+fn max_units_in_window(charged: &[(u64, u64)]) -> u64 {
     let window_ms = BOUNDS.window.as_millis() as u64;
-    let sums = paid.iter().enumerate().map(|(first, (from_ms, _))| {
-        let within = paid[first..]
+    let sums = charged.iter().enumerate().map(|(first, (from_ms, _))| {
+        let within = charged[first..]
             .iter()
             .take_while(|(at_ms, _)| *at_ms <= from_ms + window_ms);
         within.map(|(_, units)| units).sum()
@@ -149,7 +149,7 @@
     let mut zones: Vec<Vec<Holder>> = (0..ZONES)
         .map(|_| vec![Holder::new(BucketStart::Full, &rule, 0, 0)])
         .collect();
-    let (mut now_ms, mut paid, mut recent) = (0, Vec::new(), Vec::new());
+    let (mut now_ms, mut charged, mut recent) = (0, Vec::new(), Vec::new());
     for (pause_ms, event) in events {
         now_ms += pause_ms;
         match *event {
@@ -157,7 +157,7 @@
                 for holder in &mut zones[zone] {
                     for _ in 0..calls {
                         if holder.try_charge(units, now_ms) {
-                            paid.push((now_ms, units));
+                            charged.push((now_ms, units));
                             recent.push((now_ms, zone, units));
                         }
                     }
@@ -198,12 +198,12 @@
             }
             QuotaEvent::Refund(zone, units) => {
                 // A charge within the last second is refunded.
-                let mut refundable = recent.iter().rposition(|(at_ms, from, paid)| {
-                    now_ms - at_ms < 1_000 && *from == zone && *paid <= units
+                let mut refundable = recent.iter().rposition(|(at_ms, from, charged)| {
+                    now_ms - at_ms < 1_000 && *from == zone && *charged <= units
                 });
                 if let Some(found) = refundable.take() {
                     let (at_ms, _, units) = recent.remove(found);
-                    paid.retain({
+                    charged.retain({
                         let mut is_found = false;
                         move |quota_charge| {
                             let is_it = !is_found && *quota_charge == (at_ms, units);
@@ -218,7 +218,7 @@
             }
         }
     }
-    paid
+    charged
 }
 
 proptest! {
@@ -231,8 +231,8 @@
         events in vec((0..700_u64, event()), 1..160),
     ) {
         let burst = per_s * burst_s;
-        let paid = run_events(per_s, burst, &events);
-        let max_units = max_units_in_window(&paid) as f64;
+        let charged = run_events(per_s, burst, &events);
+        let max_units = max_units_in_window(&charged) as f64;
         let allowed_units = allowed_units(&rule(per_s, burst));
         prop_assert!(max_units <= allowed_units, "{max_units} units where {allowed_units} are allowed");
     }
@@ -244,19 +244,23 @@
     let mut holders: Vec<_> = (0..ZONES)
         .map(|_| quota_table(BucketStart::Exhausted, &rule, 0))
         .collect();
-    let mut paid = [0, 0];
+    let mut charged = [0, 0];
     for ms in (2_000..22_000).step_by(10) {
         // 33,000 units/s, and 330,000 units/s from 12 s on.
         let calls = if ms < 12_000 { 1 } else { 10 };
         for _ in 0..calls {
             let holder = &mut holders[(ms / 10) as usize % 3];
-            let is_paid = holder.charge(&charge(330), at(ms)).is_ok();
-            paid[usize::from(ms >= 12_000)] += u64::from(is_paid) * 330;
+            let is_charged = holder.charge(&charge(330), at(ms)).is_ok();
+            charged[usize::from(ms >= 12_000)] += u64::from(is_charged) * 330;
         }
     }
-    assert_eq!(paid[0], 330_000, "normal use is served completely");
+    assert_eq!(charged[0], 330_000, "normal use is served completely");
     let max_units = 60_000 * 10 + 60_000 + 60_000;
-    assert!((600_000..=max_units).contains(&paid[1]), "{}", paid[1]);
+    assert!(
+        (600_000..=max_units).contains(&charged[1]),
+        "{}",
+        charged[1]
+    );
 }
 
 #[test]
@@ -276,25 +280,28 @@
 }
 
 #[test]
-fn successive_holders_pay_out_a_single_burst() {
+fn successive_holders_grant_a_single_burst() {
     let rule = rule(30_000, 30_000);
     let mut first = quota_table(BucketStart::Full, &rule, 0);
-    let mut paid = 0;
+    let mut charged = 0;
     while first.charge(&charge(100), at(0)).is_ok() {
-        paid += 100;
+        charged += 100;
     }
     for life in 1..=20 {
         let mut holder = quota_table(BucketStart::Exhausted, &rule, life * 10);
         while holder.charge(&charge(100), at(life * 10)).is_ok() {
-            paid += 100;
+            charged += 100;
         }
     }
     let tolerance = 270_000.0 * 0.1 + 11_000.0;
-    assert!(f64::from(paid) <= (30_000.0 + tolerance) / 3.0, "{paid}");
+    assert!(
+        f64::from(charged) <= (30_000.0 + tolerance) / 3.0,
+        "{charged}"
+    );
 }
 
 #[test]
-fn replaced_holder_and_its_successor_pay_half_each() {
+fn replaced_holder_and_its_successor_grant_half_each() {
     let window = BOUNDS.window;
     let old = HolderTenure {
         sole_until: at(3_000),
@@ -317,10 +324,10 @@
     assert_eq!(roles(12_000), (Inactive, Sole));
 }
 
-/// A holder that was paused or cut off resumes with the calls that queued up. It must pay out by its share at that
-/// time, and earn by the share that it had meanwhile.
+/// A holder that was paused or cut off resumes with the calls that queued up. It must grant by its role at that
+/// time, and earn by the role that it had meanwhile.
 #[test]
-fn paused_holder_pays_nothing_and_earns_half_after_its_tenure() {
+fn paused_holder_grants_nothing_and_earns_half_after_its_tenure() {
     let rule = rule(30_000, 300_000);
     let tenure = HolderTenure {
         sole_until: at(3_000),
@@ -335,11 +342,11 @@
     assert!(resumed.charge(&charge(100), at(11_001)).is_err());
     // 3 s at 10,000 units/s and 5 s at half that rate.
     let mut late_table = start_table(BucketStart::Exhausted);
-    let mut paid = 0;
+    let mut charged = 0;
     while late_table.charge(&charge(100), at(8_000)).is_ok() {
-        paid += 100;
+        charged += 100;
     }
-    assert_eq!(paid, 55_000);
+    assert_eq!(charged, 55_000);
 }
 
 #[test]
--- a/crates/core/tests/direct_state.rs
+++ b/crates/core/tests/direct_state.rs
@@ -376,7 +376,7 @@
         state.next_action(&TIMEOUTS, holder_view(silent, 0), at(1_500)),
         LeaseAction::Claim { order_delay }
     );
-    // A holder whose process has terminated gives no more orders.
+    // A holder whose process has terminated issues no more orders.
     let mut ended = LeaseState::default();
     ended.apply(LogPosition(1), held_by("a"));
     let order_delay = Duration::ZERO;
@@ -409,7 +409,7 @@
 }
 
 #[test]
-fn weaker_holder_is_asked_at_intervals_and_only_while_it_is_heard() {
+fn smaller_holder_gets_requests_at_intervals_and_only_while_it_is_heard() {
     let mut state = LeaseState::default();
     state.apply(LogPosition(1), held_by("weak"));
     let weaker = |contact| HolderView {
--- a/crates/core/tests/direct_versions/lending.rs
+++ b/crates/core/tests/direct_versions/lending.rs
@@ -17,7 +17,7 @@
 };
 use std::{sync::Arc, time::Duration};
 
-/// Two engines with the same versions, of which the second was told to fetch the cache of the first for call 2.
+/// Two engines with the same versions, of which the second was instructed to fetch the cache of the first for call 2.
 fn lending_planner() -> ZonePlanner {
     let mut planner = zone_planner(&engine_list(&[(1, 1), (1, 1)]));
     complete_call(&mut planner, 1, &["e2"], 1, SETTLED);
--- a/crates/daemon/src/direct/claims.rs
+++ b/crates/daemon/src/direct/claims.rs
@@ -202,10 +202,10 @@
             era: Some(end.era()),
             waits_since_ms: self.claim_waits_since_ms(),
         };
-        let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
+        let value = serde_json::to_vec(&lease).expect("a lease can be written as JSON");
         let key = zone_key(&self.fleet.zone);
         let timeout = self.settings.timing.platform_timeout;
-        let began = clock::now();
+        let sent_at = clock::now();
         let appended = client
             .append(FLEET_TOPIC, &key, &value, Some(end), timeout)
             .await;
@@ -214,11 +214,11 @@
                 event!(Event::LeaseClaimed, "{} at {position}", self.fleet.zone);
                 {
                     let mut tables = self.fleet.tables();
-                    let is_at_once = tables.claim_delay.is_zero();
-                    tables.confirmed_token = is_at_once.then(|| position.token());
+                    let has_no_delay = tables.claim_delay.is_zero();
+                    tables.confirmed_token = has_no_delay.then(|| position.token());
                 }
                 self.fleet.apply_own_record(key, value, position);
-                self.fleet.record_fleet_read(began);
+                self.fleet.record_fleet_read(sent_at);
                 ClaimResult::Recorded
             }
             Err(StoreError::EndMoved(_)) if self.read_fleet_from(client, end).await => {
@@ -292,7 +292,7 @@
         era: Some(end.era()),
         waits_since_ms: pending_wait_since_ms(fleet),
     };
-    let value = serde_json::to_vec(&lease).expect("a lease has a JSON form");
+    let value = serde_json::to_vec(&lease).expect("a lease can be written as JSON");
     let key = zone_key(&fleet.zone);
     for _ in 0..MAX_RELEASE_ATTEMPTS {
         let is_held = fleet
--- a/crates/daemon/src/direct/event_relay.rs
+++ b/crates/daemon/src/direct/event_relay.rs
@@ -134,10 +134,10 @@
         };
         let duration = call.arrived.elapsed().saturating_sub(first);
         let mut tables = call.context.fleet.tables();
-        let most_output = call.head.max_output_tokens;
+        let max_output_tokens = call.head.max_output_tokens;
         tables
             .streams
-            .record_end(events, duration, most_output, clock::now());
+            .record_end(events, duration, max_output_tokens, clock::now());
     }
 
     /// Deadline of the next event. A resumable stream has a shorter one, so that it resumes before its caller times
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -142,8 +142,8 @@
             return false;
         }
         let initial_lease = self.fleet.lease(&self.fleet.zone);
-        let turn = self.fleet.rank().saturating_sub(MAX_IMMEDIATE_RANK);
-        let until = Instant::now() + (LISTING_STAGGER * turn).min(MAX_LISTING_DELAY);
+        let delayed_rank = self.fleet.rank().saturating_sub(MAX_IMMEDIATE_RANK);
+        let until = Instant::now() + (LISTING_STAGGER * delayed_rank).min(MAX_LISTING_DELAY);
         while Instant::now() < until && !self.fleet.is_topic_known(self.topic) {
             let lease = self.fleet.lease(&self.fleet.zone);
             let is_same_holder =
@@ -165,8 +165,8 @@
             if self.fleet.is_topic_known(self.topic) {
                 return true;
             }
-            let knows_fleet = self.fleet.is_topic_known(FeedTopic::Fleet);
-            if knows_fleet
+            let is_fleet_known = self.fleet.is_topic_known(FeedTopic::Fleet);
+            if is_fleet_known
                 && !(self.fleet.may_learn_from_holder() && self.can_receive_from_holder())
             {
                 return false;
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -239,11 +239,11 @@
             .leases
             .get(&fleet.zone)
             .and_then(|state| state.holder());
-        let mine = duty_order(&fleet.vm, fleet.cpu_millicores);
+        let own_order = duty_order(&fleet.vm, fleet.cpu_millicores);
         let before = self.vms.iter().filter(|(vm, record)| {
             record.zone == fleet.zone
                 && Some(*vm) != holder
-                && duty_order(vm, record.cpu_millicores) < mine
+                && duty_order(vm, record.cpu_millicores) < own_order
         });
         u32::try_from(before.count()).unwrap_or(u32::MAX)
     }
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -1,7 +1,7 @@
 //! Application of platform log records to the fleet's tables.
 //!
 //! A record that can't be decoded is skipped. The last valid operator records stay in force. A
-//! target whose newest entry is unusable gets no calls, whoever wrote that entry.
+//! target whose newest entry is unusable gets no calls, whichever system wrote that entry.
 
 use crate::{
     direct::{
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -266,7 +266,7 @@
     fn register_call(self: &Arc<Self>, number: u64, call: OpenCall) -> PlacedCall {
         self.open
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .insert(number, call);
         PlacedCall {
             holder_client: Arc::clone(self),
@@ -291,7 +291,10 @@
     fn usable_link(&self, zone: &AvailabilityZone, lease: &ZoneLease) -> Option<VmLink> {
         let vm = lease.vm.as_ref()?;
         let known = {
-            let links = self.links.lock().expect("no holder of the lock panics");
+            let links = self
+                .links
+                .lock()
+                .expect("no thread panics while it holds the lock");
             links.get(vm).cloned()
         };
         let known = known.filter(|link| link.incarnation == lease.incarnation);
@@ -313,7 +316,10 @@
     /// and the rate limits that this VM knows.
     fn link(&self, zone: &AvailabilityZone, lease: &ZoneLease) -> Option<VmLink> {
         let vm = lease.vm.as_ref()?;
-        let mut links = self.links.lock().expect("no holder of the lock panics");
+        let mut links = self
+            .links
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let earlier = links
             .get(vm)
             .filter(|link| link.incarnation == lease.incarnation)
@@ -335,7 +341,7 @@
         let opening = self
             .open
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .iter()
             .filter(|(_, call)| {
                 self.fleet
@@ -372,7 +378,10 @@
             };
         }
         let known = lease.vm.as_ref().and_then(|vm| {
-            let links = self.links.lock().expect("no holder of the lock panics");
+            let links = self
+                .links
+                .lock()
+                .expect("no thread panics while it holds the lock");
             links.get(vm).cloned()
         });
         match known.filter(|link| link.incarnation == lease.incarnation) {
@@ -397,7 +406,10 @@
     /// Whether the holder named by a lease was heard over a link within the given time.
     #[must_use]
     pub fn is_heard(&self, lease: &ZoneLease, within: Duration) -> bool {
-        let links = self.links.lock().expect("no holder of the lock panics");
+        let links = self
+            .links
+            .lock()
+            .expect("no thread panics while it holds the lock");
         lease
             .vm
             .as_ref()
@@ -515,7 +527,7 @@
             .holder_client
             .open
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .get(&self.number)
             .cloned();
         if let Some(call) = call {
@@ -536,7 +548,7 @@
             .holder_client
             .open
             .lock()
-            .expect("no holder of the lock panics")
+            .expect("no thread panics while it holds the lock")
             .remove(&self.number);
         if let Some(call) = call {
             let completed = CompletedCall {
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -91,7 +91,7 @@
         notice
     }
 
-    /// Whether a target has asked this VM to back off and the backoff has not ended.
+    /// Whether a target has requested a backoff from this VM that has not ended.
     #[must_use]
     pub fn is_backing_off(&self, run: &TargetRun) -> bool {
         let now = clock::now();
--- a/crates/daemon/src/direct/recorder.rs
+++ b/crates/daemon/src/direct/recorder.rs
@@ -29,7 +29,7 @@
 const REWRITE_PAUSE: Duration = Duration::from_millis(500);
 /// Maximum time between two checks for missing records.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Minimum time between two checks, as the tables change with every target that comes or goes.
+/// Minimum time between two checks, as the tables change with every target that starts or leaves.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time over which VMs that have not listed the topic spread the rewrites of their records.
 const REWRITE_SPREAD: Duration = Duration::from_secs(5);
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -101,7 +101,7 @@
     }
 
     fn encode(&self) -> Bytes {
-        let value = serde_json::to_vec(self).expect("a suspect record has a JSON form");
+        let value = serde_json::to_vec(self).expect("a suspect record can be written as JSON");
         value.into()
     }
 }
--- a/crates/daemon/src/direct/target_connections.rs
+++ b/crates/daemon/src/direct/target_connections.rs
@@ -120,7 +120,10 @@
             return None;
         }
         let now = clock::now();
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self
+            .idle
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let connections = idle.get_mut(&address)?;
         connections.retain(|idle| {
             now < idle.until && !idle.connection.sender.is_closed() && idle.connection.run == *run
@@ -149,7 +152,10 @@
         let ttl = keep_alive.map_or(DEFAULT_IDLE_TTL, |keep_alive| {
             keep_alive.mul_f64(KEEP_ALIVE_FACTOR).min(DEFAULT_IDLE_TTL)
         });
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self
+            .idle
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let connections = idle.entry(connection.address).or_default();
         connections.push(IdleConnection {
             connection,
@@ -164,7 +170,10 @@
     /// Closes connections that have been idle for too long.
     pub fn close_expired(&self) {
         let now = clock::now();
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self
+            .idle
+            .lock()
+            .expect("no thread panics while it holds the lock");
         idle.retain(|_, connections| {
             connections.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
             !connections.is_empty()
@@ -173,7 +182,10 @@
 
     /// Closes the idle connections to an address, after an answer over one of them belonged to another request.
     pub fn close(&self, address: SocketAddr) {
-        let mut idle = self.idle.lock().expect("no holder of the lock panics");
+        let mut idle = self
+            .idle
+            .lock()
+            .expect("no thread panics while it holds the lock");
         idle.remove(&address);
     }
 }
--- a/crates/daemon/tests/direct/calls.rs
+++ b/crates/daemon/tests/direct/calls.rs
@@ -247,7 +247,7 @@
     assert_eq!(target.requests().len() + other.requests().len(), 1);
 }
 
-/// The first target may have run the call; the second one states that it did not. The second answer must not be passed on.
+/// The first target may have run the call; the second one states that it did not. The second answer must not be forwarded.
 #[tokio::test]
 async fn a_retried_call_that_may_have_run_never_ends_as_not_executed() {
     let log = KeyedLog::start().await.expect("a log");
--- a/crates/daemon/tests/direct/engine_simulator.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -52,7 +52,7 @@
     pub base: u64,
     /// Version of the adapter used.
     pub version: u64,
-    /// Version of the adapter that the request asked for.
+    /// Version of the adapter that the request named.
     pub expected: Option<u64>,
     /// Address of the engine from which cached parts were fetched.
     pub source: Option<SocketAddr>,
@@ -191,7 +191,7 @@
     }
 
     /// Leaves the next load order without an answer, and applies it after a delay. The engine sends no report until then, so that
-    /// the order is not repeated.
+    /// the order is not retried.
     pub fn delay_next_order(&self) {
         self.lock().orders_to_delay += 1;
     }
@@ -557,7 +557,7 @@
     READ_TIME_PER_TOKEN * (all - found) + if is_lent { FETCH_TIME } else { Duration::ZERO }
 }
 
-/// A stream whose first event comes when the prompt has been read. Its head states the version of the base model.
+/// A stream whose first event is sent when the prompt has been read. Its head states the version of the base model.
 fn events(request: &RawRequest, base: u64, read: Duration, tokens: u32) -> RawAnswer {
     let headers = seal_headers(request);
     let head = format!(
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -258,9 +258,9 @@
     assert!(order["fencing_token"].is_u64() && order["holder"] == "vm-1");
 }
 
-/// Guards against a holder that goes on issuing orders after an engine rejected its fencing token.
+/// Guards against a holder that continues to issue orders after an engine rejected its fencing token.
 #[tokio::test]
-async fn fenced_holder_gives_no_more_orders() {
+async fn fenced_holder_issues_no_more_orders() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
@@ -421,10 +421,10 @@
     .await;
 }
 
-/// Guards against a zone that stays with a weak holder, and against two VMs that hold it at once
+/// Guards against a zone that stays with a holder that has little CPU, and against two VMs that hold it at once
 /// during the handover.
 #[tokio::test]
-async fn weak_holder_hands_zone_over_to_stronger_vm() {
+async fn smaller_holder_hands_zone_over_to_vm_with_more_cpu() {
     let log = KeyedLog::start().await.expect("a log");
     let engine = RawTarget::start(|request: &RawRequest| {
         if request.line().contains("/hoplanding/order") {
@@ -569,7 +569,7 @@
     .await;
 }
 
-/// Guards against orders of a new holder while a suspended one may still give some. The claimant in
+/// Guards against orders of a new holder while a suspended one may still issue some. The claimant in
 /// between ended before its handover delay was over, and its successor has to wait for that delay
 /// too.
 #[tokio::test]
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -2,7 +2,7 @@
 //!
 //! Soon after an outage of the log a removal stays pending, because the entry may have expired with the log and be written again.
 //! Requests may reach a removed target for no more than two seconds. That bound is exceeded if a VM takes a failed call of its own
-//! for an outage of the log although the log served other VMs throughout, or if it does not tell the other VMs of a removal when
+//! for an outage of the log although the log served other VMs throughout, or if it does not notify the other VMs of a removal when
 //! the removal is confirmed.
 
 use crate::support::{
@@ -70,8 +70,8 @@
     );
 }
 
-/// A removal after an outage stays pending for a while. When it is confirmed, the VMs that learn of the list only from others must be
-/// told.
+/// A removal after an outage stays pending for a while. When it is confirmed, the VMs that learn of the list only from others must
+/// be notified.
 #[tokio::test]
 async fn a_pending_removal_reaches_the_vms_that_do_not_read_the_log() {
     let log = KeyedLog::start().await.expect("a log");
--- a/crates/daemon/tests/direct/lives.rs
+++ b/crates/daemon/tests/direct/lives.rs
@@ -1,6 +1,6 @@
 //! Targets that restart under the same name.
 //!
-//! An entry tells when its target started. Nothing that belongs to an earlier incarnation may
+//! An entry tells when its target started. Nothing that belongs to an earlier life may
 //! affect the current one: neither an entry that was written late, nor a connection that is still
 //! open, nor failures.
 
@@ -40,7 +40,7 @@
     wait_for("the later entry", async || stage(daemon, name).is_some()).await;
 }
 
-/// Guards against a late entry of an earlier incarnation that overwrites the state of the current
+/// Guards against a late entry of an earlier life that overwrites the state of the current
 /// one.
 #[tokio::test]
 async fn late_entry_of_earlier_incarnation_is_ignored() {
@@ -51,7 +51,7 @@
     let put = |text: &str| log.put("keyed.servers", "i-1", Some(text));
     put(&born_entry(address, "ready", 1_000));
     put(&born_entry(address, "ready", 2_000));
-    // The earlier incarnation began to drain before it ended, and its entry is written only now.
+    // The earlier life began to drain before it ended, and its entry is written only now.
     put(&born_entry(address, "draining", 1_000));
     write_later_entry(&log, &daemon, "i-2", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
@@ -59,11 +59,11 @@
     put(&target_entry("ledger", address, "draining", &[]));
     write_later_entry(&log, &daemon, "i-3", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
-    // The current incarnation may drain.
+    // The current life may drain.
     put(&born_entry(address, "draining", 2_000));
     write_later_entry(&log, &daemon, "i-4", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Draining));
-    // A new incarnation is ready again.
+    // A new life is ready again.
     put(&born_entry(address, "ready", 3_000));
     write_later_entry(&log, &daemon, "i-5", address).await;
     assert_eq!(stage(&daemon, "i-1"), Some(TargetStage::Ready));
@@ -83,7 +83,7 @@
         value: Some(text.into_bytes().into()),
         position: LogPosition(position),
     };
-    // Forwarded by other VMs: the record with the higher position is of the earlier incarnation.
+    // Forwarded by other VMs: the record with the higher position is of the earlier life.
     let late = record(1_012, born_entry(address, "draining", 1_000));
     let new = record(1_010, born_entry(address, "ready", 2_000));
     daemon
@@ -92,7 +92,7 @@
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
     daemon.fleet().apply_forwarded(vec![late]);
     assert_eq!(stage(&daemon, "i-9"), Some(TargetStage::Ready));
-    // Answers to other VMs contain the entry of the newer incarnation.
+    // Answers to other VMs contain the entry of the newer life.
     let answer = daemon
         .fleet()
         .records_since(&[(FeedTopic::Targets, LogPosition(0))], false);
@@ -101,7 +101,7 @@
     assert!(!answer.contains("\\\"born\\\":1000"), "{answer}");
 }
 
-/// Guards against calls over a pooled connection that was made to the target's earlier incarnation.
+/// Guards against calls over a pooled connection that was made to the target's earlier life.
 #[tokio::test]
 async fn calls_do_not_reuse_connections_of_earlier_incarnation() {
     let log = KeyedLog::start().await.expect("a log");
@@ -136,7 +136,7 @@
     );
 }
 
-/// Guards against failures of an earlier incarnation that keep calls away from the restarted
+/// Guards against failures of an earlier life that keep calls away from the restarted
 /// target.
 #[tokio::test]
 async fn failures_of_earlier_incarnation_are_forgotten() {
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 
 const LEAVING: &str = "Server-Leaving: 1\r\n";
-/// Backoff that a target asks for.
+/// Backoff that a target requests.
 const BACKOFF: Duration = Duration::from_secs(3);
 /// Time after the first request within which others may have been sent before its answer.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
@@ -219,7 +219,7 @@
     assert!(!daemon.fleet().is_leaving("i-1"));
 }
 
-/// The VM that is told forwards the announcement to VMs that run and to those that start later.
+/// The VM that receives the announcement forwards it to VMs that run and to those that start later.
 #[tokio::test]
 async fn an_announcement_of_leaving_reaches_all_vms() {
     let log = KeyedLog::start().await.expect("a log");
@@ -269,7 +269,7 @@
         );
         let refused = answers.iter().filter(|answer| answer.status == 503);
         assert_eq!(refused.count(), answers.len(), "{service}");
-        // Callers are told the time at which the backoff ends.
+        // The answer states the time at which the backoff ends.
         assert!(
             retry_after_s(&answers[10]) > 2.0,
             "{service}: {}",
@@ -287,9 +287,9 @@
     line.and_then(|text| text.parse().ok()).unwrap_or(0.0)
 }
 
-/// A backoff holds for the VM that was asked, so each VM may send a call to the target until it is asked itself.
+/// A backoff holds for the VM that it was requested from, so each VM may send calls to the target until it receives such a request.
 #[tokio::test]
-async fn each_vm_keeps_the_backoff_that_it_was_asked_for_and_calls_go_elsewhere() {
+async fn each_vm_keeps_the_backoff_requested_from_it_and_calls_go_elsewhere() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
         ("scribe", "/plan/1", model_headers("a1")),
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -1,4 +1,4 @@
-//! Poison requests: requests that crash every target that runs them, and that their callers repeat.
+//! Poison requests: requests that crash every target that runs them, and that their callers retry.
 //!
 //! A request under which a target crashed is a suspect, and runs again only as a trial. After a second crash it is quarantined. Both
 //! must survive kills of holders and of all VMs, and restores of the platform's log.
@@ -194,7 +194,7 @@
     daemons
 }
 
-/// Callers at VMs of both zones repeat a suspect at once; only one trial of it may run.
+/// Callers at VMs of both zones retry a suspect at once; only one trial of it may run.
 #[tokio::test]
 async fn a_suspect_runs_once_at_a_time_in_the_whole_fleet() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
@@ -230,7 +230,7 @@
     }
 }
 
-/// Many callers repeat a poison request at all VMs as soon as its quarantine ends.
+/// Many callers retry a poison request at all VMs as soon as its quarantine ends.
 #[tokio::test]
 async fn callers_that_return_after_a_quarantine_cause_one_trial() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
@@ -366,7 +366,7 @@
     }
 }
 
-/// All VMs are killed right after each answer. If the record came after the answer, every repeat would cost another engine.
+/// All VMs are killed right after each answer. If the record were written after the answer, every retry would cost another engine.
 #[tokio::test]
 async fn a_first_crash_is_recorded_before_the_caller_is_answered() {
     let mut site = KilledSite::start(10).await;
--- a/crates/daemon/tests/direct/restores.rs
+++ b/crates/daemon/tests/direct/restores.rs
@@ -151,7 +151,7 @@
     assert!(calls <= most, "{calls} calls in 3 s, {most} allowed");
 }
 
-/// Guards against reads without a pause when the offsets went back but the log still tells the
+/// Guards against reads without a pause when the offsets decreased but the log still tells the
 /// earlier era, so that no record can answer a read.
 #[tokio::test]
 async fn unanswerable_read_is_repeated_with_pauses() {
@@ -532,7 +532,7 @@
 /// Guards against orders of a claimant that waits for its handover delay while its claim is lost in a
 /// restore, and another VM holds the zone. The claimant has not read the log since its claim.
 #[tokio::test]
-async fn claimant_without_read_since_its_claim_gives_no_orders() {
+async fn claimant_without_read_since_its_claim_issues_no_orders() {
     let log = KeyedLog::start().await.expect("a log");
     let orders = AcceptedOrders::default();
     let seen = orders.clone();
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/retries.rs
@@ -43,18 +43,18 @@
         .map(|(name, target)| (*name, "ledger", target.address))
         .collect();
     let mut daemons = vec![start_daemon(&log, &listed).await];
-    for life in 0..PROCESSES {
-        if life > 0 {
+    for process in 0..PROCESSES {
+        if process > 0 {
             // The previous process gets no more calls, as if it had been killed.
             let mut settings = vm_settings("vm-1", &log);
             settings.is_first_start = false;
             let next = DirectDaemon::start(settings).await;
             daemons.push(next.expect("the daemon starts"));
         }
-        let daemon = &daemons[life];
+        let daemon = &daemons[process];
         wait_for("readiness", async || is_ready(daemon).await).await;
         for request in 0..REQUESTS {
-            let id = format!("r{life}-{request}");
+            let id = format!("r{process}-{request}");
             let answer =
                 send_request(daemon.caller_address, &post_request("/lookup/1", &id, "")).await;
             assert_eq!(answer.status, 503);
--- a/crates/daemon/tests/direct/settings.rs
+++ b/crates/daemon/tests/direct/settings.rs
@@ -92,7 +92,7 @@
 // exit at startup.
 #[test]
 fn fractional_bounds_are_accepted() {
-    let settings = with_bound("budget_slack", json!(35.83)).expect("a fraction of a repeat");
+    let settings = with_bound("budget_slack", json!(35.83)).expect("a fraction of a retry");
     assert!((settings.retries.extra_retries - 35.83).abs() < 1e-9);
     let settings = with_bound("budget_window_s", json!(7.5)).expect("half a second");
     assert_eq!(settings.retries.window, Duration::from_millis(7_500));
@@ -127,13 +127,13 @@
 // Guards against ranges of valid values that are narrower than the bounds that the platform may set.
 #[test]
 fn zero_and_large_bounds_are_accepted() {
-    let settings = with_bound("budget_slack", json!(0)).expect("no fixed number of repeats");
+    let settings = with_bound("budget_slack", json!(0)).expect("no fixed number of retries");
     assert!(settings.retries.extra_retries.abs() < 1e-9);
-    let settings = with_bound("retry_budget_ratio", json!(0.0)).expect("no repeats");
+    let settings = with_bound("retry_budget_ratio", json!(0.0)).expect("no retries");
     assert!(settings.retries.ratio.abs() < 1e-9);
     with_bound("lease_ms", json!(0)).expect("no turn");
     with_bound("config_apply_ms", json!(0)).expect("at once");
-    with_bound("budget_slack", json!(43_000_000)).expect("many repeats");
+    with_bound("budget_slack", json!(43_000_000)).expect("many retries");
     with_bound("budget_window_s", json!(3_600)).expect("an hour");
     with_bound("lease_ms", json!(600_000)).expect("ten minutes");
     with_bound("config_apply_ms", json!(3_600_000)).expect("an hour");
@@ -186,7 +186,11 @@
     write(&good.replace("54", "\"many\""));
     let error = file.read_changes().expect_err("a fault").to_string();
     assert!(error.contains("retries.slack"), "{error}");
-    assert!(file.read_changes().expect("told once").is_none());
+    assert!(
+        file.read_changes()
+            .expect("an error is reported only once")
+            .is_none()
+    );
     // A file that is only partly written is invalid too, and does not prevent the next change.
     write(&good[..good.len() / 2]);
     file.read_changes().expect_err("half a file");
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -5,7 +5,7 @@
 //! and sends the number of VMs times the number of targets. With 100 VMs and 33 links of 1,000
 //! entries of about 400 bytes, the busiest VM carried 820 kB/s for 41 s. With 300 VMs and 100 links
 //! of 3,000 entries it carried 6,000 kB/s, and all calls were refused for 4 s. The link of a
-//! weak VM carries 1,250 kB/s.
+//! VM with little CPU carries 1,250 kB/s.
 
 use crate::support::{
     config_json, good_answer, is_ready, model_headers, post_request, send_request, slow_engine,
@@ -294,7 +294,7 @@
 
 /// Writes records of strong VMs that have ended, so that a weaker VM's turn to list comes after
 /// theirs.
-fn record_strong_vms(log: &KeyedLog, count: usize) {
+fn record_large_vms(log: &KeyedLog, count: usize) {
     for number in 0..count {
         let record = json!({ "zone": "hall", "address": "127.0.0.1:9", "strength": 4_000 });
         let key = format!("vm/strong-{number}");
@@ -312,7 +312,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let plain = RawTarget::start(good_answer).await.expect("a target");
     let engine = slow_engine(Duration::from_millis(1)).await;
-    record_strong_vms(&log, LARGE_ZONE);
+    record_large_vms(&log, LARGE_ZONE);
     let listed = [
         ("i-1", "ledger", plain.address),
         ("e-1", "scribe", engine.address),
@@ -343,7 +343,7 @@
 async fn vms_that_start_together_stagger_their_listings() {
     let log = KeyedLog::start().await.expect("a log");
     log.put("keyed.op", "config", Some(&config_json(1)));
-    record_strong_vms(&log, LARGE_ZONE);
+    record_large_vms(&log, LARGE_ZONE);
     let daemon = DirectDaemon::start(vm_settings("vm-1", &log)).await;
     let daemon = daemon.expect("the daemon starts");
     wait_for("the fleet's records", async || {
@@ -363,7 +363,7 @@
 async fn vm_that_joins_an_existing_holder_lists_at_once() {
     let log = KeyedLog::start().await.expect("a log");
     let _holder = start_daemon(&log, &[]).await;
-    record_strong_vms(&log, 10_000);
+    record_large_vms(&log, 10_000);
     let later = DirectDaemon::start(vm_settings("vm-2", &log)).await;
     let later = later.expect("the daemon starts");
     wait_for("readiness", async || is_ready(&later).await).await;
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -1,9 +1,9 @@
 //! Transfers of KV cache between engines, and the version of the weights that computed it.
 //!
 //! The tests guard against answers that are partly computed from the weights of another version, which callers cannot
-//! notice. It comes about as follows: several engines have an adapter, and a new version of it is published. Copies
+//! notice. The cause is as follows: several engines have an adapter, and a new version of it is published. Copies
 //! without calls are replaced at once, a copy in use is kept until its calls end. The next call goes to a new copy and
-//! is told to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
+//! is instructed to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
 //! the cache by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
 
 use crate::{
@@ -55,7 +55,7 @@
     )
 }
 
-/// Repeats a call until it is served, as callers do that are told to retry.
+/// Retries a call until it is served, as callers do after a `Retry-After`.
 async fn request_until_served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -367,7 +367,7 @@
 /// call goes to another engine with different weights: either that engine was ordered to load the adapter without a
 /// version and loaded the newest one of the store, or it started later, with newer weights of the base model. It comes
 /// about if two unknown versions count as equal, if the base model's version is ignored, or if an engine is
-/// told to fetch a cache without the version that computed it.
+/// instructed to fetch a cache without the version that computed it.
 #[tokio::test]
 async fn cache_of_unknown_versions_is_not_used() {
     let pairs = [
