--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -22,7 +22,7 @@
     time::Duration,
 };
 
-/// Time after the log's recovery within which expired entries of live targets come back. Platforms need up to 2 s.
+/// Time after the log's recovery within which expired entries of live targets are listed again. Platforms need up to 2 s.
 pub const RELIST_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Whether a target accepts new calls.
@@ -286,7 +286,7 @@
         now: Instant,
     ) -> Vec<ConfirmedRemoval> {
         let grace_end = self.grace_end(now);
-        // The record at `end` itself comes after the listing.
+        // The record at `end` itself follows the listing.
         let last = LogPosition(end.0.saturating_sub(1));
         let missing = self.rows.iter_mut().filter(|(name, row)| {
             row.entry.is_some() && row.position < end && !listed.contains(name.as_str())
--- a/crates/core/src/direct/engine/cache_lending.rs
+++ b/crates/core/src/direct/engine/cache_lending.rs
@@ -59,8 +59,8 @@
         (known_version.source != VersionSource::List).then_some(known_version.version)
     }
 
-    /// Version that a call has to ask for, so that it runs under the known one only. Otherwise a copy that a late order
-    /// of an earlier holder replaced unnoticed would make KV cache that is taken for the known version's.
+    /// Version that a call has to name, so that it runs under the known one only. Otherwise a copy that a late order
+    /// of an earlier holder replaced unnoticed would make KV cache that is attributed to the known version.
     #[must_use]
     pub fn pinned_version(&self, subject: &AdapterName) -> Option<u64> {
         match split_subject(subject).1 {
@@ -272,7 +272,7 @@
     }
 
     /// Whether a call here may use KV cache with this tag. If the version of the adapter here is unknown, the call
-    /// asks for the version that made the cache. The engine rejects the call if it has another version, and its report
+    /// names the version that made the cache. The engine rejects the call if it has another version, and its report
     /// is then read before the next transfer.
     #[must_use]
     pub fn can_use_cache(
--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Updates the platform's entry. An entry of an older life, which a report may have superseded before the list did,
-    /// is ignored. An entry without a life is applied to the current one, as it still tells whether the engine accepts
+    /// is ignored. An entry without a life is applied to the current one, as it still shows whether the engine accepts
     /// work.
     pub fn update_entry(&mut self, entry: Arc<TargetEntry>, now: Instant) {
         let life = self.entry.life;
@@ -375,7 +375,7 @@
     }
 
     /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so
-    /// that only the first call after a load tells whether the load was in time.
+    /// that only the first call after a load shows whether the load was in time.
     pub fn resolve_load(&mut self, key: &CallKey) -> Option<StoreLoad> {
         let call = self.calls.get(key)?;
         let load = self.copies.get_mut(&call.subject)?.load.as_mut()?;
--- a/crates/core/src/direct/engine/orders.rs
+++ b/crates/core/src/direct/engine/orders.rs
@@ -11,7 +11,7 @@
     pub subject: AdapterName,
     /// Version to load, if operators named one.
     pub version: Option<u64>,
-    /// Sequence number that the engine must have reached, so that a late or repeated order has no effect.
+    /// Sequence number that the engine must have reached, so that a late or duplicate order has no effect.
     pub expected: u64,
 }
 
--- a/crates/core/src/direct/engine/prefix_cache.rs
+++ b/crates/core/src/direct/engine/prefix_cache.rs
@@ -1,8 +1,8 @@
 //! Prompt prefixes that an engine has likely kept in its KV cache.
 //!
 //! KV cache is only valid for the weights that made it, so prompt segments are recorded under the generation of the
-//! subject that the prompt was sent to. There are two tables per engine. Segments of sent prompts tell what the engine
-//! need not read again; an error there costs reading time. Segments of prompts known to have been read tell what other
+//! subject that the prompt was sent to. There are two tables per engine. Segments of sent prompts show what the engine
+//! need not read again; an error there costs reading time. Segments of prompts known to have been read show what other
 //! engines may fetch; an error there gives a wrong answer.
 
 use crate::ids::AdapterName;
--- a/crates/core/src/direct/load_limiter.rs
+++ b/crates/core/src/direct/load_limiter.rs
@@ -20,7 +20,7 @@
     time::Duration,
 };
 
-/// Initial limit of loads in flight, unless the caller of [`LoadLimiter::with_initial_limit`] asks for more.
+/// Initial limit of loads in flight, unless the caller of [`LoadLimiter::with_initial_limit`] sets more.
 const INITIAL_LIMIT: f64 = 6.0;
 /// Growth of the limit for each load on time during slow start. With 0.25, 87 of 100 loads from a store with a capacity
 /// of 48 completed within 500 ms from the fifth second on, against 97 with 0.5. A growth of 1.0 gains nothing more and
--- a/crates/core/src/direct/plain.rs
+++ b/crates/core/src/direct/plain.rs
@@ -5,7 +5,7 @@
 //! away 45% of the sends, and a third of the calls that ran came late from a queue. So the holder of one zone places
 //! all calls of a service. It knows every call in flight, accepts a call only where an answer in time is expected, and
 //! has the others refused before they are sent. The zone follows from the service's name by rendezvous hashing. If its
-//! holder does not answer, the next zone's is asked, and as a last resort each gateway picks a target by its own view.
+//! holder does not answer, the next zone's is queried, and as a last resort each gateway picks a target by its own view.
 
 use crate::{
     direct::{
@@ -79,7 +79,7 @@
     }
 }
 
-/// Zones in the order in which their holders are asked to place calls of a service. The order is the same on all VMs.
+/// Zones in the order in which their holders receive placement requests for a service. The order is the same on all VMs.
 #[must_use]
 pub fn placement_zones(service: &ServiceName, zones: &[AvailabilityZone]) -> Vec<AvailabilityZone> {
     zones_ranked_by(service.as_str(), zones)
@@ -215,7 +215,7 @@
         self.calls.contains_key(key)
     }
 
-    /// Records the end of a call; without an outcome if its gateway gave it up.
+    /// Records the end of a call; without an outcome if its gateway abandoned it.
     pub fn call_ended(&mut self, key: &CallKey, outcome: Option<CallOutcome>, now: Instant) {
         let Some(call) = self.calls.remove(key) else {
             return;
--- a/crates/core/src/direct/planner/cache_transfer.rs
+++ b/crates/core/src/direct/planner/cache_transfer.rs
@@ -3,7 +3,7 @@
 //! Long prompts often share most of their tokens with others for the same adapter, and an adapter in demand is loaded
 //! at several engines, each of which would read the shared prefix again. Reading 6,000 tokens takes about 200 ms,
 //! fetching their cache from another engine about 20 ms, so the planner compares the two times. Engines fetch what they
-//! are told to without checking which weights made it, so a source is named only if its versions are those that the
+//! are instructed to without checking which weights made it, so a source is named only if its versions are those that the
 //! call runs under.
 
 use crate::{
@@ -42,7 +42,7 @@
     pub tokens: u32,
     /// Time for reading and fetching.
     pub time: Duration,
-    /// Source of the remaining cache, if a fetch pays off.
+    /// Source of the remaining cache, if a fetch saves time.
     pub fetch: Option<&'a CacheSource>,
 }
 
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Records that a call fetches cache from a source, or that a source is passed over because its versions do not
+    /// Records that a call fetches cache from a source, or that a source is skipped because its versions do not
     /// match.
     pub(super) fn record_transfer(
         &mut self,
--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -23,7 +23,7 @@
     pub number: u64,
 }
 
-/// Terms on which a gateway asks a zone to place a call.
+/// Terms on which a gateway requests the placement of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementTerms {
     /// Place the call if an engine that holds its adapter can serve it within the bound; otherwise offer a cost.
@@ -91,13 +91,13 @@
         fetch: Option<SocketAddr>,
         /// Expected time until the first event, in milliseconds.
         expected_ms: u32,
-        /// Version that the call has to ask for: the named version of the adapter, or the version that made the fetched
+        /// Version that the call has to name: the named version of the adapter, or the version that made the fetched
         /// KV cache.
         version: Option<u64>,
         /// Whether the adapter is in such demand that other zones should load it too.
         #[serde(rename = "is_sought")]
         is_in_high_demand: bool,
-        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the
+        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer states about it to the
         /// holder.
         is_limited: bool,
     },
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -3,7 +3,7 @@
 //! The holder of a zone runs one planner, and all calls and orders for the zone's engines pass through it. So it knows
 //! the calls in flight, the prompts waiting to be read and the adapters in use. Its state is soft: after a takeover it
 //! is rebuilt from the engines' reports and from the calls that gateways still have open. Engines check adapter,
-//! version, fencing token and sequence themselves, so a wrong belief here costs time and never gives a wrong answer.
+//! version, fencing token and sequence themselves, so an error here costs time and never gives a wrong answer.
 //! The exception is KV cache that engines fetch from each other: only `cache_transfer` checks which versions made it.
 //!
 //! The *named* version of an adapter is the one that operators made current. A *subject* is a base model, or an adapter
@@ -263,8 +263,8 @@
         self.replace_stale_copies(adapter, now);
     }
 
-    /// Version of an adapter that calls have to ask for. None for a base model: engines get its new weights at their
-    /// next start only, and until then every engine would reject calls that ask for them.
+    /// Version of an adapter that calls have to name. None for a base model: engines get its new weights at their
+    /// next start only, and until then every engine would reject calls that name them.
     pub(super) fn named_version(&self, subject: &AdapterName) -> Option<u64> {
         let has_adapter = split_subject(subject).1.is_some();
         let named = self.named_versions.get(subject).filter(|_| has_adapter);
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Records the end of a call, or that its gateway gave it up.
+    /// Records the end of a call, or that its gateway abandoned it.
     pub fn call_ended(
         &mut self,
         key: &CallKey,
@@ -375,7 +375,7 @@
             return;
         };
         if !self.named_versions.contains_key(&subject) {
-            // Without a named version, the call may have asked for a version that the target does not have.
+            // Without a named version, the call may have named a version that the target does not have.
             engine.invalidate_copy(&subject);
         }
         if let Some(copy) = engine.copies.get_mut(&subject)
--- a/crates/core/src/direct/planner/placement.rs
+++ b/crates/core/src/direct/planner/placement.rs
@@ -388,7 +388,7 @@
 pub(super) struct SendDetails {
     expected: Duration,
     fetch: Option<SocketAddr>,
-    /// Version that the call asks for.
+    /// Version that the call names.
     version: Option<u64>,
 }
 
--- a/crates/core/src/direct/policy.rs
+++ b/crates/core/src/direct/policy.rs
@@ -8,7 +8,7 @@
 /// Weights and limits of placement decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlacementPolicy {
-    /// Fraction of the time left to the objective that a call may wait in its home zone before other zones are asked.
+    /// Fraction of the time left to the objective that a call may wait in its home zone before other zones are queried.
     pub home_wait_fraction: f64,
     /// Longest wait with which a call is placed, as a multiple of its objective; by rank, the most urgent first.
     pub max_wait_factors: [f64; 3],
@@ -43,7 +43,7 @@
     pub degraded_penalty: Duration,
     /// Penalty for an engine whose calls all fail; scaled by the share of failures.
     pub failure_penalty: Duration,
-    /// Penalty for an engine that has just turned a call away.
+    /// Penalty for an engine that has just refused a call.
     pub shed_penalty: Duration,
 }
 
--- a/crates/core/src/direct/quotas.rs
+++ b/crates/core/src/direct/quotas.rs
@@ -26,7 +26,7 @@
 /// Time after a charge within which it is refunded for a call that did not run. A later refund would be granted in
 /// another window.
 pub const REFUND_WINDOW: Duration = Duration::from_secs(1);
-/// Bounds of the time after which a caller beyond its quota is told to retry.
+/// Bounds of the time after which a caller beyond its quota should retry.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Time after which the bucket of an organisation that is no longer configured is dropped; longer than any window.
--- a/crates/core/src/direct/search.rs
+++ b/crates/core/src/direct/search.rs
@@ -6,7 +6,7 @@
 //! under heavy load half of the fleet's engines are not reading a prompt at any moment. Asking the zones takes a few
 //! ms, a load about 250 ms.
 //!
-//! If no zone takes the call on these terms, the home zone is asked to take it within the longest wait for its rank,
+//! If no zone takes the call on these terms, the home zone is requested to take it within the longest wait for its rank,
 //! and then every zone that has the adapter. This is repeated once after a pause, as a zone whose holder changes
 //! answers again after a moment.
 
--- a/crates/core/src/direct/trials.rs
+++ b/crates/core/src/direct/trials.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Answer to a gateway that asks for a trial of a suspect.
+/// Answer to a gateway that requests a trial of a suspect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TrialAnswer {
     /// The request may be sent once.
--- a/crates/daemon/src/direct/call/mod.rs
+++ b/crates/daemon/src/direct/call/mod.rs
@@ -88,7 +88,7 @@
 /// State that all calls of this VM share.
 #[derive(Debug)]
 pub struct GatewayContext {
-    /// What this VM knows of the fleet.
+    /// State of the fleet as known to this VM.
     pub fleet: Arc<FleetState>,
     /// Client of the zones' holders.
     pub holder_client: Arc<HolderClient>,
@@ -98,7 +98,7 @@
     pub records: SuspectRecorder,
     /// The daemon's settings.
     pub settings: Arc<DirectSettings>,
-    /// Schedule of the planned stop, once it has begun.
+    /// Schedule of the planned stop, once the stop has begun.
     pub stop: Arc<OnceLock<StopPlan>>,
 }
 
@@ -112,11 +112,11 @@
     pub identity: CallerIdentity,
     /// Priority rank; 0 is the most urgent.
     pub rank: u8,
-    /// State of its quota charge.
+    /// State of the call's quota charge.
     pub quota_charge: CallCharge,
-    /// Hash of what the request asks for, the same for every retry of it.
+    /// Hash of the request's content, the same for every retry of the request.
     pub fingerprint: RequestFingerprint,
-    /// Permission to send it once although it is a suspect.
+    /// Permission to send the call once although its request is a suspect.
     pub trial: Option<TrialPermit>,
     /// The service chosen by its route.
     pub service: ServiceRule,
@@ -124,9 +124,9 @@
     pub head: CallHead,
     /// Time of arrival.
     pub arrived: Instant,
-    /// Times of its steps, for the log.
+    /// Times of the call's steps, for the log.
     pub timeline: CallTimeline,
-    /// Time by which it must be answered.
+    /// Time by which the call must be answered.
     pub deadline: Instant,
     /// The deadline by the daemon's clock, which continues while the VM is suspended.
     pub due: ids::Instant,
@@ -134,15 +134,15 @@
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
-    /// Whether its holder knows of a rate limit at the chosen target.
+    /// Whether the zone's holder knows of a rate limit at the chosen target.
     pub is_limited: bool,
-    /// Targets to which it is not sent again.
+    /// Targets to which the call is not sent again.
     pub tried: Vec<TargetName>,
-    /// Address of the engine from which its engine fetches cached parts of the prompt.
+    /// Address of the engine from which the chosen engine fetches cached parts of the prompt.
     pub fetch_source: Option<SocketAddr>,
     /// Number of sends that may have run.
     pub runs: u32,
-    /// Zones that refused it in the last placement, and why.
+    /// Zones that refused the call in the last placement, and why.
     pub refusals: Vec<(AvailabilityZone, RefusalCause)>,
     /// Number of sends that targets rejected without running them.
     pub rejected: u32,
@@ -318,7 +318,7 @@
                         break;
                     }
                 }
-                // The target is leaving or asked for a backoff, so the next placement avoids it.
+                // The target is leaving or requested a backoff, so the next placement avoids it.
                 SendOutcome::Withheld => {}
                 SendOutcome::NotSent => {
                     if self.unreached > MAX_UNREACHED_TARGETS {
@@ -431,7 +431,7 @@
         is_allowed
     }
 
-    /// Passes a success on to the caller; returns the call if the answer broke off before any of it was forwarded.
+    /// Forwards a success to the caller; returns the call if the answer broke off before any of it was forwarded.
     async fn pass_on(self, open: OpenAnswer) -> Result<Response<AnswerBody>, Self> {
         match self.route.response_shape {
             ResponseShape::EventStream { resumable } => Ok(relay_events(self, open, resumable)),
--- a/crates/daemon/src/direct/call/placement.rs
+++ b/crates/daemon/src/direct/call/placement.rs
@@ -37,7 +37,7 @@
 /// Pause of a call before the last pass over the zones.
 const REPLACE_DELAY: Duration = Duration::from_millis(60);
 
-/// Jitter added to the `Retry-After` of calls that are refused because all targets asked for a backoff.
+/// Jitter added to the `Retry-After` of calls that are refused because all targets requested a backoff.
 const BACKOFF_JITTER: Duration = Duration::from_millis(600);
 
 /// Where the next send goes.
@@ -204,7 +204,7 @@
         CallPlacement::At(Arc::clone(entry), None, None)
     }
 
-    /// Asks one zone for a target; `None` if the search continues with the next zone.
+    /// Requests a target from one zone; `None` if the search continues with the next zone.
     async fn ask_zone(
         &mut self,
         zone: &AvailabilityZone,
@@ -281,7 +281,7 @@
                     },
                     RefusalCause::QuotaUsedUp => {
                         match self.pay_or_refuse(Some(zone), Some(retry_after)).await {
-                            // The refusal came before the holder looked for a target, so the zone is asked again.
+                            // The refusal came before the holder looked for a target, so the zone is queried again.
                             None => Box::pin(self.ask_zone(zone, query, search)).await,
                             refused => refused,
                         }
@@ -295,8 +295,8 @@
         }
     }
 
-    /// The entry of the target that a zone's holder chose. While this VM does not know the whole target list, it asks the
-    /// holder for an entry that it lacks.
+    /// The entry of the target that a zone's holder chose. While this VM does not know the whole target list, it requests
+    /// a missing entry from the holder.
     async fn entry_of(
         &self,
         zone: &AvailabilityZone,
@@ -310,8 +310,8 @@
         known()
     }
 
-    /// Charges the call to its quota; returns the refusal if that is not possible. The holder of zone `except` is not asked: it does not
-    /// answer, or said that it will have enough of the quota after `wait`.
+    /// Charges the call to its quota; returns the refusal if that is not possible. The holder of zone `except` is left out: it
+    /// does not answer, or replied that it will have enough of the quota after `wait`.
     async fn pay_or_refuse(
         &mut self,
         except: Option<&AvailabilityZone>,
@@ -397,7 +397,7 @@
         self.context.fleet.tables().backing_off(clock::now())
     }
 
-    /// `Retry-After` for the caller if every target of the service asked this VM to back off. The jitter spreads the callers,
+    /// `Retry-After` for the caller if every target of the service requested a backoff from this VM. The jitter spreads the callers,
     /// so that a few of them find out whether the targets take calls again.
     pub(super) fn backoff_of_all(&self) -> Option<Duration> {
         let tables = self.context.fleet.tables();
--- a/crates/daemon/src/direct/exchange.rs
+++ b/crates/daemon/src/direct/exchange.rs
@@ -35,7 +35,7 @@
 /// Size of a topic up to which the holder sends all of it unless the log fails the receiver: 0.1 s
 /// of a 10 Mbit/s link for each VM.
 const MAX_FORWARDED_TOPIC_BYTES: usize = 128 * 1024;
-/// Time for which a VM reads the log on behalf of another one that can't. The other one repeats its
+/// Time for which a VM reads the log on behalf of another one that can't. The other VM sends its
 /// request within 3.3 s: a silent read fails after 0.9 s plus its longest wait, and a pause of at
 /// most 1 s follows.
 const READ_REQUEST_TTL: Duration = Duration::from_secs(4);
@@ -247,7 +247,7 @@
         self.record_requests.subscribe()
     }
 
-    /// Watches the time until which this VM is asked to read on behalf of others.
+    /// Watches the time until which other VMs requested that this VM read on their behalf.
     #[must_use]
     pub fn watch_read_requests(&self) -> watch::Receiver<Instant> {
         self.read_requests.subscribe()
--- a/crates/daemon/src/direct/feeds.rs
+++ b/crates/daemon/src/direct/feeds.rs
@@ -32,7 +32,7 @@
 /// Maximum time that a read waits for a record.
 const MAX_READ_WAIT: Duration = Duration::from_secs(20);
 /// Maximum wait for fleet records at a zone's holder. The log does not wake a read that arrives in
-/// the milliseconds in which a record is appended, so a holder repeats its reads. Its knowledge of
+/// the milliseconds in which a record is appended, so a holder reads at intervals. Its knowledge of
 /// leases has to be fresher than the handover delay, or it names no source for prompt cache
 /// transfers. With 1 s between two reads that knowledge is at most 2.5 s old; longer waits save
 /// calls to the log.
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Waits for this VM's turn to list the targets. Returns whether the topic is complete by then.
+    /// Waits until this VM may list the targets. Returns whether the topic is complete by then.
     /// If all VMs of a zone listed at once after a common start, the log would answer all of them
     /// late. So the VMs that can claim the zone's lease list first, and the others place calls
     /// through the holder.
@@ -389,7 +389,7 @@
             sleep(pause.mul_f64(jitter)).await;
         } else {
             let mut returns = self.reachability.watch();
-            // Retries after either the log's return or the timeout.
+            // Retries after either the log's recovery or the timeout.
             let _ = timeout(PROBE_TIMEOUT, returns.changed()).await;
         }
     }
--- a/crates/daemon/src/direct/fleet.rs
+++ b/crates/daemon/src/direct/fleet.rs
@@ -61,7 +61,7 @@
 pub const SUSPECT_KEY_PREFIX: &str = "suspect/";
 /// Key prefix of zone leases.
 pub const ZONE_KEY_PREFIX: &str = "zone/";
-/// Time for which an adapter in high demand counts as at home in every zone. By its end this VM's
+/// Time for which an adapter in high demand counts as having its home in every zone. By its end this VM's
 /// own demand count, which takes as long to rise after a shift of demand, shows the demand itself.
 const HIGH_DEMAND_TTL: Duration = Duration::from_secs(6);
 /// Lower bound of the number of VMs that the retry budget is divided by, so that one or two VMs
@@ -147,13 +147,13 @@
     pub era_record: Option<EraRecord>,
     /// Requests during which targets crashed, from this VM's calls, other VMs and the log.
     pub suspects: SuspectTable,
-    /// Limits that targets reported to this VM or to other VMs.
+    /// Rate limits that targets advertised to this VM or to other VMs.
     pub limits: RateLimitTable,
     /// Backoffs that targets requested from this VM.
     pub backoffs: BackoffTable,
     /// Newest record of each key, to be forwarded to other VMs.
     pub records: RecordCache,
-    /// Pause between the claim in progress and the first order.
+    /// Delay between the claim in progress and the first order.
     pub claim_delay: Duration,
     /// Earliest time of an order after this VM's last claim.
     pub orders_from: Instant,
@@ -267,7 +267,7 @@
     }
 
     /// Time until the first target of a service accepts calls again. `None` unless all of them
-    /// asked for a backoff.
+    /// requested a backoff.
     #[must_use]
     pub fn shortest_backoff(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
         if self.backoffs.is_empty() {
--- a/crates/daemon/src/direct/folding.rs
+++ b/crates/daemon/src/direct/folding.rs
@@ -42,7 +42,7 @@
     Update,
     /// Stored, but not forwarded.
     Stored,
-    /// Removes a target that may come back. Nothing changes until the removal is confirmed.
+    /// Removes a target that may be listed again. Nothing changes until the removal is confirmed.
     Unconfirmed,
     /// Outdated by a newer target life or version, and ignored.
     Outdated,
@@ -191,7 +191,7 @@
     )
 }
 
-/// Applies an entry that can't be used: its target counts as gone.
+/// Applies an entry that can't be used: its target counts as removed.
 fn fold_unusable(
     tables: &mut FleetTables,
     record: &KeyedRecord,
--- a/crates/daemon/src/direct/holder_client.rs
+++ b/crates/daemon/src/direct/holder_client.rs
@@ -47,7 +47,7 @@
 /// Time that a call of a plain service waits for a holder's answer. An answer takes a few milliseconds, and the shortest latency
 /// objectives of plain services are 150 ms.
 const PLAIN_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time that a call waits for a holder's decision about a trial before it asks the next holder.
+/// Time that a call waits for a holder's decision about a trial before it queries the next holder.
 const TRIAL_TIMEOUT: Duration = Duration::from_millis(250);
 /// Time that a placed call waits for the holder's record of its target.
 const TARGET_TIMEOUT: Duration = Duration::from_millis(250);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Asks the holder of a zone for a target of a call; `None` if no holder answers.
+    /// Requests a target of a call from the holder of a zone; `None` if no holder answers.
     pub async fn place(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
@@ -106,7 +106,7 @@
         self.open_call(withdrawal, zone, number, subject, reply)
     }
 
-    /// Asks the holder of a zone for a target of a plain service's call; `None` if it does not answer within 60 ms.
+    /// Requests a target of a plain service's call from the holder of a zone; `None` if it does not answer within 60 ms.
     pub async fn place_plain(
         self: &Arc<Self>,
         zone: &AvailabilityZone,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Asks for a trial of a suspect, at the first zone in the suspect's order whose holder answers.
+    /// Requests a trial of a suspect, at the first zone in the suspect's order whose holder answers.
     pub async fn request_trial(
         self: &Arc<Self>,
         zones: &[AvailabilityZone],
@@ -168,7 +168,7 @@
         None
     }
 
-    /// Asks the holder of a zone for the record of a target that it chose, and adds the record to the fleet state.
+    /// Fetches the record of a target from the zone's holder that chose it, and adds the record to the fleet state.
     pub async fn fetch_target(&self, zone: &AvailabilityZone, target: &TargetName) {
         let Some(lease) = self.fleet.lease(zone) else {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Reports the end of a trial to the holder that granted it. A success clears the suspicion and goes to all holders.
+    /// Reports the end of a trial to the holder that granted it. A success clears the suspicion and is reported to all holders.
     pub(super) fn end_trial(
         &self,
         zone: &AvailabilityZone,
@@ -205,7 +205,7 @@
         self.fleet.tables().leases.keys().cloned().collect()
     }
 
-    /// Asks a zone's holder; `None` if it does not answer.
+    /// Sends a request to a zone's holder; `None` if the holder does not answer.
     async fn send_request(
         &self,
         zone: &AvailabilityZone,
@@ -312,7 +312,7 @@
         }
     }
 
-    /// The link to the holder named by a lease, dialled if there is none. A new link first passes on the open calls, the suspects
+    /// The link to the holder named by a lease, dialled if there is none. A new link first sends the open calls, the suspects
     /// and the rate limits that this VM knows.
     fn link(&self, zone: &AvailabilityZone, lease: &ZoneLease) -> Option<VmLink> {
         let vm = lease.vm.as_ref()?;
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Asks a zone's holder to give up its lease, recorded at this position, in favour of this VM.
+    /// Requests that a zone's holder release its lease, recorded at this position, in favour of this VM.
     pub fn request_lease(&self, zone: &AvailabilityZone, lease: &ZoneLease, position: LogPosition) {
         if let Some(link) = self.link(zone, lease) {
             link.send_notice(VmMessage::LeaseWanted(position));
@@ -459,14 +459,14 @@
         self.notify(&self.fleet.zone, HolderNotice::RefundQuota(charge));
     }
 
-    /// Tells every zone's holder that a target crashed while it ran a request.
+    /// Notifies every zone's holder that a target crashed while it ran a request.
     pub fn report_crash(&self, crash: &TargetCrash) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::TargetCrashed(crash.clone()));
         }
     }
 
-    /// Tells every zone's holder the rate limit that a target stated in an answer.
+    /// Reports the rate limit that a target advertised in an answer to every zone's holder.
     pub fn report_limit(&self, limit: &AdvertisedLimit) {
         for zone in &self.all_zones() {
             self.notify(zone, HolderNotice::TargetLimit(limit.clone()));
--- a/crates/daemon/src/direct/message.rs
+++ b/crates/daemon/src/direct/message.rs
@@ -204,7 +204,7 @@
     /// A call that was open before this link existed.
     #[serde(rename = "Open")]
     OpenCall(u64, TargetName, TargetLife, AdapterName),
-    /// The sender, a VM of the zone with more CPU, asks the receiver to give up its lease at this
+    /// The sender, a VM of the zone with more CPU, asks the receiver to release its lease at this
     /// position.
     LeaseWanted(LogPosition),
     /// The sender's planned stop has begun, and it takes on no more duties.
--- a/crates/daemon/src/direct/metrics.rs
+++ b/crates/daemon/src/direct/metrics.rs
@@ -33,7 +33,7 @@
 /// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4096;
 
-/// Kind of a request, by how its answer is forwarded and whether it may be repeated.
+/// Kind of a request, by how its answer is forwarded and whether it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RequestKind {
     /// The answer is a stream of events.
@@ -67,7 +67,7 @@
     TargetFailed,
     /// Refused without having run.
     Refused,
-    /// The request may have run, but no complete answer came.
+    /// The request may have run, but no complete answer arrived.
     Lost,
     /// The stream broke off after its start.
     BrokenOff,
@@ -99,7 +99,7 @@
 pub enum ForwardReason {
     /// The record is new to the other VM.
     News,
-    /// The other VM asked for the record.
+    /// The other VM requested the record.
     Answer,
 }
 
@@ -331,7 +331,7 @@
         self.retries.get_or_create(&RetryLabels { allowed }).inc();
     }
 
-    /// Counts, and logs, a prompt of which the chosen engine could fetch cached parts from another one, whether or not it is told
+    /// Counts, and logs, a prompt of which the chosen engine could fetch cached parts from another one, whether or not it is instructed
     /// to.
     pub fn count_prompt_move(&self, prompt_move: &CacheTransfer) {
         let now = clock::now();
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -1,8 +1,8 @@
-//! Notices that targets give about themselves in the headers of their answers: that they are leaving, and that they want a VM to
-//! back off.
+//! Notices that targets give about themselves in the headers of their answers: that they are leaving, and that they request
+//! a backoff.
 //!
 //! A leaving target takes no new work from any VM, so each VM forwards such a notice over all its links. While the platform's log
-//! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was given to.
+//! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was requested from.
 
 use crate::{clock, direct::fleet::FleetState, event, events::Event};
 use hoplanding_core::{direct::target_notices::TargetNotice, ids::TargetRun};
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -82,7 +82,7 @@
     pub max_config_wait: Duration,
     /// Timeout of a request to the platform's log.
     pub platform_timeout: Duration,
-    /// Time from the stop signal until open connections are asked to close (`stop_notice_ms` in the file).
+    /// Time from the stop signal until the daemon starts to close open connections (`stop_notice_ms` in the file).
     pub drain_delay: Duration,
     /// Maximum time from the stop signal to the exit (`stop_bound_ms` in the file).
     pub stop_timeout: Duration,
@@ -99,7 +99,7 @@
     /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// Returns [`SettingsError::NoJson`] if the text is not JSON, else all faults with their keys, values and remedies.
+    /// Returns [`SettingsError::InvalidJson`] if the text is not JSON, else all faults with their keys, values and remedies.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         parse_settings(text, read_settings)
     }
--- a/crates/daemon/src/direct/sharing.rs
+++ b/crates/daemon/src/direct/sharing.rs
@@ -116,7 +116,7 @@
         Some(reply)
     }
 
-    /// Repeats the request of the requesting side once more topics are complete.
+    /// Sends the request of the requesting side again once more topics are complete.
     fn repeated_request(&mut self) -> Option<VmMessage> {
         let known_topics = self.fleet.known_topic_count();
         if self.requested_with? >= known_topics {
--- a/crates/daemon/src/direct/suspect_records.rs
+++ b/crates/daemon/src/direct/suspect_records.rs
@@ -2,7 +2,7 @@
 //!
 //! A suspicion has to survive the loss of all VMs, so each suspected request has a record from its first crash on. The
 //! gateway that saw the crash writes the record before it answers its caller or retries the request: when the request
-//! can come back, the crash is already stored. Calls do not wait for the record while the log does not answer.
+//! can arrive again, the crash is already stored. Calls do not wait for the record while the log does not answer.
 //!
 //! The zone holder that grants a request's trials maintains its record (see [`recorder`](super::recorder)): it writes
 //! records that a gateway could not write or that a restored copy of the log lacks, and deletes the record of a request
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct TrialPermit {
     holder_client: Arc<HolderClient>,
-    /// The zone whose holder was asked for the permit.
+    /// The zone whose holder received the request for the permit.
     zone: AvailabilityZone,
     number: u64,
     fingerprint: RequestFingerprint,
--- a/crates/daemon/src/direct/zone.rs
+++ b/crates/daemon/src/direct/zone.rs
@@ -53,7 +53,7 @@
 /// The holder's reply to a request of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HolderReply {
-    /// Where the call goes, or why it is refused.
+    /// Target of the call, or why it is refused.
     Placement(PlacementAnswer),
     /// `None` if the call was charged, otherwise the milliseconds until the quota suffices.
     Charged(Option<u32>),
@@ -61,7 +61,7 @@
     Trial(TrialAnswer),
     /// The target's record in the target list, if this VM has one.
     Target(Option<ForwardedRecord>),
-    /// The VM that was asked does not hold the zone.
+    /// The VM that received the request does not hold the zone.
     NotHolder,
 }
 
@@ -111,7 +111,7 @@
     ReportReceived(TargetName, Option<EngineReport>),
     /// Stop issuing orders because the VM stops. The reply says whether the zone was held.
     ReleaseLease(oneshot::Sender<bool>),
-    /// A VM with more CPU asks for the lease with this token.
+    /// A VM with more CPU requests the lease with this token.
     LeaseWanted(VmName, FencingToken),
     /// The release of the lease with this token was not recorded, so the lease is used again.
     LeaseRetained(FencingToken),
@@ -337,7 +337,7 @@
                 held.is_yielding = true;
                 held.planner.stop_orders();
             }
-            // A lease request that names an older record or is a repeat; the others are handled before, or need
+            // A lease request that names an older record or is a duplicate; the others are handled before, or need
             // nothing.
             ZoneEvent::LeaseWanted(..)
             | ZoneEvent::LeaseRetained(_)
@@ -471,7 +471,7 @@
         tokio::spawn(async move {
             let timeout = settings.timing.platform_timeout;
             if !release_lease(&fleet, settings.platform_address, timeout).await {
-                // The append may still be recorded, and a successor may act on it, so no orders are given during the
+                // The append may still be recorded, and a successor may act on it, so no orders are issued during the
                 // handover delay.
                 sleep(settings.leases.handover_delay).await;
                 // The channel closes only when the process ends.
@@ -658,7 +658,7 @@
                     }
                     send_reply(&key, pending.reply, HolderReply::Placement(answer));
                 }
-                // An engine that asked for a backoff is treated like one that refuses orders.
+                // An engine that requested a backoff is treated like one that refuses orders.
                 PlannerAction::Order(entry, _) if self.fleet.is_backing_off(&entry.run()) => {
                     let outcome = OrderOutcome::Refused;
                     held.planner.order_ended(&entry.name, outcome, clock::now());
