--- a/crates/core/src/direct/planner/messages.rs
+++ b/crates/core/src/direct/planner/messages.rs
@@ -23,7 +23,7 @@
     pub number: u64,
 }
 
-/// Terms on which a gateway asks a zone to place a call.
+/// Terms on which a gateway requests the placement of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementTerms {
     /// Place the call if an engine that holds its adapter can serve it within the bound; otherwise offer a cost.
@@ -53,8 +53,9 @@
     pub bound_ms: u32,
     /// Targets already tried.
     pub exclude: Vec<TargetName>,
-    /// Targets that asked this gateway to back off for now.
-    pub resting: Vec<TargetName>,
+    /// Targets that requested a backoff from this gateway, not ended yet.
+    #[serde(rename = "resting")]
+    pub backing_off: Vec<TargetName>,
     /// Whether the zone may load the adapter for the call.
     pub may_load: bool,
     /// Terms of the placement.
@@ -63,7 +64,7 @@
     pub fingerprint: RequestFingerprint,
     /// Whether the call is a granted trial of a suspect request.
     pub is_trial: bool,
-    /// Quota charge; none if the call is already paid for.
+    /// Quota charge; none if the call is already charged.
     pub charge: Option<QuotaCharge>,
 }
 
@@ -90,12 +91,13 @@
         fetch: Option<SocketAddr>,
         /// Expected time until the first event, in milliseconds.
         expected_ms: u32,
-        /// Version that the call has to ask for: the named version of the adapter, or the version that made the fetched
+        /// Version that the call has to name: the named version of the adapter, or the version that made the fetched
         /// KV cache.
         version: Option<u64>,
         /// Whether the adapter is in such demand that other zones should load it too.
-        is_sought: bool,
-        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer says about it to the
+        #[serde(rename = "is_sought")]
+        is_in_high_demand: bool,
+        /// Whether the target announced a rate limit; if so, the gateway forwards what the answer states about it to the
         /// holder.
         is_limited: bool,
     },
@@ -149,7 +151,7 @@
     pub target_versions: CacheVersions,
     /// Latest named version of the adapter.
     pub named_version: Option<u64>,
-    /// Whether the target is told to fetch; if not, the versions do not match.
+    /// Whether the target is instructed to fetch; if not, the versions do not match.
     pub is_permitted: bool,
 }
 
--- a/crates/core/tests/load/simulation.rs
+++ b/crates/core/tests/load/simulation.rs
@@ -323,7 +323,7 @@
             }
             if now % 50_000 == 0 {
                 for planner in &mut self.planners {
-                    planner.set_lead_until(Instant(now).after(LEAD_DURATION));
+                    planner.set_sole_until(Instant(now).after(LEAD_DURATION));
                     planner.tick(Instant(now));
                 }
             }
@@ -434,7 +434,7 @@
             priority: class.rank,
             bound_ms: bound.as_millis() as u32,
             exclude: Vec::new(),
-            resting: Vec::new(),
+            backing_off: Vec::new(),
             may_load: query.may_load,
             terms: query.terms,
         };
--- a/crates/daemon/src/direct/notices.rs
+++ b/crates/daemon/src/direct/notices.rs
@@ -1,8 +1,8 @@
-//! Notices that targets give about themselves in the headers of their answers: that they are leaving, and that they want a VM to
-//! back off.
+//! Notices that targets give about themselves in the headers of their answers: that they are leaving, and that they request
+//! a backoff.
 //!
 //! A leaving target takes no new work from any VM, so each VM forwards such a notice over all its links. While the platform's log
-//! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was given to.
+//! is unavailable, these are the only source of that fact. A backoff concerns only the VM that it was requested from.
 
 use crate::{clock, direct::fleet::FleetState, event, events::Event};
 use hoplanding_core::{direct::target_notices::TargetNotice, ids::TargetRun};
@@ -68,7 +68,7 @@
         let decoded = decode_notice(status, headers);
         let now = clock::now();
         for fault in &decoded.errors {
-            if let Some(suppressed) = self.tables().unreadable_headers.note(now) {
+            if let Some(suppressed) = self.tables().unreadable_headers.record(now) {
                 event!(
                     Event::InvalidNotice,
                     "{}: {fault}; {suppressed} earlier ones not logged",
@@ -81,7 +81,7 @@
             self.mark_leaving(slice::from_ref(run), "stated in its own answer");
         }
         if let Some(backoff) = notice.backoff {
-            let applied = self.tables().rests.record(run, backoff, now);
+            let applied = self.tables().backoffs.record(run, backoff, now);
             event!(
                 Event::BackoffRequested,
                 "{} for {backoff:?}, applied for {applied:?}",
@@ -91,11 +91,11 @@
         notice
     }
 
-    /// Whether a target has asked this VM to back off and the backoff has not ended.
+    /// Whether a target has requested a backoff from this VM that has not ended.
     #[must_use]
-    pub fn is_resting(&self, run: &TargetRun) -> bool {
+    pub fn is_backing_off(&self, run: &TargetRun) -> bool {
         let now = clock::now();
-        self.tables().rests.remaining(run, now).is_some()
+        self.tables().backoffs.remaining(run, now).is_some()
     }
 
     /// Marks targets as leaving, and announces those of them that were not known to be. `source` names the origin of the notice in
@@ -104,7 +104,7 @@
         let mut tables = self.tables();
         let head = tables.leaving.head();
         for run in runs {
-            if tables.catalog.note_leaving(run) {
+            if tables.catalog.record_leaving(run) {
                 event!(Event::TargetLeaving, "{}, {source}", run.name);
                 tables.leaving.push(run.clone());
             }
--- a/crates/daemon/src/direct/settings.rs
+++ b/crates/daemon/src/direct/settings.rs
@@ -82,7 +82,7 @@
     pub max_config_wait: Duration,
     /// Timeout of a request to the platform's log.
     pub platform_timeout: Duration,
-    /// Time from the stop signal until open connections are asked to close (`stop_notice_ms` in the file).
+    /// Time from the stop signal until the daemon starts to close open connections (`stop_notice_ms` in the file).
     pub drain_delay: Duration,
     /// Maximum time from the stop signal to the exit (`stop_bound_ms` in the file).
     pub stop_timeout: Duration,
@@ -99,7 +99,7 @@
     /// Parses the text of a settings file.
     ///
     /// # Errors
-    /// Returns [`SettingsError::NoJson`] if the text is not JSON, else all faults with their keys, values and remedies.
+    /// Returns [`SettingsError::InvalidJson`] if the text is not JSON, else all faults with their keys, values and remedies.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         parse_settings(text, read_settings)
     }
@@ -210,7 +210,7 @@
         hot_adapter_fraction: fraction("sought_part", defaults.hot_adapter_fraction),
         speculative_load_fraction: fraction("spare_part", defaults.speculative_load_fraction),
         busy_fraction: fraction("busy_part", defaults.busy_fraction),
-        doubt_penalty: span("doubt_price_ms", defaults.doubt_penalty),
+        degraded_penalty: span("doubt_price_ms", defaults.degraded_penalty),
         failure_penalty: span("failing_price_ms", defaults.failure_penalty),
         shed_penalty: span("shed_price_ms", defaults.shed_penalty),
     }
