--- a/crates/core/src/direct/catalog.rs
+++ b/crates/core/src/direct/catalog.rs
@@ -22,7 +22,7 @@
     time::Duration,
 };
 
-/// Time after the log's recovery within which expired entries of live targets come back. Platforms need up to 2 s.
+/// Time after the log's recovery within which expired entries of live targets are listed again. Platforms need up to 2 s.
 pub const RELIST_GRACE: Duration = Duration::from_millis(2_200);
 
 /// Whether a target accepts new calls.
@@ -161,7 +161,7 @@
     /// Records when the log recovered from its last outage; `None` if there was none. Pending removals become due
     /// earlier if the recovery was earlier than assumed, but never later: a log that fails repeatedly would otherwise
     /// keep a target that is gone.
-    pub fn note_log_recovered(&mut self, recovered_at: Option<Instant>) {
+    pub fn record_log_recovered(&mut self, recovered_at: Option<Instant>) {
         if self.recovered_at == recovered_at {
             return;
         }
@@ -175,7 +175,7 @@
 
     /// Records that the log was restored from a copy, in which a target that is leaving may be listed as ready. Returns
     /// the targets that are leaving.
-    pub fn note_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
+    pub fn record_log_restored(&mut self, now: Instant) -> Vec<TargetRun> {
         self.restored_at = Some(now);
         let mut runs = Vec::new();
         for row in self.rows.values_mut() {
@@ -235,7 +235,7 @@
     }
 
     /// Records that a target announced that it is leaving; returns whether that was unknown.
-    pub fn note_leaving(&mut self, run: &TargetRun) -> bool {
+    pub fn record_leaving(&mut self, run: &TargetRun) -> bool {
         let row = self
             .rows
             .entry(run.name.clone())
@@ -286,7 +286,7 @@
         now: Instant,
     ) -> Vec<ConfirmedRemoval> {
         let grace_end = self.grace_end(now);
-        // The record at `end` itself comes after the listing.
+        // The record at `end` itself follows the listing.
         let last = LogPosition(end.0.saturating_sub(1));
         let missing = self.rows.iter_mut().filter(|(name, row)| {
             row.entry.is_some() && row.position < end && !listed.contains(name.as_str())
--- a/crates/core/src/direct/planner/mod.rs
+++ b/crates/core/src/direct/planner/mod.rs
@@ -3,7 +3,7 @@
 //! The holder of a zone runs one planner, and all calls and orders for the zone's engines pass through it. So it knows
 //! the calls in flight, the prompts waiting to be read and the adapters in use. Its state is soft: after a takeover it
 //! is rebuilt from the engines' reports and from the calls that gateways still have open. Engines check adapter,
-//! version, fencing token and sequence themselves, so a wrong belief here costs time and never gives a wrong answer.
+//! version, fencing token and sequence themselves, so an error here costs time and never gives a wrong answer.
 //! The exception is KV cache that engines fetch from each other: only `cache_transfer` checks which versions made it.
 //!
 //! The *named* version of an adapter is the one that operators made current. A *subject* is a base model, or an adapter
@@ -86,7 +86,7 @@
     /// KV cache that calls are about to fetch.
     loans: HashMap<CallKey, CacheLoan>,
     /// Time until which no other holder can have sent orders to these engines.
-    lead_until: Instant,
+    sole_until: Instant,
     /// Time from which no order of an earlier holder can be carried out any more.
     earlier_orders_until: Instant,
     /// Whether engines refuse orders of earlier holders.
@@ -119,7 +119,7 @@
             prefill_model: PrefillModel::default(),
             load_limiter: LoadLimiter::with_initial_limit(estimates.initial_load_limit),
             loans: HashMap::new(),
-            lead_until: Instant::default(),
+            sole_until: Instant::default(),
             earlier_orders_until: Instant::default(),
             are_orders_fenced: false,
             orders_from,
@@ -170,8 +170,8 @@
 
     /// Sets the time until which no other holder can have sent orders to these engines. A holder that is cut off from
     /// the log or was suspended may have been replaced: it still places calls, but lends no KV cache after that time.
-    pub fn set_lead_until(&mut self, time: Instant) {
-        self.lead_until = time;
+    pub fn set_sole_until(&mut self, time: Instant) {
+        self.sole_until = time;
     }
 
     /// Whether any order is unanswered.
@@ -192,13 +192,13 @@
 
     /// Updates the engines from the platform's list of targets.
     pub fn set_targets(&mut self, entries: Vec<Arc<TargetEntry>>, now: Instant) {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .engines
             .keys()
             .filter(|name| !entries.iter().any(|entry| entry.name == **name))
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.invalidate_loans(&name);
             if let Some(engine) = self.engines.remove(&name) {
                 let waiters = engine.copies.into_values().flat_map(|copy| copy.waiters);
@@ -263,8 +263,8 @@
         self.replace_stale_copies(adapter, now);
     }
 
-    /// Version of an adapter that calls have to ask for. None for a base model: engines get its new weights at their
-    /// next start only, and until then every engine would reject calls that ask for them.
+    /// Version of an adapter that calls have to name. None for a base model: engines get its new weights at their
+    /// next start only, and until then every engine would reject calls that name them.
     pub(super) fn named_version(&self, subject: &AdapterName) -> Option<u64> {
         let has_adapter = split_subject(subject).1.is_some();
         let named = self.named_versions.get(subject).filter(|_| has_adapter);
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Records the end of a call, or that its gateway gave it up.
+    /// Records the end of a call, or that its gateway abandoned it.
     pub fn call_ended(
         &mut self,
         key: &CallKey,
@@ -375,7 +375,7 @@
             return;
         };
         if !self.named_versions.contains_key(&subject) {
-            // Without a named version, the call may have asked for a version that the target does not have.
+            // Without a named version, the call may have named a version that the target does not have.
             engine.invalidate_copy(&subject);
         }
         if let Some(copy) = engine.copies.get_mut(&subject)
--- a/crates/core/tests/direct_memory/simulation.rs
+++ b/crates/core/tests/direct_memory/simulation.rs
@@ -92,7 +92,7 @@
 pub struct SimulationCounts {
     /// Calls that ran.
     pub runs: u32,
-    /// Calls that were told to fetch from an engine.
+    /// Calls that were instructed to fetch from an engine.
     pub fetches: u32,
     /// Segments that engines fetched from others.
     pub segments: u32,
@@ -251,7 +251,7 @@
         planner.set_policy(free_fetch_policy());
     }
     // Simulations have one holder at a time.
-    planner.set_lead_until(Instant(u64::MAX));
+    planner.set_sole_until(Instant(u64::MAX));
     planner
 }
 
@@ -570,7 +570,7 @@
         }
     }
 
-    /// Disconnects a gateway from the holder for a time. Its unanswered requests are repeated.
+    /// Disconnects a gateway from the holder for a time. Its unanswered requests are retried.
     fn disconnect(&mut self, vm: &VmName, duration_ms: u64) {
         self.log(&format!(
             "{vm} is disconnected from the holder for {duration_ms} ms"
@@ -638,7 +638,7 @@
             priority: 1,
             bound_ms: BOUND_MS,
             exclude: pending.tried.iter().cloned().chain(avoided).collect(),
-            resting: Vec::new(),
+            backing_off: Vec::new(),
             may_load: true,
             terms: PlacementTerms::Take,
         };
--- a/crates/core/tests/direct_planner.rs
+++ b/crates/core/tests/direct_planner.rs
@@ -71,7 +71,7 @@
         priority: 1,
         bound_ms: 60_000,
         exclude: Vec::new(),
-        resting: Vec::new(),
+        backing_off: Vec::new(),
         may_load: true,
         terms: PlacementTerms::Take,
     }
@@ -472,7 +472,7 @@
 }
 
 #[test]
-fn adapter_that_uses_a_large_share_of_the_zone_is_reported_as_sought() {
+fn adapter_that_uses_a_large_share_of_the_zone_is_reported_as_in_high_demand() {
     let now = Instant(1_000_000);
     let mut planner = planner(&["one", "two", "three"], now);
     let held = report(&["base/a", "base/b"], 0);
@@ -485,7 +485,7 @@
             matches!(
                 answers[0].1,
                 PlacementAnswer::Send {
-                    is_sought: true,
+                    is_in_high_demand: true,
                     ..
                 }
             )
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -1,10 +1,14 @@
-//! Orders to targets: loads, announced unloads, tokens and listings.
+//! Orders to engines: adapter loads and unloads, fencing tokens and listings.
+//!
+//! Each target has at most one load in progress, preceded by an unload if no slot is free. A target that does not check
+//! fencing tokens gets an unload only after its intent was appended to the log and read back. An order whose answer was
+//! lost is resolved by a listing after the delivery bound.
 
 use crate::{
     app::{
         AppEvent, AppState, OrderKind, OrderReport,
-        held::{HeldPhase, HeldRuntime, OrderStage, PendingOrder},
         holder::has_loaded,
+        target_runtime::{OrderStage, PendingOrder, TargetPhase, TargetRuntime},
     },
     clock, event,
     events::Event,
@@ -18,48 +22,48 @@
 };
 use std::{collections::HashSet, time::Duration};
 
-/// Time for an announcement to be read back before the unload is given up.
-const READ_BACK_WITHIN: Duration = Duration::from_secs(3);
-/// Pause between two looks for adapters worth loading without demand.
-const PRELOAD_EVERY: Duration = Duration::from_millis(500);
+/// Time for an unload intent to be read back before the unload is cancelled.
+const INTENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval at which adapters are considered for preloading.
+const PRELOAD_INTERVAL: Duration = Duration::from_millis(500);
 
 impl AppState {
-    /// What the other holders are told about this one's loads.
+    /// This holder's load activity, as announced to the other holders.
     pub(super) fn load_notice(&self) -> LoadNotice {
         LoadNotice {
-            loading: self.loads_under_way(),
+            loading: self.active_loads(),
             best_bid: self
                 .best_bid(false, clock::now())
                 .map_or(0.0, |bid| bid.benefit),
         }
     }
 
-    fn loads_under_way(&self) -> u32 {
-        self.held
+    fn active_loads(&self) -> u32 {
+        self.held_targets
             .values()
-            .filter(|held| held.order.is_some())
+            .filter(|runtime| runtime.order.is_some())
             .count() as u32
     }
 
     fn best_bid(&self, with_preloads: bool, now: Instant) -> Option<LoadBid> {
         let bids = self
-            .held
+            .held_targets
             .iter()
-            .filter_map(|(target, held)| self.bid_of(target, held, with_preloads, now));
+            .filter_map(|(target, runtime)| self.target_bid(target, runtime, with_preloads, now));
         bids.max_by(|a, b| a.benefit.total_cmp(&b.benefit))
     }
 
-    fn bid_of(
+    fn target_bid(
         &self,
         target: &TargetName,
-        held: &HeldRuntime,
+        runtime: &TargetRuntime,
         with_preloads: bool,
         now: Instant,
     ) -> Option<LoadBid> {
-        if !held.is_serving() || held.order.is_some() || !held.is_engine() {
+        if !runtime.is_serving() || runtime.order.is_some() || !runtime.is_engine() {
             return None;
         }
-        let demanded = held
+        let demanded = runtime
             .scheduler
             .demand_bid(&self.weights, &self.popularity, now);
         if demanded.is_some() || !with_preloads {
@@ -70,29 +74,35 @@
                 && self.engines.is_home(model, target.as_str())
                 && self.is_current(model)
         };
-        let kept = self.kept_bid(target, held, now);
+        let kept = self.kept_bid(target, runtime, now);
         kept.or_else(|| {
-            held.scheduler
+            runtime
+                .scheduler
                 .preload_bid(&self.weights, &self.popularity, now, is_candidate)
         })
     }
 
-    /// An adapter that operators want kept loaded and that is loaded nowhere.
-    fn kept_bid(&self, target: &TargetName, held: &HeldRuntime, now: Instant) -> Option<LoadBid> {
-        let mut missing = self.kept_models.iter().filter(|model| {
+    /// Bid for an adapter that operators want kept loaded and that is not loaded on any target.
+    fn kept_bid(
+        &self,
+        target: &TargetName,
+        runtime: &TargetRuntime,
+        now: Instant,
+    ) -> Option<LoadBid> {
+        let mut candidates = self.kept_models.iter().filter(|model| {
             !self.engines.is_resident(model)
-                && !has_loaded(&held.scheduler, model)
+                && !has_loaded(&runtime.scheduler, model)
                 && self.engines.is_home(model, target.as_str())
-                && held.scheduler.backoff().can_retry(model, now)
+                && runtime.scheduler.backoff().can_retry(model, now)
         });
-        let model = missing.next()?.clone();
-        let free = held.scheduler.residents().len() < held.scheduler.limits().slots;
-        let evict = if free {
+        let model = candidates.next()?.clone();
+        let has_free_slot = runtime.scheduler.residents().len() < runtime.scheduler.limits().slots;
+        let evict = if has_free_slot {
             None
         } else {
-            held.scheduler.eviction_candidate(&self.popularity, now)
+            runtime.scheduler.eviction_candidate(&self.popularity, now)
         };
-        (free || evict.is_some()).then(|| LoadBid {
+        (has_free_slot || evict.is_some()).then(|| LoadBid {
             target: target.clone(),
             model,
             evict,
@@ -106,16 +116,16 @@
         config.is_some_and(|config| config.current.as_ref() == Some(&model.version))
     }
 
-    pub(super) fn run_bids(&mut self, now: Instant) {
-        self.run_bids_with(false, now);
+    pub(super) fn start_best_load(&mut self, now: Instant) {
+        self.start_best_bid(false, now);
     }
 
-    fn run_bids_with(&mut self, with_preloads: bool, now: Instant) {
+    fn start_best_bid(&mut self, with_preloads: bool, now: Instant) {
         let Some(bid) = self.best_bid(with_preloads, now) else {
             return;
         };
         let notice = LoadNotice {
-            loading: self.loads_under_way(),
+            loading: self.active_loads(),
             best_bid: bid.benefit,
         };
         if self.arbiter.may_start_load(
@@ -130,7 +140,7 @@
 
     fn start_load(&mut self, bid: LoadBid, now: Instant) {
         let number = self.next_number();
-        let Some(held) = self.held.get_mut(&bid.target) else {
+        let Some(runtime) = self.held_targets.get_mut(&bid.target) else {
             return;
         };
         let Some(ownership) = self.folded.ownership.target(bid.target.as_str()) else {
@@ -138,23 +148,28 @@
         };
         let target = bid.target.clone();
         let Some(victim) = bid.evict.clone() else {
-            held.scheduler.load_started(&bid.model, now);
-            held.order = Some(order(bid.model.clone(), None, OrderStage::Loading, now));
+            runtime.scheduler.load_started(&bid.model, now);
+            runtime.order = Some(pending_order(
+                bid.model.clone(),
+                None,
+                OrderStage::Loading,
+                now,
+            ));
             self.send_order(&target, OrderKind::Load(bid.model));
             return;
         };
-        held.scheduler.unload_started(&victim);
-        if held.lease.fence == FenceState::NotChecked {
+        runtime.scheduler.unload_started(&victim);
+        if runtime.lease.fence == FenceState::NotChecked {
             let record = IntentRecord {
                 target: target.clone(),
                 adapter: victim.clone(),
-                token: held.lease.token,
+                token: runtime.lease.token,
                 number,
             };
-            held.order = Some(order(
+            runtime.order = Some(pending_order(
                 bid.model,
                 Some(victim),
-                OrderStage::Announced { number },
+                OrderStage::AwaitingIntent { number },
                 now,
             ));
             let _ = self
@@ -163,10 +178,10 @@
                 .append(0, vec![LogRecord::UnloadIntent(record)]);
             return;
         }
-        match held.lease.permit_unload(ownership, &victim, None, 0) {
+        match runtime.lease.permit_unload(ownership, &victim, None, 0) {
             Ok(permit) => {
                 let adapter = permit.adapter().clone();
-                held.order = Some(order(
+                runtime.order = Some(pending_order(
                     bid.model,
                     Some(victim),
                     OrderStage::Unloading { number: None },
@@ -176,27 +191,27 @@
             }
             Err(refusal) => {
                 event!(Event::UnloadRefused, "{victim} on {target}: {refusal}");
-                held.scheduler.unload_cancelled(&victim);
+                runtime.scheduler.unload_cancelled(&victim);
             }
         }
     }
 
-    /// An announced unload was read back.
+    /// Handles an unload intent that was read back from the log.
     pub(super) fn intent_opened(&mut self, target: &TargetName, intent: &OpenIntent) {
-        let Some(held) = self
-            .held
+        let Some(runtime) = self
+            .held_targets
             .get_mut(target)
-            .filter(|held| held.lease.token == intent.token)
+            .filter(|runtime| runtime.lease.token == intent.token)
         else {
             return;
         };
-        let waits_for_it = held.order.as_ref().is_some_and(|pending| {
+        let is_awaited = runtime.order.as_ref().is_some_and(|pending| {
             pending.stage
-                == OrderStage::Announced {
+                == OrderStage::AwaitingIntent {
                     number: intent.number,
                 }
         });
-        let in_flight = held
+        let in_flight = runtime
             .scheduler
             .residents()
             .iter()
@@ -208,12 +223,16 @@
             .ownership
             .target(target.as_str())
             .map(|ownership| {
-                held.lease
-                    .permit_unload(ownership, &intent.adapter, Some(intent.number), in_flight)
+                runtime.lease.permit_unload(
+                    ownership,
+                    &intent.adapter,
+                    Some(intent.number),
+                    in_flight,
+                )
             });
         match permit {
-            Some(Ok(permit)) if waits_for_it => {
-                if let Some(pending) = &mut held.order {
+            Some(Ok(permit)) if is_awaited => {
+                if let Some(pending) = &mut runtime.order {
                     pending.stage = OrderStage::Unloading {
                         number: Some(intent.number),
                     };
@@ -221,8 +240,8 @@
                 self.send_order(target, OrderKind::Unload(permit.adapter().clone()));
             }
             _ => {
-                event!(Event::IntentVoided, "{} of {target}", intent.adapter);
-                if waits_for_it {
+                event!(Event::IntentVoided, "{} on {target}", intent.adapter);
+                if is_awaited {
                     self.cancel_order(target);
                 }
                 self.close_intent(target, intent.number);
@@ -231,12 +250,12 @@
     }
 
     fn close_intent(&mut self, target: &TargetName, number: u64) {
-        let Some(held) = self.held.get(target) else {
+        let Some(runtime) = self.held_targets.get(target) else {
             return;
         };
         let record = IntentClosedRecord {
             target: target.clone(),
-            token: held.lease.token,
+            token: runtime.lease.token,
             number,
         };
         let _ = self
@@ -246,149 +265,155 @@
     }
 
     fn cancel_order(&mut self, target: &TargetName) {
-        if let Some(held) = self.held.get_mut(target)
-            && let Some(pending) = held.order.take()
+        if let Some(runtime) = self.held_targets.get_mut(target)
+            && let Some(pending) = runtime.order.take()
             && let Some(victim) = &pending.evict
         {
-            held.scheduler.unload_cancelled(victim);
+            runtime.scheduler.unload_cancelled(victim);
         }
     }
 
     pub(super) fn tick_orders(&mut self, now: Instant) {
         let mut cancelled = Vec::new();
-        let mut doubtful = Vec::new();
-        for (target, held) in &self.held {
-            match &held.order {
+        let mut unresolved = Vec::new();
+        for (target, runtime) in &self.held_targets {
+            match &runtime.order {
                 Some(PendingOrder {
-                    stage: OrderStage::Announced { .. },
+                    stage: OrderStage::AwaitingIntent { .. },
                     since,
                     ..
-                }) if now.since(*since) > READ_BACK_WITHIN => {
+                }) if now.since(*since) > INTENT_TIMEOUT => {
                     cancelled.push(target.clone());
                 }
                 Some(PendingOrder {
-                    stage: OrderStage::InDoubt { until, .. },
+                    stage: OrderStage::OutcomeUnknown { until, .. },
                     ..
                 }) if *until <= now => {
-                    doubtful.push(target.clone());
+                    unresolved.push(target.clone());
                 }
                 _ => {}
             }
         }
         for target in cancelled {
-            // Should the announcement turn up after all, it is closed and never acted on.
+            // An intent that is read back later is closed without an unload.
             self.cancel_order(&target);
-            self.pump(&target, now);
+            self.dispatch_ready(&target, now);
         }
-        for target in doubtful {
+        for target in unresolved {
             self.send_order(&target, OrderKind::List);
         }
-        let with_preloads = now.since(self.last.preload) >= PRELOAD_EVERY;
+        let with_preloads = now.since(self.last.preload) >= PRELOAD_INTERVAL;
         if with_preloads {
             self.last.preload = now;
         }
-        self.run_bids_with(with_preloads, now);
+        self.start_best_bid(with_preloads, now);
     }
 
-    /// Sends an order and reports what became of it; a second listing at the same time is left out.
+    /// Sends an order and reports its result as an event; at most one listing per target is in flight.
     pub(super) fn send_order(&mut self, target: &TargetName, kind: OrderKind) {
-        let Some(held) = self.held.get_mut(target).filter(|held| held.is_engine()) else {
+        let Some(runtime) = self
+            .held_targets
+            .get_mut(target)
+            .filter(|runtime| runtime.is_engine())
+        else {
             return;
         };
-        if kind == OrderKind::List && std::mem::replace(&mut held.list_in_flight, true) {
+        if kind == OrderKind::List && std::mem::replace(&mut runtime.is_listing, true) {
             return;
         }
         if matches!(kind, OrderKind::Load(_) | OrderKind::Unload(_)) {
-            held.epoch += 1;
+            runtime.epoch += 1;
         }
-        let (client, token, epoch) = (held.client.clone(), held.lease.token, held.epoch);
+        let (client, token, epoch) = (runtime.client.clone(), runtime.lease.token, runtime.epoch);
         let (target, events) = (target.clone(), self.workers.events.clone());
         tokio::spawn(async move {
-            let began = std::time::Instant::now();
+            let started = std::time::Instant::now();
             let result = match &kind {
-                OrderKind::Present => client.present_token(token).await.map(|boot| (boot, None)),
+                OrderKind::PresentToken => {
+                    client.present_token(token).await.map(|boot| (boot, None))
+                }
                 OrderKind::Load(model) => client.load(model, token).await.map(|boot| (boot, None)),
                 OrderKind::Unload(model) => {
                     client.unload(model, token).await.map(|boot| (boot, None))
                 }
-                OrderKind::List | OrderKind::AskSettled(_) => client
+                OrderKind::List | OrderKind::SettleQuery(_) => client
                     .list()
                     .await
                     .map(|listing| (listing.boot, Some(listing))),
             };
-            let took = began.elapsed();
+            let elapsed = started.elapsed();
             let report = OrderReport {
                 target,
                 token,
                 kind,
                 epoch,
-                took,
+                elapsed,
                 result,
             };
-            // After the loop's end nobody is left to care.
+            // The send fails only after the event loop has ended.
             let _ = events.send(AppEvent::OrderDone(report)).await;
         });
     }
 
-    pub(super) fn order_done(&mut self, report: &OrderReport, now: Instant) {
-        let Some(held) = self.held.get_mut(&report.target) else {
+    pub(super) fn order_finished(&mut self, report: &OrderReport, now: Instant) {
+        let Some(runtime) = self.held_targets.get_mut(&report.target) else {
             return;
         };
-        // A load or unload under an earlier lease of this daemon still changes what is on the target.
-        let changes = matches!(report.kind, OrderKind::Load(_) | OrderKind::Unload(_));
-        if held.lease.token != report.token && !changes {
+        // A load or unload under an earlier lease of this daemon still changes the adapters on the target.
+        let changes_adapters = matches!(report.kind, OrderKind::Load(_) | OrderKind::Unload(_));
+        if runtime.lease.token != report.token && !changes_adapters {
             return;
         }
         if report.kind == OrderKind::List {
-            held.list_in_flight = false;
+            runtime.is_listing = false;
         }
         if matches!(report.result, Err(OrderError::Stale)) {
             event!(
                 Event::TargetLost,
-                "{}: the target knows a newer token",
+                "{}: the target refused the fencing token because it knows a newer one",
                 report.target
             );
         }
         let target = report.target.clone();
         match &report.kind {
-            OrderKind::Present => self.presented(report),
-            OrderKind::List => self.listed(report, now),
+            OrderKind::PresentToken => self.token_presented(report),
+            OrderKind::List => self.listing_received(report, now),
             OrderKind::Load(model) => self.load_done(report, model, now),
             OrderKind::Unload(model) => self.unload_done(report, model, now),
-            OrderKind::AskSettled(predecessor) => self.settled_answered(report, *predecessor),
+            OrderKind::SettleQuery(predecessor) => self.settle_query_answered(report, *predecessor),
         }
-        self.pump(&target, now);
-        self.run_bids(now);
+        self.dispatch_ready(&target, now);
+        self.start_best_load(now);
     }
 
-    fn presented(&mut self, report: &OrderReport) {
+    fn token_presented(&mut self, report: &OrderReport) {
         if report.result.is_err() {
             return;
         }
-        if let Some(held) = self.held.get_mut(&report.target) {
-            held.lease.acknowledge(report.token);
+        if let Some(runtime) = self.held_targets.get_mut(&report.target) {
+            runtime.lease.acknowledge(report.token);
         }
         self.send_order(&report.target, OrderKind::List);
     }
 
     fn load_done(&mut self, report: &OrderReport, model: &AdapterVersion, now: Instant) {
         let target = &report.target;
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
         match &report.result {
             Ok(_) => {
-                held.order = None;
-                if has_loaded(&held.scheduler, model) {
-                    held.scheduler.load_succeeded(model, report.took, now);
+                runtime.order = None;
+                if has_loaded(&runtime.scheduler, model) {
+                    runtime.scheduler.load_succeeded(model, report.elapsed, now);
                 }
             }
-            Err(OrderError::Unknown(cause)) => self.order_in_doubt(target, cause, now),
+            Err(OrderError::Unknown(cause)) => self.mark_order_unknown(target, cause, now),
             Err(error) => {
                 event!(Event::LoadFailed, "{model} on {target}: {error}");
-                held.order = None;
-                let refused = held.scheduler.load_failed(model, now);
-                self.refuse_for_load(target, &refused);
+                runtime.order = None;
+                let refused = runtime.scheduler.load_failed(model, now);
+                self.refuse_load_failed(target, &refused);
                 if matches!(error, OrderError::Unreachable(_)) {
                     self.target_unreachable(target);
                 } else {
@@ -400,22 +425,22 @@
 
     fn unload_done(&mut self, report: &OrderReport, victim: &AdapterVersion, now: Instant) {
         let target = &report.target;
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        let number = match held.order.as_ref().map(|pending| &pending.stage) {
+        let number = match runtime.order.as_ref().map(|pending| &pending.stage) {
             Some(OrderStage::Unloading { number }) => *number,
             _ => return,
         };
         match &report.result {
             Ok(_) => {
-                held.scheduler.unload_finished(victim);
+                runtime.scheduler.unload_finished(victim);
                 if let Some(number) = number {
                     self.close_intent(target, number);
                 }
                 self.load_after_unload(target, now);
             }
-            Err(OrderError::Unknown(cause)) => self.order_in_doubt(target, cause, now),
+            Err(OrderError::Unknown(cause)) => self.mark_order_unknown(target, cause, now),
             Err(error) => {
                 event!(Event::UnloadRefused, "{victim} on {target}: {error}");
                 self.cancel_order(target);
@@ -428,46 +453,46 @@
     }
 
     fn load_after_unload(&mut self, target: &TargetName, now: Instant) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        let Some(pending) = held
+        let Some(pending) = runtime
             .order
             .as_mut()
-            .filter(|_| held.phase != HeldPhase::Lost)
+            .filter(|_| runtime.phase != TargetPhase::Lost)
         else {
-            held.order = None;
+            runtime.order = None;
             return;
         };
         pending.stage = OrderStage::Loading;
         pending.since = now;
         let model = pending.load.clone();
-        held.scheduler.load_started(&model, now);
+        runtime.scheduler.load_started(&model, now);
         self.send_order(target, OrderKind::Load(model));
     }
 
-    fn order_in_doubt(&mut self, target: &TargetName, cause: &str, now: Instant) {
+    fn mark_order_unknown(&mut self, target: &TargetName, cause: &str, now: Instant) {
         event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
         let until = now.after(self.settings.membership.times.delivery_bound);
         let Some(pending) = self
-            .held
+            .held_targets
             .get_mut(target)
-            .and_then(|held| held.order.as_mut())
+            .and_then(|runtime| runtime.order.as_mut())
         else {
             return;
         };
-        let (number, was_load) = match &pending.stage {
+        let (number, is_load) = match &pending.stage {
             OrderStage::Unloading { number } => (*number, false),
             _ => (None, true),
         };
-        pending.stage = OrderStage::InDoubt {
+        pending.stage = OrderStage::OutcomeUnknown {
             until,
             number,
-            was_load,
+            is_load,
         };
     }
 
-    fn listed(&mut self, report: &OrderReport, now: Instant) {
+    fn listing_received(&mut self, report: &OrderReport, now: Instant) {
         let target = &report.target;
         let listing = match &report.result {
             Ok((_, Some(listing))) => listing,
@@ -475,87 +500,93 @@
             Err(OrderError::Unreachable(_)) => return self.target_unreachable(target),
             Err(_) => return,
         };
-        self.note_listing(target, listing, report.epoch, now);
-        self.resolve_doubt(target, listing, now);
+        self.apply_listing(target, listing, report.epoch, now);
+        self.resolve_unknown_order(target, listing, now);
         self.start_serving(target);
     }
 
-    fn note_listing(
+    fn apply_listing(
         &mut self,
         target: &TargetName,
         listing: &EngineListing,
         epoch: u64,
         now: Instant,
     ) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        held.listed_at = now;
-        held.is_reachable = true;
-        let restarted = held.boot != 0 && held.boot != listing.boot;
-        held.boot = listing.boot;
+        runtime.listed_at = now;
+        runtime.is_reachable = true;
+        let restarted = runtime.boot != 0 && runtime.boot != listing.boot;
+        runtime.boot = listing.boot;
         if restarted {
             event!(Event::TargetRestarted, "{target}");
-            // An order under way keeps its place: it may still arrive, and its answer or the doubt ends it.
-            if held.phase != HeldPhase::Lost {
-                held.lease = HeldTarget::new(held.lease.token, held.config.checks_fencing);
-                held.phase = HeldPhase::Preparing;
+            // An open order stays: it may still arrive, and ends by its answer or by the delivery bound.
+            if runtime.phase != TargetPhase::Lost {
+                runtime.lease = HeldTarget::new(runtime.lease.token, runtime.config.checks_fencing);
+                runtime.phase = TargetPhase::Preparing;
             }
         }
-        free_ended(held, listing, epoch, now);
-        let is_stale = epoch < held.epoch || held.order.is_some();
-        if restarted || (!is_stale && differs(held, &listing.loaded)) {
-            held.scheduler.replace_residents(&listing.loaded, now);
+        release_ended_streams(runtime, listing, epoch, now);
+        let is_stale = epoch < runtime.epoch || runtime.order.is_some();
+        if restarted || (!is_stale && residents_differ(runtime, &listing.loaded)) {
+            runtime.scheduler.replace_residents(&listing.loaded, now);
         }
-        if listing.leaving != held.says_leaving {
-            held.says_leaving = listing.leaving;
+        if listing.leaving != runtime.is_leaving {
+            runtime.is_leaving = listing.leaving;
             self.apply_targets();
         }
         if restarted
             && self
-                .held
+                .held_targets
                 .get(target)
-                .is_some_and(|held| held.phase == HeldPhase::Preparing)
+                .is_some_and(|runtime| runtime.phase == TargetPhase::Preparing)
         {
             self.prepare_target(target, now);
         }
     }
 
-    /// An order whose answer was lost: the listing tells, once nothing of it can still arrive.
-    fn resolve_doubt(&mut self, target: &TargetName, listing: &EngineListing, now: Instant) {
-        let Some(held) = self.held.get_mut(target) else {
+    /// Resolves an order whose answer was lost from a listing taken after the delivery bound.
+    fn resolve_unknown_order(
+        &mut self,
+        target: &TargetName,
+        listing: &EngineListing,
+        now: Instant,
+    ) {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
         let Some(PendingOrder {
             load,
             evict,
             stage:
-                OrderStage::InDoubt {
+                OrderStage::OutcomeUnknown {
                     until,
                     number,
-                    was_load,
+                    is_load,
                 },
             ..
-        }) = held.order.clone()
+        }) = runtime.order.clone()
         else {
             return;
         };
         if until > now {
             return;
         }
-        held.order = None;
+        runtime.order = None;
         let is_loaded = |model: &AdapterVersion| listing.loaded.contains(model);
-        if was_load && is_loaded(&load) {
-            held.scheduler
+        if is_load && is_loaded(&load) {
+            runtime
+                .scheduler
                 .load_succeeded(&load, Duration::from_secs(1), now);
-        } else if was_load {
-            let refused = held.scheduler.load_failed(&load, now);
-            self.refuse_for_load(target, &refused);
+        } else if is_load {
+            let refused = runtime.scheduler.load_failed(&load, now);
+            self.refuse_load_failed(target, &refused);
         } else if let Some(victim) = evict {
             if is_loaded(&victim) {
-                held.scheduler.unload_cancelled(&victim);
+                runtime.scheduler.unload_cancelled(&victim);
             } else {
-                held.scheduler.unload_finished(&victim);
+                runtime.scheduler.unload_finished(&victim);
             }
         }
         if let Some(number) = number {
@@ -564,23 +595,23 @@
     }
 
     fn start_serving(&mut self, target: &TargetName) {
-        let Some(held) = self.held.get_mut(target) else {
+        let Some(runtime) = self.held_targets.get_mut(target) else {
             return;
         };
-        if held.phase != HeldPhase::Preparing || held.lease.fence == FenceState::Presented {
+        if runtime.phase != TargetPhase::Preparing || runtime.lease.fence == FenceState::Presented {
             return;
         }
-        held.phase = HeldPhase::Serving;
+        runtime.phase = TargetPhase::Serving;
         event!(
             Event::TargetReady,
             "{target} with {} adapters",
-            held.scheduler.residents().len()
+            runtime.scheduler.residents().len()
         );
         self.apply_targets();
     }
 }
 
-fn order(
+fn pending_order(
     load: AdapterVersion,
     evict: Option<AdapterVersion>,
     stage: OrderStage,
@@ -594,21 +625,26 @@
     }
 }
 
-/// Frees the seats of streams that the target no longer runs, if it was asked after they ended here.
-fn free_ended(held: &mut HeldRuntime, listing: &EngineListing, epoch: u64, now: Instant) {
-    let ended = held
-        .doubtful
+/// Frees the seats of streams that the target no longer runs, if the listing was requested after they ended here.
+fn release_ended_streams(
+    runtime: &mut TargetRuntime,
+    listing: &EngineListing,
+    epoch: u64,
+    now: Instant,
+) {
+    let ended = runtime
+        .unconfirmed_streams
         .iter()
         .filter(|(_, (stream, since))| *since <= epoch && !listing.running.contains(stream));
     let ended: Vec<_> = ended.map(|(id, _)| *id).collect();
     for id in ended {
-        held.doubtful.remove(&id);
-        held.scheduler.finish_request(id, now);
+        runtime.unconfirmed_streams.remove(&id);
+        runtime.scheduler.finish_request(id, now);
     }
 }
 
-fn differs(held: &HeldRuntime, loaded: &[AdapterVersion]) -> bool {
-    let known: HashSet<_> = held
+fn residents_differ(runtime: &TargetRuntime, loaded: &[AdapterVersion]) -> bool {
+    let known: HashSet<_> = runtime
         .scheduler
         .residents()
         .iter()
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -1,7 +1,11 @@
-//! The planned stop: out of the balancer, hand over, finish, end.
+//! Planned stop of the daemon.
+//!
+//! During the drain delay the daemon reports itself as not ready, and still accepts requests until the load balancer
+//! has taken it out. Then it refuses new requests, hands its targets and idempotency tokens over to peers, and ends
+//! once all requests are finished or the stop timed out.
 
 use crate::{
-    app::{AppState, StopReport, held::HeldPhase},
+    app::{AppState, StopReport, target_runtime::TargetPhase},
     event,
     events::Event,
     peers::PeerMessage,
@@ -13,25 +17,25 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Pause between two tries to hand over.
-const HAND_OVER_EVERY: Duration = Duration::from_millis(500);
+/// Retry interval for handing over targets and tokens.
+const HANDOVER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A planned stop under way.
+/// Progress of a planned stop.
 pub struct StopState {
     reply: Option<oneshot::Sender<StopReport>>,
-    began: Instant,
-    /// Whether new requests are refused; until then the balancer may still send some.
-    grace_over: bool,
-    tried_at: Instant,
-    tokens_sent_to: Option<VmName>,
-    tokens_taken: bool,
+    started_at: Instant,
+    /// Whether the drain delay passed, in which the load balancer may still send requests.
+    is_drain_delay_over: bool,
+    last_handover_at: Instant,
+    token_successor: Option<VmName>,
+    tokens_accepted: bool,
     is_over: bool,
 }
 
 impl StopState {
-    /// Whether new requests are refused.
-    pub(super) fn refuses_new(&self) -> bool {
-        self.grace_over
+    /// Whether new requests are refused, which they are after the drain delay.
+    pub(super) fn refuses_requests(&self) -> bool {
+        self.is_drain_delay_over
     }
 }
 
@@ -44,64 +48,65 @@
             Event::Stopping,
             "{} requests open, {} targets held",
             self.open_requests,
-            self.held.len()
+            self.held_targets.len()
         );
         self.stopping = Some(StopState {
             reply: Some(reply),
-            began: now,
-            grace_over: false,
-            tried_at: Instant::default(),
-            tokens_sent_to: None,
-            tokens_taken: false,
+            started_at: now,
+            is_drain_delay_over: false,
+            last_handover_at: Instant::default(),
+            token_successor: None,
+            tokens_accepted: false,
             is_over: false,
         });
-        // Peers hear of it at once.
+        // Resetting the timer sends the next heartbeat, which announces the stop, at once.
         self.last.heartbeat = Instant::default();
     }
 
-    /// Whether the loop can end.
+    /// Whether the planned stop is complete, so that the event loop can end.
     pub(super) fn is_stopped(&self) -> bool {
         self.stopping.as_ref().is_some_and(|stop| stop.is_over)
     }
 
     pub(super) fn tick_stop(&mut self, now: Instant) {
-        let (grace, bound) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
+        let (drain_delay, timeout) = (self.settings.stop.drain_delay, self.settings.stop.timeout);
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        let passed = now.since(stop.began);
-        if passed < grace {
+        let elapsed = now.since(stop.started_at);
+        if elapsed < drain_delay {
             return;
         }
-        stop.grace_over = true;
-        let due = now.since(stop.tried_at) >= HAND_OVER_EVERY;
+        stop.is_drain_delay_over = true;
+        let due = now.since(stop.last_handover_at) >= HANDOVER_INTERVAL;
         if due {
-            stop.tried_at = now;
+            stop.last_handover_at = now;
             self.hand_over_targets();
             self.hand_over_tokens();
         }
         let report = StopReport {
             open_requests: self.open_requests
                 + self
-                    .held
+                    .held_targets
                     .values()
-                    .map(|held| held.scheduler.running_len())
+                    .map(|runtime| runtime.scheduler.running_len())
                     .sum::<usize>(),
-            remaining_targets: self.held.len(),
+            remaining_targets: self.held_targets.len(),
         };
-        let alone = self.heir().is_none();
+        let has_no_successor = self.successor().is_none();
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        // Alone, or without the log, nothing can be handed over; what runs is finished all the same.
-        let handed_over = report.remaining_targets == 0 || alone || !self.feed.is_up;
-        let finished = report.open_requests == 0 && self.workers.calls.is_empty();
-        let tokens_safe = stop.tokens_taken || alone;
-        if (finished && handed_over && tokens_safe) || passed >= bound {
-            if !finished || report.remaining_targets > 0 {
+        // Without a peer or without the log, targets can't be handed over; running requests are still finished.
+        let targets_handed_over =
+            report.remaining_targets == 0 || has_no_successor || !self.feed.is_available;
+        let requests_finished = report.open_requests == 0 && self.workers.calls.is_empty();
+        let tokens_handed_over = stop.tokens_accepted || has_no_successor;
+        if (requests_finished && targets_handed_over && tokens_handed_over) || elapsed >= timeout {
+            if !requests_finished || report.remaining_targets > 0 {
                 event!(
                     Event::StopTimedOut,
-                    "{} requests, {} targets",
+                    "{} requests open, {} targets not handed over",
                     report.open_requests,
                     report.remaining_targets
                 );
@@ -113,14 +118,14 @@
         }
     }
 
-    /// A daemon of the zone that takes over; any other one for tokens if there is none.
-    fn heir(&self) -> Option<DaemonRef> {
-        let mut able = self
+    /// Returns a connected daemon of the zone to hand over to, if there is one.
+    fn successor(&self) -> Option<DaemonRef> {
+        let mut peers = self
             .members
             .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm);
-        able.find(|daemon| {
+        peers.find(|daemon| {
             self.links
                 .get(&daemon.vm)
                 .is_some_and(crate::peers::PeerLink::is_connected)
@@ -128,24 +133,24 @@
     }
 
     fn hand_over_targets(&mut self) {
-        let able: Vec<_> = self
+        let peers: Vec<_> = self
             .members
             .eligible_daemons()
             .into_iter()
             .filter(|daemon| daemon.vm != self.me.vm)
             .collect();
-        if able.is_empty() {
+        if peers.is_empty() {
             return;
         }
-        let held = self
-            .held
+        let held_targets = self
+            .held_targets
             .iter()
-            .filter(|(_, held)| held.phase != HeldPhase::Lost);
-        let records = held.enumerate().map(|(index, (target, held))| {
+            .filter(|(_, runtime)| runtime.phase != TargetPhase::Lost);
+        let records = held_targets.enumerate().map(|(index, (target, runtime))| {
             LogRecord::Takeover(TakeoverRecord {
                 target: target.clone(),
-                replaces: Some(held.lease.token),
-                holder: able[index % able.len()].clone(),
+                replaces: Some(runtime.lease.token),
+                holder: peers[index % peers.len()].clone(),
             })
         });
         let records: Vec<_> = records.collect();
@@ -155,29 +160,29 @@
     }
 
     fn hand_over_tokens(&mut self) {
-        let heir = self.heir();
+        let successor = self.successor();
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        let (Some(heir), None) = (heir, &stop.tokens_sent_to) else {
+        let (Some(successor), None) = (successor, &stop.token_successor) else {
             return;
         };
-        let Some(link) = self.links.get(&heir.vm) else {
+        let Some(link) = self.links.get(&successor.vm) else {
             return;
         };
-        let handed = self.repeats.transfer_to(&heir);
-        if link.try_send(PeerMessage::HandTokens(handed)) {
-            stop.tokens_sent_to = Some(heir.vm.clone());
+        let tokens = self.idempotency.transfer_to(&successor);
+        if link.try_send(PeerMessage::HandTokens(tokens)) {
+            stop.token_successor = Some(successor.vm.clone());
         }
     }
 
-    pub(super) fn tokens_taken(&mut self, heir: &VmName) {
+    pub(super) fn tokens_accepted(&mut self, successor: &VmName) {
         let Some(stop) = &mut self.stopping else {
             return;
         };
-        stop.tokens_taken = true;
-        event!(Event::TokensHandedOver, "to {heir}");
+        stop.tokens_accepted = true;
+        event!(Event::TokensHandedOver, "to {successor}");
         let issuers = [self.me.clone()];
-        self.tell_heir(&issuers, heir);
+        self.announce_successor(&issuers, successor);
     }
 }
--- a/crates/daemon/tests/direct/leaving.rs
+++ b/crates/daemon/tests/direct/leaving.rs
@@ -1,9 +1,9 @@
 //! Targets whose entries are removed from the platform's list without notice.
 //!
-//! Soon after an outage of the log a removal is in doubt, because the entry may have expired with the log and be written again.
+//! Soon after an outage of the log a removal stays pending, because the entry may have expired with the log and be written again.
 //! Requests may reach a removed target for no more than two seconds. That bound is exceeded if a VM takes a failed call of its own
-//! for an outage of the log although the log served other VMs throughout, or if it does not tell the other VMs of a removal when
-//! its doubt ends.
+//! for an outage of the log although the log served other VMs throughout, or if it does not notify the other VMs of a removal when
+//! the removal is confirmed.
 
 use crate::support::{
     good_answer, is_ready, start_daemon, start_second_vm, target_entry, vm_settings, wait_for,
@@ -33,22 +33,22 @@
 /// One VM is cut off from the log and returns, while the other one reads throughout. The removal that the second one reads must
 /// hold at the first one too.
 #[tokio::test]
-async fn a_removal_read_by_an_uninterrupted_vm_is_in_doubt_nowhere() {
+async fn a_removal_read_by_an_uninterrupted_vm_is_pending_nowhere() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let first = start_daemon(&log, &[("i-1", "ledger", target.address)]).await;
     let (second, relay) = start_second_vm(&log).await;
     // The log fails for the second VM only, and serves it again.
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     wait_for("a failed call", async || list_calls(&second, "Failed") > 0).await;
-    relay.set(LinkState::Open);
+    relay.set_state(LinkState::Open);
     let before = list_calls(&second, "Answered");
     wait_for("a successful call", async || {
         list_calls(&second, "Answered") > before
     })
     .await;
     // From here on the second VM learns of the list through the first one only, in the order of the log.
-    relay.set(LinkState::Cut);
+    relay.set_state(LinkState::Cut);
     sleep(Duration::from_millis(50)).await;
     log.put("keyed.servers", "i-1", None);
     wait_for("the removal at the first VM", async || {
@@ -70,10 +70,10 @@
     );
 }
 
-/// A removal after an outage is in doubt for a while. When the doubt ends, the VMs that learn of the list only from others must be
-/// told.
+/// A removal after an outage stays pending for a while. When it is confirmed, the VMs that learn of the list only from others must
+/// be notified.
 #[tokio::test]
-async fn a_removal_once_in_doubt_reaches_the_vms_that_do_not_read_the_log() {
+async fn a_pending_removal_reaches_the_vms_that_do_not_read_the_log() {
     let log = KeyedLog::start().await.expect("a log");
     let target = RawTarget::start(good_answer).await.expect("a target");
     let mut fleet = vec![start_daemon(&log, &[("i-1", "ledger", target.address)]).await];
@@ -91,11 +91,11 @@
     }
     // By now only the holder reads the log; the other VMs have stopped.
     sleep(Duration::from_millis(3_500)).await;
-    log.set_faults(|faults| faults.is_out = true);
-    let is_out = |daemon: &DirectDaemon| list_calls(daemon, "Failed") > 0;
-    wait_for("the outage", async || fleet.iter().any(is_out)).await;
+    log.set_faults(|faults| faults.is_unavailable = true);
+    let is_unavailable = |daemon: &DirectDaemon| list_calls(daemon, "Failed") > 0;
+    wait_for("the outage", async || fleet.iter().any(is_unavailable)).await;
     log.put("keyed.servers", "i-1", None);
-    log.set_faults(|faults| faults.is_out = false);
+    log.set_faults(|faults| faults.is_unavailable = false);
     for daemon in &fleet {
         wait_for("the removal at every VM", async || {
             daemon.fleet().is_leaving("i-1")
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -8,7 +8,7 @@
 use futures_util::future::join_all;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::direct::daemon::DirectDaemon;
 use std::{
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 
 const LEAVING: &str = "Server-Leaving: 1\r\n";
-/// Backoff that a target asks for.
+/// Backoff that a target requests.
 const BACKOFF: Duration = Duration::from_secs(3);
 /// Time after the first request within which others may have been sent before its answer.
 const IN_FLIGHT_ALLOWANCE: Duration = Duration::from_millis(500);
@@ -30,7 +30,8 @@
 const MAX_DURING_BACKOFF: usize = 2;
 
 fn is_call(request: &RawRequest) -> bool {
-    request.line().starts_with("POST /lookup/") || request.line().starts_with("POST /plan/")
+    request.request_line().starts_with("POST /lookup/")
+        || request.request_line().starts_with("POST /plan/")
 }
 
 /// Calls that reached a target, with time and request id.
@@ -65,18 +66,18 @@
     }
 }
 
-fn rejection(request: &RawRequest, retry_after: &str) -> RawAnswer {
+fn rejection(request: &RawRequest, retry_after: &str) -> RawResponse {
     let id = request.header("hoplanding-request-id").unwrap_or_default();
     let headers = format!(
         "Hoplanding-Request-Id: {id}\r\nHoplanding-Not-Executed: 1\r\nRetry-After: {retry_after}\r\n"
     );
-    RawAnswer::whole("503 Service Unavailable", &headers, "")
+    RawResponse::complete("503 Service Unavailable", &headers, "")
 }
 
 /// A target that answers calls by `answer`, and all other requests with success.
 async fn target(
     log: &ArrivalLog,
-    answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
 ) -> RawTarget {
     let log = log.clone();
     let target = RawTarget::start(move |request: &RawRequest| {
@@ -91,8 +92,8 @@
 }
 
 /// A successful answer to a plain call or a stream.
-fn success(request: &RawRequest) -> RawAnswer {
-    if request.line().contains("/plan/") {
+fn success(request: &RawRequest) -> RawResponse {
+    if request.request_line().contains("/plan/") {
         stream_answer(request, None)
     } else {
         good_answer(request)
@@ -117,7 +118,7 @@
     log: &KeyedLog,
     service: &str,
     arrivals: &ArrivalLog,
-    answer: impl Fn(&RawRequest) -> RawAnswer + Send + Sync + 'static,
+    answer: impl Fn(&RawRequest) -> RawResponse + Send + Sync + 'static,
 ) -> (DirectDaemon, [RawTarget; 2]) {
     let named = target(arrivals, answer).await;
     let other = target(&ArrivalLog::default(), success).await;
@@ -162,10 +163,10 @@
 
 #[tokio::test]
 async fn a_target_may_announce_leaving_in_answers_of_every_kind() {
-    type MakeAnswer = fn(&RawRequest) -> RawAnswer;
+    type MakeAnswer = fn(&RawRequest) -> RawResponse;
     let kinds: [(&str, MakeAnswer); 3] = [
         ("a failure", |request| {
-            RawAnswer::whole("500 Internal Server Error", &seal_headers(request), "")
+            RawResponse::complete("500 Internal Server Error", &seal_headers(request), "")
         }),
         ("a refusal", |request| rejection(request, "0")),
         ("a success", good_answer),
@@ -202,9 +203,9 @@
     let arrivals = ArrivalLog::default();
     let answer = |request: &RawRequest| {
         let strange = if request.header("hoplanding-request-id") == Some("first-0") {
-            RawAnswer::whole("421 Misdirected Request", &seal_headers(request), "")
+            RawResponse::complete("421 Misdirected Request", &seal_headers(request), "")
         } else {
-            RawAnswer::whole("200 OK", "Hoplanding-Request-Id: another\r\n", "")
+            RawResponse::complete("200 OK", "Hoplanding-Request-Id: another\r\n", "")
         };
         strange
             .with_header(LEAVING)
@@ -219,7 +220,7 @@
     assert!(!daemon.fleet().is_leaving("i-1"));
 }
 
-/// The VM that is told forwards the announcement to VMs that run and to those that start later.
+/// The VM that receives the announcement forwards it to VMs that run and to those that start later.
 #[tokio::test]
 async fn an_announcement_of_leaving_reaches_all_vms() {
     let log = KeyedLog::start().await.expect("a log");
@@ -269,7 +270,7 @@
         );
         let refused = answers.iter().filter(|answer| answer.status == 503);
         assert_eq!(refused.count(), answers.len(), "{service}");
-        // Callers are told the time at which the backoff ends.
+        // The answer states the time at which the backoff ends.
         assert!(
             retry_after_s(&answers[10]) > 2.0,
             "{service}: {}",
@@ -287,9 +288,9 @@
     line.and_then(|text| text.parse().ok()).unwrap_or(0.0)
 }
 
-/// A backoff holds for the VM that was asked, so each VM may send a call to the target until it is asked itself.
+/// A backoff holds for the VM that it was requested from, so each VM may send calls to the target until it receives such a request.
 #[tokio::test]
-async fn each_vm_keeps_the_backoff_that_it_was_asked_for_and_calls_go_elsewhere() {
+async fn each_vm_keeps_the_backoff_requested_from_it_and_calls_go_elsewhere() {
     for (service, path, headers) in [
         ("ledger", "/lookup/1", String::new()),
         ("scribe", "/plan/1", model_headers("a1")),
--- a/crates/daemon/tests/direct/poison.rs
+++ b/crates/daemon/tests/direct/poison.rs
@@ -1,4 +1,4 @@
-//! Poison requests: requests that crash every target that runs them, and that their callers repeat.
+//! Poison requests: requests that crash every target that runs them, and that their callers retry.
 //!
 //! A request under which a target crashed is a suspect, and runs again only as a trial. After a second crash it is quarantined. Both
 //! must survive kills of holders and of all VMs, and restores of the platform's log.
@@ -59,7 +59,7 @@
             }
             answer
         };
-        let engine = RawTarget::start_mortal(answer, is_deadly.clone()).await;
+        let engine = RawTarget::start_crashable(answer, is_deadly.clone()).await;
         engines.push(engine.expect("an engine"));
     }
     engines
@@ -107,7 +107,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..4 {
-        let target = RawTarget::start_mortal(good_answer, is_poison).await;
+        let target = RawTarget::start_crashable(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4"];
@@ -194,12 +194,12 @@
     daemons
 }
 
-/// Callers at VMs of both zones repeat a suspect at once; only one trial of it may run.
+/// Callers at VMs of both zones retry a suspect at once; only one trial of it may run.
 #[tokio::test]
 async fn a_suspect_runs_once_at_a_time_in_the_whole_fleet() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
     let log = KeyedLog::start().await.expect("a log");
-    let is_suspect = |request: &RawRequest| request.line().contains("/plan/suspect");
+    let is_suspect = |request: &RawRequest| request.request_line().contains("/plan/suspect");
     // The first target crashes; the later ones run the request without harm.
     let has_crashed = Arc::new(AtomicBool::new(false));
     let ends_once = move |request: &RawRequest| {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Many callers repeat a poison request at all VMs as soon as its quarantine ends.
+/// Many callers retry a poison request at all VMs as soon as its quarantine ends.
 #[tokio::test]
 async fn callers_that_return_after_a_quarantine_cause_one_trial() {
     const NAMES: [&str; 6] = ["e-1", "e-2", "e-3", "e-4", "e-5", "e-6"];
@@ -366,7 +366,7 @@
     }
 }
 
-/// All VMs are killed right after each answer. If the record came after the answer, every repeat would cost another engine.
+/// All VMs are killed right after each answer. If the record were written after the answer, every retry would cost another engine.
 #[tokio::test]
 async fn a_first_crash_is_recorded_before_the_caller_is_answered() {
     let mut site = KilledSite::start(10).await;
@@ -385,7 +385,7 @@
     let log = KeyedLog::start().await.expect("a log");
     let mut targets = Vec::new();
     for _ in 0..8 {
-        let target = RawTarget::start_mortal(good_answer, is_poison).await;
+        let target = RawTarget::start_crashable(good_answer, is_poison).await;
         targets.push(target.expect("a target"));
     }
     let names = ["l-1", "l-2", "l-3", "l-4", "l-5", "l-6", "l-7", "l-8"];
@@ -462,9 +462,9 @@
 async fn a_crash_during_a_log_outage_is_recorded_afterwards() {
     let mut site = KilledSite::start(8).await;
     let (life, daemon) = site.start_vm().await;
-    site.log.set_faults(|faults| faults.is_out = true);
+    site.log.set_faults(|faults| faults.is_unavailable = true);
     send_request(daemon.caller_address, &poison("/plan/1", "d0")).await;
-    site.log.set_faults(|faults| faults.is_out = false);
+    site.log.set_faults(|faults| faults.is_unavailable = false);
     let before = site.crashed();
     sleep(Duration::from_millis(1_500)).await;
     life.shutdown_background();
@@ -510,8 +510,9 @@
     let mut site = KilledSite::start(3).await;
     let (life, _) = site.start_vm().await;
     life.shutdown_background();
-    let unlisted = vec!["keyed.fleet".to_owned()];
-    site.log.set_faults(|faults| faults.unlisted = unlisted);
+    let refused_listings = vec!["keyed.fleet".to_owned()];
+    site.log
+        .set_faults(|faults| faults.refused_listings = refused_listings);
     let unaware = DirectDaemon::start(vm_settings("vm-2", &site.log)).await;
     let unaware = unaware.expect("the daemon starts");
     sleep(Duration::from_secs(1)).await;
@@ -532,7 +533,7 @@
         life: TargetLife::default(),
     };
     let fleet = daemon.fleet();
-    fleet.note_ended_under(&TargetCrash { fingerprint, run });
+    fleet.record_crash(&TargetCrash { fingerprint, run });
     let is_recorded = || site.log.newest("keyed.fleet", &key).is_some();
     wait_for("the record", async || is_recorded()).await;
     fleet.clear_suspicion(fingerprint);
--- a/crates/daemon/tests/direct/repeats.rs
+++ b/crates/daemon/tests/direct/retries.rs
@@ -10,7 +10,7 @@
 use hoplanding_core::ids::ServiceName;
 use hoplanding_standins::{
     keyed_log::KeyedLog,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use hoplandingd::{
     clock,
@@ -21,9 +21,9 @@
 const RATIO: f64 = 0.2;
 const FIXED: f64 = 50.0;
 
-fn reject(request: &RawRequest) -> RawAnswer {
+fn reject(request: &RawRequest) -> RawResponse {
     let headers = format!("{}Hoplanding-Not-Executed: 1\r\n", seal_headers(request));
-    RawAnswer::whole("503 Service Unavailable", &headers, "")
+    RawResponse::complete("503 Service Unavailable", &headers, "")
 }
 
 /// All targets reject all calls, while the only process is replaced by a new one after every few calls.
@@ -43,24 +43,24 @@
         .map(|(name, target)| (*name, "ledger", target.address))
         .collect();
     let mut daemons = vec![start_daemon(&log, &listed).await];
-    for life in 0..PROCESSES {
-        if life > 0 {
+    for process in 0..PROCESSES {
+        if process > 0 {
             // The previous process gets no more calls, as if it had been killed.
             let mut settings = vm_settings("vm-1", &log);
             settings.is_first_start = false;
             let next = DirectDaemon::start(settings).await;
             daemons.push(next.expect("the daemon starts"));
         }
-        let daemon = &daemons[life];
+        let daemon = &daemons[process];
         wait_for("readiness", async || is_ready(daemon).await).await;
         for request in 0..REQUESTS {
-            let id = format!("r{life}-{request}");
+            let id = format!("r{process}-{request}");
             let answer =
                 send_request(daemon.caller_address, &post_request("/lookup/1", &id, "")).await;
             assert_eq!(answer.status, 503);
         }
     }
-    let is_lookup = |request: &RawRequest| request.line().contains("/lookup/");
+    let is_lookup = |request: &RawRequest| request.request_line().contains("/lookup/");
     let arrivals: usize = targets
         .iter()
         .map(|target| {
--- a/crates/daemon/tests/direct/versions.rs
+++ b/crates/daemon/tests/direct/versions.rs
@@ -1,9 +1,9 @@
 //! Transfers of KV cache between engines, and the version of the weights that computed it.
 //!
 //! The tests guard against answers that are partly computed from the weights of another version, which callers cannot
-//! notice. It comes about as follows: several engines have an adapter, and a new version of it is published. Copies
+//! notice. The cause is as follows: several engines have an adapter, and a new version of it is published. Copies
 //! without calls are replaced at once, a copy in use is kept until its calls end. The next call goes to a new copy and
-//! is told to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
+//! is instructed to fetch the shared part of its prompt from the engine that has most of it. If the holder tracks
 //! the cache by the adapter's name alone and transfers carry no version, that may be the engine with the old copy.
 
 use crate::{
@@ -15,7 +15,7 @@
 };
 use hoplanding_core::ids::AdapterName;
 use hoplanding_standins::{
-    kept_memory::MemoryMismatch, keyed_log::KeyedLog, raw_target::RawTarget,
+    keyed_log::KeyedLog, prompt_cache::CacheMismatch, raw_target::RawTarget,
 };
 use hoplandingd::direct::daemon::DirectDaemon;
 use serde_json::json;
@@ -55,7 +55,7 @@
     )
 }
 
-/// Repeats a call until it is served, as callers do that are told to retry.
+/// Retries a call until it is served, as callers do after a `Retry-After`.
 async fn request_until_served(address: SocketAddr, number: u32, tokens: u32) -> Answer {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -166,7 +166,7 @@
 
 /// Publishes a version while a long answer keeps one engine's copy in use: the other engine gets the new version and
 /// the next call.
-async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<MemoryMismatch> {
+async fn replace_copy_during_long_answer(reply: OrderReply) -> Vec<CacheMismatch> {
     let pair = EnginePair::with_same_versions().await;
     let (simulator, address) = (&pair.simulator, pair.daemon.caller_address);
     request_until_served(address, 1, SHORT_ANSWER).await;
@@ -367,7 +367,7 @@
 /// call goes to another engine with different weights: either that engine was ordered to load the adapter without a
 /// version and loaded the newest one of the store, or it started later, with newer weights of the base model. It comes
 /// about if two unknown versions count as equal, if the base model's version is ignored, or if an engine is
-/// told to fetch a cache without the version that computed it.
+/// instructed to fetch a cache without the version that computed it.
 #[tokio::test]
 async fn cache_of_unknown_versions_is_not_used() {
     let pairs = [
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -224,7 +224,7 @@
     /// Sets the state of the connection to the log.
     pub fn set_log_link(&self, link: LinkState) {
         self.record_disturbance(false);
-        self.log_link.set(link);
+        self.log_link.set_state(link);
     }
 
     fn lock(&self) -> MutexGuard<'_, ProcessState> {
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -4,7 +4,7 @@
 //! parts that another engine has cached and they have not.
 
 use crate::adapter_store::WeightVersions;
-use hoplanding_standins::kept_memory::{MemoryNet, ReadPrompt};
+use hoplanding_standins::prompt_cache::{PromptCaches, ReceivedPrompt};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
@@ -88,18 +88,18 @@
     /// Reads the prompt into the cache of the engine at `at`. Returns the versions of the cached parts that it uses if they
     /// differ from `versions`.
     #[must_use]
-    pub fn read_into(&self, at: SocketAddr, caches: &MemoryNet) -> Option<WeightVersions> {
+    pub fn read_into(&self, at: SocketAddr, caches: &PromptCaches) -> Option<WeightVersions> {
         let ids = self.ids();
-        let mismatch = caches.read(at, &self.cache_key(&ids, self.source));
-        mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.made_under))
+        let mismatch = caches.process_prompt(at, &self.cache_key(&ids, self.source));
+        mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.cached_version))
     }
 
     fn ids(&self) -> Vec<u64> {
         self.parts.iter().map(|part| part.id).collect()
     }
 
-    fn cache_key<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
-        ReadPrompt {
+    fn cache_key<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReceivedPrompt<'a> {
+        ReceivedPrompt {
             adapter: &self.adapter,
             version: self.versions.to_packed(),
             parts: ids,
@@ -137,12 +137,12 @@
         &mut self,
         at: SocketAddr,
         prompt: &ReceivedPrompt,
-        caches: &MemoryNet,
+        caches: &PromptCaches,
         now: Instant,
     ) -> PrefillWork {
         let ids = prompt.ids();
-        let cached = caches.found(at, &prompt.cache_key(&ids, None));
-        let found = caches.found(at, &prompt.cache_key(&ids, prompt.source));
+        let cached = caches.reusable_parts(at, &prompt.cache_key(&ids, None));
+        let found = caches.reusable_parts(at, &prompt.cache_key(&ids, prompt.source));
         let is_fetch = found > cached;
         let unprocessed_tokens = prompt.parts[found..]
             .iter()
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -282,11 +282,11 @@
 
     /// Takes the log out of service and restores it from a snapshot that lacks up to `lost` records of each topic.
     async fn restore_log(&self, lost: usize) {
-        self.set_log_faults(|faults| faults.is_out = true);
+        self.set_log_faults(|faults| faults.is_unavailable = true);
         sleep(LOG_OUTAGE).await;
         let topics = [OPERATOR_TOPIC, TARGET_TOPIC, FLEET_TOPIC];
         self.log.restore(&topics.map(|topic| (topic, lost)));
-        self.set_log_faults(|faults| faults.is_out = false);
+        self.set_log_faults(|faults| faults.is_unavailable = false);
         sleep(REWRITE_DELAY).await;
         self.rewrite_lost_records();
         self.set_log_faults(|_| {});
@@ -459,11 +459,11 @@
                 vm.signal(Signal::SIGCONT);
             }
             FaultKind::LogOut => {
-                self.set_log_faults(|faults| faults.is_out = true);
+                self.set_log_faults(|faults| faults.is_unavailable = true);
                 sleep(fault.duration()).await;
-                self.set_log_faults(|faults| faults.is_out = false);
+                self.set_log_faults(|faults| faults.is_unavailable = false);
             }
-            FaultKind::LogLosesAnswers => self.set_log_faults(|faults| faults.lose_answers += 2),
+            FaultKind::LogLosesAnswers => self.set_log_faults(|faults| faults.lost_responses += 2),
             FaultKind::LogSilent => self.disrupt_log_link(vm, LinkState::Frozen, fault).await,
             FaultKind::LogCut => self.disrupt_log_link(vm, LinkState::Cut, fault).await,
             FaultKind::Leave => {
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -19,8 +19,8 @@
     SEAL, WEIGHT_VERSIONS,
 };
 use hoplanding_standins::{
-    kept_memory::MemoryNet,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    prompt_cache::PromptCaches,
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use serde_json::{Value, json};
 use std::{
@@ -82,7 +82,7 @@
     /// History that the targets record their events in.
     pub history: SharedHistory,
     /// Prompt caches of all engines.
-    pub caches: Arc<MemoryNet>,
+    pub caches: Arc<PromptCaches>,
     /// Newest published versions by adapter name; the empty name stands for the base model.
     pub versions: Arc<Mutex<BTreeMap<String, u64>>>,
     /// Defect of the targets.
@@ -285,8 +285,8 @@
 }
 
 impl TargetHandler {
-    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
-        let path = request.line().split(' ').nth(1).unwrap_or_default();
+    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
+        let path = request.request_line().split(' ').nth(1).unwrap_or_default();
         if request
             .header(EXPECT_INSTANCE)
             .is_some_and(|name| name != self.name)
@@ -302,7 +302,7 @@
     }
 
     /// Adds the draining header to an answer if the target announces draining.
-    fn with_announcement(&self, request: &RawRequest, answer: RawAnswer) -> RawAnswer {
+    fn with_announcement(&self, request: &RawRequest, answer: RawResponse) -> RawResponse {
         if !lock(&self.state).is_announcing {
             return answer;
         }
@@ -317,7 +317,7 @@
         answer.with_header(&format!("{LEAVING}: 1\r\n"))
     }
 
-    fn report(&self) -> RawAnswer {
+    fn report(&self) -> RawResponse {
         let state = lock(&self.state);
         let report = json!({
             "sequence": state.adapter_store.accepted_orders(),
@@ -326,10 +326,10 @@
             "coming": state.adapter_store.pending_loads(),
             "at_hand": { "in_memory": [], "on_disk": [BASE_MODEL] },
         });
-        RawAnswer::whole("200 OK", "", &report.to_string())
+        RawResponse::complete("200 OK", "", &report.to_string())
     }
 
-    fn answer_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
+    fn answer_order(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
         let order = AdapterOrder::decode(&request.body);
         if let Some(order_delay) = self.order_delay() {
             let handler = Arc::clone(self);
@@ -337,9 +337,9 @@
                 sleep(order_delay).await;
                 handler.execute_order(&order);
             });
-            return RawAnswer {
+            return RawResponse {
                 pieces: vec![(UNANSWERED_ORDER_TIMEOUT, Vec::new())],
-                closes: true,
+                closes_connection: true,
             };
         }
         let status = match self.execute_order(&order) {
@@ -348,7 +348,7 @@
             OrderOutcome::Conflict => "409 Conflict",
             OrderOutcome::Fenced => "412 Precondition Failed",
         };
-        RawAnswer::whole(status, "", "")
+        RawResponse::complete(status, "", "")
     }
 
     /// Delay of the next order if that order stays unanswered.
@@ -399,11 +399,11 @@
     /// Drops the cached prompt parts of an adapter that was replaced or unloaded.
     fn drop_cache(&self, adapter: &str) {
         if self.context.defect != InjectedDefect::StaleCache {
-            self.context.caches.drop_adapter(self.address(), adapter);
+            self.context.caches.evict_adapter(self.address(), adapter);
         }
     }
 
-    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawAnswer {
+    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawResponse {
         let id = request.header(REQUEST_ID).unwrap_or_default().to_owned();
         self.context
             .history
@@ -471,7 +471,7 @@
         stream.answer(request, path)
     }
 
-    fn reject_with_retry_after(&self, request: &RawRequest, retry_after: Duration) -> RawAnswer {
+    fn reject_with_retry_after(&self, request: &RawRequest, retry_after: Duration) -> RawResponse {
         self.context.history.record(HistoryEvent::RetryAfterSent {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
@@ -484,7 +484,7 @@
         ))
     }
 
-    fn reject(&self, request: &RawRequest, status: &str) -> RawAnswer {
+    fn reject(&self, request: &RawRequest, status: &str) -> RawResponse {
         self.context.history.record(HistoryEvent::Rejected {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
@@ -550,13 +550,13 @@
         .is_none_or(|expected| expected.parse() == Ok(version))
 }
 
-fn plain_answer(request: &RawRequest, id: &str, is_truncated: bool) -> RawAnswer {
+fn plain_answer(request: &RawRequest, id: &str, is_truncated: bool) -> RawResponse {
     let body = expected_body(CallKind::Once, id, 0);
-    let mut answer = RawAnswer::whole("200 OK", &internal_headers(request), &body);
+    let mut answer = RawResponse::complete("200 OK", &internal_headers(request), &body);
     answer.pieces[0].0 = PLAIN_CALL_TIME;
     if is_truncated {
         answer.pieces[0].1.truncate(40);
-        answer.closes = true;
+        answer.closes_connection = true;
     }
     answer
 }
@@ -573,7 +573,7 @@
 }
 
 impl StreamAnswer {
-    fn answer(&self, request: &RawRequest, path: &str) -> RawAnswer {
+    fn answer(&self, request: &RawRequest, path: &str) -> RawResponse {
         let from = request
             .header(LAST_EVENT)
             .and_then(|last| last.parse::<u32>().ok())
@@ -589,9 +589,9 @@
             let text = event_text(&self.id, event);
             if self.is_truncated && event >= TRUNCATE_AT_EVENT {
                 pieces.push((EVENT_INTERVAL, chunk(&text[..8])));
-                return RawAnswer {
+                return RawResponse {
                     pieces,
-                    closes: true,
+                    closes_connection: true,
                 };
             }
             if self.skipped != Some(event) {
@@ -599,16 +599,16 @@
             }
         }
         pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
-        RawAnswer {
+        RawResponse {
             pieces,
-            closes: false,
+            closes_connection: false,
         }
     }
 }
 
-fn refusal(request: &RawRequest, status: &str) -> RawAnswer {
+fn refusal(request: &RawRequest, status: &str) -> RawResponse {
     let headers = format!("{}{NOT_EXECUTED}: 1\r\n", internal_headers(request));
-    RawAnswer::whole(status, &headers, "")
+    RawResponse::complete(status, &headers, "")
 }
 
 fn internal_headers(request: &RawRequest) -> String {
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,4 @@
-//! A small site: platform, engines, services and daemons, all in this process and over loopback.
+//! A small site: stand-ins for the platform, engines and services, and real daemons, all in this process over loopback.
 
 use crate::caller::CallerClient;
 use hoplanding_standins::{
@@ -16,7 +16,7 @@
     time::{Instant, sleep},
 };
 
-/// Token of the operator that every daemon of a site knows.
+/// Token of the administrator in every daemon's settings.
 pub const OPERATOR_TOKEN: &str = "operator-secret";
 /// Token of the caller with urgent priority.
 pub const URGENT_TOKEN: &str = "urgent-secret";
@@ -24,49 +24,49 @@
 pub const NORMAL_TOKEN: &str = "normal-secret";
 /// Token of the caller with batch priority.
 pub const BATCH_TOKEN: &str = "batch-secret";
-/// Threads of one daemon.
+/// Worker threads of one daemon's runtime.
 const DAEMON_THREADS: usize = 2;
-/// Records of one change that declares adapters.
-const ADAPTERS_A_CHANGE: usize = 500;
+/// Adapters created by one statement.
+const MAX_ADAPTERS_PER_CHANGE: usize = 500;
 
-/// An engine of a site.
+/// Properties of one engine.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// Its name.
+    /// Target name.
     pub name: String,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
-    /// Whether it checks fencing tokens.
+    /// Whether the engine checks fencing tokens.
     pub checks_fencing: bool,
 }
 
-/// What a site consists of.
+/// Components and parameters of a site.
 #[derive(Clone, Debug)]
 pub struct SiteConfig {
-    /// Daemons: VM and zone.
+    /// VM and zone of each daemon.
     pub daemons: Vec<(String, String)>,
-    /// Engines.
+    /// Engines of all zones.
     pub engines: Vec<TargetSpec>,
-    /// Zones with an instance of the service `ledger`.
+    /// Zones that have an instance of the service `ledger`.
     pub service_zones: Vec<String>,
-    /// Sizes and speeds of the engines.
+    /// Capacity and speed of every engine.
     pub model: EngineModel,
-    /// Time of a load alone.
-    pub load: Duration,
-    /// Adapters `adapter-0000` onwards, each with version `v1`.
+    /// Duration of one adapter load with no other load at the same time.
+    pub load_time: Duration,
+    /// Number of adapters, named from `adapter-0000`, each with version `v1`.
     pub adapters: usize,
-    /// Records that the log keeps.
+    /// Records that the platform's log retains.
     pub retention: usize,
-    /// Whether links between daemons go through relays that can be cut.
+    /// Whether links between daemons go through relays that can be cut or frozen.
     pub relays: bool,
-    /// Settings that replace the defaults of a site.
+    /// JSON object merged over the default daemon settings.
     pub overrides: Value,
 }
 
 impl SiteConfig {
-    /// Zones named `zone-a` onwards, each with as many daemons, engines and services as given.
+    /// Creates zones named from `zone-a`, each with this many daemons and engines and one instance of `ledger`.
     #[must_use]
-    pub fn zones(zones: usize, daemons: usize, engines: usize, adapters: usize) -> Self {
+    pub fn with_zones(zones: usize, daemons: usize, engines: usize, adapters: usize) -> Self {
         let names: Vec<String> = (0..zones)
             .map(|index| format!("zone-{}", (b'a' + index as u8) as char))
             .collect();
@@ -86,7 +86,7 @@
             engines: engines.collect(),
             service_zones: names.clone(),
             model: EngineModel::default(),
-            load: Duration::from_millis(60),
+            load_time: Duration::from_millis(60),
             adapters,
             retention: 100_000,
             relays: false,
@@ -95,13 +95,13 @@
     }
 }
 
-/// A daemon with a runtime of its own, so that killing it ends every task of it at once.
-pub struct DaemonProcess {
+/// A daemon on its own runtime, so that dropping it ends all its tasks at once, as a crash does.
+pub struct IsolatedDaemon {
     daemon: Option<RunningDaemon>,
     runtime: Option<Runtime>,
 }
 
-impl DaemonProcess {
+impl IsolatedDaemon {
     async fn start(settings: Settings) -> io::Result<Self> {
         let thread_name = format!("d-{}", settings.vm);
         let runtime = Builder::new_multi_thread()
@@ -117,17 +117,17 @@
     }
 }
 
-impl Deref for DaemonProcess {
+impl Deref for IsolatedDaemon {
     type Target = RunningDaemon;
 
     fn deref(&self) -> &RunningDaemon {
         self.daemon
             .as_ref()
-            .expect("the daemon is there until it is dropped")
+            .expect("the daemon is present until it is stopped or dropped")
     }
 }
 
-impl Drop for DaemonProcess {
+impl Drop for IsolatedDaemon {
     fn drop(&mut self) {
         drop(self.daemon.take());
         if let Some(runtime) = self.runtime.take() {
@@ -138,36 +138,36 @@
 
 /// A running site.
 pub struct TestSite {
-    /// What it consists of.
+    /// Configuration that the site was started with.
     pub config: SiteConfig,
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: PlatformStandin,
-    /// The weight store.
+    /// Weight store shared by the engines.
     pub store: Arc<WeightStore>,
-    /// Engines by name.
+    /// Engines by target name.
     pub engines: BTreeMap<String, EngineStandin>,
     /// Instances of the service `ledger` by target name.
     pub services: BTreeMap<String, ServiceStandin>,
-    /// Daemons by VM.
-    pub daemons: BTreeMap<String, DaemonProcess>,
+    /// Running daemons by VM.
+    pub daemons: BTreeMap<String, IsolatedDaemon>,
     relays: BTreeMap<(String, String), LinkRelay>,
 }
 
 impl TestSite {
-    /// Starts a site and waits until every daemon serves and every target has a holder.
+    /// Starts a site and waits until every daemon is ready and every target has a holder.
     ///
     /// # Errors
-    /// Returns an error when a port can't be had, or the site does not come up in time.
+    /// Returns an error if a port can't be bound, or the site is not ready in time.
     pub async fn start(config: SiteConfig) -> io::Result<Self> {
         if std::env::var_os("HOPLANDING_TEST_LOG").is_some() {
             let config = simplelog::ConfigBuilder::new()
                 .add_filter_allow_str("hoplanding")
                 .build();
-            // Another site of this process may have set it.
+            // Fails if another site of this process has set the logger already, which is fine.
             let _ = simplelog::SimpleLogger::init(simplelog::LevelFilter::Debug, config);
         }
         let platform = PlatformStandin::start(config.retention).await?;
-        let store = Arc::new(WeightStore::new(config.load));
+        let store = Arc::new(WeightStore::new(config.load_time));
         let mut engines = BTreeMap::new();
         for spec in &config.engines {
             let engine = EngineStandin::start(
@@ -195,7 +195,7 @@
         for (vm, _) in site.config.daemons.clone() {
             site.start_daemon(&vm).await?;
         }
-        site.configure().await?;
+        site.apply_configuration().await?;
         site.wait_until_serving(Duration::from_secs(20)).await?;
         Ok(site)
     }
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Settings of one daemon.
+    /// Settings of one daemon as JSON, with the overrides applied.
     #[must_use]
     pub fn settings_json(&self, vm: &str) -> Value {
         let zone = self.zone_of(vm);
@@ -238,11 +238,11 @@
             "stop": { "grace_ms": 200, "bound_ms": 20_000 },
             "log": { "level": "info" },
         });
-        merge(&mut settings, &self.config.overrides);
+        merge_settings(&mut settings, &self.config.overrides);
         settings
     }
 
-    /// Zone of a daemon.
+    /// Zone of a VM; empty if the VM is unknown.
     #[must_use]
     pub fn zone_of(&self, vm: &str) -> String {
         let mut daemons = self.config.daemons.iter();
@@ -252,17 +252,17 @@
             .unwrap_or_default()
     }
 
-    /// Starts a daemon, for the first time or anew.
+    /// Starts or restarts a daemon and lists its VM as live.
     ///
     /// # Errors
-    /// Returns an error when a port can't be had.
+    /// Returns an error if a port can't be bound.
     ///
     /// # Panics
-    /// If the site's own settings are wrong.
+    /// Panics if the settings are invalid.
     pub async fn start_daemon(&mut self, vm: &str) -> io::Result<()> {
         let settings = Settings::parse(&self.settings_json(vm).to_string())
-            .expect("a site's settings are in order");
-        let daemon = DaemonProcess::start(settings).await?;
+            .expect("the site's settings are valid");
+        let daemon = IsolatedDaemon::start(settings).await?;
         for ((_, to), relay) in &self.relays {
             if to == vm {
                 relay.set_target(daemon.peer_address);
@@ -274,35 +274,35 @@
             daemon.peer_address.to_string()
         };
         self.platform
-            .list_vm(vm, &self.zone_of(vm), &address, "live");
+            .upsert_vm(vm, &self.zone_of(vm), &address, "live");
         self.daemons.insert(vm.to_owned(), daemon);
         Ok(())
     }
 
-    /// Ends a daemon as a crash would; the platform's list is as slow as the caller of this makes it.
+    /// Ends a daemon as a crash would. The VM stays in the platform's list until the calling code removes it.
     pub fn kill_daemon(&mut self, vm: &str) {
         drop(self.daemons.remove(vm));
     }
 
-    /// A planned stop of a daemon.
+    /// Stops a daemon in an orderly way and removes its VM from the platform's list; `None` if it is not running.
     pub async fn stop_daemon(&mut self, vm: &str) -> Option<StopReport> {
         let mut process = self.daemons.remove(vm)?;
         let report = process.daemon.take()?.stop().await;
-        self.platform.unlist_vm(vm);
+        self.platform.remove_vm(vm);
         Some(report)
     }
 
-    /// Sets the state of the links between two daemons, both ways.
-    pub fn set_links(&self, one: &str, other: &str, state: LinkState) {
+    /// Sets the state of the links between two daemons, in both directions.
+    pub fn set_link_state(&self, one: &str, other: &str, state: LinkState) {
         for ((from, to), relay) in &self.relays {
             if (from == one && to == other) || (from == other && to == one) {
-                relay.set(state);
+                relay.set_state(state);
             }
         }
     }
 
-    /// Cuts a zone off from the other zones and from the platform, or heals it.
-    pub fn set_zone_cut(&self, zone: &str, is_cut: bool) {
+    /// Partitions a zone from the other zones and the platform, or ends the partition.
+    pub fn set_zone_partitioned(&self, zone: &str, is_cut: bool) {
         let state = if is_cut {
             LinkState::Cut
         } else {
@@ -310,22 +310,22 @@
         };
         for ((from, to), relay) in &self.relays {
             if (self.zone_of(from) == zone) != (self.zone_of(to) == zone) {
-                relay.set(state);
+                relay.set_state(state);
             }
         }
-        let inside: Vec<_> = self
+        let zone_vms: Vec<_> = self
             .config
             .daemons
             .iter()
-            .filter(|(_, name)| name == zone)
+            .filter(|(_, vm_zone)| vm_zone == zone)
             .map(|(vm, _)| vm.clone())
             .collect();
         self.platform.set_faults(|faults| {
-            for vm in inside {
+            for vm in zone_vms {
                 if is_cut {
-                    faults.cut.insert(vm);
+                    faults.partitioned_vms.insert(vm);
                 } else {
-                    faults.cut.remove(&vm);
+                    faults.partitioned_vms.remove(&vm);
                 }
             }
         });
@@ -334,37 +334,44 @@
     /// Base URL of a daemon.
     ///
     /// # Panics
-    /// If the daemon does not run.
+    /// Panics if the daemon is not running.
     #[must_use]
     pub fn url(&self, vm: &str) -> String {
         format!("http://{}", self.daemons[vm].caller_address)
     }
 
-    /// A caller that talks to one daemon.
+    /// Creates a client of one daemon.
+    ///
+    /// # Panics
+    /// Panics if the daemon is not running.
     #[must_use]
     pub fn caller(&self, vm: &str, token: &str) -> CallerClient {
         CallerClient::new(&self.url(vm), token)
     }
 
-    /// Sends a statement to a daemon; the answer's JSON, or the error's message.
+    /// Sends a statement to a daemon as the administrator and returns the JSON answer.
     ///
     /// # Errors
-    /// Returns the message of the daemon.
-    pub async fn operate(&self, vm: &str, text: &str) -> Result<Value, String> {
-        self.caller(vm, OPERATOR_TOKEN).operate(text).await
+    /// Returns the daemon's error message.
+    pub async fn execute_statement(&self, vm: &str, text: &str) -> Result<Value, String> {
+        self.caller(vm, OPERATOR_TOKEN)
+            .execute_statement(text)
+            .await
     }
 
-    async fn configure(&self) -> io::Result<()> {
+    async fn apply_configuration(&self) -> io::Result<()> {
         let (first, _) = self
             .config
             .daemons
             .first()
-            .ok_or_else(|| io::Error::other("a site needs a daemon"))?
+            .ok_or_else(|| {
+                io::Error::other("site configuration has no daemon: at least one is required")
+            })?
             .clone();
         self.wait_ready(&first).await?;
-        let mut texts = vec![self.base_commands()];
+        let mut texts = vec![self.base_statement()];
         let numbers: Vec<_> = (0..self.config.adapters).collect();
-        texts.extend(numbers.chunks(ADAPTERS_A_CHANGE).map(|chunk| {
+        texts.extend(numbers.chunks(MAX_ADAPTERS_PER_CHANGE).map(|chunk| {
             let commands: Vec<_> = chunk
                 .iter()
                 .map(|number| format!("create adapter {} version v1", adapter_name(*number)))
@@ -372,14 +379,14 @@
             commands.join("; ")
         }));
         for text in texts {
-            self.operate(&first, &text)
+            self.execute_statement(&first, &text)
                 .await
                 .map_err(io::Error::other)?;
         }
         Ok(())
     }
 
-    fn base_commands(&self) -> String {
+    fn base_statement(&self) -> String {
         let mut text = format!(
             "create caller urgent-desk token {URGENT_TOKEN}; create caller normal-desk token {NORMAL_TOKEN}; \
              create caller batch-desk token {BATCH_TOKEN}; \
@@ -417,35 +424,39 @@
     }
 
     async fn wait_ready(&self, vm: &str) -> io::Result<()> {
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         while !self.daemons[vm].is_ready().await {
-            if Instant::now() > until {
-                return Err(io::Error::other(format!("{vm} did not become ready")));
+            if Instant::now() > deadline {
+                return Err(io::Error::other(format!(
+                    "{vm} did not become ready within 10 s"
+                )));
             }
             sleep(Duration::from_millis(10)).await;
         }
         Ok(())
     }
 
-    /// Waits until every target is served and every daemon ready.
+    /// Waits until every daemon is ready and reports all targets as serving.
     ///
     /// # Errors
-    /// Says what is missing when the time is over.
-    pub async fn wait_until_serving(&self, most: Duration) -> io::Result<()> {
+    /// Returns an error that names the lagging daemon if this takes longer than `timeout`.
+    pub async fn wait_until_serving(&self, timeout: Duration) -> io::Result<()> {
         let wanted = self.engines.len() + self.services.len();
-        self.wait_until_served(wanted, most).await
+        self.wait_until_served(wanted, timeout).await
     }
 
-    /// Waits until as many targets are served, by the answer of each daemon.
+    /// Waits until every daemon is ready and reports at least `wanted` targets as serving.
     ///
     /// # Errors
-    /// Says what is missing when the time is over.
-    pub async fn wait_until_served(&self, wanted: usize, most: Duration) -> io::Result<()> {
-        let until = Instant::now() + most;
+    /// Returns an error that names the lagging daemon if this takes longer than `timeout`.
+    pub async fn wait_until_served(&self, wanted: usize, timeout: Duration) -> io::Result<()> {
+        let deadline = Instant::now() + timeout;
         for vm in self.daemons.keys() {
             self.wait_ready(vm).await?;
             loop {
-                let answer = self.operate(vm, "show targets where state = serving").await;
+                let answer = self
+                    .execute_statement(vm, "show targets where state = serving")
+                    .await;
                 let (rows, missing) = match &answer {
                     Ok(answer) => (
                         answer["table"]["rows"].as_array().map_or(0, Vec::len),
@@ -456,66 +467,66 @@
                 if rows >= wanted && missing == 0 {
                     break;
                 }
-                if Instant::now() > until {
+                if Instant::now() > deadline {
                     return Err(io::Error::other(format!(
-                        "{vm} sees {rows} of {wanted} targets: {answer:?}"
+                        "{vm} reports {rows} of {wanted} targets as serving after {timeout:?}: {answer:?}"
                     )));
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         }
-        // One more round of heartbeats, so that gateways have heard of every target.
+        // Time for another round of heartbeats (50 ms apart), so that every gateway knows every target.
         sleep(Duration::from_millis(150)).await;
         Ok(())
     }
 
-    /// Broken promises that the stand-ins recorded.
+    /// Contract violations that the stand-ins recorded, including repeated service calls.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let engines = self.engines.iter().flat_map(|(name, engine)| {
             engine
-                .truth()
+                .stats()
                 .violations
                 .into_iter()
                 .map(move |violation| format!("{name}: {violation}"))
         });
-        engines.chain(self.repeated()).collect()
+        engines.chain(self.repeated_calls()).collect()
     }
 
-    /// Service calls that ran more than once, over all instances.
+    /// Service calls that ran more than once on one instance.
     #[must_use]
-    pub fn repeated(&self) -> Vec<String> {
+    pub fn repeated_calls(&self) -> Vec<String> {
         self.services
             .values()
-            .flat_map(ServiceStandin::repeated)
+            .flat_map(ServiceStandin::repeated_calls)
             .map(|call| format!("ran twice: {call}"))
             .collect()
     }
 
-    /// How often a service call ran, over all instances.
+    /// Number of times that the service call with this body ran, over all instances.
     #[must_use]
     pub fn runs_of(&self, body: &str) -> u32 {
         self.services
             .values()
-            .map(|service| service.runs_of(body))
+            .map(|service| service.run_count(body))
             .sum()
     }
 }
 
-/// Name of an adapter of a site.
+/// Name of the adapter with this number.
 #[must_use]
 pub fn adapter_name(number: usize) -> String {
     format!("adapter-{number:04}")
 }
 
-fn merge(settings: &mut Value, overrides: &Value) {
+fn merge_settings(settings: &mut Value, overrides: &Value) {
     let (Some(settings), Some(overrides)) = (settings.as_object_mut(), overrides.as_object())
     else {
         return;
     };
     for (key, value) in overrides {
         match settings.get_mut(key) {
-            Some(old) if old.is_object() => merge(old, value),
+            Some(old) if old.is_object() => merge_settings(old, value),
             _ => {
                 settings.insert(key.clone(), value.clone());
             }
