--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -603,11 +603,11 @@
             id,
             target,
             adapter,
-            made_under,
-            runs_under,
+            cached_versions,
+            run_versions,
         } => {
             let description = format!(
-                "{id} for {adapter} ran at {target} at {:?} on {runs_under} with prompt parts cached under {made_under}",
+                "{id} for {adapter} ran at {target} at {:?} on {run_versions} with prompt parts cached under {cached_versions}",
                 entry.at
             );
             Some(violation(Guarantee::CacheVersion, description))
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -128,9 +128,9 @@
         /// The adapter.
         adapter: String,
         /// Versions that the cached parts were computed with.
-        made_under: WeightVersions,
+        cached_versions: WeightVersions,
         /// Versions that the request runs on.
-        runs_under: WeightVersions,
+        run_versions: WeightVersions,
     },
     /// A target received a reserved header with a caller's value, or the caller's API key.
     ForgedHeader {
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -73,7 +73,7 @@
 
 /// Prompt of a request that reached an engine.
 #[derive(Clone, Debug)]
-pub struct ReceivedPrompt {
+pub struct EnginePrompt {
     /// Adapter that the request runs on.
     pub adapter: String,
     /// Versions of base model and adapter that the request runs on.
@@ -84,13 +84,13 @@
     pub source: Option<SocketAddr>,
 }
 
-impl ReceivedPrompt {
-    /// Reads the prompt into the cache of the engine at `at`. Returns the versions of the cached parts that it uses if they
+impl EnginePrompt {
+    /// Processes the prompt with the cache of the engine at `at`. Returns the versions of the cached parts that it uses if they
     /// differ from `versions`.
     #[must_use]
-    pub fn read_into(&self, at: SocketAddr, caches: &PromptCaches) -> Option<WeightVersions> {
+    pub fn process(&self, at: SocketAddr, caches: &PromptCaches) -> Option<WeightVersions> {
         let ids = self.ids();
-        let mismatch = caches.process_prompt(at, &self.cache_key(&ids, self.source));
+        let mismatch = caches.process_prompt(at, &self.to_received(&ids, self.source));
         mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.cached_version))
     }
 
@@ -98,7 +98,7 @@
         self.parts.iter().map(|part| part.id).collect()
     }
 
-    fn cache_key<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReceivedPrompt<'a> {
+    fn to_received<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReceivedPrompt<'a> {
         ReceivedPrompt {
             adapter: &self.adapter,
             version: self.versions.to_packed(),
@@ -136,13 +136,13 @@
     pub fn enqueue(
         &mut self,
         at: SocketAddr,
-        prompt: &ReceivedPrompt,
+        prompt: &EnginePrompt,
         caches: &PromptCaches,
         now: Instant,
     ) -> PrefillWork {
         let ids = prompt.ids();
-        let cached = caches.reusable_parts(at, &prompt.cache_key(&ids, None));
-        let found = caches.reusable_parts(at, &prompt.cache_key(&ids, prompt.source));
+        let cached = caches.reusable_parts(at, &prompt.to_received(&ids, None));
+        let found = caches.reusable_parts(at, &prompt.to_received(&ids, prompt.source));
         let is_fetch = found > cached;
         let unprocessed_tokens = prompt.parts[found..]
             .iter()
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -11,7 +11,7 @@
     callers::FORGED,
     checks::{EVENTS_PER_STREAM, event_text, expected_body},
     history::{CallKind, HistoryEvent, SharedHistory},
-    prompts::{CACHE_FETCH_TIME, PrefillWork, PromptQueue, ReceivedPrompt, decode_parts},
+    prompts::{CACHE_FETCH_TIME, EnginePrompt, PrefillWork, PromptQueue, decode_parts},
 };
 use hoplanding_platform::names::{
     AUTHORIZATION, EXPECT_INSTANCE, EXPECT_VERSION, KV_FETCH, LAST_EVENT, LEAVING, MODEL,
@@ -443,7 +443,7 @@
             }
         };
         self.record_run(&id, adapter, state.is_truncating);
-        let prompt = ReceivedPrompt {
+        let prompt = EnginePrompt {
             adapter: adapter.to_owned(),
             versions,
             parts: decode_parts(request.header(PROMPT_PREFIX).unwrap_or_default()),
@@ -510,7 +510,7 @@
 
     /// Uses the cached parts of a prompt. Parts of another engine are read after [`CACHE_FETCH_TIME`], in the state that its
     /// cache has by then.
-    fn use_prompt_cache(self: &Arc<Self>, id: &str, prompt: ReceivedPrompt, prefill: PrefillWork) {
+    fn use_prompt_cache(self: &Arc<Self>, id: &str, prompt: EnginePrompt, prefill: PrefillWork) {
         if !prefill.is_fetch {
             self.use_cached_parts(id, &prompt);
             return;
@@ -526,14 +526,14 @@
         });
     }
 
-    fn use_cached_parts(&self, id: &str, prompt: &ReceivedPrompt) {
-        if let Some(made_under) = prompt.read_into(self.address(), &self.context.caches) {
+    fn use_cached_parts(&self, id: &str, prompt: &EnginePrompt) {
+        if let Some(cached_versions) = prompt.process(self.address(), &self.context.caches) {
             self.context.history.record(HistoryEvent::CacheMismatch {
                 id: id.to_owned(),
                 target: self.name.clone(),
                 adapter: prompt.adapter.clone(),
-                made_under,
-                runs_under: prompt.versions,
+                cached_versions,
+                run_versions: prompt.versions,
             });
         }
     }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -108,12 +108,12 @@
 #[test]
 fn use_of_cached_parts_of_another_version_is_found() {
     let versions = |base, adapter| WeightVersions { base, adapter };
-    let mismatch = |made_under, runs_under| HistoryEvent::CacheMismatch {
+    let mismatch = |cached_versions, run_versions| HistoryEvent::CacheMismatch {
         id: "r1".into(),
         target: "i-1".into(),
         adapter: "a1".into(),
-        made_under,
-        runs_under,
+        cached_versions,
+        run_versions,
     };
     let cache_fetches = HistoryEvent::CacheFetched {
         id: "r1".into(),
@@ -125,8 +125,8 @@
         at(1, cache_fetches),
     ];
     assert_eq!(violated(&own), []);
-    for made_under in [versions(1, 1), versions(2, 7)] {
-        let mismatch = mismatch(made_under, versions(1, 7));
+    for cached_versions in [versions(1, 1), versions(2, 7)] {
+        let mismatch = mismatch(cached_versions, versions(1, 7));
         let other = [own.as_slice(), &[at(21, mismatch)]].concat();
         assert_eq!(violated(&other), [Guarantee::CacheVersion]);
     }
--- a/crates/soak/tests/seeded.rs
+++ b/crates/soak/tests/seeded.rs
@@ -110,8 +110,8 @@
     assert_eq!(outcome.violations, [], "{}", plan.folder.display());
 }
 
-/// Guards against calls to a target up to 2.3 s after its draining. They occur when no VM of large zones, lease holders
-/// included, reads the target list in the first 3 s after the start (see `direct_duty` in the core crate).
+/// Guards against calls to a target up to 2.3 s after it announced draining. They occur when, after the start of three zones with
+/// six VMs each, no VM reads the target list for 3 s, lease holders included (see `tests/direct_duty.rs` of the core crate).
 #[tokio::test(flavor = "multi_thread")]
 async fn target_that_drains_while_large_zones_start_gets_nothing_late() {
     let mut plan = plan("large-zones", 1_500);
