--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -202,12 +202,12 @@
 }
 
 fn step_totals(site: &TestSite) -> (u64, u64) {
-    let truths = site
+    let stats = site
         .engines
         .values()
         .map(hoplanding_standins::engine::EngineStandin::stats);
-    truths.fold((0, 0), |sum, truth| {
-        (sum.0 + truth.steps, sum.1 + truth.step_sequences)
+    stats.fold((0, 0), |sum, engine| {
+        (sum.0 + engine.steps, sum.1 + engine.step_sequences)
     })
 }
 
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -483,14 +483,14 @@
     /// Contract violations that the stand-ins recorded, including repeated service calls.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
-        let engines = self.engines.iter().flat_map(|(name, engine)| {
+        let engine_violations = self.engines.iter().flat_map(|(name, engine)| {
             engine
                 .stats()
                 .violations
                 .into_iter()
                 .map(move |violation| format!("{name}: {violation}"))
         });
-        engines.chain(self.repeated_calls()).collect()
+        engine_violations.chain(self.repeated_calls()).collect()
     }
 
     /// Service calls that ran more than once on one instance.
