--- a/crates/standins/src/engine/steps.rs
+++ b/crates/standins/src/engine/steps.rs
@@ -8,7 +8,7 @@
 use std::{sync::Arc, time::Duration};
 
 /// Maximum number of prompt tokens prefilled in one step, over all sequences.
-const PREFILL_CHUNK: usize = 512;
+const MAX_PREFILL_TOKENS: usize = 512;
 
 /// Runs steps until the engine is dropped.
 pub(super) async fn run(shared: Arc<SharedEngine>) {
@@ -33,7 +33,7 @@
         .iter()
         .map(|sequence| sequence.remaining_prefill)
         .sum::<usize>()
-        .min(PREFILL_CHUNK);
+        .min(MAX_PREFILL_TOKENS);
     let model = &state.model;
     let micros = model.step_us
         + model.sequence_us * state.running.len() as u64
@@ -56,15 +56,16 @@
         let Some(mut sequence) = state.waiting.remove(index) else {
             return;
         };
-        sequence.remaining_prefill = count_uncached_tokens(state, &sequence);
+        sequence.remaining_prefill = update_prefix_cache(state, &sequence);
         state.running.push(sequence);
     }
 }
 
-/// Returns the prompt tokens to prefill and puts the prompt's prefix in the cache.
+/// Returns the number of prompt tokens to prefill and puts the prompt's prefix in the cache.
 ///
-/// A prompt whose prefix is cached costs an eighth. Least recently used prefixes are evicted beyond the capacity.
-fn count_uncached_tokens(state: &mut EngineState, sequence: &Sequence) -> usize {
+/// Only an eighth of a prompt with a cached prefix is prefilled. Beyond the capacity, the least recently used
+/// prefixes are evicted.
+fn update_prefix_cache(state: &mut EngineState, sequence: &Sequence) -> usize {
     let key = format!(
         "{}:{}",
         sequence.model,
@@ -95,7 +96,7 @@
 }
 
 fn finish_step(state: &mut EngineState) {
-    let mut prefill = PREFILL_CHUNK;
+    let mut prefill = MAX_PREFILL_TOKENS;
     for sequence in &mut state.running {
         let prefilled = sequence.remaining_prefill.min(prefill);
         sequence.remaining_prefill -= prefilled;
--- a/crates/standins/src/keyed_log.rs
+++ b/crates/standins/src/keyed_log.rs
@@ -83,8 +83,8 @@
     /// Adds the era header to a response.
     fn with_era(&self, mut response: Response) -> Response {
         let state = self.lock();
-        let truth = (state.restores + 1).to_string();
-        let era = state.faults.reported_era.as_ref().unwrap_or(&truth);
+        let actual_era = (state.restores + 1).to_string();
+        let era = state.faults.reported_era.as_ref().unwrap_or(&actual_era);
         if let Ok(value) = HeaderValue::from_str(era)
             && !era.is_empty()
         {
@@ -226,8 +226,8 @@
         let mut state = self.shared.lock();
         for (topic, count) in dropped {
             if let Some(records) = state.topics.get_mut(*topic) {
-                let kept = records.len().saturating_sub(*count);
-                records.truncate(kept);
+                let retained = records.len().saturating_sub(*count);
+                records.truncate(retained);
             }
         }
         state.restores += 1;
