--- a/crates/core/src/direct/freshness.rs
+++ b/crates/core/src/direct/freshness.rs
@@ -6,7 +6,7 @@
 //! sent. It may lack later ones, since a waiting read is not woken by a record of the same few milliseconds, so a proof
 //! counts from the time at which its read was sent.
 //!
-//! A VM relays its proof in its heartbeats. The delay of a heartbeat cannot be derived from the message alone, since
+//! A VM forwards its proof in its heartbeats. The delay of a heartbeat cannot be derived from the message alone, since
 //! either side may have been paused or the link blocked. Each heartbeat therefore echoes the last heartbeat of the
 //! receiver: the proof had the stated age when the echo was sent, and that was after the receiver sent the echoed
 //! heartbeat.
--- a/crates/daemon/src/direct/daemon.rs
+++ b/crates/daemon/src/direct/daemon.rs
@@ -42,9 +42,9 @@
 /// Interval at which idle connections and expired state are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// CPU, in thousandths of a core, below which a VM delays its first listing when a fleet starts for the first time.
-const WEAK_VM_MILLICORES: u32 = 200;
-/// Minimum delay of such a VM; the maximum is three times as long, so that weak VMs do not all list at the same time.
-const MIN_WEAK_VM_DELAY: Duration = Duration::from_millis(700);
+const SMALL_VM_MILLICORES: u32 = 200;
+/// Minimum delay of such a VM; the maximum is three times as long, so that small VMs do not all list at the same time.
+const MIN_SMALL_VM_DELAY: Duration = Duration::from_millis(700);
 /// Period before the deadline of a planned stop in which no connections are accepted.
 const ENDING_PERIOD: Duration = Duration::from_millis(250);
 /// Interval between checks for open connections during a planned stop.
@@ -280,8 +280,8 @@
 /// Delay before the first listing. When a whole fleet starts for the first time, no callers are served yet. VMs with
 /// little CPU then let the others claim the zones first, and receive from them what each would have to list itself.
 fn first_list_delay(settings: &DirectSettings) -> Duration {
-    if settings.is_first_start && settings.cpu_millicores < WEAK_VM_MILLICORES {
-        MIN_WEAK_VM_DELAY.mul_f64(rand::rng().random_range(1.0..3.0))
+    if settings.is_first_start && settings.cpu_millicores < SMALL_VM_MILLICORES {
+        MIN_SMALL_VM_DELAY.mul_f64(rand::rng().random_range(1.0..3.0))
     } else {
         Duration::ZERO
     }
--- a/crates/daemon/src/direct/links.rs
+++ b/crates/daemon/src/direct/links.rs
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Relays messages until the link breaks.
+    /// Exchanges messages until the link breaks.
     async fn relay_messages(&self, mut socket: Socket, outbound: &mut mpsc::Receiver<VmMessage>) {
         let mut heard = clock::now();
         let mut heartbeat = interval(HEARTBEAT_INTERVAL);
--- a/crates/daemon/tests/direct/fleet.rs
+++ b/crates/daemon/tests/direct/fleet.rs
@@ -441,9 +441,11 @@
         Some(&target_entry("scribe", engine.address, "ready", &["a1@1"])),
     );
     log.put("keyed.op", "config", Some(&config_json(1)));
-    let mut weak = vm_settings("vm-1", &log);
-    weak.cpu_millicores = 120;
-    let weak = DirectDaemon::start(weak).await.expect("the daemon starts");
+    let mut small_vm = vm_settings("vm-1", &log);
+    small_vm.cpu_millicores = 120;
+    let small_vm = DirectDaemon::start(small_vm)
+        .await
+        .expect("the daemon starts");
     let holds = |vm: &'static str| {
         let log = &log;
         async move || {
@@ -452,9 +454,9 @@
         }
     };
     wait_for("the weak VM's claim", holds("vm-1")).await;
-    let mut strong = vm_settings("vm-2", &log);
-    strong.cpu_millicores = 500;
-    let _strong = DirectDaemon::start(strong)
+    let mut large_vm = vm_settings("vm-2", &log);
+    large_vm.cpu_millicores = 500;
+    let _large_vm = DirectDaemon::start(large_vm)
         .await
         .expect("the daemon starts");
     wait_for("the strong VM's claim", holds("vm-2")).await;
@@ -470,7 +472,7 @@
     assert_eq!(vms, [Some("vm-1".into()), None, Some("vm-2".into())]);
     wait_for("a load by the new holder", async || {
         let request = post_request("/plan/1", "r1", &model_headers("a2"));
-        send_request(weak.caller_address, &request).await.status == 200
+        send_request(small_vm.caller_address, &request).await.status == 200
     })
     .await;
     let orders: Vec<serde_json::Value> = engine
--- a/crates/daemon/tests/direct/starts.rs
+++ b/crates/daemon/tests/direct/starts.rs
@@ -209,7 +209,7 @@
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
-/// Guards against an answer so long that it delays heartbeats. It is sent in parts that take a weak
+/// Guards against an answer so long that it delays heartbeats. It is sent in parts that take a slow
 /// link 0.1 s each.
 #[tokio::test]
 async fn long_answer_is_sent_in_parts() {
@@ -292,7 +292,7 @@
     assert!(dialler.is_leaving("i-5") && !dialler.is_leaving("i-6"));
 }
 
-/// Writes records of strong VMs that have ended, so that a weaker VM's turn to list comes after
+/// Writes records of large VMs that have ended, so that a smaller VM's turn to list comes after
 /// theirs.
 fn record_large_vms(log: &KeyedLog, count: usize) {
     for number in 0..count {
