--- /dev/null
+++ b/crates/core/tests/load/simulation.rs
@@ -0,0 +1,695 @@
+//! Simulation of zones in virtual time: callers, engines that prefill prompts and stream answers, and a weight store
+//! that loads adapters, driven by the real planners.
+
+use hoplanding_core::{
+    direct::{
+        catalog::{ResidentAdapter, TargetEntry, TargetStage},
+        config::EngineLimits,
+        engine::{EngineReport, OrderKind, OrderOutcome},
+        planner::{
+            CallKey, EngineEstimates, PlacementAnswer, PlacementRequest, PlannerAction, ZonePlanner,
+        },
+        policy::PlacementPolicy,
+        search::ZoneSearch,
+    },
+    ids::{AdapterName, AvailabilityZone, Instant, ServiceName, TargetLife, TargetName, VmName},
+};
+use rand::{Rng, SeedableRng, rngs::StdRng};
+use rand_distr::{Distribution, Exp, LogNormal, Zipf};
+use std::{
+    collections::{BTreeMap, HashMap, VecDeque},
+    env,
+    net::SocketAddr,
+    ops::Range,
+    sync::Arc,
+    time::Duration,
+};
+
+/// Time, from each planner tick, for which the holder is known to be the only one.
+const LEAD_DURATION: Duration = Duration::from_secs(3);
+/// Interval at which the platform's target list is updated.
+const LIST_INTERVAL_MICROS: u64 = 1_200_000;
+/// Virtual time of one simulation step.
+const STEP_MICROS: u64 = 1_000;
+/// Time to load an adapter from the weight store.
+const LOAD_TIME_MICROS: u64 = 250_000;
+/// Shared prefixes that an engine can cache.
+const CACHED_PREFIXES: usize = 30;
+/// Adapters that callers request.
+const ADAPTER_COUNT: u32 = 60;
+/// Adapter slots of an engine.
+const ADAPTER_SLOTS: u32 = 9;
+
+/// A class of calls with the same rate, size distribution and objective.
+#[derive(Clone, Copy, Debug)]
+pub struct CallClass {
+    /// Calls per second.
+    pub per_s: f64,
+    /// Mean number of prompt tokens.
+    pub tokens: f64,
+    /// Sigma of the logarithm of the prompt tokens.
+    pub spread: f64,
+    /// Output tokens per call.
+    pub output: u32,
+    /// Rank of the route; 0 is the highest.
+    pub rank: u8,
+    /// Objective for the first event, in ms.
+    pub objective_ms: u64,
+    /// Time after which a caller without a first event gives up, in ms.
+    pub first_event_timeout_ms: u64,
+    /// Tokens of the shared prefix, and number of different shared prefixes.
+    pub shared: (u32, u32),
+}
+
+/// Long prompts of lower rank: 9,190 tokens on average, a few four times as long.
+pub const LONG_PROMPT: CallClass = CallClass {
+    per_s: 8.0,
+    tokens: 9_190.0,
+    spread: 0.5,
+    output: 52,
+    rank: 1,
+    objective_ms: 800,
+    first_event_timeout_ms: 3_200,
+    shared: (0, 1),
+};
+
+/// Short prompts of the highest rank with long answers.
+pub const CHAT: CallClass = CallClass {
+    per_s: 9.0,
+    tokens: 826.0,
+    spread: 0.7,
+    output: 292,
+    rank: 0,
+    objective_ms: 600,
+    first_event_timeout_ms: 2_400,
+    shared: (0, 1),
+};
+
+/// Speed of an engine.
+#[derive(Clone, Copy, Debug)]
+pub struct EngineSpeed {
+    /// Prefill throughput, in prompt tokens per ms.
+    pub prefill_tokens_per_ms: f64,
+    /// Period in which the engine is slower: start and end in ms of virtual time, and the factor.
+    pub slow_period: Option<(u64, u64, f64)>,
+}
+
+/// An engine with a constant prefill throughput.
+pub fn steady_engine(prefill_tokens_per_ms: f64) -> EngineSpeed {
+    EngineSpeed {
+        prefill_tokens_per_ms,
+        slow_period: None,
+    }
+}
+
+/// Outcomes of the calls of one class.
+#[derive(Clone, Debug, Default)]
+pub struct CallerOutcomes {
+    pub calls: f64,
+    pub in_time: f64,
+    pub late: f64,
+    pub refused: f64,
+    /// Calls whose caller gave up before the first event, whether or not they had been sent to an engine.
+    pub abandoned: f64,
+    /// Times from arrival to refusal of the refused calls, in ms.
+    pub refusal_waits: Vec<u64>,
+}
+
+impl CallerOutcomes {
+    pub fn in_time_ratio(&self) -> f64 {
+        self.in_time / self.calls
+    }
+
+    pub fn served_ratio(&self) -> f64 {
+        (self.in_time + self.late) / self.calls
+    }
+}
+
+struct SentPrompt {
+    key: CallKey,
+    tokens: u32,
+    /// Shared prefix: adapter, number of the prefix, and its tokens.
+    prefix: (u32, u64, u32),
+    fetch: Option<SocketAddr>,
+    rank: u8,
+    arrives_at: u64,
+}
+
+struct ModelEngine {
+    speed: EngineSpeed,
+    zone: usize,
+    waiting: Vec<SentPrompt>,
+    /// Prompt in prefill, and its remaining tokens.
+    reading: Option<(SentPrompt, f64)>,
+    /// Streaming calls with the time at which each ends.
+    streaming: Vec<(CallKey, u64)>,
+    adapters: Vec<AdapterName>,
+    sequence: u64,
+    address: SocketAddr,
+    /// Cached prefixes, by adapter and number of the prefix, in LRU order.
+    cached_prefixes: VecDeque<(u32, u64)>,
+}
+
+struct OpenCall {
+    adapter: u32,
+    /// Zones in the order in which they are queried.
+    zones: Vec<usize>,
+    search: ZoneSearch,
+    class: usize,
+    arrived: u64,
+    tokens: u32,
+    prefix: u64,
+    target: Option<TargetName>,
+}
+
+/// One simulation run.
+pub struct LoadSimulation {
+    planners: Vec<ZonePlanner>,
+    policy: PlacementPolicy,
+    max_adapters: u32,
+    engines: BTreeMap<TargetName, ModelEngine>,
+    classes: Vec<CallClass>,
+    next_arrival: Vec<u64>,
+    open_calls: HashMap<u64, OpenCall>,
+    outcomes: Vec<CallerOutcomes>,
+    random: StdRng,
+    next_number: u64,
+    /// Whether first events are reported to the planners.
+    pub reports_first_events: bool,
+}
+
+fn limits(max_adapters: u32) -> EngineLimits {
+    EngineLimits {
+        slots: 64,
+        kv_tokens: 250_000,
+        adapter_slots: max_adapters,
+        loads_per_s: 2.8,
+        models: vec![AdapterName::new("base")],
+    }
+}
+
+/// An address for each engine, derived from its name.
+fn address(name: &str) -> SocketAddr {
+    let hash = name
+        .bytes()
+        .fold(0_u32, |hash, byte| hash * 31 % 50_021 + u32::from(byte));
+    let port = u16::try_from(1_000 + hash).expect("a port");
+    SocketAddr::from(([127, 0, 0, 1], port))
+}
+
+fn entry(name: &str) -> Arc<TargetEntry> {
+    Arc::new(TargetEntry {
+        name: TargetName::new(name),
+        life: TargetLife::default(),
+        service: ServiceName::new("llm"),
+        address: address(name),
+        zone: AvailabilityZone::new("a"),
+        slots: 64,
+        stage: TargetStage::Ready,
+        remaining: None,
+        warmup_remaining: Duration::ZERO,
+        orders_taken: 0,
+        models: vec![("base".to_owned(), 1)],
+        adapters: Vec::new(),
+    })
+}
+
+fn key(number: u64) -> CallKey {
+    CallKey {
+        vm: VmName::new("vm"),
+        number,
+    }
+}
+
+/// A planner whose engines have only the base model loaded.
+fn planner(names: &[String], zones: u32) -> ZonePlanner {
+    let now = Instant::default();
+    let mut planner = ZonePlanner::new(
+        EngineEstimates::per_zone(zones, 2.8),
+        limits(ADAPTER_SLOTS),
+        now,
+    );
+    planner.set_targets(names.iter().map(|name| entry(name)).collect(), now);
+    planner.tick(now);
+    let report = EngineReport {
+        // The load of the base model counts as an order.
+        orders_taken: 1,
+        models: vec![(AdapterName::new("base"), 1)],
+        ..EngineReport::default()
+    };
+    for name in names {
+        planner.report_received(&TargetName::new(name), Some(&report), now);
+    }
+    planner.take_actions();
+    planner
+}
+
+impl LoadSimulation {
+    /// Creates a simulation of one zone.
+    pub fn new(speeds: &[EngineSpeed], classes: &[CallClass], seed: u64) -> Self {
+        Self::over_zones(&[speeds], classes, seed)
+    }
+
+    /// Creates a simulation of several zones that share one weight store.
+    pub fn over_zones(zones: &[&[EngineSpeed]], classes: &[CallClass], seed: u64) -> Self {
+        let mut engines = BTreeMap::new();
+        let mut planners = Vec::new();
+        let count = u32::try_from(zones.len()).expect("few zones");
+        for (zone, speeds) in zones.iter().enumerate() {
+            let names: Vec<_> = (0..speeds.len())
+                .map(|number| format!("e{zone}-{number}"))
+                .collect();
+            planners.push(planner(&names, count));
+            for (name, speed) in names.iter().zip(*speeds) {
+                let engine = ModelEngine {
+                    speed: *speed,
+                    zone,
+                    waiting: Vec::new(),
+                    reading: None,
+                    streaming: Vec::new(),
+                    adapters: Vec::new(),
+                    sequence: 1,
+                    address: address(name),
+                    cached_prefixes: VecDeque::new(),
+                };
+                engines.insert(TargetName::new(name), engine);
+            }
+        }
+        Self {
+            planners,
+            policy: PlacementPolicy::default(),
+            max_adapters: ADAPTER_SLOTS,
+            engines,
+            classes: classes.to_vec(),
+            next_arrival: vec![0; classes.len()],
+            open_calls: HashMap::new(),
+            outcomes: vec![CallerOutcomes::default(); classes.len()],
+            random: StdRng::seed_from_u64(seed),
+            next_number: 0,
+            reports_first_events: true,
+        }
+    }
+
+    /// Gives every engine slots for all adapters, so that only prefill time limits the service.
+    pub fn add_adapter_slots(&mut self) {
+        self.max_adapters = ADAPTER_COUNT;
+        for planner in &mut self.planners {
+            planner.set_limits(limits(ADAPTER_COUNT));
+        }
+    }
+
+    /// Replaces the placement policy.
+    pub fn set_policy(&mut self, policy: PlacementPolicy) {
+        self.policy = policy;
+        for planner in &mut self.planners {
+            planner.set_policy(policy);
+        }
+    }
+
+    /// Runs with arrivals for a period of virtual time and returns the outcomes by class.
+    pub fn run(mut self, span: Duration) -> Vec<CallerOutcomes> {
+        let end = u64::try_from(span.as_micros()).expect("a short span");
+        // Runs on until the last calls have started or timed out; otherwise calls in progress would count as unserved.
+        let max_timeout_ms = self
+            .classes
+            .iter()
+            .map(|class| class.first_event_timeout_ms)
+            .max();
+        let stop_at = end + max_timeout_ms.unwrap_or_default() * 1_000;
+        let mut now = 0;
+        while now < stop_at {
+            if now < end {
+                self.add_arrivals(now);
+            }
+            if now % 50_000 == 0 {
+                for planner in &mut self.planners {
+                    planner.set_sole_until(Instant(now).after(LEAD_DURATION));
+                    planner.tick(Instant(now));
+                }
+            }
+            if now % LIST_INTERVAL_MICROS == 0 {
+                self.publish_target_list(now);
+            }
+            self.process_actions(now);
+            self.advance_engines(now);
+            self.expire_calls(now);
+            now += STEP_MICROS;
+        }
+        self.outcomes
+    }
+
+    /// Updates each planner's target list with the adapters that its engines have loaded.
+    fn publish_target_list(&mut self, now: u64) {
+        for (zone, planner) in self.planners.iter_mut().enumerate() {
+            let engines = self
+                .engines
+                .iter()
+                .filter(|(_, engine)| engine.zone == zone);
+            let entries = engines.map(|(name, engine)| {
+                let resident_adapters = engine.adapters.iter().map(|adapter| ResidentAdapter {
+                    adapter: adapter.clone(),
+                    version: 1,
+                });
+                Arc::new(TargetEntry {
+                    orders_taken: engine.sequence,
+                    adapters: resident_adapters.collect(),
+                    ..(*entry(name.as_str())).clone()
+                })
+            });
+            planner.set_targets(entries.collect(), Instant(now));
+        }
+    }
+
+    fn add_arrivals(&mut self, now: u64) {
+        for class_index in 0..self.classes.len() {
+            while self.next_arrival[class_index] <= now {
+                let class = self.classes[class_index];
+                let gap = Exp::new(class.per_s).expect("a rate");
+                self.next_arrival[class_index] += (gap.sample(&mut self.random) * 1e6) as u64;
+                self.start_call(class_index, class, now);
+            }
+        }
+    }
+
+    fn start_call(&mut self, class_index: usize, class: CallClass, now: u64) {
+        let mean = class.tokens.ln() - class.spread * class.spread / 2.0;
+        let size = LogNormal::new(mean, class.spread).expect("a spread");
+        let tokens = size.sample(&mut self.random).min(39_600.0) as u32 + 1;
+        let popularity = Zipf::new(f64::from(ADAPTER_COUNT), 1.2).expect("a skew");
+        let adapter = popularity.sample(&mut self.random) as u32;
+        let number = self.next_number;
+        self.next_number += 1;
+        let count = self.planners.len();
+        // The home zone of the most popular adapters is the caller's own zone.
+        let own_zone = self.random.random_range(0..count);
+        let home_zone = if adapter <= 3 {
+            own_zone
+        } else {
+            adapter as usize % count
+        };
+        let call = OpenCall {
+            adapter,
+            zones: (0..count).map(|turn| (home_zone + turn) % count).collect(),
+            search: ZoneSearch::new(self.policy, count),
+            class: class_index,
+            arrived: now,
+            tokens,
+            prefix: u64::from(self.random.random_range(0..class.shared.1)),
+            target: None,
+        };
+        self.open_calls.insert(number, call);
+        self.outcomes[class_index].calls += 1.0;
+        self.ask_next_zone(number, now);
+    }
+
+    /// Sends a call's next placement query; the call is refused if no zone is left to query.
+    fn ask_next_zone(&mut self, number: u64, now: u64) {
+        let Some(call) = self.open_calls.get_mut(&number) else {
+            return;
+        };
+        let class = self.classes[call.class];
+        let Some(query) = call.search.next_query() else {
+            let outcomes = &mut self.outcomes[call.class];
+            outcomes.refused += 1.0;
+            outcomes.refusal_waits.push((now - call.arrived) / 1_000);
+            self.open_calls.remove(&number);
+            return;
+        };
+        let objective = Duration::from_millis(class.objective_ms);
+        let remaining = objective.saturating_sub(Duration::from_micros(now - call.arrived));
+        let bound = call
+            .search
+            .max_wait(query.pass, class.rank, objective, remaining);
+        let request = PlacementRequest {
+            fingerprint: Default::default(),
+            is_trial: false,
+            charge: None,
+            subject: AdapterName::new(&format!("base/a{}", call.adapter)),
+            prompt_tokens: call.tokens,
+            output_tokens: class.output,
+            prefix: vec![
+                (call.prefix, class.shared.0),
+                (number | 1 << 40, call.tokens),
+            ],
+            priority: class.rank,
+            bound_ms: bound.as_millis() as u32,
+            exclude: Vec::new(),
+            backing_off: Vec::new(),
+            may_load: query.may_load,
+            terms: query.terms,
+        };
+        let zone = call.zones[query.zone];
+        self.planners[zone].place(key(number), request, Instant(now));
+    }
+
+    fn process_actions(&mut self, now: u64) {
+        loop {
+            let mut is_idle = true;
+            for zone in 0..self.planners.len() {
+                for action in self.planners[zone].take_actions() {
+                    is_idle = false;
+                    self.process_action(zone, action, now);
+                }
+            }
+            if is_idle {
+                return;
+            }
+        }
+    }
+
+    fn process_action(&mut self, zone: usize, action: PlannerAction, now: u64) {
+        let planner = &mut self.planners[zone];
+        match action {
+            PlannerAction::Answer(key, answer) => self.process_answer(zone, &key, answer, now),
+            PlannerAction::Order(entry, order) => {
+                let engine = self.engines.get_mut(&entry.name).expect("an engine");
+                engine.sequence += 1;
+                let outcome = match order.kind {
+                    OrderKind::Load => {
+                        engine.adapters.push(order.subject);
+                        assert!(
+                            engine.adapters.len() <= self.max_adapters as usize,
+                            "more adapters than slots"
+                        );
+                        OrderOutcome::Begun
+                    }
+                    OrderKind::Unload => {
+                        engine
+                            .adapters
+                            .retain(|resident_adapters| *resident_adapters != order.subject);
+                        engine.evict_prefixes(&order.subject);
+                        OrderOutcome::Done
+                    }
+                };
+                planner.order_ended(&entry.name, outcome, Instant(now));
+            }
+            PlannerAction::FetchReport(entry) => {
+                planner.report_received(&entry.name, None, Instant(now));
+            }
+            PlannerAction::RecordTransfer(_) => {}
+        }
+    }
+
+    fn process_answer(&mut self, zone: usize, key: &CallKey, answer: PlacementAnswer, now: u64) {
+        let Some(call) = self.open_calls.get_mut(&key.number) else {
+            return;
+        };
+        match answer {
+            PlacementAnswer::Send {
+                target,
+                wait_ms,
+                fetch,
+                ..
+            } => {
+                assert!(
+                    u64::from(wait_ms) * 1_000 <= 4 * LOAD_TIME_MICROS,
+                    "{wait_ms} ms for a load"
+                );
+                let prompt = SentPrompt {
+                    key: key.clone(),
+                    tokens: call.tokens,
+                    prefix: (call.adapter, call.prefix, self.classes[call.class].shared.0),
+                    fetch,
+                    rank: self.classes[call.class].rank,
+                    arrives_at: now + u64::from(wait_ms) * 1_000 + 1_000,
+                };
+                call.target = Some(target.clone());
+                let engine = self.engines.get_mut(&target).expect("an engine");
+                engine.waiting.push(prompt);
+            }
+            PlacementAnswer::Refuse {
+                retry_after_ms,
+                cause,
+            } => {
+                let turn = call.zones.iter().position(|candidate| *candidate == zone);
+                let turn = turn.expect("a zone that was queried");
+                call.search.record_refusal(turn, cause, retry_after_ms);
+                self.ask_next_zone(key.number, now);
+            }
+        }
+    }
+
+    fn advance_engines(&mut self, now: u64) {
+        let names: Vec<_> = self.engines.keys().cloned().collect();
+        let cached_prefixes: HashMap<SocketAddr, VecDeque<(u32, u64)>> = self
+            .engines
+            .values()
+            .map(|engine| (engine.address, engine.cached_prefixes.clone()))
+            .collect();
+        for name in names {
+            let engine = self.engines.get_mut(&name).expect("an engine");
+            let zone = engine.zone;
+            let ended: Vec<_> = engine
+                .streaming
+                .extract_if(.., |(_, until)| *until <= now)
+                .collect();
+            let slow_period = engine
+                .speed
+                .slow_period
+                .filter(|(from, to, _)| (*from..*to).contains(&(now / 1_000)));
+            let prefill_rate = engine.speed.prefill_tokens_per_ms
+                / slow_period.map_or(1.0, |(_, _, factor)| factor);
+            let mut tokens_left = prefill_rate * STEP_MICROS as f64 / 1e3;
+            let mut started = Vec::new();
+            while tokens_left > 0.0 {
+                let Some((prompt, rest)) = engine
+                    .reading
+                    .take()
+                    .or_else(|| engine.start_next_prompt(&cached_prefixes, now))
+                else {
+                    break;
+                };
+                if rest > tokens_left {
+                    engine.reading = Some((prompt, rest - tokens_left));
+                    break;
+                }
+                tokens_left -= rest;
+                started.push(prompt.key);
+            }
+            for key in &started {
+                let output = self
+                    .open_calls
+                    .get(&key.number)
+                    .map_or(0, |call| self.classes[call.class].output);
+                engine
+                    .streaming
+                    .push((key.clone(), now + u64::from(output) * 12_000));
+            }
+            for (key, _) in ended {
+                self.planners[zone].call_ended(&key, Some(&name), None, Instant(now));
+            }
+            for key in started {
+                self.record_first_event(&key, &name, now);
+            }
+        }
+    }
+
+    fn record_first_event(&mut self, key: &CallKey, target: &TargetName, now: u64) {
+        if self.reports_first_events {
+            let zone = self.engines[target].zone;
+            self.planners[zone].call_started(key, target, Some(1), Instant(now));
+        }
+        if let Some(call) = self.open_calls.remove(&key.number) {
+            let class = self.classes[call.class];
+            let outcomes = &mut self.outcomes[call.class];
+            if now - call.arrived <= class.objective_ms * 1_000 {
+                outcomes.in_time += 1.0;
+            } else {
+                outcomes.late += 1.0;
+            }
+        }
+    }
+
+    /// Ends calls whose caller has given up waiting for the first event, and removes their prompts from the engines.
+    fn expire_calls(&mut self, now: u64) {
+        let timeout = |call: &OpenCall| self.classes[call.class].first_event_timeout_ms * 1_000;
+        let gone: Vec<_> = self
+            .open_calls
+            .iter()
+            .filter(|(_, call)| now - call.arrived > timeout(call))
+            .map(|(number, call)| (*number, call.class, call.target.clone()))
+            .collect();
+        for (number, class, target) in gone {
+            self.open_calls.remove(&number);
+            self.outcomes[class].abandoned += 1.0;
+            if let Some(engine) = target.as_ref().and_then(|name| self.engines.get_mut(name)) {
+                engine.waiting.retain(|prompt| prompt.key.number != number);
+                engine.reading = engine
+                    .reading
+                    .take()
+                    .filter(|(prompt, _)| prompt.key.number != number);
+            }
+            for planner in &mut self.planners {
+                planner.call_ended(&key(number), target.as_ref(), None, Instant(now));
+            }
+        }
+    }
+}
+
+impl ModelEngine {
+    /// Drops the cached prefixes of an adapter, as engines do when they unload it.
+    fn evict_prefixes(&mut self, subject: &AdapterName) {
+        self.cached_prefixes
+            .retain(|(adapter, _)| format!("base/a{adapter}") != subject.as_str());
+    }
+
+    /// Removes the next prompt from the queue; returns it with the number of tokens to prefill.
+    fn start_next_prompt(
+        &mut self,
+        cached_prefixes: &HashMap<SocketAddr, VecDeque<(u32, u64)>>,
+        now: u64,
+    ) -> Option<(SentPrompt, f64)> {
+        let (index, _) = self
+            .waiting
+            .iter()
+            .enumerate()
+            .filter(|(_, prompt)| prompt.arrives_at <= now)
+            .min_by_key(|(_, prompt)| (prompt.rank, prompt.arrives_at))?;
+        let prompt = self.waiting.remove(index);
+        let (adapter, prefix, shared) = prompt.prefix;
+        let is_cached =
+            |cached_prefixes: &VecDeque<(u32, u64)>| cached_prefixes.contains(&(adapter, prefix));
+        let source = prompt.fetch.and_then(|source| cached_prefixes.get(&source));
+        let mut tokens = f64::from(prompt.tokens);
+        if is_cached(&self.cached_prefixes) {
+            tokens -= f64::from(shared);
+        } else if source.is_some_and(is_cached) {
+            // The fetch takes 20 ms on the engine's network link.
+            tokens -= f64::from(shared) - 20.0 * self.speed.prefill_tokens_per_ms;
+        }
+        self.cached_prefixes
+            .retain(|known| *known != (adapter, prefix));
+        self.cached_prefixes.push_back((adapter, prefix));
+        if self.cached_prefixes.len() > CACHED_PREFIXES {
+            self.cached_prefixes.pop_front();
+        }
+        Some((prompt, tokens.max(1.0)))
+    }
+}
+
+/// Formats the outcomes for assertion messages.
+pub fn describe(outcomes: &[CallerOutcomes]) -> String {
+    let lines = outcomes.iter().map(|class| {
+        format!(
+            "calls {} in time {:.3} served {:.3} refused {:.3} abandoned {:.3}",
+            class.calls,
+            class.in_time_ratio(),
+            class.served_ratio(),
+            class.refused / class.calls,
+            class.abandoned / class.calls
+        )
+    });
+    lines.collect::<Vec<_>>().join("; ")
+}
+
+/// Consecutive seeds for a number of simulations; the environment variable `LOAD_SEED` overrides the first one.
+pub fn seeds(count: u64) -> Range<u64> {
+    let named = env::var("LOAD_SEED").ok();
+    let first = named.map_or(1, |text| text.parse().expect("a number"));
+    first..first + count
+}
+
+/// A pseudo-random number in a range, to vary a parameter by seed.
+pub fn sample_in_range(seed: u64, low: f64, high: f64) -> f64 {
+    StdRng::seed_from_u64(seed).random_range(low..high)
+}
