--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -126,7 +126,7 @@
 pub struct MembershipTable {
     me: DaemonRef,
     zone: AvailabilityZone,
-    times: MembershipTimeouts,
+    timeouts: MembershipTimeouts,
     peers: BTreeMap<VmName, PeerRecord>,
     listed_zones: BTreeMap<AvailabilityZone, usize>,
     list_read_at: Option<Instant>,
@@ -135,11 +135,11 @@
 impl MembershipTable {
     /// Creates a table without peers.
     #[must_use]
-    pub fn new(me: DaemonRef, zone: AvailabilityZone, times: MembershipTimeouts) -> Self {
+    pub fn new(me: DaemonRef, zone: AvailabilityZone, timeouts: MembershipTimeouts) -> Self {
         Self {
             me,
             zone,
-            times,
+            timeouts,
             peers: BTreeMap::new(),
             listed_zones: BTreeMap::new(),
             list_read_at: None,
@@ -231,7 +231,7 @@
     pub fn tick(&mut self, now: Instant) -> Vec<PeerTransition> {
         let mut transitions = Vec::new();
         for (vm, peer) in &mut self.peers {
-            let next = next_state(peer, &self.times, now);
+            let next = next_state(peer, &self.timeouts, now);
             if next != peer.state {
                 transitions.push(PeerTransition {
                     vm: vm.clone(),
@@ -267,19 +267,19 @@
     /// Daemons of the zone that can hold targets, including this one.
     #[must_use]
     pub fn eligible_daemons(&self) -> Vec<DaemonRef> {
-        let mut able = vec![self.me.clone()];
+        let mut candidates = vec![self.me.clone()];
         for (vm, peer) in &self.peers {
             let (true, PeerState::Live, Some(incarnation)) =
                 (peer.zone == self.zone, peer.state, peer.incarnation)
             else {
                 continue;
             };
-            able.push(DaemonRef {
+            candidates.push(DaemonRef {
                 vm: vm.clone(),
                 incarnation,
             });
         }
-        able
+        candidates
     }
 
     /// Whether the targets of a holder may be taken over because it cannot continue.
@@ -302,7 +302,7 @@
             PeerState::Gone => true,
             PeerState::Suspect => peer
                 .heard_at
-                .is_some_and(|heard| now.since(heard) >= self.times.take_over_after),
+                .is_some_and(|heard| now.since(heard) >= self.timeouts.take_over_after),
             PeerState::Unheard => peer.refused_since.is_some() || peer.listed.is_none(),
             PeerState::Live | PeerState::Leaving => false,
         }
@@ -318,7 +318,7 @@
         let is_zone_listed = self.listed_zones.get(&peer.zone).copied().unwrap_or(0) > 0;
         let is_bound_passed = peer
             .unlisted_since
-            .is_some_and(|since| now.since(since) >= self.times.delivery_bound);
+            .is_some_and(|since| now.since(since) >= self.timeouts.delivery_bound);
         peer.listed.is_none() && is_zone_listed && is_bound_passed
     }
 
@@ -335,14 +335,14 @@
     }
 }
 
-fn next_state(peer: &PeerRecord, times: &MembershipTimeouts, now: Instant) -> PeerState {
+fn next_state(peer: &PeerRecord, timeouts: &MembershipTimeouts, now: Instant) -> PeerState {
     if peer.listed == Some(ListedState::Leaving) && peer.state == PeerState::Live {
         return PeerState::Leaving;
     }
     let Some(heard) = peer.heard_at else {
         return peer.state;
     };
-    if now.since(heard) < times.suspect_after {
+    if now.since(heard) < timeouts.suspect_after {
         return peer.state;
     }
     let is_confirmed =
--- a/crates/core/src/request/lifecycle.rs
+++ b/crates/core/src/request/lifecycle.rs
@@ -164,7 +164,7 @@
     ///
     /// # Errors
     /// Returns the request unchanged if the proof is for another request.
-    pub fn given_back(self, proof: &NotRunProof) -> Result<RequestCall<Unsent>, Self> {
+    pub fn into_unsent(self, proof: &NotRunProof) -> Result<RequestCall<Unsent>, Self> {
         if proof.id != self.id {
             return Err(self);
         }
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -37,7 +37,7 @@
     /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
     /// Time during which a request that was returned as not run is retried; these retries cost no target any work.
-    pub given_back_timeout: Duration,
+    pub not_run_timeout: Duration,
     /// Pause before the first retry; doubles with each attempt, at most four times.
     pub initial_backoff: Duration,
     /// Time during which a broken stream may be resumed.
@@ -48,7 +48,7 @@
     fn default() -> Self {
         Self {
             max_attempts: 3,
-            given_back_timeout: Duration::from_secs(2),
+            not_run_timeout: Duration::from_secs(2),
             initial_backoff: Duration::from_millis(20),
             resume_timeout: Duration::from_secs(15),
         }
@@ -93,15 +93,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInput {
     /// Whether the request may be repeated.
-    pub rule: RequestRepeatability,
+    pub repeatability: RequestRepeatability,
     /// How the attempt ended.
     pub end: AttemptEnd,
     /// Number of attempts so far.
     pub attempts: u32,
     /// Number of times the request was returned as not run.
-    pub given_back: u32,
+    pub not_run_count: u32,
     /// Time at which the request was first returned as not run.
-    pub given_back_since: Option<Instant>,
+    pub not_run_since: Option<Instant>,
     /// Whether a part of the answer was already sent to the caller.
     pub answer_started: bool,
     /// Time at which the stream broke.
@@ -126,8 +126,8 @@
     let pause = backoff(limits.initial_backoff, input);
     match input.end {
         AttemptEnd::GivenBack => {
-            let since = input.given_back_since.unwrap_or(input.now);
-            if input.now.since(since) < limits.given_back_timeout {
+            let since = input.not_run_since.unwrap_or(input.now);
+            if input.now.since(since) < limits.not_run_timeout {
                 RetryDecision::Retry(pause)
             } else {
                 RetryDecision::GiveUp
@@ -150,7 +150,7 @@
     input: &RetryInput,
     pause: Duration,
 ) -> RetryDecision {
-    let is_allowed = input.rule == RequestRepeatability::Repeatable
+    let is_allowed = input.repeatability == RequestRepeatability::Repeatable
         && !input.answer_started
         && input.attempts < limits.max_attempts
         && budget.try_spend();
@@ -162,7 +162,7 @@
 }
 
 fn backoff(initial: Duration, input: &RetryInput) -> Duration {
-    let doublings = (input.attempts + input.given_back).min(MAX_DOUBLINGS);
+    let doublings = (input.attempts + input.not_run_count).min(MAX_DOUBLINGS);
     let full = initial * (1 << doublings);
     full.mul_f64(0.5 + 0.5 * input.jitter)
 }
--- a/crates/core/tests/request.rs
+++ b/crates/core/tests/request.rs
@@ -29,13 +29,13 @@
     assert!(
         RequestCall::new(id(1))
             .mark_sent()
-            .given_back(&proof)
+            .into_unsent(&proof)
             .is_ok()
     );
     assert!(
         RequestCall::new(id(2))
             .mark_sent()
-            .given_back(&proof)
+            .into_unsent(&proof)
             .is_err()
     );
 }
@@ -129,13 +129,13 @@
     );
 }
 
-fn input(rule: RequestRepeatability, end: AttemptEnd) -> RetryInput {
+fn input(repeatability: RequestRepeatability, end: AttemptEnd) -> RetryInput {
     RetryInput {
-        rule,
+        repeatability,
         end,
         attempts: 1,
-        given_back: 0,
-        given_back_since: None,
+        not_run_count: 0,
+        not_run_since: None,
         answer_started: false,
         broken_since: None,
         now: Instant(1_000_000),
@@ -150,7 +150,8 @@
 fn only_repeatable_requests_are_repeated_after_a_failure() {
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(4.0, 0.1);
-    let mut decide = |rule, end| decide_retry(&limits, &mut budget, &input(rule, end));
+    let mut decide =
+        |repeatability, end| decide_retry(&limits, &mut budget, &input(repeatability, end));
     assert!(matches!(
         decide(RequestRepeatability::Repeatable, AttemptEnd::TargetFailed),
         RetryDecision::Retry(_)
@@ -203,19 +204,19 @@
     let limits = RetryLimits::default();
     let mut budget = RetryBudget::new(10.0, 0.1);
     let mut returned = input(RequestRepeatability::Repeatable, AttemptEnd::GivenBack);
-    returned.given_back = 4;
+    returned.not_run_count = 4;
     let RetryDecision::Retry(pause) = decide_retry(&limits, &mut budget, &returned) else {
         panic!("a request that was returned as not run must be retried");
     };
     assert_eq!(pause, Duration::from_millis(240));
     // The time limit for returned requests has passed.
-    returned.given_back_since = Some(Instant(0));
+    returned.not_run_since = Some(Instant(0));
     returned.now = Instant(2_000_000);
     assert_eq!(
         decide_retry(&limits, &mut budget, &returned),
         RetryDecision::GiveUp
     );
-    returned.given_back_since = None;
+    returned.not_run_since = None;
     returned.now = returned.deadline;
     assert_eq!(
         decide_retry(&limits, &mut budget, &returned),
--- a/crates/daemon/examples/experiments.rs
+++ b/crates/daemon/examples/experiments.rs
@@ -228,7 +228,9 @@
 ) -> &'static str {
     let mut random = StdRng::seed_from_u64(number as u64);
     let mut random_base = || {
-        let bases = bases.lock().expect("no holder of the lock panics");
+        let bases = bases
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let index = random.random_range(0..bases.len().max(1));
         bases.values().nth(index).cloned()
     };
@@ -273,7 +275,9 @@
         let bases = Arc::new(Mutex::new(BTreeMap::new()));
         let update_bases = |site: &TestSite| {
             let urls = site.daemons.keys().map(|vm| (vm.clone(), site.url(vm)));
-            *bases.lock().expect("no holder of the lock panics") = urls.collect();
+            *bases
+                .lock()
+                .expect("no thread panics while it holds the lock") = urls.collect();
         };
         update_bases(&site);
         site.platform
@@ -289,7 +293,7 @@
                 let outcome = call_with_retries(bases, number).await;
                 *outcomes
                     .lock()
-                    .expect("no holder of the lock panics")
+                    .expect("no thread panics while it holds the lock")
                     .entry(outcome)
                     .or_insert(0) += 1;
             });
@@ -316,7 +320,9 @@
         println!(
             "10,000 calls, {crashes} crashes, log {}: {:?}; run twice {}; run at all {}",
             if is_log_out { "out" } else { "well" },
-            outcomes.lock().expect("no holder of the lock panics"),
+            outcomes
+                .lock()
+                .expect("no thread panics while it holds the lock"),
             site.repeated_calls().len(),
             site.services
                 .values()
--- a/crates/daemon/src/app/admission.rs
+++ b/crates/daemon/src/app/admission.rs
@@ -177,7 +177,7 @@
             class: request.class,
             output_tokens: request.output_tokens,
             zone: &self.zone,
-            excluded: &request.avoid,
+            excluded: &request.excluded,
         };
         let Some(service) = &request.service else {
             return self.engines.choose(&query, &self.weights);
--- a/crates/daemon/src/app/changes.rs
+++ b/crates/daemon/src/app/changes.rs
@@ -75,7 +75,7 @@
         if self.workers.appender.append(ticket, vec![record]) {
             self.change_tickets.insert(ticket, vec![id.clone()]);
         } else {
-            self.fail_change(id, |_| OperatorError::LogUnavailable);
+            self.fail_change(id, |_| OperatorError::LogUnreachable);
         }
     }
 
@@ -99,7 +99,7 @@
                     pending.reappend_at = Some(now.after(READ_BACK_TIMEOUT));
                 }
                 AppendOutcome::NotAppended => {
-                    self.fail_change(&id, |_| OperatorError::LogUnavailable)
+                    self.fail_change(&id, |_| OperatorError::LogUnreachable)
                 }
             }
         }
--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -30,7 +30,7 @@
     /// Records expired before they were read; carries the earliest offset that the log still has.
     LogExpired(LogOffset),
     /// The log can't be read; carries the cause.
-    LogUnavailable(String),
+    LogUnreachable(String),
     /// Outcome of the appends with the given tickets.
     Appended(Vec<u64>, AppendOutcome),
     /// The platform's list of VMs was read.
@@ -172,7 +172,7 @@
     /// Maximum number of output tokens.
     pub output_tokens: u32,
     /// Targets that already failed this request.
-    pub avoid: Vec<TargetName>,
+    pub excluded: Vec<TargetName>,
 }
 
 /// A target selected for a request.
@@ -333,7 +333,7 @@
     Conflict(ChangeId, ChangeConflict),
     /// The log is unavailable and nothing was changed.
     #[error("the platform's log is out of reach, so nothing was changed: try again later")]
-    LogUnavailable,
+    LogUnreachable,
     /// The change was not read back from the log within the time limit.
     #[error(
         "nobody can say yet whether change {0} took effect: ask `show changes where id = \"{0}\"` before repeating it"
--- a/crates/daemon/src/app/event_loop.rs
+++ b/crates/daemon/src/app/event_loop.rs
@@ -74,7 +74,7 @@
             AppEvent::Tick => self.tick(now),
             AppEvent::LogRead(batch) => self.log_read(batch, now),
             AppEvent::LogExpired(earliest) => self.log_expired(earliest),
-            AppEvent::LogUnavailable(cause) => self.log_out(&cause),
+            AppEvent::LogUnreachable(cause) => self.log_out(&cause),
             AppEvent::Appended(tickets, outcome) => self.appended(&tickets, outcome, now),
             AppEvent::VmsListed(list) => self.vms_listed(&list, now),
             AppEvent::LinkUp(vm) => self.link_up(&vm),
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -473,7 +473,7 @@
 
     fn mark_order_unknown(&mut self, target: &TargetName, cause: &str, now: Instant) {
         event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
-        let until = now.after(self.settings.membership.times.delivery_bound);
+        let until = now.after(self.settings.membership.timeouts.delivery_bound);
         let Some(pending) = self
             .held_targets
             .get_mut(target)
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -248,7 +248,7 @@
             return false;
         }
         let since = *self.superseded_since.entry(daemon.clone()).or_insert(now);
-        now.since(since) >= self.settings.membership.times.delivery_bound
+        now.since(since) >= self.settings.membership.timeouts.delivery_bound
     }
 
     fn settle_predecessor(&mut self, target: &TargetName, lease: &HolderLease) {
--- a/crates/daemon/src/app/state.rs
+++ b/crates/daemon/src/app/state.rs
@@ -129,7 +129,8 @@
     #[must_use]
     pub fn new(settings: Arc<Settings>, me: DaemonRef, workers: AppWorkers) -> Self {
         let zone = AvailabilityZone::new(&settings.zone);
-        let mut members = MembershipTable::new(me.clone(), zone.clone(), settings.membership.times);
+        let mut members =
+            MembershipTable::new(me.clone(), zone.clone(), settings.membership.timeouts);
         for seed in &settings.seeds {
             members.add_seed(
                 &VmName::new(&seed.vm),
--- a/crates/daemon/src/calls/buffer.rs
+++ b/crates/daemon/src/calls/buffer.rs
@@ -51,7 +51,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BufferState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Adds a frame, waiting until the window has room.
@@ -232,6 +234,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<CallId, Arc<CallBuffer>>> {
-        self.buffers.lock().expect("no holder of the lock panics")
+        self.buffers
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/daemon/src/events.rs
+++ b/crates/daemon/src/events.rs
@@ -222,7 +222,7 @@
     AcceptFailed = 820, Warn, "connection not accepted";
 }
 
-/// Logs a numbered [`Event`](crate::events::Event), optionally with the id of the request concerned and a formatted detail.
+/// Logs a numbered [`Event`], optionally with the id of the request concerned and a formatted detail.
 #[macro_export]
 macro_rules! event {
     ($event:expr) => {{
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -45,7 +45,9 @@
 static RETRY_BUDGET: Mutex<Option<RetryBudget>> = Mutex::new(None);
 
 fn with_retry_budget<T>(update: impl FnOnce(&mut RetryBudget) -> T) -> T {
-    let mut budget = RETRY_BUDGET.lock().expect("no holder of the lock panics");
+    let mut budget = RETRY_BUDGET
+        .lock()
+        .expect("no thread panics while it holds the lock");
     update(
         budget.get_or_insert_with(|| {
             RetryBudget::new(RETRY_BUDGET_CAPACITY, RETRY_BUDGET_PER_REQUEST)
@@ -314,11 +316,11 @@
 
     fn decide_next(&self, end: AttemptEnd, broken_since: Option<Instant>) -> RetryDecision {
         let input = RetryInput {
-            rule: self.request.rule,
+            repeatability: self.request.rule,
             end,
             attempts: self.attempt + 1,
-            given_back: self.not_run_count,
-            given_back_since: self.not_run_since,
+            not_run_count: self.not_run_count,
+            not_run_since: self.not_run_since,
             answer_started: self.answer_started,
             broken_since,
             now: clock::now(),
@@ -376,7 +378,7 @@
             target: None,
             class: self.request.class,
             output_tokens: self.request.output_tokens(),
-            avoid: self.excluded_targets.clone(),
+            excluded: self.excluded_targets.clone(),
         };
         match self
             .context
@@ -413,7 +415,7 @@
             target: Some(location.target.clone()),
             class: self.request.class,
             output_tokens: 0,
-            avoid: Vec::new(),
+            excluded: Vec::new(),
         };
         match self
             .context
@@ -524,7 +526,7 @@
                 drop(call.answered());
                 AttemptOutcome::Final(CallEnd::Complete)
             }
-            CallEnd::NotRun(proof) => match call.given_back(&proof) {
+            CallEnd::NotRun(proof) => match call.into_unsent(&proof) {
                 Ok(unsent) => {
                     if matches!(
                         proof.reason,
--- a/crates/daemon/src/operators/mod.rs
+++ b/crates/daemon/src/operators/mod.rs
@@ -58,7 +58,7 @@
         OperatorError::InsufficientRole { .. } => StatusCode::FORBIDDEN,
         OperatorError::Parse(_) | OperatorError::Query(_) => StatusCode::BAD_REQUEST,
         OperatorError::Conflict(..) => StatusCode::CONFLICT,
-        OperatorError::LogUnavailable => StatusCode::SERVICE_UNAVAILABLE,
+        OperatorError::LogUnreachable => StatusCode::SERVICE_UNAVAILABLE,
         OperatorError::OutcomeUnknown(_) => StatusCode::GATEWAY_TIMEOUT,
         OperatorError::NotFound(_) => StatusCode::NOT_FOUND,
     }
@@ -71,7 +71,7 @@
         OperatorError::Parse(_) => "parse",
         OperatorError::Query(_) => "query",
         OperatorError::Conflict(..) => "conflict",
-        OperatorError::LogUnavailable => "log_out",
+        OperatorError::LogUnreachable => "log_out",
         OperatorError::OutcomeUnknown(_) => "outcome_unknown",
         OperatorError::NotFound(_) => "not_found",
     }
--- a/crates/daemon/src/options/settings.rs
+++ b/crates/daemon/src/options/settings.rs
@@ -108,7 +108,7 @@
     /// Shortest interval between two heartbeats.
     pub heartbeat_interval: Duration,
     /// Timeouts of failure detection.
-    pub times: MembershipTimeouts,
+    pub timeouts: MembershipTimeouts,
 }
 
 /// Delays of a planned stop.
@@ -222,7 +222,7 @@
 fn read_membership(section: &SectionReader<'_>) -> MembershipSettings {
     MembershipSettings {
         heartbeat_interval: section.millis("heartbeat_ms", 200, 10, 10_000),
-        times: MembershipTimeouts {
+        timeouts: MembershipTimeouts {
             suspect_after: section.millis("suspect_after_ms", 1200, 50, 60_000),
             take_over_after: section.millis("take_over_after_ms", 6000, 100, 600_000),
             delivery_bound: section.millis("delivery_bound_ms", 5000, 100, 600_000),
--- a/crates/daemon/src/peers/link.rs
+++ b/crates/daemon/src/peers/link.rs
@@ -52,7 +52,9 @@
 
 impl LinkCalls {
     fn lock(&self) -> MutexGuard<'_, HashMap<CallId, mpsc::UnboundedSender<LinkEvent>>> {
-        self.calls.lock().expect("no holder of the lock panics")
+        self.calls
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
     // The channel needs no bound of its own: the sender keeps at most `FRAME_WINDOW` frames unacknowledged.
@@ -135,7 +137,12 @@
 
     /// Changes the address for the next connection attempt.
     pub fn set_address(&self, address: &str) {
-        address.clone_into(&mut self.address.lock().expect("no holder of the lock panics"));
+        address.clone_into(
+            &mut self
+                .address
+                .lock()
+                .expect("no thread panics while it holds the lock"),
+        );
     }
 
     /// Queues a message if the link is connected and the queue has room; returns whether it did.
@@ -192,7 +199,7 @@
             let address = self
                 .address
                 .lock()
-                .expect("no holder of the lock panics")
+                .expect("no thread panics while it holds the lock")
                 .clone();
             let dialled = timeout(CONNECT_TIMEOUT, dial(&address, &self.hello)).await;
             match dialled {
--- a/crates/daemon/src/platform/reader.rs
+++ b/crates/daemon/src/platform/reader.rs
@@ -47,7 +47,7 @@
             Err(ReadError::Unreachable(cause)) => {
                 wait = Duration::ZERO;
                 tokio::time::sleep(RETRY_INTERVAL).await;
-                AppEvent::LogUnavailable(cause)
+                AppEvent::LogUnreachable(cause)
             }
         };
         if events.send(event).await.is_err() {
--- a/crates/daemon/tests/direct/engine_simulator.rs
+++ b/crates/daemon/tests/direct/engine_simulator.rs
@@ -244,7 +244,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, SimulatorState> {
-        self.state.lock().expect("no holder of the lock panics")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Applies all due changes, and returns the current state.
--- a/crates/daemon/tests/direct/notices.rs
+++ b/crates/daemon/tests/direct/notices.rs
@@ -42,18 +42,27 @@
     fn note(&self, request: &RawRequest) {
         if is_call(request) {
             let id = request.header("hoplanding-request-id").unwrap_or_default();
-            let mut arrivals = self.0.lock().expect("no holder panics");
+            let mut arrivals = self
+                .0
+                .lock()
+                .expect("no thread panics while it holds the lock");
             arrivals.push((Instant::now(), id.to_owned()));
         }
     }
 
     fn count(&self) -> usize {
-        self.0.lock().expect("no holder panics").len()
+        self.0
+            .lock()
+            .expect("no thread panics while it holds the lock")
+            .len()
     }
 
     /// Calls of a VM during the backoff that its first call was answered with.
     fn during_backoff(&self, vm: &str) -> usize {
-        let arrivals = self.0.lock().expect("no holder panics");
+        let arrivals = self
+            .0
+            .lock()
+            .expect("no thread panics while it holds the lock");
         let of_vm: Vec<_> = arrivals
             .iter()
             .filter(|(_, id)| id.starts_with(vm))
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -50,14 +50,14 @@
     ReservedHeaders,
     /// An answer whose framing is complete has exactly the target's content, without gaps or duplicates.
     CompleteAnswer,
-    /// A draining target gets no new requests after [`DRAIN_TIMEOUT`].
+    /// A draining target gets no new requests after `DRAIN_TIMEOUT`.
     Draining,
     /// A target that announced draining in an answer gets no new requests from the VM that received the answer after
-    /// [`DRAIN_TIMEOUT`].
+    /// `DRAIN_TIMEOUT`.
     AnnouncedDraining,
     /// A target gets no more than two requests from a VM within the `Retry-After` period it sent to that VM.
     RetryAfter,
-    /// Every VM in contact applies a new configuration within [`CONFIG_APPLY_TIMEOUT`].
+    /// Every VM in contact applies a new configuration within `CONFIG_APPLY_TIMEOUT`.
     ConfigDeadline,
     /// Log calls stay below their rate limit under every fault.
     LogCallRate,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -228,7 +228,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, ProcessState> {
-        self.state.lock().expect("the lock is not poisoned")
+        self.state
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
 
@@ -272,7 +274,9 @@
                 .as_str()
                 .and_then(|text| text.split("callers ").nth(1)?.split(',').next())
                 .and_then(|text| text.parse().ok());
-            let mut state = state.lock().expect("the lock is not poisoned");
+            let mut state = state
+                .lock()
+                .expect("no thread panics while it holds the lock");
             if state.run == run {
                 state.callers = callers;
             }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -250,7 +250,10 @@
     /// Panics if another thread panicked while it held the lock.
     pub fn record(&self, event: HistoryEvent) {
         let at = self.start.elapsed();
-        let mut entries = self.entries.lock().expect("the lock is not poisoned");
+        let mut entries = self
+            .entries
+            .lock()
+            .expect("no thread panics while it holds the lock");
         entries.push(TimedEntry { at, event });
     }
 
@@ -262,7 +265,7 @@
     pub fn entries(&self) -> Vec<TimedEntry> {
         self.entries
             .lock()
-            .expect("the lock is not poisoned")
+            .expect("no thread panics while it holds the lock")
             .clone()
     }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -265,14 +265,20 @@
 
     /// Writes a record on behalf of an operator or a target, and keeps it for [`Self::rewrite_lost_records`].
     fn write(&self, topic: &'static str, key: &str, value: Option<&str>) {
-        let mut written = self.written.lock().expect("the lock is not poisoned");
+        let mut written = self
+            .written
+            .lock()
+            .expect("no thread panics while it holds the lock");
         written.insert((topic, key.to_owned()), value.map(str::to_owned));
         self.log.put(topic, key, value);
     }
 
     /// Rewrites the records of operators and targets that the restored log lacks.
     fn rewrite_lost_records(&self) {
-        let written = self.written.lock().expect("the lock is not poisoned");
+        let written = self
+            .written
+            .lock()
+            .expect("no thread panics while it holds the lock");
         for ((topic, key), value) in written.iter() {
             if self.log.newest(topic, key) != *value {
                 self.log.put(topic, key, value.as_deref());
@@ -543,7 +549,7 @@
         let mut newest = self
             .newest_version
             .lock()
-            .expect("the lock is not poisoned");
+            .expect("no thread panics while it holds the lock");
         *newest += 1;
         let version = *newest;
         let mut value = json!({ "model": BASE_MODEL, "version": version });
@@ -629,6 +635,8 @@
     }
 
     fn lock_targets(&self) -> std::sync::MutexGuard<'_, Vec<Arc<SoakTarget>>> {
-        self.targets.lock().expect("the lock is not poisoned")
+        self.targets
+            .lock()
+            .expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -621,5 +621,7 @@
 }
 
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
-    state.lock().expect("the lock is not poisoned")
+    state
+        .lock()
+        .expect("no thread panics while it holds the lock")
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -162,7 +162,7 @@
     fn lock(&self) -> MutexGuard<'_, EngineState> {
         self.state
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 }
 
@@ -272,7 +272,7 @@
     let mut buffer = stream
         .buffer
         .lock()
-        .expect("lock is not poisoned: no holder panics");
+        .expect("no thread panics while it holds the lock");
     if !buffer.done {
         buffer.broken = true;
     }
--- a/crates/standins/src/engine/http.rs
+++ b/crates/standins/src/engine/http.rs
@@ -262,7 +262,7 @@
             .handle
             .buffer
             .lock()
-            .expect("lock is not poisoned: no holder panics");
+            .expect("no thread panics while it holds the lock");
         let end = if self.breaks_early {
             buffer.tokens.len().min(BREAK_AFTER_TOKENS)
         } else {
--- a/crates/standins/src/engine/steps.rs
+++ b/crates/standins/src/engine/steps.rs
@@ -118,7 +118,7 @@
             .stream
             .buffer
             .lock()
-            .expect("lock is not poisoned: no holder panics");
+            .expect("no thread panics while it holds the lock");
         buffer.tokens.push(text);
         buffer.done = sequence.generated_tokens >= sequence.max_tokens;
     }
--- a/crates/standins/src/keyed_log.rs
+++ b/crates/standins/src/keyed_log.rs
@@ -96,7 +96,7 @@
     fn lock(&self) -> MutexGuard<'_, LogState> {
         self.state
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 
     /// Counts a call and returns a refusal if the log is unavailable.
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -83,7 +83,7 @@
     fn lock(&self) -> MutexGuard<'_, PlatformState> {
         self.state
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 
     fn is_unreachable(&self, request: &Request) -> bool {
--- a/crates/standins/src/prompt_cache.rs
+++ b/crates/standins/src/prompt_cache.rs
@@ -114,6 +114,6 @@
     fn lock(&self) -> MutexGuard<'_, HashMap<SocketAddr, CachedVersions>> {
         self.engines
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 }
--- a/crates/standins/src/raw_target.rs
+++ b/crates/standins/src/raw_target.rs
@@ -185,7 +185,7 @@
                 let Ok((stream, _)) = accepted else { return };
                 *connection_count
                     .lock()
-                    .expect("lock is not poisoned: no holder panics") += 1;
+                    .expect("no thread panics while it holds the lock") += 1;
                 let Some(permit) = limit.acquire() else {
                     continue;
                 };
@@ -218,7 +218,7 @@
     pub fn requests(&self) -> Vec<RawRequest> {
         self.requests
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
             .clone()
     }
 
@@ -231,7 +231,7 @@
         *self
             .connections
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 }
 
@@ -255,7 +255,7 @@
             return Ok(());
         };
         seen.lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
             .push(request.clone());
         if should_crash(&request) {
             crash.send_replace(true);
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -78,7 +78,7 @@
     fn lock(&self) -> MutexGuard<'_, ServiceState> {
         self.state
             .lock()
-            .expect("lock is not poisoned: no holder panics")
+            .expect("no thread panics while it holds the lock")
     }
 }
 
@@ -88,7 +88,7 @@
     let (delay, is_lost) = {
         let mut state = state
             .lock()
-            .expect("lock is not poisoned: no holder panics");
+            .expect("no thread panics while it holds the lock");
         // GET calls change nothing and may be repeated, so they are not counted.
         if request.method() != poem::http::Method::GET {
             *state.runs.entry(text.clone()).or_default() += 1;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -187,7 +187,11 @@
         });
     }
     while workers.join_next().await.is_some() {}
-    let mut report = std::mem::take(&mut *report.lock().expect("no holder of the lock panics"));
+    let mut report = std::mem::take(
+        &mut *report
+            .lock()
+            .expect("no thread panics while it holds the lock"),
+    );
     let after = step_totals(site);
     let seats = (after.0 - before.0) * site.config.model.batch as u64;
     report.batch_efficiency = (after.1 - before.1) as f64 / seats.max(1) as f64;
@@ -240,7 +244,9 @@
         sleep(Duration::from_millis(50 * (attempt as u64 + 1).min(10))).await;
     }
     record_result(
-        &mut report.lock().expect("no holder of the lock panics"),
+        &mut report
+            .lock()
+            .expect("no thread panics while it holds the lock"),
         call,
         &result,
     );
