--- a/crates/cli/src/account/summary.rs
+++ b/crates/cli/src/account/summary.rs
@@ -36,7 +36,8 @@
     /// Rows by span; within a span those in time come last, and larger counts first.
     pub rows: Vec<AccountRow>,
     /// Requests without a line that tells how they ended.
-    pub untold: usize,
+    #[serde(rename = "untold")]
+    pub unknown_outcomes: usize,
     /// Files with lines that could not be parsed, and how many.
     pub unreadable: Vec<(String, usize)>,
 }
@@ -45,10 +46,10 @@
 #[must_use]
 pub fn summarize(log: &RequestLog, span_s: u32) -> AccountTable {
     let mut groups = BTreeMap::<_, Vec<(String, f64)>>::new();
-    let mut untold = 0;
+    let mut unknown_outcomes = 0;
     for (id, lines) in &log.requests {
         let Some(outcome) = classify(lines) else {
-            untold += 1;
+            unknown_outcomes += 1;
             continue;
         };
         let zone = zone_of(log, lines);
@@ -83,7 +84,7 @@
     });
     AccountTable {
         rows,
-        untold,
+        unknown_outcomes,
         unreadable: log.unreadable.clone(),
     }
 }
@@ -130,11 +131,11 @@
         }
         writeln!(f, "{}", table.trim_fmt())?;
         write!(f, "({} rows)", self.rows.len())?;
-        if self.untold > 0 {
+        if self.unknown_outcomes > 0 {
             write!(
                 f,
                 "\n{} requests have no line that tells how they ended",
-                self.untold
+                self.unknown_outcomes
             )?;
         }
         for (file, count) in &self.unreadable {
--- a/crates/cli/tests/account.rs
+++ b/crates/cli/tests/account.rs
@@ -141,7 +141,7 @@
         lines.sort_by_key(|line| line.entry.timestamp);
     }
     let table = summarize(&log, 10);
-    assert_eq!(table.untold, 1);
+    assert_eq!(table.unknown_outcomes, 1);
     assert_eq!(table.unreadable, [("b.log".to_owned(), 2)]);
     let row = &table.rows[0];
     assert_eq!((row.route.as_str(), row.zone.as_str()), ("r", "hall"));
--- a/crates/daemon/src/app/event_loop.rs
+++ b/crates/daemon/src/app/event_loop.rs
@@ -74,7 +74,7 @@
             AppEvent::Tick => self.tick(now),
             AppEvent::LogRead(batch) => self.log_read(batch, now),
             AppEvent::LogExpired(earliest) => self.log_expired(earliest),
-            AppEvent::LogUnreachable(cause) => self.log_out(&cause),
+            AppEvent::LogUnreachable(cause) => self.log_unreachable(&cause),
             AppEvent::Appended(tickets, outcome) => self.appended(&tickets, outcome, now),
             AppEvent::VmsListed(list) => self.vms_listed(&list, now),
             AppEvent::LinkUp(vm) => self.link_up(&vm),
@@ -101,7 +101,7 @@
             AppEvent::FirstToken(call, target) => self.first_token(call, &target),
             AppEvent::StreamEnded(call, target, end) => self.stream_ended(call, &target, end, now),
             AppEvent::OrderDone(report) => self.order_finished(&report, now),
-            AppEvent::Operator(request, reply) => self.operator(&request, reply, now),
+            AppEvent::Operator(request, reply) => self.operator_requested(&request, reply, now),
             AppEvent::IsReady(reply) => answer(reply, self.is_ready()),
             AppEvent::Stop(reply) => self.begin_stop(reply, now),
         }
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -170,7 +170,7 @@
         }
     }
 
-    pub(super) fn log_out(&mut self, cause: &str) {
+    pub(super) fn log_unreachable(&mut self, cause: &str) {
         if self.feed.is_available {
             self.feed.is_available = false;
             event!(Event::LogUnreachable, "{cause}");
--- a/crates/daemon/src/app/queries.rs
+++ b/crates/daemon/src/app/queries.rs
@@ -30,7 +30,12 @@
 }
 
 impl AppState {
-    pub(super) fn operator(&mut self, request: &OperatorRequest, reply: QueryReply, now: Instant) {
+    pub(super) fn operator_requested(
+        &mut self,
+        request: &OperatorRequest,
+        reply: QueryReply,
+        now: Instant,
+    ) {
         match self.start_statement(request, now) {
             Err(error) => {
                 let _ = reply.send(Err(error));
--- a/crates/daemon/src/calls/request.rs
+++ b/crates/daemon/src/calls/request.rs
@@ -106,7 +106,8 @@
     /// Priority class.
     pub class: PriorityClass,
     /// Whether the request may be repeated.
-    pub rule: RequestRepeatability,
+    #[serde(rename = "rule")]
+    pub repeatability: RequestRepeatability,
     /// Idempotency token or key of the caller.
     pub idempotency: Option<String>,
     /// Remaining time until the deadline, in milliseconds.
--- a/crates/daemon/src/gateway/driver.rs
+++ b/crates/daemon/src/gateway/driver.rs
@@ -316,7 +316,7 @@
 
     fn decide_next(&self, end: AttemptEnd, broken_since: Option<Instant>) -> RetryDecision {
         let input = RetryInput {
-            repeatability: self.request.rule,
+            repeatability: self.request.repeatability,
             end,
             attempts: self.attempt + 1,
             not_run_count: self.not_run_count,
@@ -361,7 +361,7 @@
     /// Ends a request that may have run: as failed if it is repeatable, else with an unknown outcome.
     fn give_up(&self, reason: &str) -> CallEnd {
         event!(Event::AnswerIncomplete, "{}: {reason}", self.id);
-        match self.request.rule {
+        match self.request.repeatability {
             RequestRepeatability::Repeatable => CallEnd::Failed(reason.to_owned()),
             RequestRepeatability::NotRepeatable => CallEnd::Unknown(reason.to_owned()),
         }
--- a/crates/daemon/src/gateway/http.rs
+++ b/crates/daemon/src/gateway/http.rs
@@ -191,7 +191,7 @@
     let submit = SubmitRequest {
         caller: admission.caller,
         class: admission.class,
-        rule: admission.resolved.repeatability,
+        repeatability: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Engine(work),
--- a/crates/daemon/src/gateway/services.rs
+++ b/crates/daemon/src/gateway/services.rs
@@ -65,7 +65,7 @@
     let submit = SubmitRequest {
         caller: admission.caller.clone(),
         class: admission.class,
-        rule: admission.resolved.repeatability,
+        repeatability: admission.resolved.repeatability,
         idempotency: idempotency_header(request),
         deadline_ms: context.deadline_ms(request),
         work: CallWork::Service(work),
