--- a/crates/daemon/src/app/event.rs
+++ b/crates/daemon/src/app/event.rs
@@ -232,7 +232,7 @@
     HolderGone(DaemonRef),
     /// The key was claimed for a request with another fingerprint.
     KeyReused,
-    /// The log is unavailable, so the key was not claimed.
+    /// The log is unreachable, so the key was not claimed.
     NotClaimed,
 }
 
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -349,7 +349,7 @@
                 ownership.is_some_and(|ownership| runtime.lease.check_unload(ownership, 0).is_ok());
             // An unload on a target that does not check fencing tokens needs an intent in the log.
             let can_announce =
-                runtime.lease.fence == FenceState::Acknowledged || self.feed.is_available;
+                runtime.lease.fence == FenceState::Acknowledged || self.feed.is_reachable;
             runtime.scheduler.set_may_evict(may_plan && can_announce);
             runtime.scheduler.update_victim_rate(&self.popularity, now);
         }
--- a/crates/daemon/src/app/idempotency.rs
+++ b/crates/daemon/src/app/idempotency.rs
@@ -120,7 +120,7 @@
             let _ = reply.send(answer);
             return;
         }
-        if !self.feed.is_available {
+        if !self.feed.is_reachable {
             let _ = reply.send(KeyClaimResult::NotClaimed);
             return;
         }
@@ -211,7 +211,7 @@
 
     /// Answers pending claims after an append that certainly failed while the log is unavailable.
     pub(super) fn claims_not_appended(&mut self, outcome: AppendOutcome) {
-        if outcome != AppendOutcome::NotAppended || self.feed.is_available {
+        if outcome != AppendOutcome::NotAppended || self.feed.is_reachable {
             return;
         }
         for (_, _, reply) in self.pending_claims.drain().flat_map(|(_, waiting)| waiting) {
--- a/crates/daemon/src/app/log_feed.rs
+++ b/crates/daemon/src/app/log_feed.rs
@@ -17,12 +17,12 @@
 /// Records in a full batch; a batch with fewer reached the end of the log.
 const FULL_BATCH_RECORDS: usize = 1000;
 
-/// Reading position and availability of the log, beside its folded state.
+/// Reading position and reachability of the log, beside its folded state.
 #[derive(Debug, Default)]
 pub struct LogFeed {
     /// Whether the last read succeeded.
-    pub(super) is_available: bool,
-    /// Whether the end of the log was reached once, or a peer's snapshot was adopted while the log was unavailable.
+    pub(super) is_reachable: bool,
+    /// Whether the end of the log was reached once, or a peer's snapshot was adopted while the log was unreachable.
     pub(super) is_caught_up: bool,
     /// Earliest offset that the log still has.
     pub(super) earliest: LogOffset,
@@ -45,8 +45,8 @@
     }
 
     pub(super) fn log_read(&mut self, batch: LogBatch, now: Instant) {
-        if !self.feed.is_available {
-            self.feed.is_available = true;
+        if !self.feed.is_reachable {
+            self.feed.is_reachable = true;
             event!(Event::LogReachable, "at offset {}", self.folded.applied);
         }
         self.feed.read_at = Some(now);
@@ -171,8 +171,8 @@
     }
 
     pub(super) fn log_unreachable(&mut self, cause: &str) {
-        if self.feed.is_available {
-            self.feed.is_available = false;
+        if self.feed.is_reachable {
+            self.feed.is_reachable = false;
             event!(Event::LogUnreachable, "{cause}");
         }
         if !self.feed.is_caught_up {
@@ -193,7 +193,7 @@
             return;
         }
         event!(Event::SnapshotAdopted, "offset {offset} from {source}");
-        if !self.has_gap() && !self.feed.is_available {
+        if !self.has_gap() && !self.feed.is_reachable {
             // Without the log, a peer's state is the newest available; `show lag` shows how old it may be.
             self.feed.is_caught_up = true;
         }
@@ -219,7 +219,7 @@
         let new_records =
             self.folded.applied.0 - self.folded.snapshot_through.0.min(self.folded.applied.0);
         if new_records < self.settings.snapshot_record_interval
-            || !self.feed.is_available
+            || !self.feed.is_reachable
             || self.has_gap()
         {
             self.feed.snapshot_due_since = None;
--- a/crates/daemon/src/app/ownership.rs
+++ b/crates/daemon/src/app/ownership.rs
@@ -46,7 +46,7 @@
     }
 
     fn take_over_targets(&mut self, now: Instant) {
-        if !self.feed.is_available
+        if !self.feed.is_reachable
             || !self.is_ready()
             || now.since(self.last.takeover) < READ_BACK_PAUSE
         {
--- a/crates/daemon/src/app/stopping.rs
+++ b/crates/daemon/src/app/stopping.rs
@@ -99,7 +99,7 @@
         };
         // Without a peer or without the log, targets can't be handed over; running requests are still finished.
         let targets_handed_over =
-            report.remaining_targets == 0 || has_no_successor || !self.feed.is_available;
+            report.remaining_targets == 0 || has_no_successor || !self.feed.is_reachable;
         let requests_finished = report.open_requests == 0 && self.workers.calls.is_empty();
         let tokens_handed_over = stop.tokens_accepted || has_no_successor;
         if (requests_finished && targets_handed_over && tokens_handed_over) || elapsed >= timeout {
--- a/crates/daemon/src/app/tables.rs
+++ b/crates/daemon/src/app/tables.rs
@@ -387,7 +387,7 @@
             CellValue::text(&self.me.vm),
             CellValue::text(&self.zone),
             CellValue::Number(self.folded.applied.0 as f64),
-            CellValue::text(if self.feed.is_available { "up" } else { "out" }),
+            CellValue::text(if self.feed.is_reachable { "up" } else { "out" }),
             read,
             CellValue::Bool(self.is_ready()),
             CellValue::count(self.config().adapters.len()),
