--- a/crates/core/src/direct/engine/mod.rs
+++ b/crates/core/src/direct/engine/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Updates the platform's entry. An entry of an older life, which a report may have superseded before the list did,
-    /// is ignored. An entry without a life is applied to the current one, as it still tells whether the engine accepts
+    /// is ignored. An entry without a life is applied to the current one, as it still shows whether the engine accepts
     /// work.
     pub fn update_entry(&mut self, entry: Arc<TargetEntry>, now: Instant) {
         let life = self.entry.life;
@@ -273,11 +273,11 @@
                 copy.pinned_until = Instant::default();
             }
         }
-        let still_there = self
+        let unloading_copy = self
             .unloading
             .as_ref()
             .and_then(|adapter| self.copies.get_mut(adapter));
-        match still_there {
+        match unloading_copy {
             Some(copy) => copy.state = CopyState::Unloading,
             None => self.unloading = None,
         }
@@ -360,7 +360,7 @@
     /// Number of adapter loads from the weight store in progress, including an unanswered order.
     #[must_use]
     pub fn store_loads_in_flight(&self, now: Instant) -> usize {
-        let coming = self
+        let loading = self
             .copies
             .values()
             .filter(|copy| copy.load.is_some())
@@ -371,11 +371,11 @@
                 && split_subject(&order.subject).1.is_some()
                 && !self.was_recently_loaded(&order.subject, order.version)
         });
-        coming + usize::from(is_pending)
+        loading + usize::from(is_pending)
     }
 
     /// Returns the load that a call waited for and marks it as judged. The returned value has the previous mark, so
-    /// that only the first call after a load tells whether the load was in time.
+    /// that only the first call after a load shows whether the load was in time.
     pub fn resolve_load(&mut self, key: &CallKey) -> Option<StoreLoad> {
         let call = self.calls.get(key)?;
         let load = self.copies.get_mut(&call.subject)?.load.as_mut()?;
@@ -434,7 +434,7 @@
     /// the weight store.
     #[must_use]
     pub fn was_recently_loaded(&self, adapter: &AdapterName, named_version: Option<u64>) -> bool {
-        let mut had = self.recent_loads.iter();
-        had.any(|(had, version)| had == adapter && *version == named_version)
+        let mut recent = self.recent_loads.iter();
+        recent.any(|(recent, version)| recent == adapter && *version == named_version)
     }
 }
--- a/crates/core/tests/load/quotas.rs
+++ b/crates/core/tests/load/quotas.rs
@@ -5,7 +5,7 @@
 use crate::simulation::seeds;
 use hoplanding_core::{
     direct::quotas::{
-        BucketStart, HolderTenure, QuotaBounds, QuotaCharge, QuotaLedger, QuotaRule, QuotaUnit,
+        BucketStart, HolderTenure, QuotaBounds, QuotaCharge, QuotaRule, QuotaTable, QuotaUnit,
     },
     ids::{Instant, OrganisationName},
 };
@@ -79,7 +79,7 @@
     let rules: Vec<_> = (0..SHARES.len())
         .map(|at| (organisation_name(at), quota_rule(at)))
         .collect();
-    let mut ledgers: Vec<_> = (0..count)
+    let mut quota_tables: Vec<_> = (0..count)
         .map(|_| {
             let times = HolderTenure {
                 sole_until: Instant(u64::MAX >> 1),
@@ -87,14 +87,14 @@
                 has_predecessor: false,
                 window: BOUNDS.window,
             };
-            let mut ledger = QuotaLedger::new(BOUNDS, count as u32, BucketStart::Full, times);
-            ledger.set_rules(
+            let mut quota_table = QuotaTable::new(BOUNDS, count as u32, BucketStart::Full, times);
+            quota_table.set_rules(
                 rules
                     .iter()
                     .map(|(organisation_name, quota_rule)| (organisation_name, quota_rule)),
                 Instant(1),
             );
-            ledger
+            quota_table
         })
         .collect();
     let mut result = QuotaResult::default();
@@ -127,8 +127,8 @@
             };
             let now = Instant((now_s * 1e6) as u64 + 1);
             let is_charged = (0..ledgers_tried).any(|step| {
-                let ledger = &mut ledgers[(first + step) % count];
-                ledger.charge(&charge, now).is_ok()
+                let quota_table = &mut quota_tables[(first + step) % count];
+                quota_table.charge(&charge, now).is_ok()
             });
             if organisation == 1 {
                 if is_charged {
--- a/crates/daemon/src/app/holder.rs
+++ b/crates/daemon/src/app/holder.rs
@@ -349,13 +349,13 @@
                 ownership.is_some_and(|ownership| runtime.lease.check_unload(ownership, 0).is_ok());
             // An unload on a target that does not check fencing tokens needs an intent in the log.
             let can_announce =
-                runtime.lease.fence == FenceState::Acknowledged || self.feed.is_available;
+                runtime.lease.fence == FenceState::Acknowledged || self.feed.is_reachable;
             runtime.scheduler.set_may_evict(may_plan && can_announce);
             runtime.scheduler.update_victim_rate(&self.popularity, now);
         }
     }
 
-    /// Makes an unreachable plain service eligible again after one tick of a second.
+    /// Marks an unreachable plain service as reachable again, at the next one-second tick.
     fn retry_service(&mut self, target: &TargetName) {
         if let Some(runtime) = self.held_targets.get_mut(target) {
             runtime.is_reachable = true;
--- a/crates/daemon/src/app/orders.rs
+++ b/crates/daemon/src/app/orders.rs
@@ -370,7 +370,7 @@
         if matches!(report.result, Err(OrderError::Stale)) {
             event!(
                 Event::TargetLost,
-                "{}: the target refused the fencing token for a newer one",
+                "{}: the target refused the fencing token because it knows a newer one",
                 report.target
             );
         }
@@ -473,7 +473,7 @@
 
     fn mark_order_unknown(&mut self, target: &TargetName, cause: &str, now: Instant) {
         event!(Event::OrderOutcomeUnknown, "{target}: {cause}");
-        let until = now.after(self.settings.membership.times.delivery_bound);
+        let until = now.after(self.settings.membership.timeouts.delivery_bound);
         let Some(pending) = self
             .held_targets
             .get_mut(target)
--- a/crates/daemon/src/direct/trials.rs
+++ b/crates/daemon/src/direct/trials.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct TrialPermit {
     holder_client: Arc<HolderClient>,
-    /// The zone whose holder was asked for the permit.
+    /// The zone whose holder received the request for the permit.
     zone: AvailabilityZone,
     number: u64,
     fingerprint: RequestFingerprint,
@@ -69,7 +69,7 @@
 
 impl FleetState {
     /// Records that a target crashed while it ran a request; returns whether that was not known before.
-    pub fn note_ended_under(&self, crash: &TargetCrash) -> bool {
+    pub fn record_crash(&self, crash: &TargetCrash) -> bool {
         let now = clock::now();
         let mut tables = self.tables();
         if !tables.suspects.record_crash(crash, now) {
--- a/crates/daemon/tests/failures.rs
+++ b/crates/daemon/tests/failures.rs
@@ -3,7 +3,7 @@
 //! docs/FAILURES.md lists the failure cases.
 
 use hoplanding_standins::{
-    engine::{EngineModel, expected_answer},
+    engine::{EngineModel, expected_completion},
     relay::LinkState,
 };
 use hoplanding_testbed::{
@@ -33,7 +33,7 @@
 /// Returns the VM that holds a target, as shown by the daemon on `vm`.
 async fn holder_of(site: &TestSite, vm: &str, target: &str) -> String {
     let shown = site
-        .operate(vm, &format!("show targets where target = \"{target}\""))
+        .execute_statement(vm, &format!("show targets where target = \"{target}\""))
         .await
         .expect("rows");
     let row = &shown["table"]["rows"][0];
@@ -55,7 +55,7 @@
 /// and the leases of the killed daemon are settled.
 #[tokio::test(flavor = "multi_thread")]
 async fn killed_holder_streams_resume_and_targets_are_taken_over() {
-    let mut config = SiteConfig::zones(1, 2, 2, 12);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
     let target = "engine-a1";
@@ -74,13 +74,13 @@
     }
     sleep(Duration::from_millis(700)).await;
     site.kill_daemon(&holder);
-    site.platform.unlist_vm(&holder);
+    site.platform.remove_vm(&holder);
     while let Some(ended) = streams.join_next().await {
         let (model, result) = ended.expect("no task panics");
         assert_eq!(result.error, None, "{}", result.message);
         assert_eq!(
             result.text,
-            expected_answer(&format!("{model}@v1"), "berthing plan", 150)
+            expected_completion(&format!("{model}@v1"), "berthing plan", 150)
         );
     }
     site.wait_until_serving(Duration::from_secs(15))
@@ -89,7 +89,7 @@
     assert_eq!(holder_of(&site, gateway, target).await, gateway);
     wait_for("settling", async || {
         let shown = site
-            .operate(gateway, "show targets where predecessors > 0")
+            .execute_statement(gateway, "show targets where predecessors > 0")
             .await
             .expect("rows");
         shown["table"]["rows"].as_array().is_some_and(Vec::is_empty)
@@ -102,7 +102,7 @@
 /// The link is cut three times for 60 ms during one stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_survive_a_broken_peer_link() {
-    let mut config = SiteConfig::zones(1, 2, 1, 4);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 4);
     config.relays = true;
     config.model = slow_steps();
     let site = TestSite::start(config).await.expect("the site starts");
@@ -112,14 +112,14 @@
     let stream = tokio::spawn(async move { caller.complete(&call("adapter-0001", 120)).await });
     for _ in 0..3 {
         sleep(Duration::from_millis(250)).await;
-        site.set_links("a1", "a2", LinkState::Cut);
+        site.set_link_state("a1", "a2", LinkState::Cut);
         sleep(Duration::from_millis(60)).await;
-        site.set_links("a1", "a2", LinkState::Open);
+        site.set_link_state("a1", "a2", LinkState::Open);
     }
     let result = stream.await.expect("no task panics");
     assert_eq!(
         result.text,
-        expected_answer("adapter-0001@v1", "berthing plan", 120),
+        expected_completion("adapter-0001@v1", "berthing plan", 120),
         "{}",
         result.message
     );
@@ -130,7 +130,7 @@
 /// the changes that it missed once the partition ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn partitioned_zone_keeps_serving_and_recovers() {
-    let mut config = SiteConfig::zones(2, 2, 2, 8);
+    let mut config = SiteConfig::with_zones(2, 2, 2, 8);
     config.relays = true;
     let site = TestSite::start(config).await.expect("the site starts");
     for number in 0..8 {
@@ -138,9 +138,9 @@
             .caller("b1", NORMAL_TOKEN)
             .complete(&call(&format!("adapter-{number:04}"), 4))
             .await;
-        assert!(result.complete, "{}", result.message);
+        assert!(result.is_complete, "{}", result.message);
     }
-    site.set_zone_cut("zone-b", true);
+    site.set_zone_partitioned("zone-b", true);
     sleep(Duration::from_millis(900)).await;
     for vm in ["a1", "b1", "b2"] {
         for number in 0..4 {
@@ -149,24 +149,24 @@
                 .complete(&call(&format!("adapter-{number:04}"), 4))
                 .await;
             assert!(
-                result.complete,
+                result.is_complete,
                 "{vm}: {} {}",
                 result.status, result.message
             );
         }
     }
     let refused = site
-        .operate("b1", "create adapter new-one")
+        .execute_statement("b1", "create adapter new-one")
         .await
         .expect_err("the log is out of reach");
     assert!(refused.contains("log is out of reach"), "{refused}");
-    site.operate("a1", "create adapter new-one version v1")
+    site.execute_statement("a1", "create adapter new-one version v1")
         .await
         .expect("the connected zone accepts changes");
-    site.set_zone_cut("zone-b", false);
+    site.set_zone_partitioned("zone-b", false);
     wait_for("the change in the healed zone", async || {
         let shown = site
-            .operate("b2", "show adapters where adapter = new-one")
+            .execute_statement("b2", "show adapters where adapter = new-one")
             .await
             .expect("rows");
         shown["table"]["rows"]
@@ -183,17 +183,18 @@
 /// An outage of the log must neither fail requests nor move leases; changes work again after it.
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_and_leases_survive_a_log_outage() {
-    let mut config = SiteConfig::zones(1, 2, 2, 30);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 30);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let before = [
         holder_of(&site, "a1", "engine-a1").await,
         holder_of(&site, "a1", "engine-a2").await,
     ];
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     let load = LoadConfig {
         requests: 150,
-        at_once: 16,
+        concurrency: 16,
         skew: 1.2,
         seed: 3,
         progress: false,
@@ -206,9 +207,10 @@
         holder_of(&site, "a1", "engine-a2").await,
     ];
     assert_eq!(before, after);
-    site.platform.set_faults(|faults| faults.out = false);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = false);
     wait_for("a change after the outage", async || {
-        site.operate("a1", "keep adapter adapter-0001 ready")
+        site.execute_statement("a1", "keep adapter adapter-0001 ready")
             .await
             .is_ok()
     })
@@ -218,15 +220,15 @@
 /// A change whose append succeeded without an answer must be accepted and must take effect once.
 #[tokio::test(flavor = "multi_thread")]
 async fn change_with_lost_append_answer_is_read_back_once() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
-    site.platform.set_faults(|faults| faults.lose_answers = 1);
-    site.operate("a1", "create adapter found-again version v1")
+    site.platform.set_faults(|faults| faults.lost_responses = 1);
+    site.execute_statement("a1", "create adapter found-again version v1")
         .await
         .expect("read back though its answer was lost");
     let shown = site
-        .operate("a2", "show changes where text like \"*found-again*\"")
+        .execute_statement("a2", "show changes where text like \"*found-again*\"")
         .await
         .expect("rows");
     assert_eq!(
@@ -239,10 +241,10 @@
 /// Two changes based on the same revision must not overwrite each other: the second one is refused with its reason.
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_conflicting_changes_report_the_conflict() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 1, 2))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 1, 2))
         .await
         .expect("the site starts");
-    site.operate(
+    site.execute_statement(
         "a1",
         "publish version v2 of adapter-0000; publish version v3 of adapter-0000",
     )
@@ -253,8 +255,8 @@
     site.platform
         .set_faults(|faults| faults.append_delay = Duration::from_millis(200));
     let (one, two) = tokio::join!(
-        site.operate("a1", "make current version v2 of adapter-0000"),
-        site.operate("a2", "make current version v3 of adapter-0000"),
+        site.execute_statement("a1", "make current version v2 of adapter-0000"),
+        site.execute_statement("a2", "make current version v3 of adapter-0000"),
     );
     let (won, lost) = if one.is_ok() { (one, two) } else { (two, one) };
     assert!(won.is_ok(), "{won:?}");
@@ -269,7 +271,7 @@
         let mut currents = Vec::new();
         for vm in ["a1", "a2"] {
             let shown = site
-                .operate(vm, "show adapters where adapter = adapter-0000")
+                .execute_statement(vm, "show adapters where adapter = adapter-0000")
                 .await
                 .expect("rows");
             currents.push(shown["table"]["rows"][0][1].clone());
@@ -282,8 +284,8 @@
 /// An engine loses its adapters by a restart. Holders must detect that, serve requests again and preload adapters.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_engine_is_detected_and_reloaded() {
-    let mut config = SiteConfig::zones(1, 1, 2, 6);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 1, 2, 6);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     let caller = site.caller("a1", NORMAL_TOKEN);
     for round in 0..3 {
@@ -291,7 +293,7 @@
             let result = caller
                 .complete(&call(&format!("adapter-{number:04}"), 3))
                 .await;
-            assert!(result.complete, "round {round}: {}", result.message);
+            assert!(result.is_complete, "round {round}: {}", result.message);
         }
         site.engines
             .values()
@@ -310,7 +312,7 @@
 /// A failing load must refuse the waiting requests as not run, and must be retried after its backoff.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_loads_back_off_and_refuse_requests_as_not_run() {
-    let site = TestSite::start(SiteConfig::zones(1, 1, 1, 3))
+    let site = TestSite::start(SiteConfig::with_zones(1, 1, 1, 3))
         .await
         .expect("the site starts");
     let engine = &site.engines["engine-a1"];
@@ -325,9 +327,9 @@
         "{}",
         result.message
     );
-    assert!(result.retry_after);
+    assert!(result.has_retry_after);
     assert_eq!(
-        engine.truth().ran,
+        engine.stats().ran,
         0,
         "a request refused as not run was not run"
     );
@@ -335,7 +337,7 @@
         site.caller("a1", NORMAL_TOKEN)
             .complete(&call("adapter-0001", 3))
             .await
-            .complete
+            .is_complete
     })
     .await;
 }
@@ -344,7 +346,7 @@
 /// the request must be reported as failed, since its first attempt ran.
 #[tokio::test(flavor = "multi_thread")]
 async fn request_that_ran_is_not_reported_as_not_run() {
-    let mut config = SiteConfig::zones(1, 1, 1, 3);
+    let mut config = SiteConfig::with_zones(1, 1, 1, 3);
     // The first step takes 3 s, so that no token arrives before the restart and the request may be repeated.
     config.model = EngineModel {
         step_us: 3_000_000,
@@ -354,11 +356,11 @@
     let engine = &site.engines["engine-a1"];
     let caller = site.caller("a1", NORMAL_TOKEN);
     let answer = tokio::spawn(async move { caller.complete(&call("adapter-0001", 3)).await });
-    wait_for("the first run", async || engine.truth().ran == 1).await;
+    wait_for("the first run", async || engine.stats().ran == 1).await;
     engine.set_faults(|faults| faults.fail_loads = 100);
     engine.restart();
     let result = answer.await.expect("no task panics");
-    assert_eq!(engine.truth().ran, 1);
+    assert_eq!(engine.stats().ran, 1);
     assert_eq!(
         result.error.as_deref(),
         Some("failed"),
@@ -370,15 +372,15 @@
 /// A load whose answer is lost must not block its target: a later listing shows whether the adapter is loaded.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_order_answers_are_resolved_by_a_listing() {
-    let mut config = SiteConfig::zones(1, 1, 2, 10);
-    config.load = Duration::from_millis(10);
+    let mut config = SiteConfig::with_zones(1, 1, 2, 10);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     for engine in site.engines.values() {
-        engine.set_faults(|faults| faults.lose_order_answers = 1);
+        engine.set_faults(|faults| faults.lost_order_responses = 1);
     }
     let caller = site.caller("a1", NORMAL_TOKEN);
     wait_for("an answer after lost ones", async || {
-        caller.complete(&call("adapter-0003", 3)).await.complete
+        caller.complete(&call("adapter-0003", 3)).await.is_complete
     })
     .await;
     assert!(site.violations().is_empty(), "{:?}", site.violations());
@@ -387,7 +389,7 @@
 /// A stream that breaks between engine and holder must be resumed without lost or repeated tokens.
 #[tokio::test(flavor = "multi_thread")]
 async fn broken_streams_are_resumed_without_a_gap() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 2, 4))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 2, 4))
         .await
         .expect("the site starts");
     for engine in site.engines.values() {
@@ -401,7 +403,7 @@
                 .await;
             assert_eq!(
                 result.text,
-                expected_answer("adapter-0002@v1", "berthing plan", 20),
+                expected_completion("adapter-0002@v1", "berthing plan", 20),
                 "{}",
                 result.message
             );
@@ -413,7 +415,7 @@
 /// announces that it leaves.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_gets_no_new_requests() {
-    let site = TestSite::start(SiteConfig::zones(1, 2, 2, 6))
+    let site = TestSite::start(SiteConfig::with_zones(1, 2, 2, 6))
         .await
         .expect("the site starts");
     let caller = site.caller("a1", NORMAL_TOKEN);
@@ -421,16 +423,18 @@
     for source in 0..3 {
         match source {
             0 => {
-                site.operate("a2", "drain target engine-a1")
+                site.execute_statement("a2", "drain target engine-a1")
                     .await
                     .expect("drained");
             }
-            1 => site.platform.list_vm("engine-a1", "zone-a", "", "leaving"),
+            1 => site
+                .platform
+                .upsert_vm("engine-a1", "zone-a", "", "leaving"),
             _ => site.engines["engine-a1"].set_faults(|faults| faults.leaving = true),
         }
         wait_for("the drain", async || {
             let shown = site
-                .operate("a1", "show targets where target = engine-a1")
+                .execute_statement("a1", "show targets where target = engine-a1")
                 .await
                 .expect("rows");
             matches!(
@@ -440,21 +444,21 @@
         })
         .await;
         sleep(Duration::from_millis(200)).await;
-        let before = site.engines["engine-a1"].truth().ran;
+        let before = site.engines["engine-a1"].stats().ran;
         for number in 0..6 {
             let result = caller
                 .complete(&call(&format!("adapter-{number:04}"), 3))
                 .await;
             assert_eq!(result.target, "engine-a2", "{}", result.message);
         }
-        assert_eq!(site.engines["engine-a1"].truth().ran, before);
+        assert_eq!(site.engines["engine-a1"].stats().ran, before);
         match source {
             0 => {
-                site.operate("a2", "undrain target engine-a1")
+                site.execute_statement("a2", "undrain target engine-a1")
                     .await
                     .expect("undrained");
             }
-            1 => site.platform.unlist_vm("engine-a1"),
+            1 => site.platform.remove_vm("engine-a1"),
             _ => {}
         }
         sleep(Duration::from_millis(300)).await;
@@ -464,7 +468,7 @@
 /// A planned stop must hand over all targets, and each open request must complete or be refused as not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn planned_stop_interrupts_no_request() {
-    let mut config = SiteConfig::zones(1, 3, 3, 12);
+    let mut config = SiteConfig::with_zones(1, 3, 3, 12);
     config.model = slow_steps();
     let mut site = TestSite::start(config).await.expect("the site starts");
     let mut streams = JoinSet::new();
@@ -484,7 +488,7 @@
         let is_refused_as_not_run = result.error.as_deref() == Some("not_run");
         assert!(
             is_refused_as_not_run
-                || result.text == expected_answer(&format!("{model}@v1"), "berthing plan", 100),
+                || result.text == expected_completion(&format!("{model}@v1"), "berthing plan", 100),
             "{:?} {}",
             result.error,
             result.message
@@ -500,20 +504,20 @@
 /// Targets must stay consistent while two daemons use them, and the old leases must settle afterwards.
 #[tokio::test(flavor = "multi_thread")]
 async fn isolated_former_holder_does_not_violate_invariants() {
-    let mut config = SiteConfig::zones(1, 2, 2, 16);
+    let mut config = SiteConfig::with_zones(1, 2, 2, 16);
     config.relays = true;
-    config.load = Duration::from_millis(10);
+    config.load_time = Duration::from_millis(10);
     let site = TestSite::start(config).await.expect("the site starts");
     // Frozen links and no access to the log look to the peers like a paused daemon.
     let holder = holder_of(&site, "a1", "engine-a1").await;
     let other = if holder == "a1" { "a2" } else { "a1" };
-    site.set_links("a1", "a2", LinkState::Frozen);
+    site.set_link_state("a1", "a2", LinkState::Frozen);
     site.platform.set_faults(|faults| {
-        faults.cut.insert(holder.clone());
+        faults.partitioned_vms.insert(holder.clone());
     });
     wait_for("the takeover", async || {
         let shown = site
-            .operate(other, "show targets here where state = serving")
+            .execute_statement(other, "show targets here where state = serving")
             .await
             .expect("rows");
         shown["table"]["rows"]
@@ -530,18 +534,19 @@
         let call = call(&format!("adapter-{number:04}"), 6);
         let (first, second) = tokio::join!(one.complete(&call), two.complete(&call));
         for result in [first, second] {
-            let is_valid = result.complete || result.error.as_deref() == Some("not_run");
+            let is_valid = result.is_complete || result.error.as_deref() == Some("not_run");
             assert!(is_valid, "adapter {number}: {result:?}");
         }
     }
-    site.set_links("a1", "a2", LinkState::Open);
-    site.platform.set_faults(|faults| faults.cut.clear());
+    site.set_link_state("a1", "a2", LinkState::Open);
+    site.platform
+        .set_faults(|faults| faults.partitioned_vms.clear());
     site.wait_until_serving(Duration::from_secs(15))
         .await
         .expect("healed");
     wait_for("settling", async || {
         let shown = site
-            .operate(other, "show targets where predecessors > 0")
+            .execute_statement(other, "show targets where predecessors > 0")
             .await
             .expect("rows");
         shown["table"]["rows"].as_array().is_some_and(Vec::is_empty)
@@ -554,7 +559,7 @@
 /// if no daemon is running.
 #[tokio::test(flavor = "multi_thread")]
 async fn daemons_recover_from_snapshots_after_log_expiry() {
-    let mut config = SiteConfig::zones(1, 2, 1, 40);
+    let mut config = SiteConfig::with_zones(1, 2, 1, 40);
     config.overrides = json!({ "snapshot_every": 10 });
     let mut site = TestSite::start(config).await.expect("the site starts");
     // Recovery from a peer: the log has no records left.
@@ -565,13 +570,13 @@
         .await
         .expect("every target is served");
     let shown = site
-        .operate("a2", "show adapters here")
+        .execute_statement("a2", "show adapters here")
         .await
         .expect("rows");
     assert_eq!(shown["table"]["rows"].as_array().map(Vec::len), Some(40));
     // Recovery from the log: it has a snapshot, and no daemon is running.
     for number in 0..14 {
-        site.operate("a1", &format!("create adapter later-{number} version v1"))
+        site.execute_statement("a1", &format!("create adapter later-{number} version v1"))
             .await
             .expect("created");
     }
@@ -590,7 +595,7 @@
         .await
         .expect("every target is served");
     let shown = site
-        .operate("a2", "show adapters here")
+        .execute_statement("a2", "show adapters here")
         .await
         .expect("rows");
     assert_eq!(shown["table"]["rows"].as_array().map(Vec::len), Some(54));
--- a/crates/daemon/tests/once.rs
+++ b/crates/daemon/tests/once.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 async fn site(zones: usize, daemons: usize) -> TestSite {
-    TestSite::start(SiteConfig::zones(zones, daemons, 1, 2))
+    TestSite::start(SiteConfig::with_zones(zones, daemons, 1, 2))
         .await
         .expect("the site starts")
 }
@@ -75,7 +75,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_log_keys_are_refused_and_tokens_work() {
     let site = site(1, 2).await;
-    site.platform.set_faults(|faults| faults.out = true);
+    site.platform
+        .set_faults(|faults| faults.is_unavailable = true);
     sleep(Duration::from_millis(600)).await;
     let caller = site.caller("a1", URGENT_TOKEN);
     let refused = caller.post_scan("by key", Some("my-key")).await;
@@ -191,12 +192,12 @@
     let site = site(1, 2).await;
     site.services
         .values()
-        .for_each(|service| service.set_faults(|faults| faults.lose_answers = 1));
+        .for_each(|service| service.set_faults(|faults| faults.lost_responses = 1));
     let caller = site.caller("a1", URGENT_TOKEN);
     let token = caller.issue_token().await.expect("a token");
     let first = caller.post_scan("scan", Some(&token)).await;
     assert!(
-        !first.complete,
+        !first.is_complete,
         "a broken answer never looks like a complete one: {first:?}"
     );
     let again = site
--- a/crates/soak/src/prompts.rs
+++ b/crates/soak/src/prompts.rs
@@ -1,54 +1,53 @@
-//! Prompts: what callers' prompts consist of, and how long an engine is at one.
+//! Prompts of callers, and the time that engines take to process them.
 //!
-//! Most of a prompt is shared with others of its adapter, and the shared parts change as the run goes on, so that engines meet
-//! parts that a neighbour has read and they have not.
+//! Most of a prompt is shared with other requests of its adapter. The shared parts change during a run, so that engines get
+//! parts that another engine has cached and they have not.
 
-use crate::shelf::WeightVersions;
-use hoplanding_standins::kept_memory::{MemoryNet, ReadPrompt};
+use crate::adapter_store::WeightVersions;
+use hoplanding_standins::prompt_cache::{PromptCaches, ReceivedPrompt};
 use std::{net::SocketAddr, time::Duration};
 use tokio::time::Instant;
 
-/// Tokens of a shared part: long enough that it is sooner taken from another engine than read.
+/// Tokens of a shared part: enough that fetching it from another engine is faster than processing it.
 const SHARED_TOKENS: u32 = 6_300;
-/// Tokens of the part that is a request's own.
-const OWN_TOKENS: u32 = 200;
-/// Most tokens of an answer.
+/// Tokens of the part that is unique to a request.
+const UNIQUE_TOKENS: u32 = 200;
+/// Maximum number of answer tokens that callers announce.
 const OUTPUT_TOKENS: u32 = 20;
-/// Shared parts that an adapter's prompts have at a time.
-const LIVE_PARTS: usize = 3;
-/// Requests after which the oldest of them gives way to a new one.
-const PART_REQUESTS: usize = 60;
-/// Ids of own parts lie above those of shared ones.
-const OWN_IDS: usize = 0x10_0000;
-/// Tokens that an engine reads in a millisecond.
-const READ_PER_MS: u32 = 40;
-/// Time that a move between two engines takes.
-pub const MOVE_TIME: Duration = Duration::from_millis(20);
+/// Number of shared parts in use at a time.
+const ACTIVE_SHARED_PARTS: usize = 3;
+/// Number of requests after which a new shared part replaces the oldest one.
+const REQUESTS_PER_SHARED_PART: usize = 60;
+/// First id of unique parts, above the ids of shared ones.
+const FIRST_UNIQUE_ID: usize = 0x10_0000;
+const PREFILL_TOKENS_PER_MS: u32 = 40;
+/// Time to fetch cached prompt parts from another engine.
+pub const CACHE_FETCH_TIME: Duration = Duration::from_millis(20);
 
-/// One part of a prompt.
+/// Part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its id.
+    /// Identifies the content: equal ids stand for equal text.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// The parts of a request's prompt, by the request's number.
+/// Parts of a prompt by the number of its request: a shared one, then a unique one.
 #[must_use]
-pub fn parts_of(number: usize) -> [PromptPart; 2] {
-    let shared = number / PART_REQUESTS + number % LIVE_PARTS;
+pub fn prompt_parts(number: usize) -> [PromptPart; 2] {
+    let shared = number / REQUESTS_PER_SHARED_PART + number % ACTIVE_SHARED_PARTS;
     let part = |id: usize, tokens| PromptPart {
         id: id as u64,
         tokens,
     };
     [
         part(shared, SHARED_TOKENS),
-        part(OWN_IDS + number, OWN_TOKENS),
+        part(FIRST_UNIQUE_ID + number, UNIQUE_TOKENS),
     ]
 }
 
-/// What a caller says of its prompt: the counts of tokens, and the parts.
+/// Encodes a prompt as the values of the token count and prompt prefix headers.
 #[must_use]
 pub fn encode_parts(parts: &[PromptPart]) -> (String, String) {
     let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
@@ -59,7 +58,7 @@
     (format!("{tokens},{OUTPUT_TOKENS}"), parts.join(","))
 }
 
-/// The parts as they reach a target.
+/// Decodes the prompt prefix header of a request to a target. Invalid parts are skipped.
 #[must_use]
 pub fn decode_parts(text: &str) -> Vec<PromptPart> {
     let parts = text.split(',').filter_map(|part| {
@@ -72,58 +71,59 @@
     parts.collect()
 }
 
-/// A prompt that an engine was handed.
+/// Prompt of a request that reached an engine.
 #[derive(Clone, Debug)]
-pub struct GivenPrompt {
-    /// Its adapter.
+pub struct EnginePrompt {
+    /// Adapter that the request runs on.
     pub adapter: String,
-    /// Versions that the engine runs it under.
+    /// Versions of base model and adapter that the request runs on.
     pub versions: WeightVersions,
-    /// Its parts.
+    /// Parts of the prompt.
     pub parts: Vec<PromptPart>,
-    /// The engine to take parts from.
+    /// Engine to fetch cached parts from.
     pub source: Option<SocketAddr>,
 }
 
-impl GivenPrompt {
-    /// Reads it into an engine's memory; the versions that the memory was made under, if they are others than its own.
+impl EnginePrompt {
+    /// Processes the prompt with the cache of the engine at `at`. Returns the versions of the cached parts that it uses if they
+    /// differ from `versions`.
     #[must_use]
-    pub fn read(&self, at: SocketAddr, memory: &MemoryNet) -> Option<WeightVersions> {
+    pub fn process(&self, at: SocketAddr, caches: &PromptCaches) -> Option<WeightVersions> {
         let ids = self.ids();
-        let mismatch = memory.read(at, &self.view(&ids, self.source));
-        mismatch.map(|mismatch| WeightVersions::of_mark(mismatch.made_under))
+        let mismatch = caches.process_prompt(at, &self.to_received(&ids, self.source));
+        mismatch.map(|mismatch| WeightVersions::from_packed(mismatch.cached_version))
     }
 
     fn ids(&self) -> Vec<u64> {
         self.parts.iter().map(|part| part.id).collect()
     }
 
-    fn view<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReadPrompt<'a> {
-        ReadPrompt {
+    fn to_received<'a>(&'a self, ids: &'a [u64], source: Option<SocketAddr>) -> ReceivedPrompt<'a> {
+        ReceivedPrompt {
             adapter: &self.adapter,
-            version: self.versions.mark(),
+            version: self.versions.to_packed(),
             parts: ids,
             source,
         }
     }
 }
 
-/// Work that a prompt is for an engine.
+/// Work of an engine to process a prompt.
 #[derive(Clone, Copy, Debug)]
-pub struct ReadingWork {
-    /// Time until it is read, those before it included.
+pub struct PrefillWork {
+    /// Time until the prompt is processed, including prompts queued before it.
     pub time: Duration,
-    /// Whether parts of it come from another engine.
-    pub is_move: bool,
+    /// Whether parts are fetched from another engine.
+    pub is_fetch: bool,
 }
 
-/// The prompts of an engine, read one after another.
+/// Queue of an engine, which processes one prompt at a time.
 #[derive(Debug)]
-pub struct PromptDesk {
+pub struct PromptQueue {
     free_at: Instant,
 }
 
-impl Default for PromptDesk {
+impl Default for PromptQueue {
     fn default() -> Self {
         Self {
             free_at: Instant::now(),
@@ -131,31 +131,32 @@
     }
 }
 
-impl PromptDesk {
-    /// Takes a prompt in behind those that wait.
-    pub fn take(
+impl PromptQueue {
+    /// Queues a prompt and returns the work for it.
+    pub fn enqueue(
         &mut self,
         at: SocketAddr,
-        prompt: &GivenPrompt,
-        memory: &MemoryNet,
+        prompt: &EnginePrompt,
+        caches: &PromptCaches,
         now: Instant,
-    ) -> ReadingWork {
+    ) -> PrefillWork {
         let ids = prompt.ids();
-        let kept = memory.found(at, &prompt.view(&ids, None));
-        let found = memory.found(at, &prompt.view(&ids, prompt.source));
-        let is_move = found > kept;
-        let unread = prompt.parts[found..]
+        let cached = caches.reusable_parts(at, &prompt.to_received(&ids, None));
+        let found = caches.reusable_parts(at, &prompt.to_received(&ids, prompt.source));
+        let is_fetch = found > cached;
+        let unprocessed_tokens = prompt.parts[found..]
             .iter()
             .map(|part| part.tokens)
             .sum::<u32>();
-        let mut own = Duration::from_millis(u64::from(unread / READ_PER_MS));
-        if is_move {
-            own += MOVE_TIME;
+        let mut prefill_time =
+            Duration::from_millis(u64::from(unprocessed_tokens / PREFILL_TOKENS_PER_MS));
+        if is_fetch {
+            prefill_time += CACHE_FETCH_TIME;
         }
-        self.free_at = self.free_at.max(now) + own;
-        ReadingWork {
+        self.free_at = self.free_at.max(now) + prefill_time;
+        PrefillWork {
             time: self.free_at - now,
-            is_move,
+            is_fetch,
         }
     }
 }
--- a/crates/soak/src/targets.rs
+++ b/crates/soak/src/targets.rs
@@ -1,13 +1,17 @@
-//! Engines and plain services that write down what reaches them.
+//! Stand-ins for engines and plain services that record the requests and orders they receive.
+//!
+//! The fault injector makes them truncate answers, shed load, announce draining or answer late. An [`InjectedDefect`] makes
+//! them violate a guarantee, which shows that the checks detect it.
 
 use crate::{
-    callers::FORGED,
-    checks::{EVENTS, event_text, whole_body},
-    history::{CallKind, SeenEntry, SharedHistory},
-    prompts::{GivenPrompt, MOVE_TIME, PromptDesk, ReadingWork, decode_parts},
-    shelf::{
-        AdapterOrder, AdapterShelf, BASE, CopySight, FIRST_VERSION, OrderVerdict, WeightVersions,
+    adapter_store::{
+        AdapterOrder, AdapterStatus, AdapterStore, BASE_MODEL, FIRST_VERSION, OrderOutcome,
+        WeightVersions,
     },
+    callers::FORGED,
+    checks::{EVENTS_PER_STREAM, event_text, expected_body},
+    history::{CallKind, HistoryEvent, SharedHistory},
+    prompts::{CACHE_FETCH_TIME, EnginePrompt, PrefillWork, PromptQueue, decode_parts},
 };
 use hoplanding_platform::names::{
     AUTHORIZATION, EXPECT_INSTANCE, EXPECT_VERSION, KV_FETCH, LAST_EVENT, LEAVING, MODEL,
@@ -15,8 +19,8 @@
     SEAL, WEIGHT_VERSIONS,
 };
 use hoplanding_standins::{
-    kept_memory::MemoryNet,
-    raw_target::{RawAnswer, RawRequest, RawTarget},
+    prompt_cache::PromptCaches,
+    raw_target::{RawRequest, RawResponse, RawTarget},
 };
 use serde_json::{Value, json};
 use std::{
@@ -28,78 +32,77 @@
 };
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Requests that a target works on at once, as it is listed.
+/// Concurrent requests of a target, as given in its list entry.
 const SLOTS: usize = 8;
-/// Pause between two events.
-const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// Time that a plain call takes.
-const PLAIN_WORK: Duration = Duration::from_millis(15);
-/// Event within which a breaking target stops.
-const BREAKS_AT: u32 = 5;
-/// While an engine delays orders, every how many of them it leaves without an answer.
-const DELAYED_EVERY: u64 = 2;
-/// Times after which orders without an answer are carried out, in turn; the users tell of 12 seconds at the most.
-const LATE_BY: [Duration; 4] = [
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(40);
+const PLAIN_CALL_TIME: Duration = Duration::from_millis(15);
+/// Number of the event within which a truncating target ends a stream.
+const TRUNCATE_AT_EVENT: u32 = 5;
+/// An engine that delays orders leaves every n-th of them without an answer.
+const DELAYED_ORDER_PERIOD: u64 = 2;
+/// Delays after which unanswered orders are carried out, used in turn; users report up to 12 s.
+const ORDER_DELAYS: [Duration; 4] = [
     Duration::from_millis(1_200),
     Duration::from_millis(2_500),
     Duration::from_millis(4_000),
     Duration::from_millis(7_000),
 ];
-/// Time after which the connection of an order without an answer is closed; nobody waits as long.
-const SILENCE: Duration = Duration::from_secs(3);
+/// Time after which the connection of an unanswered order is closed, longer than any daemon waits for the answer.
+const UNANSWERED_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a target serves.
+/// Kind of requests that a target serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetRole {
-    /// Adapters of one base model.
+    /// Streams on adapters of one base model.
     Engine,
-    /// Plain calls.
+    /// Plain calls without a model.
     Plain,
 }
 
-/// A fault that the soak's own checks have to find; none in a real run.
+/// Defect of the stand-ins that the checks must detect; `None` in regular runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PlantedFault {
-    /// None.
+pub enum InjectedDefect {
+    /// No defect.
     #[default]
     None,
-    /// A target writes each run down twice, as if it had run twice.
-    RunsTwice,
-    /// An engine writes down another adapter than it was asked for.
+    /// A target records every request as run twice.
+    DuplicateRun,
+    /// A target records another adapter than the requested one.
     WrongAdapter,
-    /// A stream leaves an event out.
-    DropsEvent,
-    /// An engine goes on using what it kept when an adapter is replaced.
-    KeepsMemory,
+    /// A stream omits an event.
+    MissingEvent,
+    /// An engine keeps using cached prompt parts of an adapter after replacing or unloading it.
+    StaleCache,
 }
 
-/// What the targets of a run share.
+/// State shared by all targets of a run.
 #[derive(Clone)]
-pub struct TargetSite {
-    /// What is seen of them.
+pub struct TargetContext {
+    /// History that the targets record their events in.
     pub history: SharedHistory,
-    /// What engines keep of prompts.
-    pub memory: Arc<MemoryNet>,
-    /// The newest version of the base model and of each adapter for which one was named.
+    /// Prompt caches of all engines.
+    pub caches: Arc<PromptCaches>,
+    /// Newest published versions by adapter name; the empty name stands for the base model.
     pub versions: Arc<Mutex<BTreeMap<String, u64>>>,
-    /// A fault that they have.
-    pub planted: PlantedFault,
+    /// Defect of the targets.
+    pub defect: InjectedDefect,
 }
 
-impl TargetSite {
-    /// Nothing seen, kept or named yet.
+impl TargetContext {
+    /// Creates a context with empty caches and no published versions.
     #[must_use]
-    pub fn new(history: SharedHistory, planted: PlantedFault) -> Self {
+    pub fn new(history: SharedHistory, defect: InjectedDefect) -> Self {
         Self {
             history,
-            memory: Arc::default(),
+            caches: Arc::default(),
             versions: Arc::default(),
-            planted,
+            defect,
         }
     }
 
-    /// Names a version of an adapter, or of the base model where that is empty.
-    pub fn name_version(&self, adapter: &str, version: u64) {
+    /// Publishes a version of an adapter, or of the base model if `adapter` is empty. Older versions have no effect.
+    pub fn publish_version(&self, adapter: &str, version: u64) {
         let mut versions = lock(&self.versions);
         let newest = versions.entry(adapter.to_owned()).or_default();
         *newest = version.max(*newest);
@@ -113,77 +116,79 @@
 
 #[derive(Debug)]
 struct TargetState {
-    shelf: AdapterShelf,
-    prompts: PromptDesk,
-    breaks: bool,
-    sheds: bool,
-    /// Requests seen while it sheds.
-    shed_count: u64,
-    /// Until when it turns every request away and asks for rest.
-    rests_until: Option<Instant>,
-    /// Whether its answers say that it leaves.
-    says_leaving: bool,
-    delays_orders: bool,
-    /// Orders seen while it delays some.
+    adapter_store: AdapterStore,
+    prompts: PromptQueue,
+    is_truncating: bool,
+    is_shedding: bool,
+    /// Number of requests received, of which shedding serves every third.
+    request_count: u64,
+    /// End of the period in which every request is rejected with `Retry-After`.
+    reject_until: Option<Instant>,
+    /// Whether answers carry the draining header.
+    is_announcing: bool,
+    is_delaying_orders: bool,
+    /// Number of orders received while delaying orders.
     order_count: u64,
-    /// What its entry said last that it holds; none once the entry goes, or says that it leaves.
-    listed: Option<Value>,
+    /// Models in the last list entry; `None` once the entry is removed or marked as draining.
+    listed_models: Option<Value>,
 }
 
 impl TargetState {
     fn new(base: Option<u64>) -> Self {
         Self {
-            shelf: AdapterShelf::new(base),
-            prompts: PromptDesk::default(),
-            breaks: false,
-            sheds: false,
-            shed_count: 0,
-            rests_until: None,
-            says_leaving: false,
-            delays_orders: false,
+            adapter_store: AdapterStore::new(base),
+            prompts: PromptQueue::default(),
+            is_truncating: false,
+            is_shedding: false,
+            request_count: 0,
+            reject_until: None,
+            is_announcing: false,
+            is_delaying_orders: false,
             order_count: 0,
-            listed: Some(Value::Null),
+            listed_models: Some(Value::Null),
         }
     }
 }
 
-/// A running target.
+/// Running target with its HTTP server.
 pub struct SoakTarget {
-    /// Its name, as it is listed.
+    /// Key of the target in the target list.
     pub name: String,
-    /// What it serves.
+    /// Kind of requests that it serves.
     pub role: TargetRole,
-    /// Its zone.
+    /// Availability zone.
     pub zone: String,
     server: RawTarget,
     state: Arc<Mutex<TargetState>>,
 }
 
 impl SoakTarget {
-    /// Starts a target; an engine with the base model in this version, or empty.
+    /// Starts a target. `base` is the version of the base model that an engine starts with; without it the engine is empty.
     ///
     /// # Errors
-    /// Returns the error of the system when no port can be had.
+    /// Returns an I/O error if no port is available.
     ///
     /// # Panics
-    /// Never: its address is noted once.
+    /// Never: the address is set only here.
     pub async fn start(
         name: &str,
         role: TargetRole,
         zone: &str,
         base: Option<u64>,
-        site: TargetSite,
+        context: TargetContext,
     ) -> io::Result<Self> {
         let state = Arc::new(Mutex::new(TargetState::new(base)));
         let address = Arc::new(OnceLock::new());
-        let desk = Arc::new(TargetDesk {
+        let handler = Arc::new(TargetHandler {
             name: name.to_owned(),
             address: Arc::clone(&address),
-            site,
+            context,
             state: Arc::clone(&state),
         });
-        let server = RawTarget::start(move |request: &RawRequest| desk.answer(request)).await?;
-        address.set(server.address).expect("it is set once");
+        let server = RawTarget::start(move |request: &RawRequest| handler.answer(request)).await?;
+        address
+            .set(server.address)
+            .expect("the address is set once");
         Ok(Self {
             name: name.to_owned(),
             role,
@@ -193,95 +198,95 @@
         })
     }
 
-    /// Where it is reached.
+    /// Address that the target listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
 
-    /// Whether it breaks off what it answers from now on.
-    pub fn set_breaking(&self, breaks: bool) {
-        lock(&self.state).breaks = breaks;
+    /// Sets whether answers are truncated from now on.
+    pub fn set_truncating(&self, is_truncating: bool) {
+        lock(&self.state).is_truncating = is_truncating;
     }
 
-    /// Whether it turns two of three requests away from now on.
-    pub fn set_shedding(&self, sheds: bool) {
-        lock(&self.state).sheds = sheds;
+    /// Sets whether two of three requests are rejected from now on.
+    pub fn set_shedding(&self, is_shedding: bool) {
+        lock(&self.state).is_shedding = is_shedding;
     }
 
-    /// It turns every request away for a while, and asks whoever sent one for rest.
-    pub fn rest_for(&self, span: Duration) {
-        lock(&self.state).rests_until = Some(Instant::now() + span);
+    /// Rejects every request for a time, with the remaining time in `Retry-After`.
+    pub fn reject_for(&self, span: Duration) {
+        lock(&self.state).reject_until = Some(Instant::now() + span);
     }
 
-    /// From now on its answers say that it leaves.
-    pub fn say_leaving(&self) {
-        lock(&self.state).says_leaving = true;
+    /// Announces draining in every answer from now on.
+    pub fn announce_draining(&self) {
+        lock(&self.state).is_announcing = true;
     }
 
-    /// Whether it leaves some orders without an answer from now on, and carries them out seconds later.
-    pub fn set_delaying_orders(&self, delays: bool) {
-        lock(&self.state).delays_orders = delays;
+    /// Sets whether some orders stay unanswered from now on and are carried out seconds later.
+    pub fn set_delaying_orders(&self, is_delaying: bool) {
+        lock(&self.state).is_delaying_orders = is_delaying;
     }
 
-    /// Its entry in the list of targets, if it is listed and what it holds has changed since the last one.
+    /// Returns the list entry if the target is listed and its models changed since the last entry.
     #[must_use]
-    pub fn news(&self) -> Option<String> {
+    pub fn changed_entry(&self) -> Option<String> {
         let mut state = lock(&self.state);
-        let holds = state.shelf.listed();
-        let listed = state.listed.as_mut()?;
-        if *listed == holds {
+        let models = state.adapter_store.model_list();
+        let listed_models = state.listed_models.as_mut()?;
+        if *listed_models == models {
             return None;
         }
-        *listed = holds;
+        *listed_models = models;
         Some(self.entry(&state, "ready"))
     }
 
-    /// Its last entry, which says that it leaves.
+    /// Returns the draining entry, after which the target writes no others.
     #[must_use]
-    pub fn farewell(&self) -> String {
+    pub fn draining_entry(&self) -> String {
         let mut state = lock(&self.state);
-        state.listed = None;
+        state.listed_models = None;
         self.entry(&state, "draining")
     }
 
-    fn entry(&self, state: &TargetState, stage: &str) -> String {
+    fn entry(&self, state: &TargetState, status: &str) -> String {
         json!({
-            "service": service_of(self.role),
+            "service": service_name(self.role),
             "address": self.address().to_string(),
             "zone": self.zone,
             "version": "v1",
             "slots": SLOTS,
-            "state": stage,
+            "state": status,
             "cold_remaining_ms": 0,
-            "sequence": state.shelf.orders_taken(),
-            "models": state.shelf.listed(),
+            "sequence": state.adapter_store.accepted_orders(),
+            "models": state.adapter_store.model_list(),
         })
         .to_string()
     }
 }
 
-/// Name of the service that targets of a role belong to.
+/// Name of the service that targets of this role belong to.
 #[must_use]
-pub fn service_of(role: TargetRole) -> &'static str {
+pub fn service_name(role: TargetRole) -> &'static str {
     match role {
         TargetRole::Engine => "scribe",
         TargetRole::Plain => "ledger",
     }
 }
 
-/// Answers requests.
-struct TargetDesk {
+/// Handles the requests and orders of one target.
+struct TargetHandler {
     name: String,
-    /// Where it is reached; known once it listens.
+    /// Set once the server listens.
     address: Arc<OnceLock<SocketAddr>>,
-    site: TargetSite,
+    context: TargetContext,
     state: Arc<Mutex<TargetState>>,
 }
 
-impl TargetDesk {
-    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
-        let path = request.line().split(' ').nth(1).unwrap_or_default();
+impl TargetHandler {
+    fn answer(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
+        let path = request.request_line().split(' ').nth(1).unwrap_or_default();
         if request
             .header(EXPECT_INSTANCE)
             .is_some_and(|name| name != self.name)
@@ -290,121 +295,125 @@
         }
         let answer = match path {
             REPORT_PATH => self.report(),
-            ORDER_PATH => self.take_order(request),
+            ORDER_PATH => self.answer_order(request),
             _ => self.run(request, path),
         };
-        self.with_leaving(request, answer)
+        self.with_announcement(request, answer)
     }
 
-    /// An answer that says that the target leaves, if it does.
-    fn with_leaving(&self, request: &RawRequest, answer: RawAnswer) -> RawAnswer {
-        if !lock(&self.state).says_leaving {
+    /// Adds the draining header to an answer if the target announces draining.
+    fn with_announcement(&self, request: &RawRequest, answer: RawResponse) -> RawResponse {
+        if !lock(&self.state).is_announcing {
             return answer;
         }
         if let Some(id) = request.header(REQUEST_ID) {
-            self.site.history.add(SeenEntry::SaidLeaving {
-                id: id.to_owned(),
-                target: self.name.clone(),
-            });
+            self.context
+                .history
+                .record(HistoryEvent::DrainingAnnounced {
+                    id: id.to_owned(),
+                    target: self.name.clone(),
+                });
         }
         answer.with_header(&format!("{LEAVING}: 1\r\n"))
     }
 
-    fn report(&self) -> RawAnswer {
+    fn report(&self) -> RawResponse {
         let state = lock(&self.state);
         let report = json!({
-            "sequence": state.shelf.orders_taken(),
-            "models": state.shelf.listed(),
-            "utilization": state.shelf.is_loading_base(),
-            "coming": state.shelf.coming(),
-            "at_hand": { "in_memory": [], "on_disk": [BASE] },
+            "sequence": state.adapter_store.accepted_orders(),
+            "models": state.adapter_store.model_list(),
+            "utilization": state.adapter_store.is_loading_base(),
+            "coming": state.adapter_store.pending_loads(),
+            "at_hand": { "in_memory": [], "on_disk": [BASE_MODEL] },
         });
-        RawAnswer::whole("200 OK", "", &report.to_string())
+        RawResponse::complete("200 OK", "", &report.to_string())
     }
 
-    fn take_order(self: &Arc<Self>, request: &RawRequest) -> RawAnswer {
+    fn answer_order(self: &Arc<Self>, request: &RawRequest) -> RawResponse {
         let order = AdapterOrder::decode(&request.body);
-        if let Some(late_by) = self.late_by() {
-            let desk = Arc::clone(self);
+        if let Some(order_delay) = self.order_delay() {
+            let handler = Arc::clone(self);
             tokio::spawn(async move {
-                sleep(late_by).await;
-                desk.carry_out(&order);
+                sleep(order_delay).await;
+                handler.execute_order(&order);
             });
-            return RawAnswer {
-                pieces: vec![(SILENCE, Vec::new())],
-                closes: true,
+            return RawResponse {
+                pieces: vec![(UNANSWERED_ORDER_TIMEOUT, Vec::new())],
+                closes_connection: true,
             };
         }
-        let status = match self.carry_out(&order) {
-            OrderVerdict::Done => "200 OK",
-            OrderVerdict::Begun(_) => "202 Accepted",
-            OrderVerdict::Conflict => "409 Conflict",
-            OrderVerdict::Fenced => "412 Precondition Failed",
+        let status = match self.execute_order(&order) {
+            OrderOutcome::Completed => "200 OK",
+            OrderOutcome::InProgress(_) => "202 Accepted",
+            OrderOutcome::Conflict => "409 Conflict",
+            OrderOutcome::Fenced => "412 Precondition Failed",
         };
-        RawAnswer::whole(status, "", "")
+        RawResponse::complete(status, "", "")
     }
 
-    /// By how much the next order is late, if it is left without an answer.
-    fn late_by(&self) -> Option<Duration> {
+    /// Delay of the next order if that order stays unanswered.
+    fn order_delay(&self) -> Option<Duration> {
         let mut state = lock(&self.state);
-        if !state.delays_orders {
+        if !state.is_delaying_orders {
             return None;
         }
         state.order_count += 1;
-        let is_delayed = state.order_count.is_multiple_of(DELAYED_EVERY);
-        let turn = (state.order_count / DELAYED_EVERY) as usize;
-        is_delayed.then(|| LATE_BY[turn % LATE_BY.len()])
+        let is_delayed = state.order_count.is_multiple_of(DELAYED_ORDER_PERIOD);
+        let turn = (state.order_count / DELAYED_ORDER_PERIOD) as usize;
+        is_delayed.then(|| ORDER_DELAYS[turn % ORDER_DELAYS.len()])
     }
 
-    fn carry_out(self: &Arc<Self>, order: &AdapterOrder) -> OrderVerdict {
-        let newest = self.site.newest(&order.adapter);
+    fn execute_order(self: &Arc<Self>, order: &AdapterOrder) -> OrderOutcome {
+        let newest = self.context.newest(&order.adapter);
         let mut state = lock(&self.state);
-        let verdict = state.shelf.take(order, newest, Instant::now());
-        if !verdict.is_taken() {
-            return verdict;
+        let outcome = state.adapter_store.apply(order, newest, Instant::now());
+        if !outcome.is_accepted() {
+            return outcome;
         }
-        self.site.history.add(SeenEntry::Ordered {
+        self.context.history.record(HistoryEvent::OrderAccepted {
             target: self.name.clone(),
             holder: order.holder.clone(),
             token: order.token,
         });
-        if state.shelf.is_overfilled() {
-            self.site.history.add(SeenEntry::Overfilled {
+        if state.adapter_store.is_over_capacity() {
+            self.context.history.record(HistoryEvent::SlotsExceeded {
                 target: self.name.clone(),
             });
         }
-        match verdict {
-            OrderVerdict::Begun(at) => {
-                let (desk, adapter) = (Arc::clone(self), order.adapter.clone());
+        match outcome {
+            OrderOutcome::InProgress(at) => {
+                let (handler, adapter) = (Arc::clone(self), order.adapter.clone());
                 tokio::spawn(async move {
                     sleep_until(at).await;
-                    let mut state = lock(&desk.state);
-                    state.shelf.finish(&adapter);
-                    desk.forget(&adapter);
+                    let mut state = lock(&handler.state);
+                    state.adapter_store.finish(&adapter);
+                    handler.drop_cache(&adapter);
                 });
             }
-            _ if order.is_unload => self.forget(&order.adapter),
+            _ if order.is_unload => self.drop_cache(&order.adapter),
             _ => {}
         }
-        verdict
+        outcome
     }
 
-    /// Drops what was kept for an adapter that was replaced or went.
-    fn forget(&self, adapter: &str) {
-        if self.site.planted != PlantedFault::KeepsMemory {
-            self.site.memory.drop_adapter(self.address(), adapter);
+    /// Drops the cached prompt parts of an adapter that was replaced or unloaded.
+    fn drop_cache(&self, adapter: &str) {
+        if self.context.defect != InjectedDefect::StaleCache {
+            self.context.caches.evict_adapter(self.address(), adapter);
         }
     }
 
-    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawAnswer {
+    fn run(self: &Arc<Self>, request: &RawRequest, path: &str) -> RawResponse {
         let id = request.header(REQUEST_ID).unwrap_or_default().to_owned();
-        self.site.history.add(SeenEntry::RanFor {
-            id: id.clone(),
-            organisation: request.header(ORGANISATION).unwrap_or_default().to_owned(),
-        });
-        let is_key_told = request.header(AUTHORIZATION).is_some();
-        if request.head.contains(FORGED) || is_key_told {
-            self.site.history.add(SeenEntry::Forged {
+        self.context
+            .history
+            .record(HistoryEvent::RanForOrganisation {
+                id: id.clone(),
+                organisation: request.header(ORGANISATION).unwrap_or_default().to_owned(),
+            });
+        let has_key = request.header(AUTHORIZATION).is_some();
+        if request.head.contains(FORGED) || has_key {
+            self.context.history.record(HistoryEvent::ForgedHeader {
                 id: id.clone(),
                 target: self.name.clone(),
             });
@@ -413,26 +422,28 @@
         let adapter = named.split_once('/').map_or("", |(_, adapter)| adapter);
         let mut state = lock(&self.state);
         let now = Instant::now();
-        if let Some(until) = state.rests_until.filter(|until| now < *until) {
-            return self.ask_for_rest(request, until - now);
+        if let Some(until) = state.reject_until.filter(|until| now < *until) {
+            return self.reject_with_retry_after(request, until - now);
         }
-        state.shed_count += 1;
-        if state.sheds && !state.shed_count.is_multiple_of(3) {
-            return self.turn_away(request, "503 Service Unavailable");
+        state.request_count += 1;
+        if state.is_shedding && !state.request_count.is_multiple_of(3) {
+            return self.reject(request, "503 Service Unavailable");
         }
         if adapter.is_empty() {
-            self.note_run(&id, adapter, state.breaks);
-            return plain_answer(request, &id, state.breaks);
+            self.record_run(&id, adapter, state.is_truncating);
+            return plain_answer(request, &id, state.is_truncating);
         }
-        let versions = match state.shelf.sight(adapter) {
-            CopySight::Here(versions) if is_meant(request, versions.adapter) => versions,
-            CopySight::Leaving => return self.turn_away(request, "503 Service Unavailable"),
-            CopySight::Here(_) | CopySight::Absent => {
-                return self.turn_away(request, "421 Misdirected Request");
+        let versions = match state.adapter_store.adapter_status(adapter) {
+            AdapterStatus::Loaded(versions) if expects_version(request, versions.adapter) => {
+                versions
+            }
+            AdapterStatus::Changing => return self.reject(request, "503 Service Unavailable"),
+            AdapterStatus::Loaded(_) | AdapterStatus::Absent => {
+                return self.reject(request, "421 Misdirected Request");
             }
         };
-        self.note_run(&id, adapter, state.breaks);
-        let prompt = GivenPrompt {
+        self.record_run(&id, adapter, state.is_truncating);
+        let prompt = EnginePrompt {
             adapter: adapter.to_owned(),
             versions,
             parts: decode_parts(request.header(PROMPT_PREFIX).unwrap_or_default()),
@@ -441,83 +452,88 @@
                 .and_then(|source| source.parse().ok()),
         };
         let now = Instant::now();
-        let memory = &self.site.memory;
-        let reading = state.prompts.take(self.address(), &prompt, memory, now);
-        state
-            .shelf
-            .note_run(adapter, now + reading.time + EVENT_PAUSE * EVENTS);
-        let breaks_off = state.breaks;
-        self.read_prompt(&id, prompt, reading);
+        let caches = &self.context.caches;
+        let prefill = state.prompts.enqueue(self.address(), &prompt, caches, now);
+        state.adapter_store.record_run(
+            adapter,
+            now + prefill.time + EVENT_INTERVAL * EVENTS_PER_STREAM,
+        );
+        let is_truncated = state.is_truncating;
+        self.use_prompt_cache(&id, prompt, prefill);
         drop(state);
         let stream = StreamAnswer {
             id,
             versions,
-            reading: reading.time,
-            breaks_off,
-            skipped: (self.site.planted == PlantedFault::DropsEvent).then_some(3),
+            prefill: prefill.time,
+            is_truncated,
+            skipped: (self.context.defect == InjectedDefect::MissingEvent).then_some(3),
         };
         stream.answer(request, path)
     }
 
-    fn ask_for_rest(&self, request: &RawRequest, rest: Duration) -> RawAnswer {
-        self.site.history.add(SeenEntry::RestAsked {
+    fn reject_with_retry_after(&self, request: &RawRequest, retry_after: Duration) -> RawResponse {
+        self.context.history.record(HistoryEvent::RetryAfterSent {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
-            rest,
+            retry_after,
         });
-        let answer = self.turn_away(request, "503 Service Unavailable");
-        answer.with_header(&format!("{RETRY_AFTER}: {:.3}\r\n", rest.as_secs_f64()))
+        let answer = self.reject(request, "503 Service Unavailable");
+        answer.with_header(&format!(
+            "{RETRY_AFTER}: {:.3}\r\n",
+            retry_after.as_secs_f64()
+        ))
     }
 
-    fn turn_away(&self, request: &RawRequest, status: &str) -> RawAnswer {
-        self.site.history.add(SeenEntry::TurnedAway {
+    fn reject(&self, request: &RawRequest, status: &str) -> RawResponse {
+        self.context.history.record(HistoryEvent::Rejected {
             id: request.header(REQUEST_ID).unwrap_or_default().to_owned(),
             target: self.name.clone(),
         });
         refusal(request, status)
     }
 
-    fn note_run(&self, id: &str, adapter: &str, breaks_off: bool) {
-        let noted = match self.site.planted {
-            PlantedFault::WrongAdapter => "another",
+    fn record_run(&self, id: &str, adapter: &str, is_truncated: bool) {
+        let recorded = match self.context.defect {
+            InjectedDefect::WrongAdapter => "another",
             _ => adapter,
         };
-        let runs = 1 + usize::from(self.site.planted == PlantedFault::RunsTwice);
+        let runs = 1 + usize::from(self.context.defect == InjectedDefect::DuplicateRun);
         for _ in 0..runs {
-            self.site.history.add(SeenEntry::Ran {
+            self.context.history.record(HistoryEvent::Ran {
                 id: id.to_owned(),
                 target: self.name.clone(),
-                adapter: noted.to_owned(),
-                breaks_off,
+                adapter: recorded.to_owned(),
+                is_truncated,
             });
         }
     }
 
-    /// Uses what is kept of a prompt; what another engine keeps is here a moment later, as it stands there by then.
-    fn read_prompt(self: &Arc<Self>, id: &str, prompt: GivenPrompt, reading: ReadingWork) {
-        if !reading.is_move {
-            self.use_memory(id, &prompt);
+    /// Uses the cached parts of a prompt. Parts of another engine are read after [`CACHE_FETCH_TIME`], in the state that its
+    /// cache has by then.
+    fn use_prompt_cache(self: &Arc<Self>, id: &str, prompt: EnginePrompt, prefill: PrefillWork) {
+        if !prefill.is_fetch {
+            self.use_cached_parts(id, &prompt);
             return;
         }
-        self.site.history.add(SeenEntry::Moved {
+        self.context.history.record(HistoryEvent::CacheFetched {
             id: id.to_owned(),
             target: self.name.clone(),
         });
-        let (desk, id) = (Arc::clone(self), id.to_owned());
+        let (handler, id) = (Arc::clone(self), id.to_owned());
         tokio::spawn(async move {
-            sleep(MOVE_TIME).await;
-            desk.use_memory(&id, &prompt);
+            sleep(CACHE_FETCH_TIME).await;
+            handler.use_cached_parts(&id, &prompt);
         });
     }
 
-    fn use_memory(&self, id: &str, prompt: &GivenPrompt) {
-        if let Some(made_under) = prompt.read(self.address(), &self.site.memory) {
-            self.site.history.add(SeenEntry::Mixed {
+    fn use_cached_parts(&self, id: &str, prompt: &EnginePrompt) {
+        if let Some(cached_versions) = prompt.process(self.address(), &self.context.caches) {
+            self.context.history.record(HistoryEvent::CacheMismatch {
                 id: id.to_owned(),
                 target: self.name.clone(),
                 adapter: prompt.adapter.clone(),
-                made_under,
-                runs_under: prompt.versions,
+                cached_versions,
+                run_versions: prompt.versions,
             });
         }
     }
@@ -527,37 +543,37 @@
     }
 }
 
-/// Whether a request is for an adapter in this version, or says nothing of one.
-fn is_meant(request: &RawRequest, version: u64) -> bool {
+/// Whether a request expects this adapter version, or any version.
+fn expects_version(request: &RawRequest, version: u64) -> bool {
     request
         .header(EXPECT_VERSION)
-        .is_none_or(|meant| meant.parse() == Ok(version))
+        .is_none_or(|expected| expected.parse() == Ok(version))
 }
 
-fn plain_answer(request: &RawRequest, id: &str, breaks_off: bool) -> RawAnswer {
-    let body = whole_body(CallKind::Once, id, 0);
-    let mut answer = RawAnswer::whole("200 OK", &sealed(request), &body);
-    answer.pieces[0].0 = PLAIN_WORK;
-    if breaks_off {
+fn plain_answer(request: &RawRequest, id: &str, is_truncated: bool) -> RawResponse {
+    let body = expected_body(CallKind::Once, id, 0);
+    let mut answer = RawResponse::complete("200 OK", &internal_headers(request), &body);
+    answer.pieces[0].0 = PLAIN_CALL_TIME;
+    if is_truncated {
         answer.pieces[0].1.truncate(40);
-        answer.closes = true;
+        answer.closes_connection = true;
     }
     answer
 }
 
-/// A stream as an engine gives it.
+/// Answer of an engine to a streaming request.
 struct StreamAnswer {
     id: String,
     versions: WeightVersions,
-    /// Time until the prompt is read.
-    reading: Duration,
-    breaks_off: bool,
-    /// An event that is left out.
+    /// Time until the prompt is processed, including prompts queued before it.
+    prefill: Duration,
+    is_truncated: bool,
+    /// Number of an event to omit.
     skipped: Option<u32>,
 }
 
 impl StreamAnswer {
-    fn answer(&self, request: &RawRequest, path: &str) -> RawAnswer {
+    fn answer(&self, request: &RawRequest, path: &str) -> RawResponse {
         let from = request
             .header(LAST_EVENT)
             .and_then(|last| last.parse::<u32>().ok())
@@ -565,37 +581,37 @@
             .unwrap_or(0);
         let head = format!(
             "HTTP/1.1 200 OK\r\n{}{WEIGHT_VERSIONS}: {}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-            sealed(request),
+            internal_headers(request),
             self.versions.base
         );
-        let mut pieces = vec![(self.reading, head.into_bytes())];
-        for event in from + 1..=EVENTS {
+        let mut pieces = vec![(self.prefill, head.into_bytes())];
+        for event in from + 1..=EVENTS_PER_STREAM {
             let text = event_text(&self.id, event);
-            if self.breaks_off && event >= BREAKS_AT {
-                pieces.push((EVENT_PAUSE, chunk(&text[..8])));
-                return RawAnswer {
+            if self.is_truncated && event >= TRUNCATE_AT_EVENT {
+                pieces.push((EVENT_INTERVAL, chunk(&text[..8])));
+                return RawResponse {
                     pieces,
-                    closes: true,
+                    closes_connection: true,
                 };
             }
             if self.skipped != Some(event) {
-                pieces.push((EVENT_PAUSE, chunk(&text)));
+                pieces.push((EVENT_INTERVAL, chunk(&text)));
             }
         }
         pieces.push((Duration::ZERO, b"0\r\n\r\n".to_vec()));
-        RawAnswer {
+        RawResponse {
             pieces,
-            closes: false,
+            closes_connection: false,
         }
     }
 }
 
-fn refusal(request: &RawRequest, status: &str) -> RawAnswer {
-    let headers = format!("{}{NOT_EXECUTED}: 1\r\n", sealed(request));
-    RawAnswer::whole(status, &headers, "")
+fn refusal(request: &RawRequest, status: &str) -> RawResponse {
+    let headers = format!("{}{NOT_EXECUTED}: 1\r\n", internal_headers(request));
+    RawResponse::complete(status, &headers, "")
 }
 
-fn sealed(request: &RawRequest) -> String {
+fn internal_headers(request: &RawRequest) -> String {
     let id = request.header(REQUEST_ID).unwrap_or_default();
     format!("{REQUEST_ID}: {id}\r\n{SEAL}: seal\r\n")
 }
@@ -605,5 +621,7 @@
 }
 
 fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
-    state.lock().expect("no holder of the lock panics")
+    state
+        .lock()
+        .expect("no thread panics while it holds the lock")
 }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,10 +1,10 @@
-//! A mix of urgent, quick and long requests and service calls, and what became of them.
+//! Load generator: a seeded mix of completions of three classes and service calls, with a report of the outcomes.
 
 use crate::{
     caller::{CallResult, CallerClient, CompletionCall},
     site::{BATCH_TOKEN, NORMAL_TOKEN, TestSite, URGENT_TOKEN, adapter_name},
 };
-use hoplanding_standins::engine::expected_answer;
+use hoplanding_standins::engine::expected_completion;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use rand_distr::{Distribution, Zipf};
 use std::{
@@ -17,59 +17,59 @@
 };
 use tokio::{task::JoinSet, time::sleep};
 
-/// Classes in the order of the report.
+/// Priority classes and their caller tokens, in the order of the report.
 const CLASSES: [(&str, &str); 3] = [
     ("urgent", URGENT_TOKEN),
     ("normal", NORMAL_TOKEN),
     ("batch", BATCH_TOKEN),
 ];
-/// Refused requests are sent again this often.
-const RESENDS: usize = 20;
+/// Attempts per request; only a request refused as `not_run` is sent again.
+const MAX_ATTEMPTS: usize = 20;
 
-/// What is sent.
+/// Parameters of a load run.
 #[derive(Clone, Debug)]
 pub struct LoadConfig {
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Requests at once.
-    pub at_once: usize,
-    /// Skew of the adapters' popularity (Zipf exponent).
+    /// Requests in flight at once.
+    pub concurrency: usize,
+    /// Zipf exponent of the adapters' popularity; must be positive.
     pub skew: f64,
-    /// Seed of the mix.
+    /// Random seed of the mix.
     pub seed: u64,
-    /// Whether progress is printed.
+    /// Whether to print progress to standard output.
     pub progress: bool,
 }
 
-/// What became of it.
+/// Outcomes of a load run.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
     /// Requests sent.
     pub requests: usize,
-    /// Answers in full from the adapter that was named.
+    /// Complete and correct answers.
     pub answered: usize,
-    /// Answers of another adapter or with another text.
+    /// Answers from another adapter or version, or with unexpected text.
     pub wrong: usize,
-    /// Requests without an answer and without a statement about it.
+    /// Requests with neither a complete answer nor an error.
     pub lost: usize,
-    /// Requests that were refused to the last as not run.
+    /// Requests that were refused as not run on every attempt.
     pub not_run: usize,
-    /// Requests that failed, or whose outcome is unknown.
+    /// Code and message of requests that failed or whose outcome is unknown.
     pub failed: Vec<String>,
-    /// Calls that ran twice.
+    /// Number of service calls that ran more than once.
     pub repeated: usize,
-    /// Broken promises that the engines recorded.
+    /// Contract violations that the stand-ins recorded.
     pub violations: Vec<String>,
-    /// Times to first token by class, in microseconds, sorted.
+    /// Times to first token of each class, in microseconds, ascending.
     pub first_token_us: [Vec<u64>; 3],
-    /// Load stalls in milliseconds, sorted.
+    /// Load stalls of all answers, in milliseconds, ascending.
     pub load_stalls_ms: Vec<u64>,
-    /// Share of the engines' seats used in their steps.
+    /// Share of the engines' batch slots that were in use, over all steps of the run; 0 to 1.
     pub batch_efficiency: f64,
 }
 
 impl LoadReport {
-    /// Whether nothing was wrong, lost or repeated.
+    /// Whether no request was wrong, lost, repeated or failed, and no contract was violated.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.wrong == 0
@@ -80,7 +80,7 @@
     }
 }
 
-/// A value of a sorted list; zero if it is empty.
+/// Returns the value at `share` (0 to 1) of a list in ascending order; 0 if the list is empty.
 #[must_use]
 pub fn percentile(sorted: &[u64], share: f64) -> u64 {
     let index = ((sorted.len() as f64 * share).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
@@ -128,13 +128,13 @@
     Scan(String),
 }
 
-fn plan(config: &LoadConfig, adapters: usize) -> Vec<PlannedCall> {
+fn plan_calls(config: &LoadConfig, adapters: usize) -> Vec<PlannedCall> {
     let mut random = StdRng::seed_from_u64(config.seed);
     let zipf = Zipf::new(adapters as f64, config.skew).expect("the skew is a positive number");
     let calls = (0..config.requests).map(|number| {
         let pick: f64 = random.random();
         let adapter = zipf.sample(&mut random) as usize - 1;
-        // A tenth are service calls; the rest urgent, quick and long.
+        // 10% service calls, 20% urgent, 50% normal and 20% batch completions.
         let (class, tokens) = match pick {
             pick if pick < 0.1 => {
                 return PlannedCall::Scan(format!("scan {} {number}", config.seed));
@@ -156,16 +156,16 @@
     calls.collect()
 }
 
-/// Sends a mix to all daemons of a site and reports what became of it.
+/// Sends a mix of requests to all daemons of a site, in turn, and reports the outcomes.
 pub async fn run_load(site: &TestSite, config: &LoadConfig) -> LoadReport {
-    let calls = Arc::new(plan(config, site.config.adapters.max(1)));
+    let calls = Arc::new(plan_calls(config, site.config.adapters.max(1)));
     let bases: Arc<Vec<String>> = Arc::new(site.daemons.keys().map(|vm| site.url(vm)).collect());
     let next = Arc::new(AtomicUsize::new(0));
     let report = Arc::new(Mutex::new(LoadReport::default()));
-    let before = steps(site);
+    let before = step_totals(site);
     let client = CallerClient::new(&bases[0], "");
     let mut workers = JoinSet::new();
-    for _ in 0..config.at_once {
+    for _ in 0..config.concurrency {
         let (calls, bases, next, report) = (
             Arc::clone(&calls),
             Arc::clone(&bases),
@@ -179,7 +179,7 @@
                 let Some(call) = calls.get(number) else {
                     return;
                 };
-                send(&client, &bases, number, call, &report).await;
+                send_until_run(&client, &bases, number, call, &report).await;
                 if progress && (number + 1) % (calls.len() / 10).max(1) == 0 {
                     println!("  {:>6} of {} requests", number + 1, calls.len());
                 }
@@ -187,12 +187,16 @@
         });
     }
     while workers.join_next().await.is_some() {}
-    let mut report = std::mem::take(&mut *report.lock().expect("no holder of the lock panics"));
-    let after = steps(site);
+    let mut report = std::mem::take(
+        &mut *report
+            .lock()
+            .expect("no thread panics while it holds the lock"),
+    );
+    let after = step_totals(site);
     let seats = (after.0 - before.0) * site.config.model.batch as u64;
     report.batch_efficiency = (after.1 - before.1) as f64 / seats.max(1) as f64;
     report.violations = site.violations();
-    report.repeated = site.repeated().len();
+    report.repeated = site.repeated_calls().len();
     report
         .first_token_us
         .iter_mut()
@@ -201,17 +205,17 @@
     report
 }
 
-fn steps(site: &TestSite) -> (u64, u64) {
-    let truths = site
+fn step_totals(site: &TestSite) -> (u64, u64) {
+    let stats = site
         .engines
         .values()
-        .map(hoplanding_standins::engine::EngineStandin::truth);
-    truths.fold((0, 0), |sum, truth| {
-        (sum.0 + truth.steps, sum.1 + truth.step_sequences)
+        .map(hoplanding_standins::engine::EngineStandin::stats);
+    stats.fold((0, 0), |sum, engine| {
+        (sum.0 + engine.steps, sum.1 + engine.step_sequences)
     })
 }
 
-async fn send(
+async fn send_until_run(
     client: &CallerClient,
     bases: &[String],
     number: usize,
@@ -220,13 +224,16 @@
 ) {
     let base = &bases[number % bases.len()];
     let mut result = CallResult::default();
-    for attempt in 0..RESENDS {
+    for attempt in 0..MAX_ATTEMPTS {
         result = match call {
             PlannedCall::Completion(class, call) => {
-                client.at(base, CLASSES[*class].1).complete(call).await
+                client
+                    .with_endpoint(base, CLASSES[*class].1)
+                    .complete(call)
+                    .await
             }
             PlannedCall::Scan(body) => {
-                let caller = client.at(base, URGENT_TOKEN);
+                let caller = client.with_endpoint(base, URGENT_TOKEN);
                 let token = caller.issue_token().await;
                 caller.post_scan(body, token.as_deref()).await
             }
@@ -236,14 +243,16 @@
         }
         sleep(Duration::from_millis(50 * (attempt as u64 + 1).min(10))).await;
     }
-    note(
-        &mut report.lock().expect("no holder of the lock panics"),
+    record_result(
+        &mut report
+            .lock()
+            .expect("no thread panics while it holds the lock"),
         call,
         &result,
     );
 }
 
-fn note(report: &mut LoadReport, call: &PlannedCall, result: &CallResult) {
+fn record_result(report: &mut LoadReport, call: &PlannedCall, result: &CallResult) {
     report.requests += 1;
     match result.error.as_deref() {
         Some("not_run") => {
@@ -254,19 +263,20 @@
             report.failed.push(format!("{code}: {}", result.message));
             return;
         }
-        None if !result.complete => {
+        None if !result.is_complete => {
             report.lost += 1;
             return;
         }
         None => {}
     }
     if let PlannedCall::Completion(class, call) = call {
-        let expected = expected_answer(&format!("{}@v1", call.model), &call.prompt, call.tokens);
+        let expected =
+            expected_completion(&format!("{}@v1", call.model), &call.prompt, call.tokens);
         if result.text != expected || result.model != format!("{}@v1", call.model) {
             report.wrong += 1;
             return;
         }
-        report.first_token_us[*class].push(result.first_token.as_micros() as u64);
+        report.first_token_us[*class].push(result.time_to_first_token.as_micros() as u64);
         report.load_stalls_ms.push(result.load_stall_ms);
     }
     report.answered += 1;
